--- /dev/null
+++ b/tests/golden/peer.rs
@@ -0,0 +1,229 @@
+//! Messages between controllers, as bytes.
+
+use crate::samples::Samples;
+use bytes::Bytes;
+use prost::Message;
+use std::fmt::Debug;
+use wallstile::peer::{
+    Hello, HelloAnswer, ImageView, JobCount, JobView, MachineView, Offer, Placement, PlanInput, PlanOutput,
+    ReportBatch, ReportDecision, ReportDecisions, TeamLeft, TypeView, VERSION, Waiting, Wish, ZoneCount,
+};
+
+/// Each message has its sample.
+fn assert_samples<M: Message + Default + PartialEq + Debug>(messages: &[(&str, M)]) {
+    let samples = Samples::peer();
+    for (name, message) in messages {
+        samples.assert_message(name, message);
+    }
+}
+
+#[test]
+fn the_version_is_the_sample() {
+    Samples::peer().assert_text("version", &VERSION.to_string());
+}
+
+fn job_count() -> JobCount {
+    JobCount { job: "req-000412".into(), done: 5, running: 9 }
+}
+
+#[test]
+fn hellos_are_the_samples() {
+    let full = Hello {
+        version: 3,
+        from: "plinth-0".into(),
+        hold_on: true,
+        term: 9001,
+        counts: vec![job_count()],
+        leading: true,
+        successor: "plinth-1".into(),
+        silent: vec!["m-000231".into(), "m-000232".into()],
+        read_to: 9002,
+        cancelled: vec!["req-000007".into()],
+    };
+    assert_samples(&[
+        ("hello", full),
+        ("hello_hold_on", Hello { hold_on: true, ..Hello::default() }),
+        ("hello_leading", Hello { leading: true, ..Hello::default() }),
+    ]);
+    assert_samples(&[("job_count", job_count())]);
+}
+
+#[test]
+fn answers_to_hellos_are_the_samples() {
+    let full = HelloAnswer {
+        version: 3,
+        state_ok: true,
+        promise_ms: 3500,
+        misdirected: vec!["m-000231".into()],
+        leader: "plinth-2".into(),
+        cancelled: vec!["req-000007".into(), "req-000008".into()],
+        forwards: true,
+    };
+    assert_samples(&[
+        ("hello_answer", full),
+        ("hello_answer_state_ok", HelloAnswer { state_ok: true, ..HelloAnswer::default() }),
+        ("hello_answer_forwards", HelloAnswer { forwards: true, ..HelloAnswer::default() }),
+    ]);
+}
+
+#[test]
+fn reports_passed_on_are_the_samples() {
+    let decision = ReportDecision { status: 421, body: Bytes::from_static(b"{}") };
+    let reports = vec![Bytes::from_static(b"{\"a\":1}"), Bytes::from_static(b"\x00\xff")];
+    assert_samples(&[("report_batch", ReportBatch { version: 3, reports, from: "plinth-1".into() })]);
+    let decisions = vec![decision.clone()];
+    assert_samples(&[("report_decisions", ReportDecisions { version: 3, leading: true, decisions })]);
+    assert_samples(&[("report_decision", decision)]);
+}
+
+fn type_view() -> TypeView {
+    TypeView {
+        cpus: 16.0,
+        gpus: 8.0,
+        memory_gb: 64.5,
+        fetch_gb_per_s: 1.25,
+        price: 3.75,
+        spot_price: 1.5,
+        boot_s: 40.0,
+    }
+}
+
+fn machine_view() -> MachineView {
+    MachineView {
+        key: 21,
+        kind: 22,
+        zone: 23,
+        spot: true,
+        up: true,
+        ready_s: 2.5,
+        age_s: 3.5,
+        free_cpus: 4.5,
+        free_gpus: 5.5,
+        free_memory_gb: 6.5,
+        images: vec![ImageView { image: 24, ready_s: 7.5 }],
+        slowness: 8.5,
+        spare_cpus: 9.5,
+        spare_memory_gb: 10.5,
+        rest_cpus: 11.5,
+        rest_memory_gb: 12.5,
+    }
+}
+
+#[test]
+fn views_of_machines_are_the_samples() {
+    assert_samples(&[("type_view", type_view())]);
+    assert_samples(&[("image_view", ImageView { image: 24, ready_s: 7.5 })]);
+    assert_samples(&[
+        ("machine_view", machine_view()),
+        ("machine_view_spot", MachineView { spot: true, ..MachineView::default() }),
+        ("machine_view_up", MachineView { up: true, ..MachineView::default() }),
+    ]);
+}
+
+fn job_view() -> JobView {
+    JobView {
+        key: 31,
+        team: 32,
+        priority: 33,
+        gang: true,
+        ready: 34,
+        tasks: 35,
+        cpus: 1.5,
+        gpus: 2.5,
+        memory_gb: 3.5,
+        image: 36,
+        image_gb: 4.5,
+        types: vec![37, 38],
+        zone: Some(39),
+        one_zone: true,
+        spread: true,
+        spot: true,
+        new_spot: true,
+        run_s: 5.5,
+        due_s: Some(6.5),
+        age_s: 7.5,
+        overspent: 8.5,
+        placed: vec![ZoneCount { zone: 40, count: 41 }],
+        avoid: vec![42, 43],
+        guaranteed: true,
+        service: true,
+        goal_s: Some(9.5),
+        may_rent: true,
+        missed: 44,
+        successors_s: 10.5,
+    }
+}
+
+#[test]
+fn views_of_jobs_are_the_samples() {
+    assert_samples(&[
+        ("job_view", job_view()),
+        ("job_view_sparse", JobView { zone: None, due_s: None, goal_s: None, ..job_view() }),
+        ("job_view_zone_0", JobView { zone: Some(0), ..JobView::default() }),
+        ("job_view_due_0", JobView { due_s: Some(0.0), ..JobView::default() }),
+        ("job_view_goal_0", JobView { goal_s: Some(0.0), ..JobView::default() }),
+    ]);
+    assert_samples(&[("zone_count", ZoneCount { zone: 40, count: 41 })]);
+}
+
+#[test]
+fn each_flag_of_a_job_is_its_sample() {
+    assert_samples(&[
+        ("job_view_gang", JobView { gang: true, ..JobView::default() }),
+        ("job_view_one_zone", JobView { one_zone: true, ..JobView::default() }),
+        ("job_view_spread", JobView { spread: true, ..JobView::default() }),
+        ("job_view_spot", JobView { spot: true, ..JobView::default() }),
+        ("job_view_new_spot", JobView { new_spot: true, ..JobView::default() }),
+        ("job_view_guaranteed", JobView { guaranteed: true, ..JobView::default() }),
+        ("job_view_service", JobView { service: true, ..JobView::default() }),
+        ("job_view_may_rent", JobView { may_rent: true, ..JobView::default() }),
+    ]);
+}
+
+fn team_left() -> TeamLeft {
+    TeamLeft { team: 51, cpus: 1.5, gpus: 2.5 }
+}
+
+fn offer() -> Offer {
+    Offer { kind: 52, zone: 53, spot: true, most: 54 }
+}
+
+#[test]
+fn what_is_planned_on_is_the_sample() {
+    let input = PlanInput {
+        version: 3,
+        term: 9001,
+        round: 9002,
+        types: vec![type_view()],
+        machines: vec![machine_view()],
+        jobs: vec![job_view()],
+        teams: vec![team_left()],
+        offers: vec![offer()],
+        batch: 55,
+        budget_share: 0.25,
+        spot_mu: 8.5,
+        spot_sigma: 1.25,
+    };
+    assert_samples(&[("plan_input", input)]);
+    assert_samples(&[("team_left", team_left())]);
+    assert_samples(&[("offer", offer())]);
+}
+
+#[test]
+fn plans_are_the_samples() {
+    let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
+    let wish = Wish { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
+    let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, ready_s: 3.5 };
+    let output = PlanOutput {
+        version: 3,
+        term: 9001,
+        round: 9002,
+        placements: vec![placement.clone()],
+        wishes: vec![wish.clone()],
+        waiting: vec![waiting.clone()],
+    };
+    assert_samples(&[("plan_output", output)]);
+    assert_samples(&[("placement", placement)]);
+    assert_samples(&[("wish", wish)]);
+    assert_samples(&[("waiting", waiting)]);
+}
--- /dev/null
+++ b/tests/golden/settings.rs
@@ -0,0 +1,69 @@
+//! Every name of the platform's settings and of the operators' is read.
+
+use wallstile::config::{Objective, Peer, Settings, Team, Tuning};
+
+fn settings() -> Settings {
+    Settings::parse(include_str!("settings.json")).expect("the sample is valid")
+}
+
+#[test]
+fn a_controllers_own_settings_are_read() {
+    let Settings { name, listen, peer_listen, peers, services, cluster: _ } = settings();
+    assert_eq!(name, "plinth-0");
+    let addresses = [listen, peer_listen, services.cloud, services.state].map(|address| address.to_string());
+    assert_eq!(addresses, ["10.0.0.1:8080", "10.0.0.1:8081", "10.2.0.2:8443", "10.2.0.1:2379"]);
+    let peer = |peer: &Peer| (peer.name.clone(), peer.zone.clone(), peer.addr.to_string());
+    let expected = [
+        ("plinth-1".to_string(), "b".to_string(), "10.0.0.2:8081".to_string()),
+        ("plinth-2".to_string(), String::new(), "10.0.0.3:8081".to_string()),
+    ];
+    assert_eq!(peers.iter().map(peer).collect::<Vec<_>>(), expected);
+}
+
+#[test]
+fn settings_of_teams_and_aims_are_read() {
+    let cluster = settings().cluster;
+    assert_eq!(cluster.zones, ["a", "b"]);
+    let team = |team: &Team| (team.name.clone(), [team.cpus, team.cpus_max, team.gpus, team.gpus_max]);
+    let teams: Vec<_> = cluster.teams.iter().map(team).collect();
+    assert_eq!(teams, [("team-a".to_string(), [8.0, 40.0, 2.0, 6.0]), ("team-b".to_string(), [0.0; 4])]);
+    let aim = |aim: &Objective| (aim.kind.clone(), aim.class.clone(), aim.within_s, aim.times);
+    let aims: Vec<_> = cluster.objectives.iter().map(aim).collect();
+    let expected =
+        [("deadline".to_string(), "feed".to_string(), 3.5, 1.5), ("guarantee".to_string(), String::new(), 0.0, 1.0)];
+    assert_eq!(aims, expected);
+}
+
+#[test]
+fn settings_of_limits_are_read() {
+    let cluster = settings().cluster;
+    let workers = cluster.workers;
+    assert_eq!([workers.report_s, workers.lease_s, workers.cancel_s], [1.5, 10.0, 30.0]);
+    let state = cluster.state;
+    assert_eq!([state.rps, state.write_rps, state.value_kb], [100.0, 20.0, 8.0]);
+    assert_eq!(state.txn_ops, 12);
+    let next = state.next;
+    assert_eq!([next.rps, next.write_rps, next.value_kb], [Some(90.0), Some(15.0), Some(4.0)]);
+    assert_eq!(next.txn_ops, Some(6));
+    assert_eq!([cluster.cloud.rps, cluster.cloud.list_lag_s], [4.0, 11.0]);
+    assert_eq!(cluster.limits.sockets, 1000);
+}
+
+#[test]
+fn the_operators_settings_are_read() {
+    let expected = Tuning {
+        budget_share: 0.5,
+        spot_median_s: 5401.0,
+        spot_sigma: 1.5,
+        spot_window_s: 11.0,
+        idle_s: 21.0,
+        gpu_idle_factor: 2.5,
+        service_horizon_s: 601.0,
+        batch_min: 65.0,
+        batch_max: 1025.0,
+        round_ms: 151.0,
+        user_requests: 66.0,
+        gather_s: 121.0,
+    };
+    assert_eq!(Tuning::parse(include_str!("operators.xml")), Ok(expected));
+}
--- /dev/null
+++ b/tests/golden/stored.rs
@@ -0,0 +1,150 @@
+//! What the state service keeps: keys, and the records under them.
+
+use crate::samples::Samples;
+use crate::values::{full_job, job_id, job_named, machine_type, sparse_job};
+use fixedbitset::FixedBitSet;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use wallstile::config::{LaterLimits, StateLimits};
+use wallstile::core::done_sets::{Layout, parse_key};
+use wallstile::core::fleet::{FLEET, FleetRecord, fleet_key};
+use wallstile::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
+use wallstile::core::records::{
+    BITS, LIVE, LiveRecord, OVER, OverRecord, absent_guards, awaits_others, ending_changes, live_guard, live_key,
+    over_key,
+};
+use wallstile::core::shares::{SHARES_KEY, Shares};
+use wallstile::ids::{LeaseId, MachineId, Revision};
+use wallstile::net::leading::KINDS_KEY;
+use wallstile::time::{Mono, Wall};
+use wallstile::wire::{JobPhase, Txn};
+
+const AT: Wall = Wall(1_700_000_000_123);
+
+fn live(awaits: &[&str]) -> LiveRecord {
+    LiveRecord { at: AT, spec: full_job(), awaits: awaits.iter().map(|name| job_named(name)).collect() }
+}
+
+#[test]
+fn keys_are_the_samples() {
+    let machine = MachineId::parse("m-000231").expect("it is the name of a machine");
+    let keys = json!({
+        "live": live_key(&job_id()),
+        "over": over_key(&job_id()),
+        "machine": fleet_key(&machine),
+        "leader": LEADER_KEY,
+        "founded": INITIALIZED_KEY,
+        "heir": SUCCESSOR_KEY,
+        "kinds": KINDS_KEY,
+        "shares": SHARES_KEY,
+        "prefixes": [LIVE, OVER, BITS, FLEET],
+    });
+    Samples::stored().assert_text("keys", &keys.to_string());
+}
+
+#[test]
+fn live_records_are_kept_as_the_samples() {
+    let sparse = LiveRecord { spec: sparse_job(), ..live(&[]) };
+    let samples = Samples::stored();
+    for (name, record, awaits) in [
+        ("live_plain", live(&[]), false),
+        ("live_plain_sparse", sparse, false),
+        ("live_waiting", live(&["req-000007", "req-0000000008"]), true),
+    ] {
+        samples.assert_kept(name, &record);
+        assert_eq!(awaits_others(&samples.read(name)), awaits, "{name}");
+    }
+}
+
+#[test]
+fn over_records_are_kept_as_the_samples() {
+    let samples = Samples::stored();
+    for (name, record) in [
+        ("over_done", OverRecord::done(17, AT)),
+        ("over_cancelled", OverRecord::cancelled(17)),
+        ("over_done_by_an_earlier_version", OverRecord { phase: JobPhase::Done, tasks: 17, at: None }),
+    ] {
+        samples.assert_kept(name, &record);
+    }
+}
+
+#[test]
+fn the_changes_of_a_job_are_the_samples() {
+    let samples = Samples::stored();
+    let begun = Txn { guards: absent_guards(&job_id()), apply: Vec::new() };
+    samples.assert_both_ways("guards_of_a_new_job", &begun);
+    let record = OverRecord::done(17, AT);
+    let ended =
+        Txn { guards: vec![live_guard(&job_id(), Revision(9001))], apply: ending_changes(&job_id(), &record).into() };
+    samples.assert_both_ways("ending_of_a_job", &ended);
+}
+
+#[test]
+fn machine_records_are_kept_as_the_samples() {
+    let record = FleetRecord { endpoint: "10.1.0.7:9000".into(), kind: "g8".into(), zone: "a".into(), spot: true };
+    Samples::stored().assert_kept("machine", &record);
+    Samples::stored().assert_kept("machine_types", &vec![machine_type()]);
+}
+
+#[test]
+fn the_leader_is_kept_as_the_sample() {
+    let samples = Samples::stored();
+    let record = LeaderRecord { node: "plinth-0".into(), incarnation: 77, lease: LeaseId(12) };
+    samples.assert_kept("leader", &record);
+    let earlier: LeaderRecord = samples.read("leader_by_an_earlier_version");
+    assert_eq!(earlier, record);
+}
+
+#[test]
+fn shares_are_kept_as_the_sample() {
+    let teams = ["team-a".to_string(), "team-b".to_string()];
+    let mut shares = Shares::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, Mono(0));
+    let samples = Samples::stored();
+    let kept: BTreeMap<String, String> = samples.read("shares");
+    assert_ne!(shares.kept(&teams), kept);
+    shares.restore(&kept, &teams);
+    samples.assert_text("shares", &json!(shares.kept(&teams)).to_string());
+}
+
+/// Rows of 150 tasks, which become the limit later; today's rows hold 306.
+fn layout() -> Layout {
+    let next = LaterLimits { value_kb: Some(0.05), ..LaterLimits::default() };
+    Layout::new(&StateLimits { rps: 100.0, write_rps: 20.0, value_kb: 0.1, txn_ops: 12, next })
+}
+
+fn set_of(tasks: usize, done: &[usize]) -> FixedBitSet {
+    let mut set = FixedBitSet::with_capacity(tasks);
+    set.extend(done.iter().copied());
+    set
+}
+
+#[test]
+fn done_sets_are_kept_as_the_samples() {
+    let samples = Samples::stored();
+    for (name, tasks, done) in
+        [("done_set_small", 20, vec![0, 3, 19]), ("done_set_large", 200, vec![1, 8, 149, 150, 153, 199])]
+    {
+        let set = set_of(tasks as usize, &done);
+        let rows = layout().rows(tasks);
+        let written: BTreeMap<String, Value> = rows.iter().map(|row| (row.key(&job_id()), row.encode(&set))).collect();
+        samples.assert_text(name, &json!(written).to_string());
+        assert_eq!(read_set(name, tasks as usize), set, "{name}");
+    }
+}
+
+#[test]
+fn done_sets_of_an_earlier_version_are_read() {
+    assert_eq!(read_set("done_set_by_an_earlier_version", 400), set_of(400, &[2, 305, 306, 315]));
+}
+
+/// The set that the rows of a sample make up.
+fn read_set(name: &str, tasks: usize) -> FixedBitSet {
+    let rows: BTreeMap<String, Value> = Samples::stored().read(name);
+    let mut set = FixedBitSet::with_capacity(tasks);
+    for (key, value) in &rows {
+        let (job, number) = parse_key(key).expect("it is the key of a row");
+        assert_eq!(job, job_id(), "{key}");
+        assert!(layout().read(&mut set, number, value), "{key}");
+    }
+    set
+}
--- /dev/null
+++ b/tests/golden/values.rs
@@ -0,0 +1,72 @@
+//! Values that stored records and wire messages share. The numbers of a value differ from each other, so
+//! that two swapped fields show.
+
+use wallstile::ids::{JobId, TaskId};
+use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
+
+pub fn job_id() -> JobId {
+    job_named("req-000412")
+}
+
+pub fn job_named(name: &str) -> JobId {
+    JobId::parse(name).expect("it is the name of a job")
+}
+
+pub fn task(index: u32) -> TaskId {
+    TaskId { job: job_id(), index }
+}
+
+/// Every optional field is there. Of the three flags no two agree both here and in [`sparse_job`].
+pub fn full_job() -> JobSpec {
+    JobSpec {
+        id: "req-000412".into(),
+        class: "train".into(),
+        team: "team-a".into(),
+        kind: Kind::Gang,
+        priority: Priority::High,
+        tasks: 17,
+        cpus: 2.5,
+        gpus: 3.0,
+        memory_gb: 24.25,
+        image: "image-7".into(),
+        image_gb: 6.5,
+        types: Some(vec!["g8".into(), "h16".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 321.5,
+        checkpoint_s: 45.0,
+        save_s: 8.75,
+        deadline_s: Some(900.0),
+    }
+}
+
+pub fn sparse_job() -> JobSpec {
+    JobSpec {
+        kind: Kind::Array,
+        priority: Priority::Low,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: true,
+        spot: true,
+        deadline_s: None,
+        ..full_job()
+    }
+}
+
+pub fn machine_type() -> MachineType {
+    MachineType {
+        name: "g8".into(),
+        cpus: 16.0,
+        gpus: 8.0,
+        memory_gb: 64.5,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.25,
+        price: 3.75,
+        spot_price: 1.5,
+        boot_s: 40.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
--- /dev/null
+++ b/tests/golden/wire.rs
@@ -0,0 +1,225 @@
+//! The JSON of users, workers, cloud and state service.
+
+use crate::samples::Samples;
+use crate::values::{full_job, job_id, job_named, machine_type, sparse_job, task};
+use serde_json::json;
+use wallstile::core::submissions::{Submission, parse_submission};
+use wallstile::ids::{Attempt, FencingToken, Sequence, Session};
+use wallstile::net::users::Reply;
+use wallstile::wire::{
+    Cause, Change, DirectOrders, Guard, JobAnswer, JobPhase, Kind, ListPhase, ListedMachine, Log, LogEntry,
+    MachineList, MachineNames, MachineType, MachineTypes, Order, Priority, RentRequest, Report, ReportAnswer, Row,
+    Rows, TaskPhase, TaskReport, Txn,
+};
+
+#[test]
+fn words_of_the_wire_are_the_samples() {
+    let samples = Samples::wire();
+    samples.assert_both_ways("kinds", &[Kind::Array, Kind::Gang, Kind::Service]);
+    samples.assert_both_ways("priorities", &[Priority::Prod, Priority::High, Priority::Normal, Priority::Low]);
+    let phases = [JobPhase::Queued, JobPhase::Running, JobPhase::Done, JobPhase::Aborted];
+    samples.assert_both_ways("job_phases", &phases);
+    let phases = [TaskPhase::Pulling, TaskPhase::Waiting, TaskPhase::Running, TaskPhase::Flushing, TaskPhase::Exited];
+    samples.assert_both_ways("task_phases", &phases);
+    samples.assert_both_ways("list_phases", &[ListPhase::Starting, ListPhase::Running, ListPhase::Failed]);
+    let causes = [
+        Cause::Done,
+        Cause::Halted,
+        Cause::MatesGone,
+        Cause::Alone,
+        Cause::Error,
+        Cause::NoRoom,
+        Cause::InUse,
+        Cause::Unknown,
+        Cause::Other,
+    ];
+    samples.assert_both_ways("causes", &causes);
+}
+
+#[test]
+fn a_cause_of_a_later_version_is_read() {
+    let causes: Vec<Cause> = Samples::wire().read("causes_of_a_later_version");
+    assert_eq!(causes, [Cause::Other]);
+}
+
+// ---- users
+
+#[test]
+fn jobs_are_the_samples() {
+    Samples::wire().assert_both_ways("job", &full_job());
+    Samples::wire().assert_both_ways("job_sparse", &sparse_job());
+}
+
+#[test]
+fn submissions_are_read() {
+    let first = job_named("req-000007");
+    let second = job_named("req-000008");
+    for (name, spec, awaits) in
+        [("submission", full_job(), vec![first, second]), ("submission_sparse", sparse_job(), vec![])]
+    {
+        let read = parse_submission(Samples::wire().text(name).as_bytes());
+        assert_eq!(read, Ok((job_id(), Ok(Submission { spec, awaits }))), "{name}");
+    }
+}
+
+#[test]
+fn answers_to_users_are_the_samples() {
+    let answer = |done, running| json!(JobAnswer { id: "req-000412", phase: JobPhase::Running, done, running });
+    let samples = Samples::wire();
+    samples.assert_text("job_answer", &answer(Some(5), Some(9)).to_string());
+    samples.assert_text("job_answer_sparse", &answer(None, None).to_string());
+    let refusal = Reply::error(404, "no such job");
+    assert_eq!((refusal.status, refusal.retry_after), (404, None));
+    samples.assert_text("error_answer", &refusal.body);
+    let later = Reply::later("come back");
+    assert_eq!((later.status, later.retry_after), (503, Some(1)));
+    samples.assert_text("later_answer", &later.body);
+}
+
+// ---- workers
+
+fn full_task() -> TaskReport {
+    TaskReport {
+        task: Some(task(3)),
+        attempt: Attempt(70_000_000_001),
+        phase: TaskPhase::Exited,
+        cause: Some(Cause::MatesGone),
+        kept: Some(true),
+    }
+}
+
+fn sparse_task() -> TaskReport {
+    TaskReport { phase: TaskPhase::Pulling, cause: None, kept: None, ..full_task() }
+}
+
+fn full_report() -> Report {
+    Report {
+        machine: "m-000231".into(),
+        endpoint: "10.1.0.7:9000".into(),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: Session(31),
+        sequence: Sequence(32),
+        token: FencingToken(33),
+        notice_s: Some(12.5),
+        tasks: vec![full_task(), sparse_task()],
+    }
+}
+
+#[test]
+fn reports_are_the_samples() {
+    let samples = Samples::wire();
+    samples.assert_both_ways("task_report", &full_task());
+    samples.assert_both_ways("task_report_sparse", &sparse_task());
+    samples.assert_both_ways("report", &full_report());
+    let quiet = Report { notice_s: None, tasks: Vec::new(), ..full_report() };
+    samples.assert_both_ways("report_quiet", &quiet);
+    let least: Report = samples.read("report_of_the_least_members");
+    assert_eq!(format!("{least:?}"), format!("{quiet:?}"));
+}
+
+#[test]
+fn a_report_on_what_is_no_task_is_read() {
+    let odd: TaskReport = Samples::wire().read("task_report_of_an_odd_name");
+    assert_eq!((odd.task, odd.attempt, odd.phase), (None, Attempt(4), TaskPhase::Running));
+}
+
+fn orders() -> Vec<Order> {
+    vec![
+        Order::Run { task: task(1), attempt: Attempt(11) },
+        Order::Stop { task: task(2), attempt: Attempt(12), leeway_s: 7.5 },
+        Order::Clear { task: task(3), attempt: Attempt(13) },
+    ]
+}
+
+#[test]
+fn orders_are_the_samples() {
+    let samples = Samples::wire();
+    samples.assert_both_ways("report_answer", &ReportAnswer { token: FencingToken(33), orders: orders() });
+    let nothing = ReportAnswer { token: FencingToken(33), orders: Vec::new() };
+    samples.assert_both_ways("report_answer_without_orders", &nothing);
+    let direct = DirectOrders { token: FencingToken(33), session: Session(31), orders: orders() };
+    samples.assert_both_ways("direct_orders", &direct);
+}
+
+// ---- cloud
+
+#[test]
+fn machine_types_are_the_samples() {
+    let samples = Samples::wire();
+    samples.assert_both_ways("machine_types", &MachineTypes { builds: vec![machine_type()] });
+    let least: MachineType = samples.read("machine_type_of_the_least_members");
+    let expected =
+        MachineType { gpus: 0.0, cache_gb: 0.0, fetch_gb_per_s: 1.0, boot_s: 0.0, zones: Vec::new(), ..machine_type() };
+    assert_eq!(least, expected);
+}
+
+#[test]
+fn rentals_are_the_samples() {
+    let request = RentRequest { name: "w31-2".into(), kind: "g8".into(), zone: "a".into(), spot: true, number: 6 };
+    Samples::wire().assert_both_ways("rent_request", &request);
+    let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
+    Samples::wire().assert_both_ways("machine_names", &names);
+}
+
+#[test]
+fn listed_machines_are_the_samples() {
+    let machine = ListedMachine {
+        id: "m-000231".into(),
+        endpoint: Some("10.1.0.7:9000".into()),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        phase: ListPhase::Running,
+        age_s: 62.5,
+    };
+    let samples = Samples::wire();
+    samples.assert_both_ways("listed_machine", &machine);
+    let id = "m-000232".into();
+    let starting = ListedMachine { id, endpoint: None, phase: ListPhase::Starting, age_s: 0.0, ..machine.clone() };
+    samples.assert_both_ways("listed_machine_starting", &starting);
+    let page: MachineList = samples.read("machine_list");
+    assert!(page.has_next);
+    assert_eq!(format!("{:?}", page.plinths), format!("{:?}", [machine, starting]));
+    assert!(!samples.read::<MachineList>("machine_list_of_the_least_members").has_next);
+}
+
+// ---- state service
+
+#[test]
+fn transactions_are_the_samples() {
+    let leased = Change::Write { write: "ctl/leader".into(), value: json!({"node": "plinth-0"}), tenure: Some(12) };
+    let txn = Txn {
+        guards: vec![Guard { path: "ctl/leader".into(), revision: 9001 }],
+        apply: vec![leased, Change::write("ctl/founded", json!(true)), Change::drop("live/req-000412")],
+    };
+    Samples::wire().assert_both_ways("transaction", &txn);
+    Samples::wire().assert_both_ways("transaction_of_nothing", &Txn::default());
+}
+
+#[test]
+fn rows_of_the_state_service_are_read() {
+    let samples = Samples::wire();
+    let page: Rows = samples.read("rows");
+    assert_eq!((page.has_next, page.epoch), (true, 9002));
+    let fields = |row: &Row| (row.path.clone(), row.value.clone(), row.revision);
+    let expected = [("ctl/heir".to_string(), json!("plinth-1"), 9001)];
+    assert_eq!(page.rows.iter().map(fields).collect::<Vec<_>>(), expected);
+    let last: Rows = samples.read("rows_of_the_least_members");
+    assert_eq!((last.rows.len(), last.has_next, last.epoch), (0, false, 9002));
+}
+
+#[test]
+fn changes_that_are_followed_are_read() {
+    let samples = Samples::wire();
+    let log: Log = samples.read("log");
+    assert_eq!(log.epoch, 9003);
+    let [LogEntry::Write { write, value, revision }, LogEntry::Drop { drop }] = log.log.as_slice() else {
+        panic!("not a write and a drop: {log:?}");
+    };
+    assert_eq!((write.as_str(), value, *revision), ("ctl/heir", &json!("plinth-1"), 9001));
+    assert_eq!(drop, "live/req-000412");
+    let quiet: Log = samples.read("log_of_the_least_members");
+    assert_eq!((quiet.epoch, quiet.log.len()), (9003, 0));
+}
