--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -1,6 +1,7 @@
 //! Single situations, played against a leader with workers that answer at once.
 
 mod bounded_work;
+mod digest;
 mod leaders;
 mod machines;
 mod pipelines;
@@ -9,7 +10,7 @@
 use super::planner_view::deal;
 use super::*;
 use crate::config::sample_settings;
-use crate::core::records::{BITS, over_key};
+use crate::core::records::{BITS, OVER, over_key};
 use crate::ids::{LeaseId, Sequence, Session};
 use crate::wire::JobSpec;
 use serde_json::json;
--- /dev/null
+++ b/src/core/leader/tests/digest.rs
@@ -0,0 +1,406 @@
+//! A digest of what a leader of a fixed fleet puts out while a fixed mix of jobs comes, and what it works
+//! through: a change that is to keep the behaviour must keep both.
+
+use super::*;
+use crate::core::ledger_model::digest::Digest;
+
+const MACHINES: usize = 300;
+/// Those that an earlier leader has recorded; the others are new.
+const RECORDED: usize = 290;
+const SIMULATED_MS: u64 = 100_000;
+const REPORT_MS: u64 = 1_500;
+const BOOT_MS: u64 = 10_000;
+/// The cloud's list of machines is read this often.
+const LIST_MS: u64 = 10_000;
+/// A job comes this often, in the first part of the time.
+const JOB_MS: u64 = 250;
+const LAST_JOB_MS: u64 = 75_000;
+/// From then on a few workers tell of their spot machines' end.
+const NOTICE_MS: u64 = 30_000;
+
+struct SimulatedWorker {
+    index: usize,
+    report: Report,
+    /// When each listed task goes on to its next phase.
+    next: BTreeMap<SlotKey, u64>,
+    report_at: u64,
+}
+
+impl SimulatedWorker {
+    fn new(index: usize, kind: &str, zone: &str, spot: bool, report_at: u64) -> SimulatedWorker {
+        let kind = kind.into();
+        let report = Report { endpoint: index.to_string(), kind, zone: zone.into(), spot, ..Rig::fresh(index) };
+        SimulatedWorker { index, report, next: BTreeMap::new(), report_at }
+    }
+
+    fn of_first_fleet(index: usize) -> SimulatedWorker {
+        let kind = match index {
+            _ if index.is_multiple_of(10) => "gpu",
+            _ if index.is_multiple_of(8) => "large",
+            _ => "plain",
+        };
+        let zone = if index.is_multiple_of(2) { "a" } else { "b" };
+        let report_at = index as u64 * REPORT_MS / MACHINES as u64;
+        SimulatedWorker::new(index, kind, zone, index.is_multiple_of(5), report_at)
+    }
+
+    fn record(&self) -> Row {
+        let Report { endpoint, kind, zone, spot, .. } = self.report.clone();
+        let value = json!(FleetRecord { endpoint, kind, zone, spot });
+        Row { path: format!("{FLEET}{}", self.report.machine), value, revision: 1 }
+    }
+
+    fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
+        self.report.token = self.report.token.max(token);
+        Rig::execute(&mut self.report, orders);
+        for order in orders {
+            if let Order::Run { task, attempt } = order {
+                self.next.insert((*task, *attempt), now + 500);
+            }
+        }
+        for listed in self.report.tasks.iter_mut().filter(|l| l.phase == TaskPhase::Running) {
+            let key = (listed.task.expect("a task that was ordered"), listed.attempt);
+            if self.next.get(&key) == Some(&(now + 500)) {
+                listed.phase = TaskPhase::Pulling;
+            }
+        }
+    }
+
+    /// All tasks of a few machines fail.
+    fn is_faulty(&self) -> bool {
+        self.index % 40 == 7
+    }
+
+    /// On a few machines tasks take several times as long.
+    fn slowness(&self) -> u64 {
+        if self.index % 40 == 23 { 5 } else { 1 }
+    }
+
+    /// Tasks go on to their next phases; services never end.
+    fn step(&mut self, now: u64, services: &BTreeSet<JobId>) {
+        let (faulty, slowness) = (self.is_faulty(), self.slowness());
+        for listed in &mut self.report.tasks {
+            let key = (listed.task.expect("a task that was ordered"), listed.attempt);
+            if listed.phase == TaskPhase::Exited || self.next.get(&key).is_none_or(|at| *at > now) {
+                continue;
+            }
+            if listed.phase == TaskPhase::Pulling {
+                let run = 4_000 + (key.1.0 * 7_919 + u64::from(key.0.index) * 104_729) % 12_000;
+                listed.phase = TaskPhase::Running;
+                self.next.insert(key, now + run * slowness);
+            } else if !services.contains(&key.0.job) {
+                let cause = if faulty || key.1.0.is_multiple_of(17) { Cause::Error } else { Cause::Done };
+                (listed.phase, listed.cause) = (TaskPhase::Exited, Some(cause));
+            }
+        }
+    }
+
+    fn next_report(&mut self) -> Report {
+        self.report.sequence.0 += 1;
+        self.report.clone()
+    }
+}
+
+/// How many of each kind of action the edges were given; some get unusual answers.
+#[derive(Default)]
+struct Given {
+    orders: u64,
+    commits: u64,
+    rents: u64,
+    plans: u64,
+}
+
+struct FixedFleet {
+    leader: Leader,
+    now: u64,
+    revision: u64,
+    /// None: returned, or gone after a notice.
+    workers: Vec<Option<SimulatedWorker>>,
+    services: BTreeSet<JobId>,
+    endings: BTreeMap<JobId, Ending>,
+    given: Given,
+    digest: Digest,
+}
+
+impl FixedFleet {
+    fn new() -> FixedFleet {
+        let tuning = Tuning { gather_s: 4.0, idle_s: 30.0, ..Tuning::default() };
+        let mut types = kinds();
+        types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
+        let mut leader = Leader::new(sample_settings(), tuning, types, TERM, holder(), Mono(0));
+        let workers: Vec<SimulatedWorker> = (0..MACHINES).map(SimulatedWorker::of_first_fleet).collect();
+        let fleet = workers.iter().take(RECORDED).map(SimulatedWorker::record).collect();
+        leader.load(Mono(0), Stored { fleet, ..Stored::default() });
+        FixedFleet {
+            leader,
+            now: 0,
+            revision: TERM.0,
+            workers: workers.into_iter().map(Some).collect(),
+            services: BTreeSet::new(),
+            endings: BTreeMap::new(),
+            given: Given::default(),
+            digest: Digest::new(),
+        }
+    }
+
+    /// The jobs come in turns of ten.
+    fn job(number: u64) -> JobSpec {
+        let id = format!("req-{number:06}");
+        let usual = |kind: Kind, tasks: u32, cpus: f64| JobSpec {
+            priority: Priority::Normal,
+            image: format!("img-{}", number % 7),
+            spot: kind != Kind::Service,
+            ..spec(&id, kind, tasks, cpus)
+        };
+        let of_team_a = |s: JobSpec| JobSpec { team: "team-a".into(), ..s };
+        match number % 10 {
+            0 => {
+                JobSpec { class: "feed".into(), priority: Priority::Prod, spread: true, ..usual(Kind::Service, 4, 2.0) }
+            }
+            1 => usual(Kind::Array, 60, 1.0),
+            2 => JobSpec { checkpoint_s: 2.0, save_s: 0.5, ..usual(Kind::Gang, 6, 8.0) },
+            3 => JobSpec { gpus: 1.0, deadline_s: Some(60.0), ..usual(Kind::Array, 12, 2.0) },
+            4 => JobSpec { priority: Priority::Low, ..usual(Kind::Array, 150, 2.0) },
+            5 => of_team_a(usual(Kind::Array, 10, 1.0)),
+            6 => JobSpec { gpus: 2.0, priority: Priority::High, ..usual(Kind::Gang, 5, 4.0) },
+            7 => JobSpec { types: Some(vec!["large".into()]), ..usual(Kind::Array, 8, 16.0) },
+            8 => JobSpec { zone: Some("b".into()), ..usual(Kind::Array, 30, 4.0) },
+            _ => JobSpec { priority: Priority::High, spot: false, ..usual(Kind::Gang, 3, 32.0) },
+        }
+    }
+
+    /// Jobs await one or two of their turn, which end by themselves.
+    fn awaited(number: u64) -> Vec<JobId> {
+        let before = |distance: u64| JobId::parse(&format!("req-{:06}", number - distance)).unwrap();
+        match number % 10 {
+            4 => vec![before(3)],
+            5 => vec![before(1), before(2)],
+            8 => vec![before(3)],
+            _ => Vec::new(),
+        }
+    }
+
+    fn submit(&mut self, number: u64) {
+        let spec = FixedFleet::job(number);
+        let id = JobId::parse(&spec.id).unwrap();
+        if spec.kind == Kind::Service {
+            self.services.insert(id);
+        }
+        self.revision += 1;
+        let awaits = FixedFleet::awaited(number).into_iter().filter(|id| !self.endings.contains_key(id)).collect();
+        let record = json!(LiveRecord { at: Wall(self.now), spec, awaits });
+        self.leader.on_live(&id, &record, Revision(self.revision));
+    }
+
+    /// The watch tells of a cancellation; of each second one it doesn't say how the job has ended.
+    fn cancel(&mut self, number: u64) {
+        let id = JobId::parse(&format!("req-{number:06}")).unwrap();
+        if self.endings.contains_key(&id) {
+            return;
+        }
+        self.endings.insert(id, Ending::Cancelled);
+        let known = number.is_multiple_of(2);
+        self.leader.on_over(&id, if known { Ending::Cancelled } else { Ending::Unknown });
+    }
+
+    fn users(&mut self) {
+        if self.now > LAST_JOB_MS || !self.now.is_multiple_of(JOB_MS) {
+            return;
+        }
+        let number = self.now / JOB_MS;
+        self.submit(number);
+        if number > 12 && number.is_multiple_of(6) {
+            self.cancel(number - 5);
+        }
+        if number > 30 && number.is_multiple_of(11) {
+            self.cancel(number - 30);
+        }
+    }
+
+    /// Some spot machines get a notice, and are gone when it has run out.
+    fn notices(&mut self) {
+        for index in (0..MACHINES).step_by(35) {
+            let gone_at = NOTICE_MS + index as u64 * 100;
+            match &mut self.workers[index] {
+                Some(_) if self.now >= gone_at => self.workers[index] = None,
+                Some(worker) if self.now + 6_000 >= gone_at => {
+                    worker.report.notice_s = Some((gone_at - self.now) as f64 / 1_000.0);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn reports(&mut self) {
+        let now = self.now;
+        for (index, worker) in self.workers.iter_mut().enumerate() {
+            let Some(worker) = worker.as_mut().filter(|worker| worker.report_at <= now) else { continue };
+            worker.step(now, &self.services);
+            worker.report_at = now + REPORT_MS;
+            let report = worker.next_report();
+            let answer = match index % 3 {
+                0 => self.leader.on_report_by(Mono(now), &report, Route::by_peer(0)),
+                _ => self.leader.on_report(Mono(now), &report),
+            };
+            self.digest.answer(answer.as_ref());
+            if let Some(answer) = answer {
+                worker.obey(now, answer.token, &answer.orders);
+            }
+        }
+    }
+
+    /// The cloud lists all machines, and one that no worker runs on.
+    fn list(&mut self) {
+        if !self.now.is_multiple_of(LIST_MS) {
+            return;
+        }
+        let listed = |report: &Report| ListedMachine {
+            id: report.machine.clone(),
+            endpoint: Some(report.endpoint.clone()),
+            kind: report.kind.clone(),
+            zone: report.zone.clone(),
+            spot: report.spot,
+            phase: ListPhase::Running,
+            age_s: 60.0,
+        };
+        let unseen = SimulatedWorker::new(900_000, "plain", "a", false, 0);
+        let workers = self.workers.iter().flatten().chain([&unseen]);
+        let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.report)).collect();
+        self.leader.on_list(Mono(self.now), &machines);
+    }
+
+    fn peers(&mut self) {
+        if self.now.is_multiple_of(1_000) {
+            ["plinth-1", "plinth-2"].into_iter().for_each(|peer| self.leader.peer_answered(Mono(self.now), peer));
+        }
+    }
+
+    fn run(&mut self) {
+        while self.now < SIMULATED_MS {
+            self.now += TICK.0;
+            self.users();
+            self.notices();
+            self.peers();
+            self.list();
+            self.leader.tick(Mono(self.now), Wall(self.now));
+            self.reports();
+            let mut actions = self.leader.take_actions();
+            while !actions.is_empty() {
+                actions.into_iter().for_each(|action| self.perform(action));
+                actions = self.leader.take_actions();
+            }
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        self.digest.action(&action);
+        let now = Mono(self.now);
+        match action {
+            Action::Orders { ticket, endpoint, body } => {
+                let result = self.execute(&endpoint, &body);
+                self.leader.on_orders_result(now, ticket, result);
+            }
+            Action::Commit { ticket, txn } => {
+                let result = self.commit(&txn);
+                self.leader.on_committed(now, ticket, result);
+            }
+            Action::Reguard(_) => {
+                self.revision += 1;
+                self.leader.on_reguarded(now, Some(Revision(self.revision)));
+            }
+            Action::Rent(request) => {
+                let result = self.rent(&request);
+                self.leader.on_rented(now, &request.name, result);
+            }
+            Action::Return(ids) => {
+                let number = |id: &MachineId| id.0[2..].parse::<usize>().expect("a machine's number");
+                for id in &ids {
+                    if let Some(worker) = self.workers.get_mut(number(id)) {
+                        *worker = None;
+                    }
+                }
+                self.leader.on_returned(now, &ids, true);
+            }
+            Action::LookUp(ids) => {
+                let endings: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.endings.get(id)?))).collect();
+                self.leader.on_looked_up(now, &endings);
+            }
+            Action::Plan { node, input } => self.plan(&node, &input),
+        }
+    }
+
+    /// Some orders get no answer, or are rejected.
+    fn execute(&mut self, endpoint: &str, body: &DirectOrders) -> OrdersResult {
+        self.given.orders += 1;
+        let index: usize = endpoint.parse().expect("a worker's number");
+        let Some(worker) = &mut self.workers[index] else { return OrdersResult::Unknown };
+        match self.given.orders % 100 {
+            50 => OrdersResult::Unknown,
+            90 => OrdersResult::Rejected(worker.next_report()),
+            _ => {
+                worker.obey(self.now, body.token, &body.orders);
+                OrdersResult::Executed(worker.next_report())
+            }
+        }
+    }
+
+    /// Some transactions are refused; of others it isn't known whether they were carried out.
+    fn commit(&mut self, txn: &Txn) -> CommitResult {
+        self.given.commits += 1;
+        self.revision += 1;
+        let answer = match self.given.commits % 40 {
+            10 => CommitResult::Unknown,
+            30 => return CommitResult::Refused,
+            _ => CommitResult::Done,
+        };
+        for change in &txn.apply {
+            if let Change::Write { write, value, .. } = change
+                && let Some(id) = write.strip_prefix(OVER).and_then(JobId::parse)
+            {
+                let record: OverRecord = serde_json::from_value(value.clone()).expect("a record of an ending");
+                self.endings.entry(id).or_insert(record.ending());
+            }
+        }
+        answer
+    }
+
+    /// The cloud has no capacity left at first, and rents at times.
+    fn rent(&mut self, request: &RentRequest) -> RentResult {
+        self.given.rents += 1;
+        match self.given.rents % 4 {
+            1 => RentResult::NoCapacity,
+            3 => RentResult::Unknown,
+            _ => RentResult::Rented((0..request.number.min(3)).map(|_| self.add_worker(request)).collect()),
+        }
+    }
+
+    fn add_worker(&mut self, request: &RentRequest) -> String {
+        let (index, up_at) = (self.workers.len(), self.now + BOOT_MS);
+        let worker = SimulatedWorker::new(index, &request.kind, &request.zone, request.spot, up_at);
+        let name = worker.report.machine.clone();
+        self.workers.push(Some(worker));
+        name
+    }
+
+    /// Peers plan at once, and at times not at all.
+    fn plan(&mut self, node: &str, input: &PlanInput) {
+        self.given.plans += 1;
+        let plan = (!self.given.plans.is_multiple_of(13)).then(|| miser::plan(input));
+        plan.iter().for_each(|plan| self.digest.peer_plan(plan));
+        self.leader.on_plan(Mono(self.now), node, plan);
+    }
+}
+
+#[test]
+fn the_digest_and_the_work_of_a_fixed_fleet_are_unchanged() {
+    let mut fleet = FixedFleet::new();
+    fleet.run();
+    let (work, counts) = (fleet.leader.work_done(), fleet.digest.counts());
+    println!("digest={:#018x} counts={counts:?} {work}", fleet.digest.value());
+    println!("endings={} workers={}", fleet.endings.len(), fleet.workers.iter().flatten().count());
+    let expected = Work { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, choices: 83_142 };
+    // In the order of `Digest::counts`.
+    assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
+    assert_eq!(work, expected);
+    assert_eq!(fleet.digest.value(), 0x2274_5ee1_d7e3_b1b3);
+}
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/ledger_model/mod.rs
@@ -3,10 +3,12 @@
 //! knows the truth, and checks the rules of the protocol at every step.
 
 mod checks;
+pub(super) mod digest;
 mod faults;
 mod tests;
 mod workers;
 
+use self::digest::Digest;
 use super::done_sets::{Layout, parse_key};
 use super::fleet::FLEET;
 use super::leader::{Action, CommitResult, Leader, OrdersResult, RentResult, Stored};
@@ -177,6 +179,8 @@
     faults: bool,
     pub starts: u64,
     pub leaders: u64,
+    /// Over all that the leaders put out.
+    digest: Digest,
 }
 
 fn types() -> Vec<MachineType> {
@@ -228,6 +232,7 @@
             faults: true,
             starts: 0,
             leaders: 0,
+            digest: Digest::new(),
         };
         for i in 0..5 {
             m.add_worker(i % 2, i % 2, false, 0);
@@ -308,6 +313,7 @@
         let Some(actions) = self.leader.as_mut().map(|l| l.take_actions()) else { return };
         let leader = self.leader_no;
         for a in actions {
+            self.digest.action(&a);
             match a {
                 Action::Orders { ticket, endpoint, body } => {
                     let worker: usize = endpoint.parse().expect("an endpoint that was reported");
@@ -339,6 +345,7 @@
                     // Peers plan on a view that is old by then, answer late, twice or not at all,
                     // and at times an answer is of another round, or plain wrong.
                     let mut plan = (!self.lost()).then(|| miser::plan(&input));
+                    plan.iter().for_each(|plan| self.digest.peer_plan(plan));
                     if let Some(p) = &mut plan
                         && self.faults
                         && self.chance(0.1)
--- a/src/core/ledger_model/workers.rs
+++ b/src/core/ledger_model/workers.rs
@@ -201,7 +201,9 @@
     /// What the leader answers to a report, if the answer can reach the worker.
     pub(super) fn answer(&mut self, worker: usize, sent: u64, report: &Report) -> Option<Mail> {
         let leader = self.leader.as_mut()?;
-        let answer = leader.on_report(Mono(self.now), report)?;
+        let answer = leader.on_report(Mono(self.now), report);
+        self.digest.answer(answer.as_ref());
+        let answer = answer?;
         let w = &self.workers[worker];
         let reachable = self.now >= w.cut_until && self.now >= w.deaf_until;
         reachable.then_some(Mail::Answer { worker, sent, session: report.session.0, answer })
