--- a/benches/load.rs
+++ b/benches/load.rs
@@ -22,7 +22,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use wallstile::net::http::Http;
-use wallstile::time::Span;
+use wallstile::time::Millis;
 use wallstile::wire::ReportAnswer;
 use worker::{REPORT_MS, RUN_MS, Worker, fleet_cpus};
 use workload::{ARRAY_TASKS, job};
@@ -87,7 +87,7 @@
             serde_json::to_vec(&worker.next_report()).expect("a report is JSON")
         };
         last = now;
-        let answer = http.call(Method::POST, &controller.to_string(), "/v1/report", report, Span(4_000)).await;
+        let answer = http.call(Method::POST, &controller.to_string(), "/v1/report", report, Millis(4_000)).await;
         counts.reports.fetch_add(1, Ordering::Relaxed);
         let Ok((200, body)) = answer else { continue };
         let Ok(answer) = serde_json::from_slice::<ReportAnswer>(&body) else { continue };
@@ -106,12 +106,12 @@
         let (http, counts) = (http.clone(), counts.clone());
         tokio::spawn(async move {
             let address = controller.to_string();
-            let _ = http.call(Method::POST, &address, "/api/jobs", body, Span(5_000)).await;
+            let _ = http.call(Method::POST, &address, "/api/jobs", body, Millis(5_000)).await;
             counts.users.fetch_add(1, Ordering::Relaxed);
             for _ in 0..40 {
                 tokio::time::sleep(POLL_EVERY).await;
                 let path = format!("/api/jobs/{id}");
-                let answer = http.call(Method::GET, &address, &path, Vec::new(), Span(2_000)).await;
+                let answer = http.call(Method::GET, &address, &path, Vec::new(), Millis(2_000)).await;
                 counts.users.fetch_add(1, Ordering::Relaxed);
                 if answer.is_ok_and(|(_, body)| String::from_utf8_lossy(&body).contains("done")) {
                     return;
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -9,7 +9,7 @@
 use wallstile::core::records::LiveRecord;
 use wallstile::core::work::Work;
 use wallstile::ids::{JobId, LeaseId, Revision, Term};
-use wallstile::time::{Mono, Wall};
+use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobSpec, Row};
 
 /// What the leader was given.
@@ -45,7 +45,7 @@
         let record = LeaderRecord { node: settings.name.clone(), incarnation: 1, lease: LeaseId(1) };
         let types = crate::workload::machine_types();
         let mut fleet = Fleet {
-            leader: Leader::new(settings, Tuning::default(), types, Term(1), record, Mono(0)),
+            leader: Leader::new(settings, Tuning::default(), types, Term(1), record, MonotonicTime(0)),
             workers: (0..machines).map(|i| Worker::new(i, machines, i.to_string())).collect(),
             now: 0,
             commits: 0,
@@ -65,20 +65,20 @@
             Row { path: format!("{FLEET}{}", report.machine), value: serde_json::json!(record), revision: 1 }
         };
         let fleet = self.workers.iter().take(machines).map(row).collect();
-        self.leader.load(Mono(0), Stored { fleet, ..Stored::default() });
+        self.leader.load(MonotonicTime(0), Stored { fleet, ..Stored::default() });
     }
 
     pub fn submit(&mut self, spec: JobSpec) {
         self.revision += 1;
         let id = JobId::parse(&spec.id).expect("a legal id");
-        let record = serde_json::json!(LiveRecord { at: Wall(self.now), spec, awaits: Vec::new() });
+        let record = serde_json::json!(LiveRecord { at: WallTime(self.now), spec, awaits: Vec::new() });
         self.leader.on_live(&id, &record, Revision(self.revision));
     }
 
     /// Plays one tick, the reports that are due and all that follows. Returns what it took.
     pub fn step(&mut self) -> Vec<Observation> {
         self.now += TICK.0;
-        let (now, wall) = (Mono(self.now), Wall(self.now));
+        let (now, wall) = (MonotonicTime(self.now), WallTime(self.now));
         self.observe(Input::Tick, |leader| leader.tick(now, wall));
         for at in 0..self.workers.len() {
             let worker = &mut self.workers[at];
@@ -101,7 +101,7 @@
     }
 
     fn perform(&mut self, action: Action) {
-        let now = Mono(self.now);
+        let now = MonotonicTime(self.now);
         match action {
             Action::Orders { ticket, endpoint, body } => {
                 let worker = &mut self.workers[endpoint.parse::<usize>().expect("a worker's number")];
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
 //! The platform's settings (JSON) and the operators' own (XML), checked before anything starts.
 
-use crate::time::Span;
+use crate::time::Millis;
 use quick_xml::Reader;
 use quick_xml::events::Event;
 use serde::{Deserialize, Deserializer};
@@ -190,7 +190,7 @@
         if state.txn_ops < LEAST_CHANGES {
             return Err(format!("cluster.state.txn_ops must be at least {LEAST_CHANGES}, now and in next"));
         }
-        if c.workers.cancel_s <= c.workers.lease_s + self.state_ttl().as_secs() + 2.0 {
+        if c.workers.cancel_s <= c.workers.lease_s + self.state_ttl().as_secs_f64() + 2.0 {
             return Err("cluster.workers.cancel_s leaves no room for lease_s and a change of leader".into());
         }
         for (i, t) in c.teams.iter().enumerate() {
@@ -206,15 +206,15 @@
 
     /// Life of the leader's lease at the state service: short against the workers' lease, so that
     /// a new leader is there before workers give up.
-    pub fn state_ttl(&self) -> Span {
-        Span::secs((self.cluster.workers.lease_s * 0.35).clamp(2.0, 6.0))
+    pub fn state_ttl(&self) -> Millis {
+        Millis::from_secs_f64((self.cluster.workers.lease_s * 0.35).clamp(2.0, 6.0))
     }
 
     /// How long a leader may act on what it has last read: a cancellation that it hasn't read must be
     /// carried out by the workers' leases alone.
-    pub fn read_ttl(&self) -> Span {
+    pub fn read_ttl(&self) -> Millis {
         let w = &self.cluster.workers;
-        Span::secs((w.cancel_s - w.lease_s) * 0.6)
+        Millis::from_secs_f64((w.cancel_s - w.lease_s) * 0.6)
     }
 
     /// Most seconds until a task of the class should have started, if an aim says so.
--- a/src/core/election_model.rs
+++ b/src/core/election_model.rs
@@ -5,7 +5,7 @@
 use super::cancellations::Cancellations;
 use super::leadership::Leadership;
 use crate::ids::{JobId, LeaseId, Revision, Term};
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
     to: usize,
     began: u64,
     asked_at: u64,
-    promises: Vec<Option<(Span, Vec<JobId>)>>,
+    promises: Vec<Option<(Millis, Vec<JobId>)>>,
 }
 
 struct Worker {
@@ -77,7 +77,7 @@
 fn controller(began: u64) -> Controller {
     Controller {
         began,
-        leadership: Leadership::new(Span(TTL), Span((CANCEL - LEASE) * 6 / 10)),
+        leadership: Leadership::new(Millis(TTL), Millis((CANCEL - LEASE) * 6 / 10)),
         cancellations: Cancellations::default(),
         frozen_until: 0,
         refused_until: 0,
@@ -91,8 +91,8 @@
 }
 
 impl Controller {
-    fn clock(&self, t: u64) -> Mono {
-        Mono(t.saturating_sub(self.began))
+    fn clock(&self, t: u64) -> MonotonicTime {
+        MonotonicTime(t.saturating_sub(self.began))
     }
 }
 
@@ -239,7 +239,7 @@
             let before = c.known.len();
             c.known.extend(a.promises.iter().flatten().flat_map(|(_, jobs)| jobs.iter().copied()));
             self.carried += (c.known.len() - before) as u64;
-            let spans: Option<Vec<Span>> = a.promises.iter().map(|p| p.as_ref().map(|p| p.0)).collect();
+            let spans: Option<Vec<Millis>> = a.promises.iter().map(|p| p.as_ref().map(|p| p.0)).collect();
             if let Some(shortest) = spans.and_then(|s| s.into_iter().min()) {
                 let asked_at = c.clock(a.asked_at);
                 c.leadership.all_promised(asked_at, shortest);
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -5,14 +5,14 @@
 
 use crate::core::rentals::Market;
 use crate::ids::{Attempt, FencingToken, MachineId, Sequence, Session, TaskId};
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use crate::wire::{JobSpec, MachineType, Order, Priority, TaskPhase};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long a machine is avoided that has failed, or is much slower than others. Nothing may wait for
 /// 90 s while there is room that fits.
-pub const AVOIDED_FOR: Span = Span(60_000);
+pub const AVOIDED_FOR: Millis = Millis(60_000);
 
 /// `fleet/ID` is written before a machine gets its first order.
 pub const FLEET: &str = "fleet/";
@@ -84,8 +84,8 @@
     pub sent: Option<Sent>,
     /// Which of its machine's lists was the last to have it.
     pub listed: u64,
-    pub placed_at: Mono,
-    pub running_since: Option<Mono>,
+    pub placed_at: MonotonicTime,
+    pub running_since: Option<MonotonicTime>,
     /// Its whole run was seen, so that its time tells something. Reports that were missing in
     /// between would make it look longer.
     pub timed: bool,
@@ -135,17 +135,17 @@
     pub spot: bool,
     /// It has reported to this leader.
     pub up: bool,
-    pub since: Mono,
+    pub since: MonotonicTime,
     pub commission: Commission,
     pub session: Session,
     /// When the session was first heard of. Its lease counts from its beginning, which was before, even
     /// if no report of it has been answered.
-    pub session_heard_at: Mono,
+    pub session_heard_at: MonotonicTime,
     pub sequence: Sequence,
     /// The latest *report*; orders' answers count their sequence numbers on as well, but are no reports.
     pub reported: (Session, Sequence),
     /// When the last report that was answered came in. A copy of an earlier one is no sign of life.
-    pub last_report: Mono,
+    pub last_report: MonotonicTime,
     /// The way that it took; none: this leader has not answered any.
     pub route: Option<Route>,
     /// Its session has ended by the ledger's own count: what comes of it later is stale.
@@ -154,7 +154,7 @@
     pub confirmed: bool,
     /// Since when it has been answered without reporting the token that it was told. Its reports
     /// arrive, but nothing may reach it.
-    pub unacknowledged_since: Option<Mono>,
+    pub unacknowledged_since: Option<MonotonicTime>,
     /// Everything possibly on it is in `slots`: it has reported under this leader's token, or
     /// never had an order, or is proven empty.
     pub accounted: bool,
@@ -168,12 +168,12 @@
     pub listing: u64,
     pub notice: bool,
     pub errors: u32,
-    pub sick_until: Mono,
+    pub sick_until: MonotonicTime,
     /// To be returned; never used again, as a return may be carried out at any time.
     pub doomed: bool,
     pub returning: bool,
-    pub return_after: Mono,
-    pub idle_since: Option<Mono>,
+    pub return_after: MonotonicTime,
+    pub idle_since: Option<MonotonicTime>,
     /// Images that it is believed to hold, the latest used last.
     pub images: VecDeque<(u32, f64)>,
     /// How many times as long as their job's others its tasks run, and how many were seen.
@@ -182,7 +182,7 @@
 }
 
 impl Machine {
-    pub fn new(endpoint: String, kind: usize, zone: u32, spot: bool, now: Mono) -> Machine {
+    pub fn new(endpoint: String, kind: usize, zone: u32, spot: bool, now: MonotonicTime) -> Machine {
         Machine {
             endpoint,
             kind,
@@ -209,10 +209,10 @@
             listing: 0,
             notice: false,
             errors: 0,
-            sick_until: Mono(0),
+            sick_until: MonotonicTime(0),
             doomed: false,
             returning: false,
-            return_after: Mono(0),
+            return_after: MonotonicTime(0),
             idle_since: None,
             images: VecDeque::new(),
             slowness: 1.0,
@@ -249,7 +249,7 @@
     }
 
     /// May get new tasks now.
-    pub fn usable(&self, now: Mono, quiet: Span) -> bool {
+    pub fn usable(&self, now: MonotonicTime, quiet: Millis) -> bool {
         self.up
             && self.accounted
             && self.confirmed
@@ -280,13 +280,13 @@
     }
 
     /// Seconds until the image is there, if it is there or on its way.
-    pub fn image_ready(&self, image: u32, now: Mono) -> Option<f64> {
+    pub fn image_ready(&self, image: u32, now: MonotonicTime) -> Option<f64> {
         self.images.iter().any(|(i, _)| *i == image).then(|| {
             let pulling = self
                 .slots
                 .values()
                 .filter(|s| s.image == image && s.fetch_s > 0.0 && matches!(s.phase, None | Some(TaskPhase::Pulling)));
-            pulling.map(|s| (s.fetch_s - (now - s.placed_at).as_secs()).max(0.2)).fold(0.0, f64::max)
+            pulling.map(|s| (s.fetch_s - (now - s.placed_at).as_secs_f64()).max(0.2)).fold(0.0, f64::max)
         })
     }
 
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -4,13 +4,13 @@
 use crate::core::pipelines::Inherited;
 use crate::core::records::LiveRecord;
 use crate::ids::{Attempt, JobId, MachineId, Revision, TaskId};
-use crate::time::{Mono, Span, Wall};
+use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{JobSpec, Priority};
 use fixedbitset::FixedBitSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Longer than the longest pause between two tries of a job that fails.
-const FAULT_LASTS: Span = Span(150_000);
+const FAULT_LASTS: Millis = Millis(150_000);
 
 /// One start of a whole gang.
 #[derive(Clone, Debug)]
@@ -23,11 +23,11 @@
 pub struct Job {
     pub spec: JobSpec,
     pub revision: Revision,
-    pub submitted: Wall,
+    pub submitted: WallTime,
     /// The jobs that have to be done, and aren't known to be, before a task of this one starts.
     pub awaits: BTreeSet<JobId>,
     /// When it was submitted or, if that is later, the last job that it awaited was done.
-    pub startable_at: Wall,
+    pub startable_at: WallTime,
     /// What it takes over from the jobs that need it, as of the last round.
     pub inherited: Option<Inherited>,
     pub team: u32,
@@ -49,10 +49,10 @@
     pub ran: (u32, f64),
     pub errors: u32,
     /// Where its tasks have failed, and when they last did.
-    pub error_machines: BTreeMap<MachineId, Mono>,
-    pub pause_until: Mono,
+    pub error_machines: BTreeMap<MachineId, MonotonicTime>,
+    pub pause_until: MonotonicTime,
     /// When its tasks first counted on a spot machine that is not up yet.
-    pub spot_wait_since: Option<Mono>,
+    pub spot_wait_since: Option<MonotonicTime>,
     pub no_new_spot: bool,
     /// The leader's last round in which work was to be stopped for it.
     pub room_sought_in: u64,
@@ -81,7 +81,7 @@
             ran: (0, 0.0),
             errors: 0,
             error_machines: BTreeMap::new(),
-            pause_until: Mono(0),
+            pause_until: MonotonicTime(0),
             spot_wait_since: None,
             no_new_spot: false,
             room_sought_in: 0,
@@ -165,12 +165,12 @@
 
     /// A job that fails on several machines is itself at fault; one that hasn't failed for long may just
     /// have met machines that did.
-    pub fn at_fault(&self, now: Mono) -> bool {
+    pub fn at_fault(&self, now: MonotonicTime) -> bool {
         self.done_count == 0 && self.error_machines.values().filter(|t| now - **t < FAULT_LASTS).count() >= 2
     }
 
     /// Whether it keeps off a machine on which it has failed.
-    pub fn avoids(&self, id: &MachineId, now: Mono) -> bool {
+    pub fn avoids(&self, id: &MachineId, now: MonotonicTime) -> bool {
         self.error_machines.get(id).is_some_and(|t| now - *t < AVOIDED_FOR)
     }
 
--- a/src/core/leader/awaited.rs
+++ b/src/core/leader/awaited.rs
@@ -1,13 +1,13 @@
 //! Jobs that await others: when they may start, when they are cancelled with one that they need, and what
 //! they hand on to the jobs before them.
 
-use super::planner_view::wall_age;
+use super::planner_view::elapsed_s;
 use super::*;
 
 /// Most jobs that the state service is asked about at once.
 const MOST_LOOKED_UP: usize = 16;
 /// Jobs whose ending is still not known are asked about again after this long.
-const LOOK_UP_AGAIN: Span = Span(500);
+const LOOK_UP_AGAIN: Millis = Millis(500);
 
 impl Leader {
     /// What the end of a job means to those that await it.
@@ -23,7 +23,7 @@
     }
 
     /// Has the state service asked how awaited jobs have ended.
-    pub(super) fn look_up_awaited(&mut self, now: Mono) {
+    pub(super) fn look_up_awaited(&mut self, now: MonotonicTime) {
         if self.looking_up || now < self.look_up_at {
             return;
         }
@@ -35,7 +35,7 @@
     }
 
     /// What the state service holds of jobs that were to be looked up; those that aren't over are left out.
-    pub fn on_looked_up(&mut self, now: Mono, endings: &[(JobId, Ending)]) {
+    pub fn on_looked_up(&mut self, now: MonotonicTime, endings: &[(JobId, Ending)]) {
         self.looking_up = false;
         if endings.is_empty() {
             self.look_up_at = now + LOOK_UP_AGAIN;
@@ -46,7 +46,7 @@
     }
 
     /// Takes over priorities, deadlines and ranks from the jobs that need a job.
-    pub(super) fn inherit(&mut self, wall: Wall) {
+    pub(super) fn inherit(&mut self, wall: WallTime) {
         let mut inherited = self.pipelines.inherit(|id| self.stage(wall, id));
         for (id, job) in &mut self.jobs {
             let before = job.priority();
@@ -64,7 +64,7 @@
         }
     }
 
-    fn stage(&self, wall: Wall, id: &JobId) -> Option<Stage> {
+    fn stage(&self, wall: WallTime, id: &JobId) -> Option<Stage> {
         let job = self.jobs.get(id)?;
         let spec = &job.spec;
         let run_s = self.times.expect(&spec.class, spec.estimate_s);
@@ -87,7 +87,7 @@
 }
 
 /// How old a job is, for its deadline and for its other aims, which count from when it could start.
-pub(super) fn job_ages(wall: Wall, job: &Job) -> Ages {
-    let startable_s = if job.is_waiting() { 0.0 } else { wall_age(wall, job.startable_at) };
-    Ages { submitted_s: wall_age(wall, job.submitted), startable_s }
+pub(super) fn job_ages(wall: WallTime, job: &Job) -> Ages {
+    let startable_s = if job.is_waiting() { 0.0 } else { elapsed_s(wall, job.startable_at) };
+    Ages { submitted_s: elapsed_s(wall, job.submitted), startable_s }
 }
--- a/src/core/leader/consolidation.rs
+++ b/src/core/leader/consolidation.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// At most one replica moves in this time.
-const MOVE_INTERVAL: Span = Span(1_000);
+const MOVE_INTERVAL: Millis = Millis(1_000);
 /// A machine with less than this in use may be emptied.
 const LITTLE_USED: f64 = 0.5;
 /// Looks that one search may take, for each machine and at the least; the next one goes on from there.
@@ -31,7 +31,7 @@
 impl Leader {
     /// Moves a replica off a machine that does nothing else, onto one that is busy anyway, so that the
     /// former can go back. One at a time, and only while nothing waits.
-    pub(super) fn consolidate(&mut self, now: Mono) {
+    pub(super) fn consolidate(&mut self, now: MonotonicTime) {
         if now < self.move_at || !self.reservations.is_empty() || self.jobs.values().any(|j| j.startable_tasks() > 0) {
             return;
         }
@@ -45,7 +45,7 @@
     }
 
     /// A replica to move, and how many machines have been tried in vain if the search isn't through.
-    fn find_move(&self, now: Mono) -> (Option<Move>, usize) {
+    fn find_move(&self, now: MonotonicTime) -> (Option<Move>, usize) {
         let quiet = self.quiet();
         let usable = self.machines.iter().filter(|(_, m)| m.usable(now, quiet) && m.busy());
         let mut loaded: Vec<Loaded> = usable.map(|(id, m)| self.loaded(id, m)).collect();
@@ -90,7 +90,7 @@
     }
 
     /// A replica of a machine that another one, of `loaded`, can take: the fullest that can.
-    fn move_from(&self, now: Mono, source: &Loaded, loaded: &[Loaded], looks: &mut usize) -> Option<Move> {
+    fn move_from(&self, now: MonotonicTime, source: &Loaded, loaded: &[Loaded], looks: &mut usize) -> Option<Move> {
         let from_gpus = self.types[source.machine.kind].gpus > 0.0;
         for (key, slot) in &source.machine.slots {
             let Some(job) = self.jobs.get(&key.0.job) else { continue };
--- a/src/core/leader/gpu_demand.rs
+++ b/src/core/leader/gpu_demand.rs
@@ -1,6 +1,6 @@
 //! How many GPUs jobs have wanted lately, and so how many GPU machines work without GPUs may fill.
 
-use crate::time::Mono;
+use crate::time::MonotonicTime;
 
 /// How long the most GPUs that jobs have wanted are kept free for them, in seconds: about a run of the work
 /// that could have had them.
@@ -21,7 +21,7 @@
 pub(super) struct GpuDemand {
     in_use: Vec<FadingMaximum>,
     awaited: FadingMaximum,
-    updated_at: Mono,
+    updated_at: MonotonicTime,
 }
 
 /// GPUs that nobody has wanted lately.
@@ -31,14 +31,14 @@
 }
 
 impl GpuDemand {
-    pub fn new(zones: usize, now: Mono) -> GpuDemand {
+    pub fn new(zones: usize, now: MonotonicTime) -> GpuDemand {
         GpuDemand { in_use: vec![FadingMaximum::default(); zones], awaited: FadingMaximum::default(), updated_at: now }
     }
 
     /// Takes in how many GPUs there are and are in use by zone, and how many are waited for; the latter may be
     /// in any zone.
-    pub fn update(&mut self, now: Mono, there: Vec<f64>, in_use: &[f64], awaited: f64) -> UnwantedGpus {
-        let fade = ((now - self.updated_at).as_secs() / MEMORY_S).min(1.0);
+    pub fn update(&mut self, now: MonotonicTime, there: Vec<f64>, in_use: &[f64], awaited: f64) -> UnwantedGpus {
+        let fade = ((now - self.updated_at).as_secs_f64() / MEMORY_S).min(1.0);
         self.updated_at = now;
         let mut by_zone = there;
         for ((maximum, used), left) in self.in_use.iter_mut().zip(in_use).zip(&mut by_zone) {
--- a/src/core/leader/machines.rs
+++ b/src/core/leader/machines.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Leases and silence are looked at this often; each look goes through all machines.
-const LOOK_EVERY: Span = Span(200);
+const LOOK_EVERY: Millis = Millis(200);
 const MAX_ROUND_MS: f64 = 1_500.0;
 /// With ticks this late on average reports wait unread, so that silence says little about machines.
 const STRAINED_LAG_MS: f64 = 250.0;
@@ -21,7 +21,7 @@
 }
 
 impl Leader {
-    pub fn tick(&mut self, now: Mono, wall: Wall) {
+    pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         self.note_lag(now);
         if now - self.looked_at >= LOOK_EVERY {
             self.looked_at = now;
@@ -32,12 +32,12 @@
         self.write(now, wall);
         // Rounds are the bulk of the work: where ticks come late, rounds come seldom, and each
         // decides more.
-        let due = Span((self.tuning.round_ms + 6.0 * self.lag_ms).min(MAX_ROUND_MS) as u64);
+        let due = Millis((self.tuning.round_ms + 6.0 * self.lag_ms).min(MAX_ROUND_MS) as u64);
         self.move_shares(now);
         self.use_reservations(now);
         self.consolidate(now);
         self.close_round(now);
-        let news = self.dirty || now - self.round_at >= Span(1_000);
+        let news = self.dirty || now - self.round_at >= Millis(1_000);
         if self.open_round.is_none() && now - self.round_at >= due && news && !self.in_doubt {
             self.round(now, wall);
         }
@@ -45,20 +45,20 @@
     }
 
     /// By how much ticks come late on average: a measure of the processor's load.
-    pub fn lag(&self) -> Span {
-        Span(self.lag_ms as u64)
+    pub fn lag(&self) -> Millis {
+        Millis(self.lag_ms as u64)
     }
 
     /// Averages by how much ticks come later than they should.
-    fn note_lag(&mut self, now: Mono) {
+    fn note_lag(&mut self, now: MonotonicTime) {
         let late = (now - self.ticked_at).0.saturating_sub(TICK.0) as f64;
         self.ticked_at = now;
         self.lag_ms += 0.1 * (late - self.lag_ms);
     }
 
     /// Past its lease a worker that nobody answered has killed everything.
-    pub(super) fn expire(&mut self, now: Mono) {
-        let lease = self.p.lease.stretched() + Span(300);
+    pub(super) fn expire(&mut self, now: MonotonicTime) {
+        let lease = self.p.lease.plus_clock_drift() + Millis(300);
         let mut dead = Vec::new();
         for (id, m) in &mut self.machines {
             // Before this leader, answers may have been given until it was elected.
@@ -95,13 +95,13 @@
         }
     }
 
-    pub(super) fn look_after_machines(&mut self, now: Mono) {
+    pub(super) fn look_after_machines(&mut self, now: MonotonicTime) {
         let up = self.machines.values().filter(|m| m.up && m.commission == Commission::Yes).count();
         let many_silent = self.many_silent(now);
         let strained = self.lag_ms >= STRAINED_LAG_MS;
         let silent_after = |route: &Option<Route>| {
             let excused = strained || many_silent.everywhere || many_silent.routes.contains(route);
-            self.p.lease.times(if excused { 3.0 } else { 0.55 })
+            self.p.lease.mul_f64(if excused { 3.0 } else { 0.55 })
         };
         // The same for machines that answers don't reach.
         let unacknowledged_after = self.p.lease;
@@ -117,7 +117,7 @@
             let t_gpus = self.types[m.kind].gpus > 0.0;
             if !m.doomed {
                 let t = &self.types[m.kind];
-                let boot = Span::secs((t.boot_s * 3.5).max(60.0)) + self.p.list_lag;
+                let boot = Millis::from_secs_f64((t.boot_s * 3.5).max(60.0)) + self.p.list_lag;
                 let silent = now - m.last_report.max(self.since);
                 // A worker may need some seconds to find a new leader: one that hasn't yet is no
                 // more silent than its lease is long.
@@ -127,7 +127,7 @@
                     info!("machine {id} has not come up and goes back");
                     m.doomed = true;
                 } else if m.commission == Commission::Yes && silent > silent_after {
-                    info!("machine {id} is silent for {:.1} s and goes back", silent.as_secs());
+                    info!("machine {id} is silent for {:.1} s and goes back", silent.as_secs_f64());
                     m.doomed = true;
                 } else if is_unacknowledged(m) && !many_unacknowledged {
                     info!("machine {id} doesn't confirm what it is told and goes back");
@@ -142,7 +142,9 @@
                 let since = *m.idle_since.get_or_insert(now);
                 // GPU machines boot slowly and are few, so they stay longer.
                 let factor = if t_gpus { self.tuning.gpu_idle_factor } else { 1.0 };
-                if now - since > Span::secs(self.tuning.idle_s * factor) && m.outbox.is_empty() && m.in_flight.is_none()
+                if now - since > Millis::from_secs_f64(self.tuning.idle_s * factor)
+                    && m.outbox.is_empty()
+                    && m.in_flight.is_none()
                 {
                     idle.push(id.clone());
                 }
@@ -171,7 +173,7 @@
 
     /// Where many machines are silent at once: it is rather a cut, a peer that has ended or a leader just
     /// elected than dead machines.
-    fn many_silent(&self, now: Mono) -> ManySilent {
+    fn many_silent(&self, now: MonotonicTime) -> ManySilent {
         let quiet = self.quiet();
         let mut counts: BTreeMap<Option<Route>, (usize, usize)> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.commission == Commission::Yes) {
@@ -191,14 +193,14 @@
 
     /// Leading for long enough that workers which can find this leader have done so. Before that,
     /// silence proves nothing, and two leaders would hand over to and fro.
-    pub fn settled(&self, now: Mono) -> bool {
+    pub fn settled(&self, now: MonotonicTime) -> bool {
         now - self.since > self.p.lease
     }
 
     /// Machines that should report but don't, and how many should.
-    pub fn silent_machines(&self, now: Mono) -> (Vec<String>, usize) {
+    pub fn silent_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
         // Less than what makes a machine unusable: a cut leaves little time to find another leader.
-        let limit = self.p.report.times(1.25) + Span(500);
+        let limit = self.p.report.mul_f64(1.25) + Millis(500);
         let ours = || self.machines.iter().filter(|(_, m)| m.commission == Commission::Yes && !m.doomed);
         // Those on their way to a new leader must still be sent to it.
         let settled = self.settled(now);
@@ -207,17 +209,17 @@
     }
 
     /// A worker that hasn't reported for longer gets no new tasks.
-    pub(super) fn quiet(&self) -> Span {
-        self.p.report.times(2.0) + Span(500)
+    pub(super) fn quiet(&self) -> Millis {
+        self.p.report.mul_f64(2.0) + Millis(500)
     }
 
     /// The cloud has carried out a return, or it isn't known.
-    pub fn on_returned(&mut self, now: Mono, ids: &[MachineId], ok: bool) {
+    pub fn on_returned(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) {
         for id in ids {
             if !ok {
                 if let Some(m) = self.machines.get_mut(id) {
                     m.returning = false;
-                    m.return_after = now + Span(1_000);
+                    m.return_after = now + Millis(1_000);
                 }
                 continue;
             }
@@ -240,7 +242,7 @@
         }
     }
 
-    pub fn on_list(&mut self, now: Mono, list: &[ListedMachine]) {
+    pub fn on_list(&mut self, now: MonotonicTime, list: &[ListedMachine]) {
         for l in list {
             let Some(id) = MachineId::parse(&l.id) else { continue };
             if self.gone.contains(&id) {
@@ -265,11 +267,11 @@
             let Some((kind, zone)) = self.place_of(&l.kind, &l.zone) else { continue };
             let mut m = Machine::new(l.endpoint.clone().unwrap_or_default(), kind, zone, l.spot, now);
             // Its age may reach back to before this process began.
-            m.since = Mono(now.0.saturating_sub(Span::secs(l.age_s).0));
+            m.since = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(l.age_s).0));
             if l.phase == ListPhase::Running {
                 // It may be gone already, as the list is late, or about to report.
                 let first = *self.unseen.entry(id.clone()).or_insert(now);
-                if now - first < Span(60_000) + self.p.list_lag {
+                if now - first < Millis(60_000) + self.p.list_lag {
                     continue;
                 }
                 m.doomed = true;
@@ -281,7 +283,7 @@
         }
     }
 
-    pub fn on_rented(&mut self, now: Mono, name: &str, result: RentResult) {
+    pub fn on_rented(&mut self, now: MonotonicTime, name: &str, result: RentResult) {
         let Some(r) = self.rentals.requests.get_mut(name) else { return };
         let market = r.market;
         match result {
@@ -315,7 +317,7 @@
             RentResult::Unknown => {
                 // The same name again rents nothing twice.
                 r.in_flight = false;
-                r.again_at = now + Span(2_000);
+                r.again_at = now + Millis(2_000);
             }
         }
         self.dirty = true;
@@ -325,7 +327,7 @@
         format!("kind={} zone={} spot={}", self.types[m.kind].name, self.zones[m.zone as usize], m.spot)
     }
 
-    pub(super) fn rent(&mut self, now: Mono, wishes: &[Wish]) {
+    pub(super) fn rent(&mut self, now: MonotonicTime, wishes: &[Wish]) {
         let mut loads: BTreeMap<Market, f64> = BTreeMap::new();
         for w in wishes {
             let m = Market { kind: w.kind as usize, zone: w.zone, spot: w.spot };
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -40,7 +40,7 @@
     ImageView, JobCount, JobView, MachineView, Offer, PlanInput, PlanOutput, TeamLeft, TypeView, VERSION, Waiting,
     Wish, ZoneCount,
 };
-use crate::time::{Mono, Span, Wall};
+use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
     Cause, Change, DirectOrders, Guard, JobSpec, Kind, ListPhase, ListedMachine, MachineType, Order, Priority,
     RentRequest, Report, ReportAnswer, Row, TaskPhase, TaskReport, Txn,
@@ -111,20 +111,20 @@
 enum Purpose {
     Fleet { commission: Vec<MachineId>, forget: Vec<MachineId> },
     DoneSets(Vec<(JobId, FixedBitSet)>),
-    Finish(JobId, Wall),
+    Finish(JobId, WallTime),
     Cancel(Vec<JobId>),
     Shares,
     Tidy(Vec<String>),
 }
 
 struct Params {
-    report: Span,
-    lease: Span,
+    report: Millis,
+    lease: Millis,
     txn_ops: usize,
     value_bytes: usize,
     write_rps: f64,
     layout: Layout,
-    list_lag: Span,
+    list_lag: Millis,
 }
 
 pub struct Leader {
@@ -142,7 +142,7 @@
     /// cancellations that aren't known here.
     in_doubt: bool,
     /// When the ledger was loaded: no answer to a report that it doesn't know of is later than that.
-    since: Mono,
+    since: MonotonicTime,
     types: Vec<MachineType>,
     zones: Vec<String>,
     images: HashMap<String, u32>,
@@ -150,14 +150,14 @@
     pipelines: Pipelines,
     /// The state service is being asked how awaited jobs have ended; otherwise it isn't before then.
     looking_up: bool,
-    look_up_at: Mono,
+    look_up_at: MonotonicTime,
     /// The latest jobs that are over.
     over: VecDeque<JobId>,
     machines: BTreeMap<MachineId, Machine>,
     /// Returned for good; late reports of theirs mean nothing.
     gone: BTreeSet<MachineId>,
     /// Listed as running by the cloud, but never heard of: since when.
-    unseen: BTreeMap<MachineId, Mono>,
+    unseen: BTreeMap<MachineId, MonotonicTime>,
     rentals: Rentals,
     times: ClassTimes,
     attempts: u64,
@@ -168,11 +168,11 @@
     forget: BTreeSet<MachineId>,
     orphaned_sets: Vec<String>,
     tokens: f64,
-    tokens_at: Mono,
-    bits_at: Mono,
-    commit_pause: Mono,
+    tokens_at: MonotonicTime,
+    bits_at: MonotonicTime,
+    commit_pause: MonotonicTime,
     dirty: bool,
-    round_at: Mono,
+    round_at: MonotonicTime,
     rounds: u64,
     requests_made: u64,
     shares: Shares,
@@ -187,7 +187,7 @@
     reservations: Reservations,
     /// The last job whose reservations were tried: the next ones have their turn.
     reservations_tried_to: Option<JobId>,
-    move_at: Mono,
+    move_at: MonotonicTime,
     /// Machines that the last search for a replica to move began with, in vain, before its budget was spent.
     move_sources_tried: usize,
     /// The jobs within their team's guarantee, as of the last round.
@@ -198,9 +198,9 @@
     /// is slow or cut off.
     many_unacknowledged: bool,
     /// When the machines were last looked through.
-    looked_at: Mono,
+    looked_at: MonotonicTime,
     /// The last tick, and how far the ticks fall behind: a measure of the processor's load.
-    ticked_at: Mono,
+    ticked_at: MonotonicTime,
     lag_ms: f64,
     /// What each team possibly uses: counted when it is needed, kept up by starts, and dropped
     /// whenever a report may have added to it.
@@ -248,14 +248,14 @@
     outputs: Vec<PlanOutput>,
     /// Peers that haven't answered, with their parts.
     missing: BTreeMap<String, Arc<PlanInput>>,
-    until: Mono,
+    until: MonotonicTime,
 }
 
 /// The edges call [`Leader::tick`] this often.
-pub const TICK: Span = Span(50);
+pub const TICK: Millis = Millis(50);
 
 /// How long a round waits for its parts.
-const PATIENCE: Span = Span(250);
+const PATIENCE: Millis = Millis(250);
 
 /// Everything kept in the state service, as read by a new leader.
 #[derive(Default)]
@@ -290,7 +290,7 @@
         types: Vec<MachineType>,
         term: Term,
         record: LeaderRecord,
-        now: Mono,
+        now: MonotonicTime,
     ) -> Leader {
         let c = &settings.cluster;
         let mut zones = c.zones.clone();
@@ -301,14 +301,14 @@
         }
         let limits = c.state.lowest();
         let p = Params {
-            report: Span::secs(c.workers.report_s),
-            lease: Span::secs(c.workers.lease_s),
+            report: Millis::from_secs_f64(c.workers.report_s),
+            lease: Millis::from_secs_f64(c.workers.lease_s),
             txn_ops: limits.txn_ops,
             value_bytes: c.state.value_bytes(),
             // The rest is for submissions and cancellations on all controllers.
             write_rps: limits.write_rps * SHARE_OF_WRITES,
             layout: Layout::new(&c.state),
-            list_lag: Span::secs(c.cloud.list_lag_s),
+            list_lag: Millis::from_secs_f64(c.cloud.list_lag_s),
         };
         let team_names: Vec<String> = c.teams.iter().map(|t| t.name.clone()).collect();
         let peers = settings.peers.iter().map(|p| p.name.clone());
@@ -381,7 +381,7 @@
 
     /// Whether a worker may be sent to another controller now: answers reach it, and this leader is not
     /// just gathering its machines.
-    pub fn may_move(&self, now: Mono, id: &MachineId) -> bool {
+    pub fn may_move(&self, now: MonotonicTime, id: &MachineId) -> bool {
         self.settled(now) && self.machines.get(id).is_some_and(|m| m.confirmed)
     }
 
@@ -448,14 +448,14 @@
     // ---- becoming leader
 
     /// What the state service holds, in one go.
-    pub fn load(&mut self, now: Mono, stored: Stored) {
+    pub fn load(&mut self, now: MonotonicTime, stored: Stored) {
         self.load_part(now, stored);
         self.finish_load(now);
     }
 
     /// Some of what the state service holds; done sets come after their jobs. A row that can't be read is
     /// left alone.
-    pub fn load_part(&mut self, now: Mono, stored: Stored) {
+    pub fn load_part(&mut self, now: MonotonicTime, stored: Stored) {
         self.work.add_jobs(stored.live.len() + stored.bits.len());
         self.work.add_machines(stored.fleet.len());
         stored.live.into_iter().for_each(|row| self.load_job(row));
@@ -468,7 +468,7 @@
     }
 
     /// All that the state service holds has been loaded.
-    pub fn finish_load(&mut self, now: Mono) {
+    pub fn finish_load(&mut self, now: MonotonicTime) {
         // Until now reports were answered without the ledger, which renewed workers' leases.
         self.since = now;
         info!("ledger loaded: term={} jobs={} machines={}", self.term, self.jobs.len(), self.machines.len());
@@ -496,7 +496,7 @@
         }
     }
 
-    fn load_machine(&mut self, now: Mono, row: Row) {
+    fn load_machine(&mut self, now: MonotonicTime, row: Row) {
         let id = row.path.strip_prefix(FLEET).and_then(MachineId::parse);
         let record = serde_json::from_value::<FleetRecord>(row.value);
         let (Some(id), Ok(r)) = (id, record) else {
--- a/src/core/leader/planner_view.rs
+++ b/src/core/leader/planner_view.rs
@@ -50,8 +50,8 @@
 
 /// What holds for all jobs of a view.
 struct JobContext<'a> {
-    now: Mono,
-    wall: Wall,
+    now: MonotonicTime,
+    wall: WallTime,
     waiting: &'a BTreeSet<JobId>,
     guaranteed: &'a BTreeSet<JobId>,
     /// The keys of the view's machines.
@@ -69,7 +69,7 @@
 
 impl Leader {
     /// The fleet and the ready tasks as the planner sees them, with what its keys stand for.
-    pub(super) fn planner_view(&mut self, now: Mono, wall: Wall) -> PlannerView {
+    pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
         self.work.add_jobs(self.jobs.len());
         self.work.add_machines(self.machines.len());
         self.usage = None;
@@ -133,7 +133,7 @@
     }
 
     /// The machines that are up or coming, as far as they have room for the least that anyone needs.
-    fn machine_views(&self, now: Mono, least: Option<Amount>) -> MachineViews {
+    fn machine_views(&self, now: MonotonicTime, least: Option<Amount>) -> MachineViews {
         let quiet = self.quiet();
         let mut all = MachineViews::default();
         for (id, m) in &self.machines {
@@ -151,7 +151,7 @@
             if least.is_none_or(|least| !free.holds(&least)) {
                 continue;
             }
-            let age_s = (now - m.since).as_secs();
+            let age_s = (now - m.since).as_secs_f64();
             let ready_s = match (usable, settling) {
                 (true, _) => 0.0,
                 (false, true) => SETTLING_S,
@@ -163,10 +163,10 @@
         all
     }
 
-    fn machine_view(&self, now: Mono, id: &MachineId, m: &Machine, free: &Amount) -> MachineView {
+    fn machine_view(&self, now: MonotonicTime, id: &MachineId, m: &Machine, free: &Amount) -> MachineView {
         let spare = self.spare(m);
         let rest = self.rest(m, !m.up || self.lent.contains(id));
-        let age_s = (now - m.since).as_secs();
+        let age_s = (now - m.since).as_secs_f64();
         let image =
             |(image, _): &(u32, f64)| ImageView { image: *image, ready_s: m.image_ready(*image, now).unwrap_or(0.0) };
         MachineView {
@@ -338,7 +338,7 @@
         self.zones.iter().position(|known| known == zone).map_or(u32::MAX, |i| i as u32)
     }
 
-    fn offers(&self, now: Mono) -> Vec<Offer> {
+    fn offers(&self, now: MonotonicTime) -> Vec<Offer> {
         let mut offers = Vec::new();
         for (kind, t) in self.types.iter().enumerate() {
             for zone in t.zones.iter().filter_map(|z| self.zones.iter().position(|o| o == z)) {
@@ -444,7 +444,7 @@
     }
 }
 
-pub(super) fn wall_age(now: Wall, then: Wall) -> f64 {
+pub(super) fn elapsed_s(now: WallTime, then: WallTime) -> f64 {
     now.0.saturating_sub(then.0) as f64 / 1000.0
 }
 
--- a/src/core/leader/reservations.rs
+++ b/src/core/leader/reservations.rs
@@ -4,12 +4,12 @@
 
 use crate::core::fleet::Amount;
 use crate::ids::{JobId, MachineId};
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
 /// Kept for this long unless it is used or renewed.
-const RESERVED_FOR: Span = Span(4_000);
+const RESERVED_FOR: Millis = Millis(4_000);
 
 /// Numbers reservations in the order in which they were made, which is also that in which they expire.
 type Number = u64;
@@ -19,7 +19,7 @@
     pub machine: MachineId,
     pub job: JobId,
     pub need: Amount,
-    until: Mono,
+    until: MonotonicTime,
 }
 
 /// All reservations, indexed by machine and by job: each look-up costs what it finds.
@@ -71,14 +71,14 @@
         later.chain(earlier).take_while(fits).map(|(job, _)| *job).collect()
     }
 
-    pub fn add(&mut self, now: Mono, machine: MachineId, job: JobId, need: Amount) {
+    pub fn add(&mut self, now: MonotonicTime, machine: MachineId, job: JobId, need: Amount) {
         self.last += 1;
         self.by_machine.entry(machine.clone()).or_default().insert(self.last);
         self.by_job.entry(job).or_default().insert(self.last);
         self.by_number.insert(self.last, Reservation { machine, job, need, until: now + RESERVED_FOR });
     }
 
-    pub fn expire(&mut self, now: Mono) {
+    pub fn expire(&mut self, now: MonotonicTime) {
         while let Some((number, first)) = self.by_number.first_key_value()
             && first.until <= now
         {
--- a/src/core/leader/reservations/tests.rs
+++ b/src/core/leader/reservations/tests.rs
@@ -14,7 +14,7 @@
 fn a_reservation_is_used_once_released_with_its_job_or_expires() {
     let mut reservations = Reservations::default();
     for (m, j) in [(1, 1), (1, 1), (2, 1), (1, 2)] {
-        reservations.add(Mono(0), machine(m), job(j), NEED);
+        reservations.add(MonotonicTime(0), machine(m), job(j), NEED);
     }
     assert_eq!((reservations.on(&machine(1)).count(), reservations.of(&job(1)).count()), (3, 3));
     reservations.use_one(&job(1), &machine(1));
@@ -22,7 +22,7 @@
     assert_eq!(reservations.count_of(&job(1)), 2);
     reservations.release(&job(1));
     assert_eq!(reservations.jobs_after(None, 10), [job(2)]);
-    reservations.expire(Mono(0) + RESERVED_FOR);
+    reservations.expire(MonotonicTime(0) + RESERVED_FOR);
     assert!(reservations.is_empty());
     assert!(reservations.by_machine.is_empty() && reservations.by_job.is_empty(), "the indexes keep nothing");
 }
@@ -31,7 +31,7 @@
 fn all_jobs_with_reservations_get_their_turn() {
     let mut reservations = Reservations::default();
     for n in [1, 1, 1, 2, 3, 4] {
-        reservations.add(Mono(0), machine(n), job(n), NEED);
+        reservations.add(MonotonicTime(0), machine(n), job(n), NEED);
     }
     assert_eq!(reservations.jobs_after(None, 2), [job(1)], "a job with more than fit is looked at all the same");
     assert_eq!(reservations.jobs_after(Some(job(1)), 2), [job(2), job(3)]);
--- a/src/core/leader/room.rs
+++ b/src/core/leader/room.rs
@@ -1,6 +1,6 @@
 //! Room for urgent work: preemption and the room it makes.
 
-use super::planner_view::{PlannedJob, PlannerView, wall_age, zone_counts};
+use super::planner_view::{PlannedJob, PlannerView, elapsed_s, zone_counts};
 use super::room_survey::{Candidates, RoomSearch, Urgency};
 use super::*;
 
@@ -73,7 +73,13 @@
 
 impl Leader {
     /// Tasks that found no machine that is up: preemption, and the paper's second fall-back.
-    pub(super) fn heed_waiting(&mut self, now: Mono, view: &PlannerView, out: &PlanOutput, search: &mut RoomSearch) {
+    pub(super) fn heed_waiting(
+        &mut self,
+        now: MonotonicTime,
+        view: &PlannerView,
+        out: &PlanOutput,
+        search: &mut RoomSearch,
+    ) {
         let mut seekers = Vec::new();
         for w in &out.waiting {
             let Some(PlannedJob { id, .. }) = view.jobs.get(w.job as usize) else { continue };
@@ -109,7 +115,7 @@
     }
 
     /// The paper's second fall-back: gives up on spot machines that don't come.
-    fn review_spot_wait(&mut self, now: Mono, id: &JobId, view: &JobView, w: &Waiting) {
+    fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, w: &Waiting) {
         let window_s = self.tuning.spot_window_s;
         let Some(j) = self.jobs.get_mut(id) else { return };
         if !w.on_spot {
@@ -119,7 +125,7 @@
         let since = *j.spot_wait_since.get_or_insert(now);
         let due = view.due_s.unwrap_or(2.0 * w.finish_s);
         let sub = miser::sub_deadline(due, view.run_s, true);
-        let slip = (now - since).as_secs();
+        let slip = (now - since).as_secs_f64();
         if !j.no_new_spot && miser::spot_wait_is_over(sub, w.finish_s, slip, window_s) {
             debug!("job {id} gives up its spot request");
             j.no_new_spot = true;
@@ -134,7 +140,7 @@
         urgent && !aim.is_some_and(|aim| w.ready_s > 0.0 && view.age_s + w.ready_s <= aim)
     }
 
-    fn seek_room(&mut self, now: Mono, seeker: &Seeker, search: &mut RoomSearch) {
+    fn seek_room(&mut self, now: MonotonicTime, seeker: &Seeker, search: &mut RoomSearch) {
         let Some(j) = self.jobs.get_mut(&seeker.id) else { return };
         j.room_sought_in = self.rounds;
         if j.spec.kind == Kind::Gang {
@@ -157,7 +163,7 @@
     /// The GPU machines that work without GPUs may fill: of each zone's, as many as GPU jobs haven't
     /// wanted lately, and those first that do such work already. Filled as they come free, they
     /// would be cleared for the next GPU job, and what ran there would start over each time.
-    pub(super) fn lend(&mut self, now: Mono, waiting: &BTreeSet<JobId>) {
+    pub(super) fn lend(&mut self, now: MonotonicTime, waiting: &BTreeSet<JobId>) {
         let mut there = vec![0.0; self.zones.len()];
         let mut in_use = vec![0.0; self.zones.len()];
         let mut idle: Vec<(f64, &MachineId, &Machine)> = Vec::new();
@@ -208,7 +214,7 @@
     }
 
     /// Starts what room was kept for, once it is there.
-    pub(super) fn use_reservations(&mut self, now: Mono) {
+    pub(super) fn use_reservations(&mut self, now: MonotonicTime) {
         self.reservations.expire(now);
         let mut done: BTreeSet<JobId> = BTreeSet::new();
         let jobs = self.reservations.jobs_after(self.reservations_tried_to, RESERVATIONS_PER_TICK);
@@ -251,7 +257,7 @@
     }
 
     /// Stops work of lower priority where that makes room for tasks of a job. Returns for how many.
-    pub(super) fn make_room(&mut self, now: Mono, search: &mut RoomSearch, request: &RoomRequest) -> u32 {
+    pub(super) fn make_room(&mut self, now: MonotonicTime, search: &mut RoomSearch, request: &RoomRequest) -> u32 {
         let before = self.work.read();
         let RoomRequest { job: id, wanted, tasks, .. } = request;
         let mut zones = self.zones_of(id);
@@ -289,7 +295,7 @@
     /// ones others in each round.
     fn candidates_for(
         &self,
-        now: Mono,
+        now: MonotonicTime,
         search: &mut RoomSearch,
         request: &RoomRequest,
         zones: &[ZoneCount],
@@ -337,7 +343,7 @@
     /// What has to be stopped on a machine for one more task of a job; none: the job can't have room there.
     fn eviction_for(
         &self,
-        now: Mono,
+        now: MonotonicTime,
         (id, j): (&JobId, &Job),
         machine: &MachineId,
         wanted: Wanted,
@@ -350,7 +356,7 @@
     }
 
     /// Stops tasks on a machine and keeps the room for a task of a job.
-    fn evict(&mut self, now: Mono, id: &JobId, machine: &MachineId, victims: Vec<SlotKey>) {
+    fn evict(&mut self, now: MonotonicTime, id: &JobId, machine: &MachineId, victims: Vec<SlotKey>) {
         let Some(need) = self.jobs.get(id).map(|j| Amount::of_task(&j.spec)) else { return };
         if !victims.is_empty() {
             debug!("making room for {id} on {machine}: tasks={}", victims.len());
@@ -364,7 +370,7 @@
     /// What has to be stopped on a machine to make room for a task of a job; none: that is not to be had.
     fn eviction(
         &self,
-        now: Mono,
+        now: MonotonicTime,
         (id, j): (&JobId, &Job),
         (mid, m): (&MachineId, &Machine),
         wanted: Wanted,
@@ -395,7 +401,7 @@
                 break;
             }
             free.add(&slot.need);
-            let ran_s = slot.running_since.map_or(0.0, |t| (now - t).as_secs());
+            let ran_s = slot.running_since.map_or(0.0, |t| (now - t).as_secs_f64());
             eviction.loss += self.gang_size(&key.0.job) * (1.0 + ran_s * slot.need.cpus.max(1.0));
             eviction.victims.push(*key);
         }
@@ -416,7 +422,7 @@
         &'a self,
         (id, j): (&JobId, &Job),
         m: &'a Machine,
-        now: Mono,
+        now: MonotonicTime,
         wanted: Wanted,
     ) -> Vec<(&'a SlotKey, &'a Slot)> {
         let guaranteed = self.within_guarantee.contains(id);
@@ -442,7 +448,7 @@
     }
 
     /// Whether a job's tasks may be on the machine, room and the job's other tasks aside.
-    fn suits(&self, now: Mono, j: &Job, id: &MachineId, m: &Machine) -> bool {
+    fn suits(&self, now: MonotonicTime, j: &Job, id: &MachineId, m: &Machine) -> bool {
         m.usable(now, self.quiet()) && self.permits(&j.spec, m) && !j.avoids(id, now)
     }
 
@@ -450,7 +456,7 @@
     /// becomes free, and the largest gangs would never begin. Free machines are held, for one gang
     /// at a time and the largest first, as holding costs what fresh work could have had; once they
     /// suffice together with what can be had by stopping work of lower priority, it is stopped.
-    pub(super) fn gather(&mut self, now: Mono, wall: Wall) {
+    pub(super) fn gather(&mut self, now: MonotonicTime, wall: WallTime) {
         let waits = |j: &Job| {
             j.spec.kind == Kind::Gang
                 && j.spec.tasks as usize == j.startable_tasks()
@@ -459,7 +465,7 @@
                 && j.pause_until <= now
                 && !j.at_fault(now)
                 && !self.held_back(j)
-                && wall_age(wall, j.startable_at) >= self.tuning.gather_s
+                && elapsed_s(wall, j.startable_at) >= self.tuning.gather_s
         };
         // Of a class only the largest, down to half of the most: smaller ones find room anyway.
         let mut most: BTreeMap<&str, u32> = BTreeMap::new();
@@ -481,7 +487,13 @@
     }
 
     /// Finds room for a gang. False: nowhere, or its team has no quota left.
-    fn gather_for(&mut self, now: Mono, search: &mut RoomSearch, id: &JobId, insufficient: Insufficient) -> bool {
+    fn gather_for(
+        &mut self,
+        now: MonotonicTime,
+        search: &mut RoomSearch,
+        id: &JobId,
+        insufficient: Insufficient,
+    ) -> bool {
         let Some(j) = self.jobs.get(id) else { return false };
         let (team, tasks, need) = (j.team, j.spec.tasks, Amount::of_task(&j.spec));
         if !self.quota_holds(team, &need, f64::from(tasks)) {
@@ -510,7 +522,7 @@
     }
 
     /// The room that a gang could have in each zone; one that may be anywhere counts all zones as one.
-    fn gang_room(&self, now: Mono, search: &mut RoomSearch, id: &JobId) -> BTreeMap<u32, GangRoom> {
+    fn gang_room(&self, now: MonotonicTime, search: &mut RoomSearch, id: &JobId) -> BTreeMap<u32, GangRoom> {
         let mut zones: BTreeMap<u32, GangRoom> = BTreeMap::new();
         let Some(j) = self.jobs.get(id) else { return zones };
         let need = Amount::of_task(&j.spec);
@@ -541,7 +553,7 @@
     }
 
     /// Reserves free room for a gang in place of what was held for it. Returns for how many tasks.
-    fn hold_free_room(&mut self, now: Mono, search: &mut RoomSearch, id: &JobId, room: &GangRoom) -> u32 {
+    fn hold_free_room(&mut self, now: MonotonicTime, search: &mut RoomSearch, id: &JobId, room: &GangRoom) -> u32 {
         let Some(j) = self.jobs.get(id) else { return 0 };
         let (tasks, need) = (j.spec.tasks, Amount::of_task(&j.spec));
         let mut changed: BTreeSet<MachineId> = self.reservations.of(id).map(|r| r.machine.clone()).collect();
--- a/src/core/leader/room_survey.rs
+++ b/src/core/leader/room_survey.rs
@@ -129,12 +129,12 @@
         RoomSearch { survey: None, budget: SearchBudget::new(machines) }
     }
 
-    pub fn survey(&mut self, leader: &Leader, now: Mono) -> &RoomSurvey {
+    pub fn survey(&mut self, leader: &Leader, now: MonotonicTime) -> &RoomSurvey {
         self.survey.get_or_insert_with(|| leader.survey_room(now))
     }
 
     /// Looks at a machine again, whose tasks or reservations have changed.
-    pub fn refresh(&mut self, leader: &Leader, now: Mono, id: &MachineId) {
+    pub fn refresh(&mut self, leader: &Leader, now: MonotonicTime, id: &MachineId) {
         let Some(survey) = &mut self.survey else { return };
         let Some(at) = survey.position(id) else { return };
         if let Some(machine) = leader.machines.get(id).and_then(|m| leader.survey_machine(now, id, m)) {
@@ -187,13 +187,13 @@
 
 impl Leader {
     /// All machines that may get tasks now, and what each could yield.
-    fn survey_room(&self, now: Mono) -> RoomSurvey {
+    fn survey_room(&self, now: MonotonicTime) -> RoomSurvey {
         self.work.add_machines(self.machines.len());
         let surveyed = self.machines.iter().filter_map(|(id, m)| self.survey_machine(now, id, m));
         RoomSurvey::new(surveyed.collect())
     }
 
-    fn survey_machine(&self, now: Mono, id: &MachineId, m: &Machine) -> Option<SurveyedMachine> {
+    fn survey_machine(&self, now: MonotonicTime, id: &MachineId, m: &Machine) -> Option<SurveyedMachine> {
         if !m.usable(now, self.quiet()) {
             return None;
         }
--- a/src/core/leader/rounds.rs
+++ b/src/core/leader/rounds.rs
@@ -7,7 +7,7 @@
 
 impl Leader {
     /// Starts a round: each controller plans for the teams of its share, all on the same view.
-    pub(super) fn round(&mut self, now: Mono, wall: Wall) {
+    pub(super) fn round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.round_at = now;
         self.dirty = false;
         self.rounds += 1;
@@ -38,7 +38,7 @@
     }
 
     /// A peer's plan. One of another round, term or version is dropped.
-    pub fn on_plan(&mut self, now: Mono, node: &str, plan: Option<PlanOutput>) {
+    pub fn on_plan(&mut self, now: MonotonicTime, node: &str, plan: Option<PlanOutput>) {
         let Some(round) = &mut self.open_round else { return };
         match plan {
             Some(p) if (p.version, p.term, p.round) == (VERSION, self.term.0, round.view.input.round) => {
@@ -54,7 +54,7 @@
     }
 
     /// Commits the round once all parts are there, or the leader has planned the missing ones.
-    pub(super) fn close_round(&mut self, now: Mono) {
+    pub(super) fn close_round(&mut self, now: MonotonicTime) {
         if self.open_round.as_ref().is_none_or(|r| !r.missing.is_empty() && now < r.until) {
             return;
         }
@@ -99,11 +99,11 @@
         }
     }
 
-    pub fn peer_answered(&mut self, now: Mono, node: &str) {
+    pub fn peer_answered(&mut self, now: MonotonicTime, node: &str) {
         self.shares.heard(node, now);
     }
 
-    pub(super) fn move_shares(&mut self, now: Mono) {
+    pub(super) fn move_shares(&mut self, now: MonotonicTime) {
         for (team, from, to) in self.shares.rebalance(now) {
             info!("share moved: team={} from={from} to={to}", self.team_names[team as usize]);
             self.shares_dirty = true;
@@ -111,7 +111,7 @@
     }
 
     /// Checks a plan against the ledger and commits what still holds.
-    pub(super) fn carry_out(&mut self, now: Mono, view: &PlannerView, out: &PlanOutput) {
+    pub(super) fn carry_out(&mut self, now: MonotonicTime, view: &PlannerView, out: &PlanOutput) {
         let mut search = RoomSearch::new(self.machines.len());
         let mut gangs: BTreeMap<u32, Vec<(MachineId, u32)>> = BTreeMap::new();
         for p in &out.placements {
@@ -165,7 +165,13 @@
 
     /// Whether urgent work would miss its aim on starting on this machine, as the image has to be
     /// fetched first, and could meet it elsewhere: then room is made where the image is.
-    pub(super) fn starts_late(&self, now: Mono, job: &JobId, machine: &MachineId, view: Option<&JobView>) -> bool {
+    pub(super) fn starts_late(
+        &self,
+        now: MonotonicTime,
+        job: &JobId,
+        machine: &MachineId,
+        view: Option<&JobView>,
+    ) -> bool {
         let (Some(j), Some(m), Some(v)) = (self.jobs.get(job), self.machines.get(machine), view) else { return false };
         let image = self.images.get(&j.spec.image).copied().unwrap_or(u32::MAX);
         let fetch_s =
@@ -209,7 +215,7 @@
     }
 
     /// The leader's own check of one start, whoever planned it.
-    pub(super) fn may_place(&mut self, now: Mono, job: &JobId, machine: &MachineId, n: f64) -> bool {
+    pub(super) fn may_place(&mut self, now: MonotonicTime, job: &JobId, machine: &MachineId, n: f64) -> bool {
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         let s = &j.spec;
         let need = Amount::of_task(s);
@@ -260,7 +266,7 @@
         fits(cpus_max, used.cpus, need.cpus) && fits(gpus_max, used.gpus, need.gpus)
     }
 
-    pub(super) fn start_gang(&mut self, now: Mono, job: &JobId, parts: &[(MachineId, u32)]) {
+    pub(super) fn start_gang(&mut self, now: MonotonicTime, job: &JobId, parts: &[(MachineId, u32)]) {
         let attempt = self.next_attempt();
         let Some(j) = self.jobs.get_mut(job) else { return };
         j.gang = Some(GangRun { attempt, broken: false });
@@ -296,7 +302,7 @@
     }
 
     /// Enters a task in the ledger and queues its order; the ledger always comes first.
-    pub(super) fn start(&mut self, now: Mono, job: &JobId, index: u32, machine: &MachineId, attempt: Attempt) {
+    pub(super) fn start(&mut self, now: MonotonicTime, job: &JobId, index: u32, machine: &MachineId, attempt: Attempt) {
         let (Some(j), Some(m)) = (self.jobs.get_mut(job), self.machines.get_mut(machine)) else { return };
         let t = &self.types[m.kind];
         let s = &j.spec;
--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -92,8 +92,8 @@
     /// A leader that has just been elected over machines that an earlier one has commissioned.
     fn new(machines: usize) -> Rig {
         let tuning = Tuning { gather_s: 30.0, idle_s: 600.0, ..Tuning::default() };
-        let mut leader = Leader::new(sample_settings(), tuning, kinds(), TERM, holder(), Mono(0));
-        leader.load(Mono(0), Stored { fleet: (0..machines).map(record).collect(), ..Stored::default() });
+        let mut leader = Leader::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
+        leader.load(MonotonicTime(0), Stored { fleet: (0..machines).map(record).collect(), ..Stored::default() });
         let store = (0..machines).map(record).map(|r| (r.path, (r.value, r.revision))).collect();
         let workers = (0..machines).map(|i| (format!("w{i}"), Rig::fresh(i))).collect();
         Rig {
@@ -135,7 +135,7 @@
     fn submit_after(&mut self, revision: u64, s: JobSpec, awaits: &[JobId]) -> JobId {
         let awaits = awaits.to_vec();
         let id = JobId::parse(&s.id).unwrap();
-        let record = json!(LiveRecord { at: Wall(self.now), spec: s, awaits });
+        let record = json!(LiveRecord { at: WallTime(self.now), spec: s, awaits });
         self.leader.on_live(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
@@ -174,8 +174,9 @@
             of.map(|(k, v)| Row { path: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
         };
         let stored = Stored { live: rows(LIVE), bits: rows(BITS), fleet: rows(FLEET), shares: None };
-        self.leader = Leader::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), Mono(self.now));
-        self.leader.load(Mono(self.now), stored);
+        self.leader =
+            Leader::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
+        self.leader.load(MonotonicTime(self.now), stored);
     }
 
     fn execute(r: &mut Report, orders: &[Order]) {
@@ -203,7 +204,7 @@
     fn report(&mut self, name: &str) -> bool {
         let Some(r) = self.workers.get_mut(name) else { return false };
         r.sequence.0 += 1;
-        let answer = self.leader.on_report(Mono(self.now), r);
+        let answer = self.leader.on_report(MonotonicTime(self.now), r);
         if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.deaf.contains(name)) {
             r.token = a.token;
             Rig::execute(r, &a.orders);
@@ -216,7 +217,7 @@
         while self.now < end {
             self.now += TICK.0;
             let before = self.leader.work_done();
-            self.leader.tick(Mono(self.now), Wall(self.now));
+            self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
             let work = self.leader.work_done().since(&before);
             if work.total() > self.longest_tick.total() {
                 self.longest_tick = work;
@@ -229,7 +230,7 @@
                 }
             }
             for a in self.leader.take_actions() {
-                let now = Mono(self.now);
+                let now = MonotonicTime(self.now);
                 match a {
                     Action::Orders { ticket, endpoint, body } => {
                         let result = match self.workers.get_mut(&endpoint) {
--- a/src/core/leader/tests/bounded_work.rs
+++ b/src/core/leader/tests/bounded_work.rs
@@ -88,7 +88,12 @@
     let other = rig.submit(300, spec("req-000002", Kind::Array, 1, 1.0));
     for (n, name) in rig.leader.machines.keys().cloned().collect::<Vec<_>>().iter().cycle().take(2_400).enumerate() {
         let of = if n == 0 { other } else { job };
-        rig.leader.reservations.add(Mono(rig.now), name.clone(), of, Amount { cpus: 1.0, ..Amount::default() });
+        rig.leader.reservations.add(
+            MonotonicTime(rig.now),
+            name.clone(),
+            of,
+            Amount { cpus: 1.0, ..Amount::default() },
+        );
     }
     rig.run(1_000);
     assert_eq!((rig.runs(&job), rig.runs(&other)), (2_399, 1));
@@ -100,9 +105,9 @@
     rig.run(2_000);
     let job = rig.submit(300, spec("req-000001", Kind::Array, 2, 1.0));
     for peer in ["plinth-1", "plinth-2"] {
-        rig.leader.peer_answered(Mono(rig.now), peer);
+        rig.leader.peer_answered(MonotonicTime(rig.now), peer);
     }
-    rig.leader.tick(Mono(rig.now + 1_000), Wall(rig.now + 1_000));
+    rig.leader.tick(MonotonicTime(rig.now + 1_000), WallTime(rig.now + 1_000));
     let mut asked = Vec::new();
     for action in rig.leader.take_actions() {
         if let Action::Plan { node, input } = action {
@@ -112,7 +117,7 @@
     assert!(!asked.is_empty() && rig.leader.has_open_round(), "a peer plans for the job's team");
     rig.leader.abandon_round();
     for (node, input) in asked {
-        rig.leader.on_plan(Mono(rig.now + 1_100), &node, Some(miser::plan(&input)));
+        rig.leader.on_plan(MonotonicTime(rig.now + 1_100), &node, Some(miser::plan(&input)));
     }
     assert_eq!(rig.leader.take_actions(), [], "the plan comes too late");
     rig.now += 1_100;
@@ -127,7 +132,7 @@
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 2, 1.0);
         Row {
             path: format!("live/{}", spec.id),
-            value: json!(LiveRecord { at: Wall(0), spec, awaits: vec![] }),
+            value: json!(LiveRecord { at: WallTime(0), spec, awaits: vec![] }),
             revision: 9,
         }
     };
@@ -135,9 +140,9 @@
     let parts = stored().into_parts(3);
     assert!(parts.iter().all(|p| p.live.len() + p.bits.len() + p.fleet.len() <= 3) && parts.len() == 6);
     let load = |parts: Vec<Stored>| {
-        let mut leader = Leader::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), Mono(0));
-        parts.into_iter().for_each(|part| leader.load_part(Mono(0), part));
-        leader.finish_load(Mono(5));
+        let mut leader = Leader::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
+        parts.into_iter().for_each(|part| leader.load_part(MonotonicTime(0), part));
+        leader.finish_load(MonotonicTime(5));
         leader.load_figures()
     };
     assert_eq!(load(parts), load(vec![stored()]));
@@ -156,8 +161,8 @@
         row.value["zone"] = json!(zone_of(n));
         row
     });
-    rig.leader = Leader::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), Mono(0));
-    rig.leader.load(Mono(0), Stored { fleet: rows.collect(), ..Stored::default() });
+    rig.leader = Leader::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
+    rig.leader.load(MonotonicTime(0), Stored { fleet: rows.collect(), ..Stored::default() });
     rig.run(2_000);
     let low = |n: u32, zone: &str| {
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 4, 8.0);
--- a/src/core/leader/tests/digest.rs
+++ b/src/core/leader/tests/digest.rs
@@ -127,10 +127,10 @@
         let tuning = Tuning { gather_s: 4.0, idle_s: 30.0, ..Tuning::default() };
         let mut types = kinds();
         types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
-        let mut leader = Leader::new(sample_settings(), tuning, types, TERM, holder(), Mono(0));
+        let mut leader = Leader::new(sample_settings(), tuning, types, TERM, holder(), MonotonicTime(0));
         let workers: Vec<SimulatedWorker> = (0..MACHINES).map(SimulatedWorker::of_first_fleet).collect();
         let fleet = workers.iter().take(RECORDED).map(SimulatedWorker::record).collect();
-        leader.load(Mono(0), Stored { fleet, ..Stored::default() });
+        leader.load(MonotonicTime(0), Stored { fleet, ..Stored::default() });
         FixedFleet {
             leader,
             now: 0,
@@ -188,7 +188,7 @@
         }
         self.revision += 1;
         let awaits = FixedFleet::awaited(number).into_iter().filter(|id| !self.endings.contains_key(id)).collect();
-        let record = json!(LiveRecord { at: Wall(self.now), spec, awaits });
+        let record = json!(LiveRecord { at: WallTime(self.now), spec, awaits });
         self.leader.on_live(&id, &record, Revision(self.revision));
     }
 
@@ -239,8 +239,8 @@
             worker.report_at = now + REPORT_MS;
             let report = worker.next_report();
             let answer = match index % 3 {
-                0 => self.leader.on_report_by(Mono(now), &report, Route::by_peer(0)),
-                _ => self.leader.on_report(Mono(now), &report),
+                0 => self.leader.on_report_by(MonotonicTime(now), &report, Route::by_peer(0)),
+                _ => self.leader.on_report(MonotonicTime(now), &report),
             };
             self.digest.answer(answer.as_ref());
             if let Some(answer) = answer {
@@ -266,12 +266,14 @@
         let unseen = SimulatedWorker::new(900_000, "plain", "a", false, 0);
         let workers = self.workers.iter().flatten().chain([&unseen]);
         let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.report)).collect();
-        self.leader.on_list(Mono(self.now), &machines);
+        self.leader.on_list(MonotonicTime(self.now), &machines);
     }
 
     fn peers(&mut self) {
         if self.now.is_multiple_of(1_000) {
-            ["plinth-1", "plinth-2"].into_iter().for_each(|peer| self.leader.peer_answered(Mono(self.now), peer));
+            ["plinth-1", "plinth-2"]
+                .into_iter()
+                .for_each(|peer| self.leader.peer_answered(MonotonicTime(self.now), peer));
         }
     }
 
@@ -282,7 +284,7 @@
             self.notices();
             self.peers();
             self.list();
-            self.leader.tick(Mono(self.now), Wall(self.now));
+            self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
             self.reports();
             let mut actions = self.leader.take_actions();
             while !actions.is_empty() {
@@ -294,7 +296,7 @@
 
     fn perform(&mut self, action: Action) {
         self.digest.action(&action);
-        let now = Mono(self.now);
+        let now = MonotonicTime(self.now);
         match action {
             Action::Orders { ticket, endpoint, body } => {
                 let result = self.execute(&endpoint, &body);
@@ -387,7 +389,7 @@
         self.given.plans += 1;
         let plan = (!self.given.plans.is_multiple_of(13)).then(|| miser::plan(input));
         plan.iter().for_each(|plan| self.digest.peer_plan(plan));
-        self.leader.on_plan(Mono(self.now), node, plan);
+        self.leader.on_plan(MonotonicTime(self.now), node, plan);
     }
 }
 
--- a/src/core/leader/tests/leaders.rs
+++ b/src/core/leader/tests/leaders.rs
@@ -7,7 +7,7 @@
     // Peers let a machine that the leader calls silent go on to the next controller. Called so 3 s
     // after a restart, most workers were sent past it and lost all they had.
     let mut rig = Rig::new(3);
-    let names = |rig: &Rig| rig.leader.silent_machines(Mono(rig.now)).0;
+    let names = |rig: &Rig| rig.leader.silent_machines(MonotonicTime(rig.now)).0;
     rig.workers.retain(|name, _| name == "w0");
     rig.run(5_000);
     assert_eq!(names(&rig), Vec::<String>::new());
@@ -94,7 +94,7 @@
     // It arrives at the new leader before any other of its machine: an empty list, which isn't true.
     let mut late = held.clone();
     late.sequence.0 += 1;
-    rig.leader.on_report(Mono(rig.now), &late);
+    rig.leader.on_report(MonotonicTime(rig.now), &late);
     rig.run(3_000);
     assert_eq!(rig.runs(&id), 2, "nothing is started twice");
     let machine = MachineId::parse(&held.machine).unwrap();
@@ -102,9 +102,9 @@
     // And after newer ones.
     rig.mute.clear();
     rig.run(2_000);
-    assert!(rig.leader.on_report(Mono(rig.now), &late).is_none());
+    assert!(rig.leader.on_report(MonotonicTime(rig.now), &late).is_none());
     let old = Report { session: Session(0), sequence: Sequence(900), ..held };
-    assert!(rig.leader.on_report(Mono(rig.now), &old).is_none(), "of an earlier session");
+    assert!(rig.leader.on_report(MonotonicTime(rig.now), &old).is_none(), "of an earlier session");
     rig.run(1_000);
     assert_eq!(rig.runs(&id), 2);
 }
--- a/src/core/leader/tests/machines.rs
+++ b/src/core/leader/tests/machines.rs
@@ -45,11 +45,11 @@
         rig.mute = rig.workers.keys().cloned().collect();
         rig.run(TICK.0);
     }
-    assert!(rig.leader.lag() >= Span(250) && rig.returned.is_empty());
+    assert!(rig.leader.lag() >= Millis(250) && rig.returned.is_empty());
     // Reports arrive again but for one machine's; ticks come in time.
     rig.mute = BTreeSet::from(["w0".into()]);
     rig.run(2_500);
-    assert!(rig.leader.lag() < Span(50));
+    assert!(rig.leader.lag() < Millis(50));
     assert_eq!(rig.returned, BTreeSet::from(["m-000000".into()]));
 }
 
@@ -62,7 +62,7 @@
     for name in &by_peer {
         let report = rig.workers.get_mut(name).unwrap();
         report.sequence.0 += 1;
-        assert!(rig.leader.on_report_by(Mono(rig.now), report, Route::by_peer(0)).is_some());
+        assert!(rig.leader.on_report_by(MonotonicTime(rig.now), report, Route::by_peer(0)).is_some());
     }
     rig.mute = by_peer.clone();
     rig.run(9_000);
@@ -118,7 +118,7 @@
     let job = |rig: &Rig| rig.leader.jobs[&id].placed.len();
     for _ in 0..10 {
         rig.run(1_000);
-        assert_eq!(rig.leader.on_report(Mono(rig.now), &copy), None);
+        assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), &copy), None);
     }
     assert_eq!(job(&rig), 2, "the lease may still run");
     rig.run(1_500);
@@ -126,7 +126,7 @@
     // After the ledger has ended the session, a copy with a later sequence revives nothing either.
     let mut later = copy;
     later.sequence.0 += 100;
-    assert_eq!(rig.leader.on_report(Mono(rig.now), &later), None);
+    assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), &later), None);
     assert_eq!(job(&rig), 1);
 }
 
@@ -141,23 +141,23 @@
     let listed =
         TaskReport { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
     ghost.tasks.push(listed);
-    assert_eq!(rig.leader.on_report(Mono(10), &ghost), None);
+    assert_eq!(rig.leader.on_report(MonotonicTime(10), &ghost), None);
     assert!(rig.leader.jobs[&old].placed.is_empty());
     // A copy that reaches a new leader before the machine itself tells nothing of now.
     let mut copy = Rig::fresh(0);
     (copy.sequence, copy.token) = (Sequence(3), FencingToken::new(Term(40), 0));
     rig.workers.remove("w0");
-    rig.leader.on_report(Mono(20), &copy);
+    rig.leader.on_report(MonotonicTime(20), &copy);
     rig.run(5_000);
     assert_eq!(rig.runs(&old), 0, "a copy accounts for nothing");
     // An empty report of a ghost: nothing is ordered there until it has confirmed the token.
-    rig.leader.on_report(Mono(rig.now), &Rig::fresh(8));
+    rig.leader.on_report(MonotonicTime(rig.now), &Rig::fresh(8));
     ghost = Rig::fresh(8);
     ghost.sequence = Sequence(1);
-    rig.leader.on_report(Mono(rig.now), &ghost);
+    rig.leader.on_report(MonotonicTime(rig.now), &ghost);
     let id = MachineId::parse("m-000008").unwrap();
     rig.run(1_000);
-    assert!(!rig.leader.machines[&id].usable(Mono(rig.now), Span(5_000)));
+    assert!(!rig.leader.machines[&id].usable(MonotonicTime(rig.now), Millis(5_000)));
 }
 
 #[test]
@@ -192,7 +192,7 @@
     let mut ordered = false;
     for _ in 0..40 {
         rig.now += TICK.0;
-        rig.leader.tick(Mono(rig.now), Wall(rig.now));
+        rig.leader.tick(MonotonicTime(rig.now), WallTime(rig.now));
         ordered |= rig.leader.take_actions().iter().any(|a| matches!(a, Action::Orders { .. }));
     }
     assert!(ordered);
@@ -206,11 +206,11 @@
         (l.phase, l.cause) = (TaskPhase::Running, None);
     }
     r.sequence.0 += 1;
-    assert_eq!(rig.leader.on_report(Mono(rig.now), r).as_ref().map(stops), Some(2));
+    assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
     // Also in the answer to a report that other news has overtaken.
     r.sequence.0 += 5;
     rig.leader.machines.values_mut().for_each(|m| m.sequence = Sequence(r.sequence.0 + 1));
-    assert_eq!(rig.leader.on_report(Mono(rig.now), r).as_ref().map(stops), Some(2));
+    assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
 }
 
 #[test]
@@ -254,5 +254,5 @@
     rig.run(70_000);
     assert_eq!(rig.runs(&id), 4 - rig.leader.jobs[&id].done_count as usize);
     let job = &rig.leader.jobs[&id];
-    assert!(!job.at_fault(Mono(rig.now + 200_000)));
+    assert!(!job.at_fault(MonotonicTime(rig.now + 200_000)));
 }
--- a/src/core/leader/tests/pipelines.rs
+++ b/src/core/leader/tests/pipelines.rs
@@ -39,8 +39,8 @@
     assert_eq!((rig.runs(&first), rig.runs(&second), rig.runs(&last)), (1, 1, 0));
     // Whoever has planned it.
     let free = MachineId::parse("m-000001").unwrap();
-    assert!(!rig.leader.may_place(Mono(rig.now), &last, &free, 1.0));
-    assert!(rig.leader.may_place(Mono(rig.now), &first, &free, 1.0));
+    assert!(!rig.leader.may_place(MonotonicTime(rig.now), &last, &free, 1.0));
+    assert!(rig.leader.may_place(MonotonicTime(rig.now), &first, &free, 1.0));
     // All tasks are done, but the leader's writes aren't answered: nothing is known to be durable.
     rig.unanswered = Some(Vec::new());
     finish_all(&mut rig);
@@ -110,12 +110,12 @@
     let waiting = rig.submit_after(201, of_team(array(2, 1), 8.0), &[first]);
     let later = rig.submit(202, of_team(array(3, 1), 6.0));
     rig.run(10_000);
-    let view = rig.leader.planner_view(Mono(rig.now), Wall(rig.now));
+    let view = rig.leader.planner_view(MonotonicTime(rig.now), WallTime(rig.now));
     assert!(rig.leader.within_guarantee.contains(&later) && !rig.leader.within_guarantee.contains(&waiting));
     assert!(view.input.jobs.is_empty(), "nothing can start");
     finish_all(&mut rig);
     let job = &rig.leader.jobs[&waiting];
-    assert!(job.startable_at >= Wall(12_000) && job.submitted < Wall(3_000));
+    assert!(job.startable_at >= WallTime(12_000) && job.submitted < WallTime(3_000));
     assert_eq!(rig.runs(&waiting), 1);
 }
 
@@ -134,7 +134,7 @@
     assert_eq!(rig.runs(&first), 0);
     let last = JobSpec { priority: Priority::High, deadline_s: Some(60.0), estimate_s: 5.0, ..array(4, 1) };
     rig.submit_after(203, last, &[middle]);
-    rig.leader.inherit(Wall(rig.now));
+    rig.leader.inherit(WallTime(rig.now));
     let inherited = rig.leader.jobs[&first].inherited.clone().unwrap();
     // 60 s less the runs of 10 and 5 s, and a second for each image.
     assert_eq!((inherited.priority, inherited.due_s), (Priority::High, Some(60.0 - 17.0)));
--- a/src/core/leader/tests/planning.rs
+++ b/src/core/leader/tests/planning.rs
@@ -58,8 +58,8 @@
     let m = MachineId::parse("m-000000").unwrap();
     // The image takes 20 s to fetch, the aim of the class is 3 s, and both jobs are old.
     let old = JobView { age_s: 100.0, ..JobView::default() };
-    assert!(rig.leader.starts_late(Mono(rig.now), &service, &m, Some(&old)), "better where its image is");
-    assert!(!rig.leader.starts_late(Mono(rig.now), &array, &m, Some(&old)), "its aim is missed anyway");
+    assert!(rig.leader.starts_late(MonotonicTime(rig.now), &service, &m, Some(&old)), "better where its image is");
+    assert!(!rig.leader.starts_late(MonotonicTime(rig.now), &array, &m, Some(&old)), "its aim is missed anyway");
 }
 
 #[test]
@@ -93,24 +93,24 @@
 fn gpu_machines_are_lent_only_as_far_as_gpu_jobs_have_not_wanted_them() {
     // Plain work filled every GPU machine that came free and was cleared off it again: nearly half
     // of all starts were of tasks that had been stopped so.
-    let mut l = Leader::new(sample_settings(), Tuning::default(), kinds(), Term(1), holder(), Mono(0));
+    let mut l = Leader::new(sample_settings(), Tuning::default(), kinds(), Term(1), holder(), MonotonicTime(0));
     let gpu = l.types.iter().position(|t| t.gpus > 0.0).expect("there is a GPU kind");
     for i in 0..4 {
-        let mut m = Machine::new(String::new(), gpu, 0, false, Mono(0));
+        let mut m = Machine::new(String::new(), gpu, 0, false, MonotonicTime(0));
         m.up = true;
         l.machines.insert(MachineId::parse(&format!("m-{i}")).unwrap(), m);
     }
-    let lent = |l: &mut Leader, at: Mono, waiting: &BTreeSet<JobId>| {
+    let lent = |l: &mut Leader, at: MonotonicTime, waiting: &BTreeSet<JobId>| {
         l.lend(at, waiting);
         l.lent.len()
     };
-    assert_eq!(lent(&mut l, Mono(0), &BTreeSet::new()), 4, "nobody wants GPUs");
+    assert_eq!(lent(&mut l, MonotonicTime(0), &BTreeSet::new()), 4, "nobody wants GPUs");
     let mut s = spec("req-000001", Kind::Gang, 3, 1.0);
     s.gpus = l.types[gpu].gpus;
     let id = JobId::parse(&s.id).unwrap();
-    l.on_live(&id, &json!(LiveRecord { at: Wall(0), spec: s, awaits: Vec::new() }), Revision(1));
+    l.on_live(&id, &json!(LiveRecord { at: WallTime(0), spec: s, awaits: Vec::new() }), Revision(1));
     let waiting = BTreeSet::from([id]);
-    assert_eq!(lent(&mut l, Mono(100), &waiting), 1);
-    assert_eq!(lent(&mut l, Mono(1_000), &BTreeSet::new()), 1, "not forgotten at once");
-    assert_eq!(lent(&mut l, Mono(200_000), &BTreeSet::new()), 4);
+    assert_eq!(lent(&mut l, MonotonicTime(100), &waiting), 1);
+    assert_eq!(lent(&mut l, MonotonicTime(1_000), &BTreeSet::new()), 1, "not forgotten at once");
+    assert_eq!(lent(&mut l, MonotonicTime(200_000), &BTreeSet::new()), 4);
 }
--- a/src/core/leader/workers.rs
+++ b/src/core/leader/workers.rs
@@ -4,12 +4,12 @@
 
 impl Leader {
     /// A worker's report that has come directly. None: not to be answered.
-    pub fn on_report(&mut self, now: Mono, r: &Report) -> Option<ReportAnswer> {
+    pub fn on_report(&mut self, now: MonotonicTime, r: &Report) -> Option<ReportAnswer> {
         self.on_report_by(now, r, Route::DIRECT)
     }
 
     /// A worker's report, and the way that it took.
-    pub fn on_report_by(&mut self, now: Mono, r: &Report, route: Route) -> Option<ReportAnswer> {
+    pub fn on_report_by(&mut self, now: MonotonicTime, r: &Report, route: Route) -> Option<ReportAnswer> {
         let id = MachineId::parse(&r.machine)?;
         if self.gone.contains(&id) {
             return None;
@@ -75,7 +75,7 @@
         Some(ReportAnswer { token, orders })
     }
 
-    pub fn on_orders_result(&mut self, now: Mono, ticket: u64, result: OrdersResult) {
+    pub fn on_orders_result(&mut self, now: MonotonicTime, ticket: u64, result: OrdersResult) {
         let Some((id, sent)) = self.orders.remove(&ticket) else { return };
         let Some(m) = self.machines.get_mut(&id) else { return };
         if m.in_flight == Some(ticket) {
@@ -113,7 +113,7 @@
     }
 
     /// Takes in what a worker lists. False: something newer was known.
-    pub(super) fn take_report(&mut self, now: Mono, id: &MachineId, r: &Report) -> bool {
+    pub(super) fn take_report(&mut self, now: MonotonicTime, id: &MachineId, r: &Report) -> bool {
         let Some(m) = self.machines.get_mut(id) else { return false };
         if (r.session, r.sequence) <= (m.session, m.sequence) {
             return false;
@@ -122,7 +122,7 @@
         if !m.up {
             m.up = true;
             m.idle_since = None;
-            info!("machine {id} is up after {:.0} s", (now - m.since).as_secs());
+            info!("machine {id} is up after {:.0} s", (now - m.since).as_secs_f64());
         }
         if r.session > m.session && m.session.0 > 0 {
             // A new session: the worker has killed and forgotten all it had.
@@ -152,7 +152,7 @@
             info!("machine {id} will be taken in {s:.0} s");
             m.notice = true;
             if m.spot {
-                self.spot_lives.ended((now - m.since).as_secs());
+                self.spot_lives.ended((now - m.since).as_secs_f64());
             }
             self.drain(now, id, s);
         }
@@ -213,7 +213,7 @@
     }
 
     /// One task that a worker lists.
-    pub(super) fn take_listed(&mut self, now: Mono, id: &MachineId, key: &SlotKey, listed: &TaskReport) {
+    pub(super) fn take_listed(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskReport) {
         let (task, attempt) = key;
         let known = self.machines.get(id).is_some_and(|m| m.slots.contains_key(key));
         if !known {
@@ -245,7 +245,7 @@
         }
         if before != Some(TaskPhase::Exited) {
             self.dirty = true;
-            let ran = s.running_since.filter(|_| s.timed).map(|t| (now - t).as_secs());
+            let ran = s.running_since.filter(|_| s.timed).map(|t| (now - t).as_secs_f64());
             let stopped = s.stop.is_some();
             self.exited(now, id, key, listed, ran, stopped);
         }
@@ -260,7 +260,7 @@
     }
 
     /// Enters a listed task that the ledger doesn't have.
-    pub(super) fn adopt(&mut self, now: Mono, id: &MachineId, key: &SlotKey, listed: &TaskReport) {
+    pub(super) fn adopt(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskReport) {
         let (task, attempt) = key;
         self.usage = None;
         let Some(m) = self.machines.get_mut(id) else { return };
@@ -313,7 +313,7 @@
     /// A task has ended, by its worker's word.
     pub(super) fn exited(
         &mut self,
-        now: Mono,
+        now: MonotonicTime,
         id: &MachineId,
         key: &SlotKey,
         listed: &TaskReport,
@@ -365,7 +365,7 @@
                 job.error_machines.insert(id.clone(), now);
                 let fault = job.at_fault(now);
                 if fault {
-                    let pause = Span::secs(f64::from(1u32 << job.errors.min(6)).min(60.0));
+                    let pause = Millis::from_secs_f64(f64::from(1u32 << job.errors.min(6)).min(60.0));
                     job.pause_until = now + pause;
                 }
                 debug!("task {task} failed on {id}, errors={}", job.errors);
@@ -375,7 +375,7 @@
                         m.sick_until = now + AVOIDED_FOR;
                         info!("machine {id} fails tasks and is avoided, errors={}", m.errors);
                     } else if m.sick_until <= now {
-                        m.sick_until = now + Span(10_000);
+                        m.sick_until = now + Millis(10_000);
                     }
                 }
             }
@@ -385,7 +385,7 @@
                 }
                 job.requeue(task.index, reclaimed);
                 if cause == Cause::NoRoom {
-                    job.pause_until = job.pause_until.max(now + Span(500));
+                    job.pause_until = job.pause_until.max(now + Millis(500));
                 }
             }
         }
@@ -448,14 +448,14 @@
     }
 
     /// The cloud takes the machine soon: what can save does, what can't finish starts elsewhere.
-    pub(super) fn drain(&mut self, now: Mono, id: &MachineId, left_s: f64) {
+    pub(super) fn drain(&mut self, now: MonotonicTime, id: &MachineId, left_s: f64) {
         let Some(m) = self.machines.get(id) else { return };
         let go: Vec<SlotKey> = m
             .slots
             .iter()
             .filter(|(_, s)| !s.exited() && s.stop.is_none())
             .filter(|((task, _), s)| {
-                let ran = s.running_since.map(|t| (now - t).as_secs());
+                let ran = s.running_since.map(|t| (now - t).as_secs_f64());
                 let left = ran.map_or(f64::INFINITY, |r| s.run_s - r);
                 let service = self.jobs.get(&task.job).is_some_and(|j| j.spec.kind == Kind::Service);
                 service || left > left_s * 0.7
--- a/src/core/leader/writes.rs
+++ b/src/core/leader/writes.rs
@@ -18,8 +18,8 @@
     }
 
     /// Writes what must be durable, most urgent first, within the share of writes.
-    pub(super) fn write(&mut self, now: Mono, wall: Wall) {
-        let dt = (now - self.tokens_at).as_secs();
+    pub(super) fn write(&mut self, now: MonotonicTime, wall: WallTime) {
+        let dt = (now - self.tokens_at).as_secs_f64();
         self.tokens = (self.tokens + dt * self.p.write_rps).min(self.p.write_rps);
         self.tokens_at = now;
         if now < self.commit_pause || self.commits.len() >= MAX_COMMITS {
@@ -101,7 +101,7 @@
     }
 
     /// Ends jobs whose tasks are all done, those first that others await.
-    fn write_finished(&mut self, wall: Wall) {
+    fn write_finished(&mut self, wall: WallTime) {
         let finished = self.jobs.iter().filter(|(_, j)| j.all_done() && !j.finishing);
         let mut finished: Vec<JobId> = finished.map(|(id, _)| *id).collect();
         finished.sort_by_key(|id| !self.pipelines.is_awaited(id));
@@ -120,10 +120,10 @@
 
     /// Keeps which tasks are done, so that workers may forget them: the more jobs, the more seldom. False:
     /// nothing was due.
-    fn write_done_sets(&mut self, now: Mono) -> bool {
+    fn write_done_sets(&mut self, now: MonotonicTime) -> bool {
         let changed = |j: &Job| j.done_count > 0 && !j.all_done() && !j.bits_in_flight && j.durable != j.done;
         let dirty: Vec<JobId> = self.jobs.iter().filter(|(_, j)| changed(j)).map(|(id, _)| *id).collect();
-        let every = Span::secs((dirty.len() as f64 / (self.p.write_rps * 0.4)).max(1.5));
+        let every = Millis::from_secs_f64((dirty.len() as f64 / (self.p.write_rps * 0.4)).max(1.5));
         if dirty.is_empty() || now - self.bits_at < every || self.tokens < 2.0 {
             return false;
         }
@@ -189,7 +189,7 @@
     }
 
     /// The leader's key has this revision now; none: it isn't known, or no longer this leader's.
-    pub fn on_reguarded(&mut self, now: Mono, revision: Option<Revision>) {
+    pub fn on_reguarded(&mut self, now: MonotonicTime, revision: Option<Revision>) {
         match revision.filter(|r| *r > self.guard) {
             Some(r) => {
                 debug!("writes are guarded by revision {r}");
@@ -198,16 +198,16 @@
             }
             None => {
                 self.reguard = Reguard::Due;
-                self.commit_pause = now + Span(300);
+                self.commit_pause = now + Millis(300);
             }
         }
     }
 
-    pub fn on_committed(&mut self, now: Mono, ticket: u64, result: CommitResult) {
+    pub fn on_committed(&mut self, now: MonotonicTime, ticket: u64, result: CommitResult) {
         let Some((purpose, guard)) = self.commits.remove(&ticket) else { return };
         let ok = result == CommitResult::Done;
         if matches!(result, CommitResult::Refused | CommitResult::Unknown) {
-            self.commit_pause = now + Span(300);
+            self.commit_pause = now + Millis(300);
         }
         // Guarded by an older revision of the key it can't be carried out any more.
         let outdated = matches!(&result, CommitResult::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY));
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -12,7 +12,7 @@
 
 use super::cancellations::Cancellations;
 use crate::ids::{JobId, LeaseId, Revision, Term};
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use serde::{Deserialize, Serialize};
 
 pub const LEADER_KEY: &str = "ctl/leader";
@@ -23,7 +23,7 @@
 /// back for as long, also those that the leader can't reach.
 pub const SUCCESSOR_KEY: &str = "ctl/heir";
 
-pub const YIELD: Span = Span(2_000);
+pub const YIELD: Millis = Millis(2_000);
 
 /// Whether a leader should hand over to a peer: many of its machines are silent, and about as many
 /// report to its peers in vain, so it is the leader that can't be reached.
@@ -46,9 +46,9 @@
     pub term: Term,
     pub id: LeaseId,
     /// Until then nobody else can lead.
-    bound: Mono,
+    bound: MonotonicTime,
     /// Until then what has been read of the live jobs is new enough to act on.
-    read_bound: Mono,
+    read_bound: MonotonicTime,
     /// All changes of live jobs up to here are known.
     pub read_to: Revision,
 }
@@ -57,19 +57,19 @@
 /// cancellations that users have been told by it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Promise {
-    pub span: Span,
+    pub span: Millis,
     pub cancelled: Vec<JobId>,
 }
 
 pub struct Leadership {
-    ttl: Span,
+    ttl: Millis,
     /// How long a leader may act on what it has last read.
-    read_ttl: Span,
+    read_ttl: Millis,
     /// How long a promise lasts.
-    pub promise: Span,
-    promised_until: Mono,
+    pub promise: Millis,
+    promised_until: MonotonicTime,
     /// Another controller is to lead next, so this one holds back until then.
-    yields_until: Mono,
+    yields_until: MonotonicTime,
     /// A bid to lead was sent and its outcome isn't known.
     bid_open: bool,
     /// Whether the last word of the state service was a refusal or none at all.
@@ -80,13 +80,13 @@
 }
 
 impl Leadership {
-    pub fn new(ttl: Span, read_ttl: Span) -> Leadership {
+    pub fn new(ttl: Millis, read_ttl: Millis) -> Leadership {
         Leadership {
             ttl,
             read_ttl,
             promise: ttl,
-            promised_until: Mono(0),
-            yields_until: Mono(0),
+            promised_until: MonotonicTime(0),
+            yields_until: MonotonicTime(0),
             bid_open: false,
             refused: false,
             lease: None,
@@ -106,14 +106,14 @@
 
     /// A process that has just begun may have forgotten a promise, so it waits as long as one
     /// lasts, unless nobody has ever led.
-    pub fn may_run(&self, now: Mono, initialized: bool) -> bool {
+    pub fn may_run(&self, now: MonotonicTime, initialized: bool) -> bool {
         now >= self.promised_until
             && now >= self.yields_until
-            && (!initialized || now >= Mono(0) + self.promise.stretched())
+            && (!initialized || now >= MonotonicTime(0) + self.promise.plus_clock_drift())
     }
 
     /// Only a matter of manners: whoever bids first leads.
-    pub fn yield_to_successor(&mut self, now: Mono) {
+    pub fn yield_to_successor(&mut self, now: MonotonicTime) {
         self.yields_until = now + YIELD;
     }
 
@@ -126,11 +126,11 @@
     }
 
     /// The lease counts from before the request that made or renewed it was sent.
-    pub fn elected(&mut self, term: Term, lease: LeaseId, asked_at: Mono) {
+    pub fn elected(&mut self, term: Term, lease: LeaseId, asked_at: MonotonicTime) {
         self.lease = Some(LeaderLease {
             term,
             id: lease,
-            bound: asked_at + self.ttl.shrunk(),
+            bound: asked_at + self.ttl.minus_clock_drift(),
             read_bound: asked_at + self.read_ttl,
             read_to: Revision(0),
         });
@@ -138,14 +138,14 @@
         self.bid_open = false;
     }
 
-    pub fn renewed(&mut self, asked_at: Mono) {
+    pub fn renewed(&mut self, asked_at: MonotonicTime) {
         if let Some(lease) = &mut self.lease {
-            lease.bound = lease.bound.max(asked_at + self.ttl.shrunk());
+            lease.bound = lease.bound.max(asked_at + self.ttl.minus_clock_drift());
         }
     }
 
     /// All changes of live jobs up to the revision are in the ledger; they were asked for at `asked_at`.
-    pub fn read(&mut self, asked_at: Mono, now: Mono, revision: Revision) {
+    pub fn read(&mut self, asked_at: MonotonicTime, now: MonotonicTime, revision: Revision) {
         if let Some(lease) = &mut self.lease {
             lease.read_bound = lease.read_bound.max(asked_at + self.read_ttl);
             // Past the bound somebody else may lead, so that a revision read then may be of
@@ -158,9 +158,9 @@
 
     /// Every peer has promised, and its cancellations are in the ledger; each promise began after
     /// `asked_at`.
-    pub fn all_promised(&mut self, asked_at: Mono, shortest: Span) {
+    pub fn all_promised(&mut self, asked_at: MonotonicTime, shortest: Millis) {
         if let Some(lease) = &mut self.lease {
-            lease.bound = lease.bound.max(asked_at + shortest.shrunk());
+            lease.bound = lease.bound.max(asked_at + shortest.minus_clock_drift());
             lease.read_bound = lease.read_bound.max(asked_at + self.read_ttl);
         }
     }
@@ -175,18 +175,24 @@
     }
 
     /// The term under which orders and answers may go out now.
-    pub fn acting(&self, now: Mono) -> Option<Term> {
+    pub fn acting(&self, now: MonotonicTime) -> Option<Term> {
         self.lease.filter(|lease| now < lease.bound.min(lease.read_bound)).map(|lease| lease.term)
     }
 
     /// Asked by a leader that is refused, which has read all up to a revision. None: a no. A process
     /// that has led since, or can't tell what users have been told since, gives no promise.
-    pub fn promise_to(&mut self, now: Mono, term: Term, read_to: Revision, told: &Cancellations) -> Option<Promise> {
+    pub fn promise_to(
+        &mut self,
+        now: MonotonicTime,
+        term: Term,
+        read_to: Revision,
+        told: &Cancellations,
+    ) -> Option<Promise> {
         if !self.refused || self.bid_open || self.lease.is_some() || self.last_term > term {
             return None;
         }
         let cancelled = told.since(read_to)?;
-        self.promised_until = self.promised_until.max(now + self.promise.stretched());
+        self.promised_until = self.promised_until.max(now + self.promise.plus_clock_drift());
         Some(Promise { span: self.promise, cancelled })
     }
 }
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/ledger_model/mod.rs
@@ -18,7 +18,7 @@
 use crate::config::{Settings, Tuning, sample_settings};
 use crate::ids::{Attempt, FencingToken, JobId, LeaseId, Revision, Sequence, Session, TaskId, Term};
 use crate::peer::PlanOutput;
-use crate::time::{Mono, Span, Wall};
+use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
     Cause, Change, JobPhase, JobSpec, Kind, MachineType, Order, Priority, RentRequest, Report, ReportAnswer, Row,
     TaskPhase, TaskReport, Txn,
@@ -302,10 +302,10 @@
             self.types.clone(),
             Term(self.epoch),
             record,
-            Mono(self.now),
+            MonotonicTime(self.now),
         );
         let stored = Stored { live: self.rows(LIVE), bits: self.rows(BITS), fleet: self.rows(FLEET), shares: None };
-        l.load(Mono(self.now), stored);
+        l.load(MonotonicTime(self.now), stored);
         self.leader = Some(l);
     }
 
@@ -448,7 +448,7 @@
             return;
         }
         let awaits = named.into_iter().filter(|named| self.ending(named).is_none()).collect();
-        let record = json!(LiveRecord { at: Wall(self.now), spec, awaits });
+        let record = json!(LiveRecord { at: WallTime(self.now), spec, awaits });
         self.epoch += 1;
         self.store.insert(live_key(&id), (record.clone(), self.epoch));
         let (leader, epoch) = (self.leader_no, self.epoch);
@@ -503,7 +503,7 @@
     }
 
     fn deliver_one(&mut self, m: Mail) {
-        let now = Mono(self.now);
+        let now = MonotonicTime(self.now);
         let current = self.leader_no;
         match m {
             // A late report may still reach a leader that came meanwhile.
@@ -670,10 +670,10 @@
             if let Some(l) = &mut self.leader {
                 if self.now.is_multiple_of(1_000) {
                     for p in ["plinth-1", "plinth-2"] {
-                        l.peer_answered(Mono(self.now), p);
+                        l.peer_answered(MonotonicTime(self.now), p);
                     }
                 }
-                l.tick(Mono(self.now), Wall(self.now));
+                l.tick(MonotonicTime(self.now), WallTime(self.now));
             }
             self.act();
             self.check_cancelled();
--- a/src/core/ledger_model/workers.rs
+++ b/src/core/ledger_model/workers.rs
@@ -201,7 +201,7 @@
     /// What the leader answers to a report, if the answer can reach the worker.
     pub(super) fn answer(&mut self, worker: usize, sent: u64, report: &Report) -> Option<Mail> {
         let leader = self.leader.as_mut()?;
-        let answer = leader.on_report(Mono(self.now), report);
+        let answer = leader.on_report(MonotonicTime(self.now), report);
         self.digest.answer(answer.as_ref());
         let answer = answer?;
         let w = &self.workers[worker];
@@ -250,7 +250,7 @@
     }
 
     pub(super) fn step_lease(&mut self, i: usize) {
-        let lease = Span::secs(self.settings.cluster.workers.lease_s).0;
+        let lease = Millis::from_secs_f64(self.settings.cluster.workers.lease_s).0;
         let now = self.now;
         let w = &mut self.workers[i];
         if now - w.answered_sent.max(w.began) > lease {
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -1,7 +1,7 @@
 //! What the state service keeps of jobs, and under which keys.
 
 use crate::ids::{JobId, Revision};
-use crate::time::Wall;
+use crate::time::WallTime;
 use crate::wire::{Change, Guard, JobPhase, JobSpec};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -42,7 +42,7 @@
 #[serde(from = "StoredLive", into = "StoredLive")]
 pub struct LiveRecord {
     /// Time of day of the submission.
-    pub at: Wall,
+    pub at: WallTime,
     pub spec: JobSpec,
     /// The jobs that must be done before any task of this one starts.
     pub awaits: Vec<JobId>,
@@ -53,8 +53,8 @@
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredLive {
-    Plain { at: Wall, spec: JobSpec },
-    Waiting { at: Wall, waiting: WaitingSpec },
+    Plain { at: WallTime, spec: JobSpec },
+    Waiting { at: WallTime, waiting: WaitingSpec },
 }
 
 #[derive(Clone, Serialize, Deserialize)]
@@ -94,11 +94,11 @@
     pub tasks: u32,
     /// When it was done: the times of jobs that await it count from then. Earlier versions don't say.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub at: Option<Wall>,
+    pub at: Option<WallTime>,
 }
 
 impl OverRecord {
-    pub fn done(tasks: u32, at: Wall) -> OverRecord {
+    pub fn done(tasks: u32, at: WallTime) -> OverRecord {
         OverRecord { phase: JobPhase::Done, tasks, at: Some(at) }
     }
 
@@ -121,7 +121,7 @@
 /// How a job has ended, as far as this is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
-    Done(Option<Wall>),
+    Done(Option<WallTime>),
     Cancelled,
     /// It is over, one way or the other.
     Unknown,
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -6,7 +6,7 @@
 /// The records as the version before awaited jobs declared them.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct EarlierLiveRecord {
-    at: Wall,
+    at: WallTime,
     spec: JobSpec,
 }
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -28,8 +28,8 @@
 
 #[test]
 fn plain_jobs_are_the_same_in_all_versions() {
-    let record = LiveRecord { at: Wall(7), spec: spec(), awaits: Vec::new() };
-    let earlier = EarlierLiveRecord { at: Wall(7), spec: spec() };
+    let record = LiveRecord { at: WallTime(7), spec: spec(), awaits: Vec::new() };
+    let earlier = EarlierLiveRecord { at: WallTime(7), spec: spec() };
     assert_eq!(json!(record), json!(earlier));
     assert!(!awaits_others(&json!(record)));
     assert_eq!(read::<LiveRecord>(&json!(earlier)), Some(record));
@@ -38,7 +38,7 @@
 #[test]
 fn an_earlier_version_does_not_take_a_waiting_job_for_one_that_may_start() {
     let awaits = vec![JobId::parse("req-000398").unwrap(), JobId::parse("req-0000405").unwrap()];
-    let record = LiveRecord { at: Wall(7), spec: spec(), awaits };
+    let record = LiveRecord { at: WallTime(7), spec: spec(), awaits };
     assert_eq!(read::<EarlierLiveRecord>(&json!(record)), None);
     assert!(awaits_others(&json!(record)));
     assert_eq!(read::<LiveRecord>(&json!(record)), Some(record));
@@ -46,7 +46,7 @@
 
 #[test]
 fn endings_are_read_by_all_versions() {
-    for record in [OverRecord::done(3, Wall(9)), OverRecord::cancelled(3)] {
+    for record in [OverRecord::done(3, WallTime(9)), OverRecord::cancelled(3)] {
         let earlier = EarlierOverRecord { phase: record.phase, tasks: 3 };
         assert_eq!(read::<EarlierOverRecord>(&json!(record)).as_ref(), Some(&earlier));
         assert_eq!(read::<OverRecord>(&json!(earlier)).map(|r| r.phase), Some(record.phase));
--- a/src/core/rentals.rs
+++ b/src/core/rentals.rs
@@ -1,6 +1,6 @@
 //! Renting and returning machines: what the cloud has refused, and requests under way.
 
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
 /// What the cloud tells capacity apart by.
@@ -16,18 +16,18 @@
     pub market: Market,
     pub number: u32,
     pub in_flight: bool,
-    pub again_at: Mono,
+    pub again_at: MonotonicTime,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Block {
-    until: Mono,
-    pause: Span,
+    until: MonotonicTime,
+    pause: Millis,
 }
 
-const FIRST_PAUSE: Span = Span(5_000);
-const SOON: Span = Span(1_000);
-const LONGEST_PAUSE: Span = Span(40_000);
+const FIRST_PAUSE: Millis = Millis(5_000);
+const SOON: Millis = Millis(1_000);
+const LONGEST_PAUSE: Millis = Millis(40_000);
 /// Most rental requests under way at once.
 const MAX_REQUESTS: usize = 16;
 
@@ -39,14 +39,14 @@
 }
 
 impl Rentals {
-    pub fn open(&self, m: Market, now: Mono) -> bool {
+    pub fn open(&self, m: Market, now: MonotonicTime) -> bool {
         self.blocks.get(&m).is_none_or(|b| b.until <= now)
     }
 
     /// "No capacity", or fewer machines than asked for: ask again later and later.
-    pub fn refused(&mut self, m: Market, now: Mono) {
+    pub fn refused(&mut self, m: Market, now: MonotonicTime) {
         let pause = match self.blocks.get(&m) {
-            Some(b) if now - b.until < b.pause => Span((b.pause.0 * 2).min(LONGEST_PAUSE.0)),
+            Some(b) if now - b.until < b.pause => Millis((b.pause.0 * 2).min(LONGEST_PAUSE.0)),
             _ => FIRST_PAUSE,
         };
         self.blocks.insert(m, Block { until: now + pause, pause });
@@ -58,7 +58,7 @@
 
     /// A machine of this market is gone, so there may be capacity again: the next try comes soon,
     /// whatever was refused before.
-    pub fn freed(&mut self, m: Market, now: Mono) {
+    pub fn freed(&mut self, m: Market, now: MonotonicTime) {
         if let Some(b) = self.blocks.get_mut(&m) {
             *b = Block { until: b.until.min(now + SOON), pause: FIRST_PAUSE };
         }
--- a/src/core/shares.rs
+++ b/src/core/shares.rs
@@ -1,31 +1,31 @@
 //! Which controller plans for which team. The leader deals the teams out, moves them by measured
 //! load, and plans itself for controllers that are silent. Shares are kept in the state service.
 
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
 /// Team names and who plans for them.
 pub const SHARES_KEY: &str = "ctl/shares";
 
 /// A controller that hasn't answered for this long gets nothing to plan.
-const SILENT: Span = Span(2_500);
+const SILENT: Millis = Millis(2_500);
 /// Its teams move to others after this long.
-const GONE: Span = Span(8_000);
-const MOVE_EVERY: Span = Span(10_000);
+const GONE: Millis = Millis(8_000);
+const MOVE_EVERY: Millis = Millis(10_000);
 
 pub struct Shares {
     me: String,
     /// Other controllers and when they last answered.
-    peers: BTreeMap<String, Option<Mono>>,
+    peers: BTreeMap<String, Option<MonotonicTime>>,
     owner: BTreeMap<u32, String>,
     /// Ready tasks planned for a team, averaged over rounds.
     load: BTreeMap<u32, f64>,
-    moved_at: Mono,
+    moved_at: MonotonicTime,
 }
 
 impl Shares {
-    pub fn new(me: &str, peers: impl Iterator<Item = String>, teams: u32, now: Mono) -> Shares {
-        let peers: BTreeMap<String, Option<Mono>> = peers.map(|p| (p, None)).collect();
+    pub fn new(me: &str, peers: impl Iterator<Item = String>, teams: u32, now: MonotonicTime) -> Shares {
+        let peers: BTreeMap<String, Option<MonotonicTime>> = peers.map(|p| (p, None)).collect();
         let mut nodes: Vec<String> = peers.keys().cloned().collect();
         nodes.push(me.into());
         nodes.sort();
@@ -47,7 +47,7 @@
         self.owner.iter().filter_map(|(t, n)| Some((name(*t)?, n.clone()))).collect()
     }
 
-    pub fn heard(&mut self, node: &str, now: Mono) {
+    pub fn heard(&mut self, node: &str, now: MonotonicTime) {
         if let Some(at) = self.peers.get_mut(node) {
             *at = Some(now);
         }
@@ -60,12 +60,12 @@
         }
     }
 
-    fn answers(&self, node: &str, now: Mono, within: Span) -> bool {
+    fn answers(&self, node: &str, now: MonotonicTime, within: Millis) -> bool {
         self.peers.get(node).is_some_and(|at| at.is_some_and(|t| now - t <= within))
     }
 
     /// The peer to plan for the team; none: the leader plans itself.
-    pub fn planner(&self, team: u32, now: Mono) -> Option<&str> {
+    pub fn planner(&self, team: u32, now: MonotonicTime) -> Option<&str> {
         let node = self.owner.get(&team)?;
         self.answers(node, now, SILENT).then_some(node.as_str())
     }
@@ -77,7 +77,7 @@
 
     /// Moves teams away from silent controllers, or one team from the most loaded controller to
     /// the least loaded. Says what has moved.
-    pub fn rebalance(&mut self, now: Mono) -> Vec<(u32, String, String)> {
+    pub fn rebalance(&mut self, now: MonotonicTime) -> Vec<(u32, String, String)> {
         if now - self.moved_at < MOVE_EVERY {
             return Vec::new();
         }
--- a/src/core/shares/tests.rs
+++ b/src/core/shares/tests.rs
@@ -1,38 +1,38 @@
 use super::*;
 
 fn shares() -> Shares {
-    Shares::new("a", ["b", "c"].map(String::from).into_iter(), 6, Mono(0))
+    Shares::new("a", ["b", "c"].map(String::from).into_iter(), 6, MonotonicTime(0))
 }
 
 #[test]
 fn only_controllers_that_answer_plan() {
     let mut s = shares();
-    assert_eq!(s.planner(1, Mono(100)), None, "never heard of");
-    s.heard("b", Mono(100));
-    assert_eq!(s.planner(0, Mono(200)), None, "the leader's own");
-    assert_eq!(s.planner(1, Mono(200)), Some("b"));
-    assert_eq!(s.planner(1, Mono(2_700)), None);
-    s.heard("b", Mono(3_000));
+    assert_eq!(s.planner(1, MonotonicTime(100)), None, "never heard of");
+    s.heard("b", MonotonicTime(100));
+    assert_eq!(s.planner(0, MonotonicTime(200)), None, "the leader's own");
+    assert_eq!(s.planner(1, MonotonicTime(200)), Some("b"));
+    assert_eq!(s.planner(1, MonotonicTime(2_700)), None);
+    s.heard("b", MonotonicTime(3_000));
     s.silent("b");
-    assert_eq!(s.planner(1, Mono(3_100)), None);
+    assert_eq!(s.planner(1, MonotonicTime(3_100)), None);
 }
 
 #[test]
 fn shares_leave_the_silent_and_follow_the_load() {
     let mut s = shares();
-    s.heard("b", Mono(9_000));
-    let moves = s.rebalance(Mono(10_000));
+    s.heard("b", MonotonicTime(9_000));
+    let moves = s.rebalance(MonotonicTime(10_000));
     assert_eq!(moves.len(), 2, "both teams of c");
     assert!(moves.iter().all(|(_, from, to)| from == "c" && to != "c"));
     for _ in 0..200 {
         s.note_load(1, 50);
         s.note_load(4, 40);
     }
-    s.heard("b", Mono(20_000));
-    let moves = s.rebalance(Mono(20_500));
+    s.heard("b", MonotonicTime(20_000));
+    let moves = s.rebalance(MonotonicTime(20_500));
     assert!(moves.len() == 1 && moves[0].1 == "b" && moves[0].2 == "a", "{moves:?}");
-    s.heard("b", Mono(30_500));
-    assert!(s.rebalance(Mono(31_000)).is_empty(), "even enough");
+    s.heard("b", MonotonicTime(30_500));
+    assert!(s.rebalance(MonotonicTime(31_000)).is_empty(), "even enough");
 }
 
 #[test]
@@ -43,7 +43,7 @@
     kept.insert("t0".into(), "c".into());
     kept.insert("t1".into(), "gone".into());
     s.restore(&kept, &names);
-    s.heard("c", Mono(0));
-    s.heard("b", Mono(0));
-    assert_eq!((s.planner(0, Mono(1)), s.planner(1, Mono(1))), (Some("c"), Some("b")));
+    s.heard("c", MonotonicTime(0));
+    s.heard("b", MonotonicTime(0));
+    assert_eq!((s.planner(0, MonotonicTime(1)), s.planner(1, MonotonicTime(1))), (Some("c"), Some("b")));
 }
--- a/src/net/ancestors.rs
+++ b/src/net/ancestors.rs
@@ -6,7 +6,7 @@
 use super::state::StateError;
 use crate::core::records::{LiveRecord, awaits_others};
 use crate::ids::JobId;
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use crate::wire::{Kind, Row};
 use std::collections::HashMap;
 use std::pin::Pin;
@@ -26,18 +26,18 @@
 
 /// What was read lately of waiting jobs and all that they need: none of it was cancelled at that time.
 #[derive(Default)]
-pub struct CheckedPipelines(HashMap<JobId, Mono>);
+pub struct CheckedPipelines(HashMap<JobId, MonotonicTime>);
 
 const MAX_CHECKED: usize = 8_192;
 /// For which part of `cancel_s` such a reading may be relied on.
 const RELIED_ON: f64 = 0.25;
 
 impl CheckedPipelines {
-    fn checked_at(&self, id: &JobId, now: Mono, within: Span) -> Option<Mono> {
+    fn checked_at(&self, id: &JobId, now: MonotonicTime, within: Millis) -> Option<MonotonicTime> {
         self.0.get(id).copied().filter(|at| now - *at <= within)
     }
 
-    fn put(&mut self, id: JobId, at: Mono) {
+    fn put(&mut self, id: JobId, at: MonotonicTime) {
         if self.0.len() >= MAX_CHECKED {
             self.0.clear();
         }
@@ -48,7 +48,7 @@
 /// A job's standing, and when the oldest reading that it rests on was asked for.
 struct Checked {
     standing: Standing,
-    at: Mono,
+    at: MonotonicTime,
 }
 
 /// How a job stands to the jobs that await it, by readings that are fresh enough to tell users.
@@ -89,7 +89,7 @@
     if record.awaits.is_empty() || steps == 0 {
         return Ok(Checked { standing, at: now });
     }
-    let within = Span::secs(node.settings.cluster.workers.cancel_s * RELIED_ON);
+    let within = Millis::from_secs_f64(node.settings.cluster.workers.cancel_s * RELIED_ON);
     let known = node.lock().checked_pipelines.checked_at(&id, now, within);
     if let Some(at) = known {
         return Ok(Checked { standing, at });
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -2,44 +2,44 @@
 
 use super::http::Http;
 use crate::core::leader::RentResult;
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use crate::wire::{ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
 use hyper::Method;
 use std::sync::Mutex;
 
 pub struct CloudClient {
     addr: String,
-    every: Span,
-    next: Mutex<Mono>,
+    every: Millis,
+    next: Mutex<MonotonicTime>,
 }
 
-const LIMIT: Span = Span(4_000);
+const LIMIT: Millis = Millis(4_000);
 /// Calls wait for their turn up to this long, then fail.
-const LONGEST_QUEUE: Span = Span(5_000);
+const LONGEST_QUEUE: Millis = Millis(5_000);
 
 impl CloudClient {
     pub fn new(addr: String, rps: f64) -> CloudClient {
-        CloudClient { addr, every: Span::secs(1.0 / (rps * 0.8)), next: Mutex::new(Mono(0)) }
+        CloudClient { addr, every: Millis::from_secs_f64(1.0 / (rps * 0.8)), next: Mutex::new(MonotonicTime(0)) }
     }
 
     /// Waits for a turn. False: too many are waiting, or (not urgent) somebody is.
-    async fn turn(&self, now: Mono, urgent: bool) -> bool {
+    async fn turn(&self, now: MonotonicTime, urgent: bool) -> bool {
         let at = {
             let mut next = self.next.lock().unwrap_or_else(|e| e.into_inner());
             // A burst worth half a second may go at once.
-            let at = (*next).max(Mono(now.0.saturating_sub(500)));
+            let at = (*next).max(MonotonicTime(now.0.saturating_sub(500)));
             let wait = at - now;
-            if wait > LONGEST_QUEUE || (!urgent && wait > Span(0)) {
+            if wait > LONGEST_QUEUE || (!urgent && wait > Millis(0)) {
                 return false;
             }
             *next = at + self.every;
             at
         };
-        tokio::time::sleep((at - now).std()).await;
+        tokio::time::sleep((at - now).to_std()).await;
         true
     }
 
-    pub async fn types(&self, http: &Http, now: Mono) -> Option<Vec<MachineType>> {
+    pub async fn types(&self, http: &Http, now: MonotonicTime) -> Option<Vec<MachineType>> {
         if !self.turn(now, true).await {
             return None;
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    pub async fn rent(&self, http: &Http, now: Mono, r: &RentRequest) -> RentResult {
+    pub async fn rent(&self, http: &Http, now: MonotonicTime, r: &RentRequest) -> RentResult {
         let Ok(body) = serde_json::to_vec(r) else { return RentResult::Malformed };
         if !self.turn(now, true).await {
             return RentResult::Unknown;
@@ -65,7 +65,7 @@
         }
     }
 
-    pub async fn give_back(&self, http: &Http, now: Mono, names: Vec<String>) -> bool {
+    pub async fn give_back(&self, http: &Http, now: MonotonicTime, names: Vec<String>) -> bool {
         let Ok(body) = serde_json::to_vec(&MachineNames { plinths: names }) else { return false };
         if !self.turn(now, true).await {
             return false;
@@ -74,7 +74,7 @@
         matches!(answer, Ok((200, _)))
     }
 
-    pub async fn list(&self, http: &Http, now: Mono) -> Option<Vec<ListedMachine>> {
+    pub async fn list(&self, http: &Http, now: MonotonicTime) -> Option<Vec<ListedMachine>> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             if !self.turn(now, false).await {
--- a/src/net/detours.rs
+++ b/src/net/detours.rs
@@ -4,12 +4,12 @@
 
 use super::node::Node;
 use super::peers;
-use crate::time::Span;
+use crate::time::Millis;
 use std::sync::Arc;
 
 /// Peers are asked this often while the leader can't be reached.
-const ASK_INTERVAL: Span = Span(1_000);
-const ASK_LIMIT: Span = Span(700);
+const ASK_INTERVAL: Millis = Millis(1_000);
+const ASK_LIMIT: Millis = Millis(700);
 
 /// The peers that pass reports on to the leader, as of their last answers.
 #[derive(Default)]
@@ -35,7 +35,7 @@
 /// runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(ASK_INTERVAL.std()).await;
+        tokio::time::sleep(ASK_INTERVAL.to_std()).await;
         look_for(&node).await;
     }
 }
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -8,13 +8,13 @@
 use crate::core::records::Ending;
 use crate::ids::{Revision, Term};
 use crate::peer::HelloAnswer;
-use crate::time::Span;
+use crate::time::Millis;
 use crate::wire::{Change, Guard, Txn};
 use log::{info, warn};
 use serde_json::json;
 use std::sync::Arc;
 
-const POLL: Span = Span(350);
+const POLL: Millis = Millis(350);
 
 pub async fn run(node: Arc<Node>) {
     let mut initialized = true;
@@ -41,7 +41,7 @@
                     info!("ending the lease of an earlier process here");
                     let ended = node.served(node.state.revoke(&node.http, r.lease)).await;
                     held_it = ended.is_ok();
-                    tokio::time::sleep(Span(20).std()).await;
+                    tokio::time::sleep(Millis(20).to_std()).await;
                     continue;
                 }
             }
@@ -62,19 +62,19 @@
                         keep_leading(&node, leader_lease, record).await;
                         continue;
                     }
-                    tokio::time::sleep(Span(rand::random::<u64>() % 200).std()).await;
+                    tokio::time::sleep(Millis(rand::random::<u64>() % 200).to_std()).await;
                 }
             }
             Err(StateError::Refused | StateError::Unknown(_)) => ask_about_state(&node).await,
             Err(_) => {}
         }
-        tokio::time::sleep(POLL.std()).await;
+        tokio::time::sleep(POLL.to_std()).await;
     }
 }
 
 /// Whether a peer is served, which makes this controller the one to avoid.
 async fn ask_about_state(node: &Arc<Node>) {
-    let answers = peers::ask_all(node, &peers::hello(node), Span(700)).await;
+    let answers = peers::ask_all(node, &peers::hello(node), Millis(700)).await;
     heard_peers(&mut node.lock(), &answers);
 }
 
@@ -123,7 +123,7 @@
                 if row.is_ok() && node.state.revoke(&node.http, lease).await.is_ok() {
                     break;
                 }
-                tokio::time::sleep(POLL.std()).await;
+                tokio::time::sleep(POLL.to_std()).await;
             }
         }
     }
@@ -144,7 +144,7 @@
     let mut promised = false;
     loop {
         let asked_at = node.now();
-        let renewed = node.served(node.state.renew(&node.http, leader_lease.id, Span(900))).await;
+        let renewed = node.served(node.state.renew(&node.http, leader_lease.id, Millis(900))).await;
         match renewed {
             Ok(true) => {
                 let mut inner = node.lock();
@@ -173,8 +173,8 @@
             acting = acts;
             info!("{}: term={}", if acts { "acting again" } else { "no longer acting" }, leader_lease.term);
         }
-        let pause = if renewed_late(node, asked_at) { Span(100) } else { Span(ttl.0 / 6) };
-        tokio::time::sleep(pause.std()).await;
+        let pause = if renewed_late(node, asked_at) { Millis(100) } else { Millis(ttl.0 / 6) };
+        tokio::time::sleep(pause.to_std()).await;
     }
     warn!("no longer leader: term={}", leader_lease.term);
     let mut inner = node.lock();
@@ -199,7 +199,7 @@
     hello.successor = successor;
     // A peer that the leader can't reach reads of it in the state service.
     let _ = tokio::join!(
-        peers::ask_all(node, &hello, Span(300)),
+        peers::ask_all(node, &hello, Millis(300)),
         node.served(name_successor(node, guard, &hello.successor))
     );
     // Unanswered, the lease ends by itself.
@@ -221,8 +221,8 @@
     matches!(row, Ok(Some(row)) if row.value.as_str() != Some(&node.settings.name))
 }
 
-fn renewed_late(node: &Node, asked_at: crate::time::Mono) -> bool {
-    node.now() - asked_at > Span(1_000)
+fn renewed_late(node: &Node, asked_at: crate::time::MonotonicTime) -> bool {
+    node.now() - asked_at > Millis(1_000)
 }
 
 /// Starts wait while it isn't known what users have been told meanwhile.
@@ -241,11 +241,11 @@
     hello.leading = true;
     hello.term = term.0;
     hello.read_to = node.lock().leadership.lease().map_or(0, |o| o.read_to.0);
-    let answers = peers::ask_all(node, &hello, Span(800)).await;
+    let answers = peers::ask_all(node, &hello, Millis(800)).await;
     // A promise whose cancellations can't be read is none.
     let promised = |a: &Option<HelloAnswer>| {
         let a = a.as_ref().filter(|a| a.promise_ms > 0)?;
-        Some((Span(a.promise_ms), peers::jobs(&a.cancelled)?))
+        Some((Millis(a.promise_ms), peers::jobs(&a.cancelled)?))
     };
     let promises: Vec<_> = answers.iter().map(promised).collect();
     let mut inner = node.lock();
@@ -255,8 +255,8 @@
         cancelled.iter().for_each(|id| l.on_over(id, Ending::Cancelled));
     }
     // Without peers there is nobody to promise.
-    let shortest = promises.iter().map(|p| p.as_ref().map_or(Span(0), |p| p.0)).min().unwrap_or_default();
-    let promised = shortest > Span(0);
+    let shortest = promises.iter().map(|p| p.as_ref().map_or(Millis(0), |p| p.0)).min().unwrap_or_default();
+    let promised = shortest > Millis(0);
     if promised {
         inner.leadership.all_promised(asked_at, shortest);
     }
--- a/src/net/forwarding.rs
+++ b/src/net/forwarding.rs
@@ -8,7 +8,7 @@
 use super::peers;
 use crate::ids::Term;
 use crate::peer::{ReportBatch, ReportDecision, ReportDecisions, VERSION};
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use bytes::Bytes;
 use hyper::Method;
 use prost::Message;
@@ -16,9 +16,9 @@
 use tokio::sync::{Notify, oneshot};
 
 /// Batches start at least this far apart, so that each carries several reports.
-const BATCH_INTERVAL: Span = Span(100);
+const BATCH_INTERVAL: Millis = Millis(100);
 /// A worker waits 4 s for an answer; the leader gets less, so that the worker still learns of a failure.
-const BATCH_LIMIT: Span = Span(1_800);
+const BATCH_LIMIT: Millis = Millis(1_800);
 /// A controller whose timers come this much late on average has no room for more workers.
 const STRAINED_LAG_MS: f64 = 200.0;
 /// The weight of the latest batch in that average.
@@ -27,14 +27,14 @@
 const MAX_WAITING: usize = 4_096;
 const MAX_WAITING_BYTES: usize = 4 << 20;
 /// A leader sends a heartbeat every second; one that has been silent for longer is not sent anything.
-const HEARTBEAT_LIMIT: Span = Span(4_000);
+const HEARTBEAT_LIMIT: Millis = Millis(4_000);
 
 /// A leader that has sent a heartbeat.
 #[derive(Clone, Debug)]
 struct HeardLeader {
     name: String,
     term: Term,
-    heard_at: Mono,
+    heard_at: MonotonicTime,
 }
 
 /// A report that waits for the leader's decision.
@@ -58,7 +58,7 @@
 
 impl Forwarding {
     /// A leader has sent its heartbeat. One of an earlier term may just not know yet that it has lost its lease.
-    pub fn heard_leader(&mut self, name: &str, term: Term, now: Mono) {
+    pub fn heard_leader(&mut self, name: &str, term: Term, now: MonotonicTime) {
         if self.leader.as_ref().is_some_and(|known| term < known.term) {
             return;
         }
@@ -67,7 +67,7 @@
     }
 
     /// The leader to send batches to, if there is one that should answer.
-    fn destination(&self, now: Mono) -> Option<&HeardLeader> {
+    fn destination(&self, now: MonotonicTime) -> Option<&HeardLeader> {
         self.leader.as_ref().filter(|leader| now - leader.heard_at <= HEARTBEAT_LIMIT)
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Whether workers' reports can be passed on to a leader now.
-    pub fn is_open(&self, now: Mono) -> bool {
+    pub fn is_open(&self, now: MonotonicTime) -> bool {
         let has_room = self.waiting.len() < MAX_WAITING && self.waiting_bytes < MAX_WAITING_BYTES;
         self.proven && has_room && self.destination(now).is_some()
     }
@@ -88,17 +88,17 @@
     }
 
     /// Whether more workers may be sent here.
-    pub fn has_capacity(&self, now: Mono) -> bool {
+    pub fn has_capacity(&self, now: MonotonicTime) -> bool {
         self.is_open(now) && self.lag_ms < STRAINED_LAG_MS
     }
 
     /// A timer has come that much late.
-    fn note_lag(&mut self, late: Span) {
+    fn note_lag(&mut self, late: Millis) {
         self.lag_ms += LAG_WEIGHT * (late.0 as f64 - self.lag_ms);
     }
 
     /// Takes a report in; none: it can't be passed on now.
-    fn admit(&mut self, report: Bytes, now: Mono) -> Option<oneshot::Receiver<ReportDecision>> {
+    fn admit(&mut self, report: Bytes, now: MonotonicTime) -> Option<oneshot::Receiver<ReportDecision>> {
         if !self.is_open(now) {
             return None;
         }
@@ -149,7 +149,7 @@
     loop {
         node.report_waits.notified().await;
         let due = node.now() + BATCH_INTERVAL;
-        tokio::time::sleep(BATCH_INTERVAL.std()).await;
+        tokio::time::sleep(BATCH_INTERVAL.to_std()).await;
         let now = node.now();
         let (waiting, leader) = {
             let mut inner = node.lock();
--- a/src/net/forwarding/tests.rs
+++ b/src/net/forwarding/tests.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use std::sync::Mutex;
 
-const HEARD: Mono = Mono(10_000);
+const HEARD: MonotonicTime = MonotonicTime(10_000);
 
 fn open() -> Forwarding {
     let mut forwarding = Forwarding::default();
@@ -28,7 +28,7 @@
     assert_eq!(destination(&forwarding), Some("plinth-1"), "an earlier term is over");
     forwarding.heard_leader("plinth-2", Term(6), HEARD);
     assert_eq!(destination(&forwarding), Some("plinth-2"));
-    assert!(forwarding.destination(HEARD + HEARTBEAT_LIMIT + Span(1)).is_none(), "silent for too long");
+    assert!(forwarding.destination(HEARD + HEARTBEAT_LIMIT + Millis(1)).is_none(), "silent for too long");
 }
 
 #[test]
@@ -54,9 +54,9 @@
 fn a_strained_controller_takes_no_more_workers_but_serves_those_it_has() {
     let mut forwarding = open();
     assert!(forwarding.has_capacity(HEARD));
-    (0..20).for_each(|_| forwarding.note_lag(Span(400)));
+    (0..20).for_each(|_| forwarding.note_lag(Millis(400)));
     assert!(!forwarding.has_capacity(HEARD) && forwarding.is_open(HEARD));
-    (0..20).for_each(|_| forwarding.note_lag(Span(5)));
+    (0..20).for_each(|_| forwarding.note_lag(Millis(5)));
     assert!(forwarding.has_capacity(HEARD));
 }
 
@@ -88,7 +88,7 @@
     settings.peer_listen = free_addr();
     let (node, client) = start(&world, settings);
     let client = Arc::new(client);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     node.lock().leader_name = Some("plinth-9".into());
     for node in [&detour, &node] {
         let now = node.now();
@@ -103,10 +103,10 @@
         let client = client.clone();
         answers.push(tokio::spawn(async move { client.post("/v1/report", report).await }));
         // Each comes while the batch before it is under way.
-        tokio::time::sleep(Span(500).std()).await;
+        tokio::time::sleep(Millis(500).to_std()).await;
     }
     for answer in answers {
         assert_eq!(answer.await.unwrap(), (421, json!({"steward": detour.settings.name})));
     }
-    assert!(begun.elapsed() < (BATCH_LIMIT + Span(1_000)).std(), "one time limit, not two");
+    assert!(begun.elapsed() < (BATCH_LIMIT + Millis(1_000)).to_std(), "one time limit, not two");
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,7 +1,7 @@
 //! The one HTTP client. Every request has a time limit and a limit on the answer's size, and there
 //! are only so many connections.
 
-use crate::time::Span;
+use crate::time::Millis;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -136,7 +136,7 @@
         addr: &str,
         path: &str,
         body: Vec<u8>,
-        limit: Span,
+        limit: Millis,
     ) -> Result<(u16, Bytes), HttpError> {
         let mut request = Request::builder()
             .method(method)
@@ -156,7 +156,7 @@
             })?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(limit.std(), exchange).await.map_err(|_| HttpError::Timeout)?
+        tokio::time::timeout(limit.to_std(), exchange).await.map_err(|_| HttpError::Timeout)?
     }
 }
 
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -43,7 +43,7 @@
         let _ = c.write_all(head.as_bytes()).await;
         let _ = c.write_all(&vec![b' '; MAX_ANSWER + 1]).await;
     });
-    let answer = Http::new(4).call(Method::GET, &addr, "/follow", vec![], Span(5_000)).await;
+    let answer = Http::new(4).call(Method::GET, &addr, "/follow", vec![], Millis(5_000)).await;
     assert!(matches!(answer, Err(HttpError::TooLarge)));
 }
 
@@ -56,7 +56,7 @@
     let call = |addr: &str| {
         let addr = addr.to_string();
         let http = &http;
-        async move { http.call(Method::POST, &addr, "/orders", vec![], Span(5_000)).await.map(|a| a.0) }
+        async move { http.call(Method::POST, &addr, "/orders", vec![], Millis(5_000)).await.map(|a| a.0) }
     };
     for addr in &addrs {
         assert_eq!(call(addr).await.unwrap(), 200);
--- a/src/net/leading.rs
+++ b/src/net/leading.rs
@@ -15,7 +15,7 @@
 use crate::core::work::Work;
 use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::peer::HelloAnswer;
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use crate::wire::{Change, DirectOrders, Guard, LogEntry, MachineType, Report, Txn};
 use hyper::Method;
 use log::{debug, info, warn};
@@ -29,7 +29,7 @@
 /// Stored records that a new leader reads in one step.
 const ROWS_PER_STEP: usize = 250;
 /// How long a worker has to answer orders.
-const ORDERS_LIMIT: Span = Span(2_000);
+const ORDERS_LIMIT: Millis = Millis(2_000);
 
 /// Keeps the machine kinds known: from the state service, or (the leader) from the cloud.
 pub async fn learn_types(node: Arc<Node>) {
@@ -47,7 +47,7 @@
         if node.lock().types.is_some() {
             return;
         }
-        tokio::time::sleep(Span(400).std()).await;
+        tokio::time::sleep(Millis(400).to_std()).await;
     }
 }
 
@@ -67,7 +67,7 @@
             node.lock().types = Some(types);
             continue;
         }
-        tokio::time::sleep(Span(500).std()).await;
+        tokio::time::sleep(Millis(500).to_std()).await;
     }
 }
 
@@ -84,7 +84,7 @@
             Ok((stored, epoch)) => break (asked_at, stored, epoch),
             Err(e) => debug!("loading: {e}"),
         }
-        tokio::time::sleep(Span(150).std()).await;
+        tokio::time::sleep(Millis(150).to_std()).await;
     };
     let mut leader = Leader::new(node.settings.clone(), node.tuning.clone(), types, term, record, since);
     load_in_steps(&node, &mut leader, stored).await;
@@ -146,7 +146,7 @@
 }
 
 /// Has the ledger, if there is one, take an input, and notes how long that took.
-fn timed<T>(inner: &mut Inner, now: Mono, step: Step, input: impl FnOnce(&mut Leader) -> T) -> Option<T> {
+fn timed<T>(inner: &mut Inner, now: MonotonicTime, step: Step, input: impl FnOnce(&mut Leader) -> T) -> Option<T> {
     let (answer, took, work) = measured(inner.leader.as_mut()?, input);
     inner.step_times.record(now, step, took, work);
     Some(answer)
@@ -160,7 +160,7 @@
 }
 
 /// Tells the ledger something, if there is one: also while not acting, as it is knowledge and no order.
-fn inform(node: &Node, tell: impl FnOnce(&mut Leader, Mono)) {
+fn inform(node: &Node, tell: impl FnOnce(&mut Leader, MonotonicTime)) {
     let now = node.now();
     timed(&mut node.lock(), now, Step::Result, |leader| tell(leader, now));
 }
@@ -245,16 +245,16 @@
 
 async fn tick(node: &Arc<Node>, term: Term) {
     while still_leads(node, term) {
-        let (now, wall) = (node.now(), node.wall());
+        let (now, wall) = (node.now(), node.wall_time());
         feed(node, Step::Tick, |leader| leader.tick(now, wall));
-        tokio::time::sleep(TICK.std()).await;
+        tokio::time::sleep(TICK.to_std()).await;
     }
 }
 
 /// Follows the live jobs: new ones, and those that their users have cancelled.
 async fn follow(node: &Arc<Node>, term: Term, mut since: u64) {
     // Several answers must fit into the time for which what has been read may be acted on.
-    let block = Span(3_000).min(node.settings.read_ttl().times(0.25));
+    let block = Millis(3_000).min(node.settings.read_ttl().mul_f64(0.25));
     while still_leads(node, term) {
         let asked_at = node.now();
         let log = node.state.follow(&node.http, LIVE, since, block).await;
@@ -293,12 +293,12 @@
                             inner.leadership.read(asked_at, now, Revision(epoch));
                         }
                     }
-                    Err(_) => tokio::time::sleep(Span(300).std()).await,
+                    Err(_) => tokio::time::sleep(Millis(300).to_std()).await,
                 }
             }
             Err(e) => {
                 debug!("following jobs: {e}");
-                tokio::time::sleep(Span(200).std()).await;
+                tokio::time::sleep(Millis(200).to_std()).await;
             }
         }
         carry_out(node);
@@ -306,8 +306,8 @@
 }
 
 async fn watch_cloud(node: &Arc<Node>, term: Term) {
-    let lag = Span::secs(node.settings.cluster.cloud.list_lag_s);
-    let every = Span((lag.0 / 2).clamp(2_000, 10_000));
+    let lag = Millis::from_secs_f64(node.settings.cluster.cloud.list_lag_s);
+    let every = Millis((lag.0 / 2).clamp(2_000, 10_000));
     let mut rounds = 0u64;
     while still_leads(node, term) {
         if let Some(list) = node.cloud.list(&node.http, node.now()).await {
@@ -323,7 +323,7 @@
             }
         }
         rounds += 1;
-        tokio::time::sleep(every.std()).await;
+        tokio::time::sleep(every.to_std()).await;
     }
 }
 
@@ -344,12 +344,12 @@
             }
             inner.take_counts(&hello.counts);
         }
-        let answers = peers::ask_all(node, &hello, Span(800)).await;
+        let answers = peers::ask_all(node, &hello, Millis(800)).await;
         note_forwarding(node, &answers);
         suspicion = judge(node, &answers, hello.silent.len(), machines, suspicion);
         relieve(node, &answers);
-        let pause = if suspicion > 0 { Span(300) } else { Span(1_000) };
-        tokio::time::sleep(pause.std()).await;
+        let pause = if suspicion > 0 { Millis(300) } else { Millis(1_000) };
+        tokio::time::sleep(pause.to_std()).await;
     }
     info!("no longer leading: term={term}");
 }
--- a/src/net/lookups.rs
+++ b/src/net/lookups.rs
@@ -4,7 +4,7 @@
 use super::state::StateError;
 use crate::core::records::{Ending, OverRecord, live_key, over_key};
 use crate::ids::{JobId, Revision};
-use crate::time::Span;
+use crate::time::Millis;
 use crate::wire::{JobPhase, Row};
 
 pub enum Found {
@@ -14,7 +14,7 @@
 }
 
 /// Users wait 2 s for the answer to a poll.
-pub const LOOK_UP_LIMIT: Span = Span(1_400);
+pub const LOOK_UP_LIMIT: Millis = Millis(1_400);
 
 /// What the state service holds of a job now. A job goes from live to over and never back, so
 /// reading in this order misses nothing.
@@ -27,7 +27,7 @@
     if node.state_is_silent() {
         return Err(StateError::Unknown("silent for long".into()));
     }
-    let limited = tokio::time::timeout(LOOK_UP_LIMIT.std(), reading).await;
+    let limited = tokio::time::timeout(LOOK_UP_LIMIT.to_std(), reading).await;
     limited.unwrap_or_else(|_| Err(StateError::Unknown("too slow".into())))
 }
 
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -11,7 +11,7 @@
 use crate::core::leader::Action;
 use crate::core::leadership::{LEADER_KEY, SUCCESSOR_KEY};
 use crate::ids::{Attempt, FencingToken, LeaseId, Revision, Session, TaskId, Term};
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use crate::wire::{Change, DirectOrders, Order, Txn};
 use hyper::Method;
 use salvo::prelude::*;
@@ -120,11 +120,11 @@
         let query = req.uri().query().unwrap_or_default().to_string();
         let silent = matches!(self.1, Part::State(_)) && self.0.lock().unwrap().silent;
         if silent {
-            tokio::time::sleep(Span(8_000).std()).await;
+            tokio::time::sleep(Millis(8_000).to_std()).await;
         }
         if path == "follow" {
             // Answered from time to time, whether or not something has changed.
-            tokio::time::sleep(Span(300).std()).await;
+            tokio::time::sleep(Millis(300).to_std()).await;
         }
         let (status, value) = {
             let mut w = self.0.lock().unwrap();
@@ -194,7 +194,7 @@
 impl Client {
     async fn call(&self, method: Method, path: &str, body: Value) -> (u16, Value) {
         let (status, body) =
-            self.http.call(method, &self.addr, path, body.to_string().into(), Span(3_000)).await.unwrap();
+            self.http.call(method, &self.addr, path, body.to_string().into(), Millis(3_000)).await.unwrap();
         (status, serde_json::from_slice(&body).unwrap_or_default())
     }
     pub(super) async fn post(&self, path: &str, body: Value) -> (u16, Value) {
@@ -217,7 +217,7 @@
         if f().await {
             return;
         }
-        tokio::time::sleep(Span(50).std()).await;
+        tokio::time::sleep(Millis(50).to_std()).await;
     }
     panic!("it didn't happen within 10 s");
 }
@@ -268,7 +268,7 @@
     // then all were refused: the leader held on, and with it the cancelled task.
     let world = Arc::new(Mutex::new(World::default()));
     let [(leader, at_leader), (other, at_other)] = pair(&world);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     for node in [&leader, &other] {
         tokio::spawn(leading::learn_types(node.clone()));
         tokio::spawn(election::run(node.clone()));
@@ -307,9 +307,9 @@
     })
     .await;
     // It goes on for longer than its lease, as the other has promised.
-    while since.elapsed() < leader.settings.state_ttl().times(2.0).std() {
+    while since.elapsed() < leader.settings.state_ttl().mul_f64(2.0).to_std() {
         report().await;
-        tokio::time::sleep(Span(300).std()).await;
+        tokio::time::sleep(Millis(300).to_std()).await;
     }
     until(async || report().await == 200).await;
 
@@ -323,7 +323,7 @@
     let world = Arc::new(Mutex::new(World::default()));
     let [(leader, at_leader), (other, at_other)] = pair(&world);
     tokio::spawn(server::serve(leader.settings.peer_listen, server::internal(&leader), 64));
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     for node in [&leader, &other] {
         tokio::spawn(leading::learn_types(node.clone()));
         tokio::spawn(election::run(node.clone()));
@@ -367,7 +367,7 @@
     settings.peers[0] = Peer { addr: free_addr(), name: leader.settings.name.clone(), zone: String::new() };
     settings.peers[1] = Peer { addr: other.settings.peer_listen, name: other_name.clone(), zone: String::new() };
     let (third, at_third) = start(&world, settings);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     third.lock().leader_name = Some(leader.settings.name.clone());
     until(async || report(&at_third).await == (421, json!({"steward": other_name}))).await;
 
@@ -382,7 +382,7 @@
     let world = Arc::new(Mutex::new(World::default()));
     // Its peers are behind a cut.
     let (node, c) = controller(&world, true);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     tokio::spawn(leading::learn_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
     until(async || c.get("/healthz").await.0 == 200).await;
@@ -400,7 +400,7 @@
     let asked = std::time::Instant::now();
     assert_eq!(c.get("/api/jobs/req-000001").await.0, 503);
     assert_eq!(c.post("/api/jobs", job("req-000002", 2)).await.0, 503);
-    assert!(asked.elapsed() < Span(500).std(), "said at once");
+    assert!(asked.elapsed() < Millis(500).to_std(), "said at once");
 
     world.lock().unwrap().silent = false;
     until(async || c.get("/api/jobs/req-000001").await.0 == 200).await;
@@ -412,7 +412,7 @@
 async fn a_controller_serves_users_and_a_worker() {
     let world = Arc::new(Mutex::new(World::default()));
     let (node, c) = controller(&world, false);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
 
     // Before the machine types are known nothing can be decided, and that is said at once.
     assert_eq!(c.get("/healthz").await.0, 503);
@@ -494,7 +494,7 @@
     let (node, c) = controller(&world, false);
     tokio::spawn(leading::learn_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
-    tokio::time::sleep(Span(1_500).std()).await;
+    tokio::time::sleep(Millis(1_500).to_std()).await;
     assert!(!world.lock().unwrap().store.contains_key(LEADER_KEY));
 
     // Named a leader and back again, a worker is let go on to the next controller.
@@ -505,7 +505,7 @@
         "shift": 1, "tally": 1, "baton": 0});
     assert_eq!(c.post("/v1/report", r.clone()).await, (421, json!({"steward": "plinth-1"})));
     assert_eq!(c.post("/v1/report", r).await, (421, json!({"steward": "plinth-1"})), "it may be about to start");
-    let sent = |at| node.lock().note_misdirected("m-000010", Mono(at), Some("plinth-1".into())).is_some();
+    let sent = |at| node.lock().note_misdirected("m-000010", MonotonicTime(at), Some("plinth-1".into())).is_some();
     assert_eq!([20_000, 21_000, 26_000, 40_000].map(sent), [true, true, false, true]);
 
     world.lock().unwrap().store.clear();
@@ -517,7 +517,7 @@
     // It can't tell which of them are cancelled; until it could, its answers renewed all leases.
     let world = Arc::new(Mutex::new(World::default()));
     let (node, c) = controller(&world, false);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     node.lock().leadership.elected(Term(5), LeaseId(7), node.now());
     let own = FencingToken::new(Term(5), 0);
     let empty = world.lock().unwrap().report();
@@ -531,7 +531,7 @@
 async fn what_was_decided_before_a_freeze_is_not_sent_past_the_bound() {
     let world = Arc::new(Mutex::new(World::default()));
     let (node, _) = controller(&world, false);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     let endpoint = world.lock().unwrap().worker.clone();
     let run = Order::Run { task: TaskId::parse("req-000001/0").unwrap(), attempt: Attempt(1) };
     let body = DirectOrders { token: FencingToken::new(Term(5), 0), session: Session(1), orders: vec![run] };
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -9,20 +9,20 @@
 use crate::net::reports;
 use crate::net::step_times::Step;
 use crate::peer::{ReportBatch, ReportDecisions, VERSION};
-use crate::time::Wall;
+use crate::time::WallTime;
 use prost::Message;
 
 /// A leader in the middle of a round that a peer plans for.
 async fn leader_in_a_round(node: &Arc<Node>) -> Leader {
     let types = node.cloud.types(&node.http, node.now()).await.expect("the stand-in names its types");
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: 1, lease: LeaseId(7) };
-    let mut leader = Leader::new(node.settings.clone(), Tuning::default(), types, Term(5), record, Mono(0));
+    let mut leader = Leader::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
     let (id, submission) = parse_submission(job("req-000001", 1).to_string().as_bytes()).unwrap_or_else(|_| panic!());
     let Ok(Submission { spec, .. }) = submission else { panic!("the job is possible") };
-    let live = json!(LiveRecord { at: Wall(0), spec, awaits: Vec::new() });
+    let live = json!(LiveRecord { at: WallTime(0), spec, awaits: Vec::new() });
     leader.on_live(&id, &live, Revision(1));
-    node.settings.peers.iter().for_each(|peer| leader.peer_answered(Mono(0), &peer.name));
-    leader.tick(Mono(0) + TICK.times(40.0), Wall(2_000));
+    node.settings.peers.iter().for_each(|peer| leader.peer_answered(MonotonicTime(0), &peer.name));
+    leader.tick(MonotonicTime(0) + TICK.mul_f64(40.0), WallTime(2_000));
     leader
 }
 
@@ -30,7 +30,7 @@
 async fn past_the_bound_a_round_is_abandoned_and_users_are_told_to_come_back() {
     let world = Arc::new(Mutex::new(World::default()));
     let (node, c) = controller(&world, true);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     let leader = leader_in_a_round(&node).await;
     assert!(leader.has_open_round());
     node.lock().leader = Some(leader);
@@ -48,7 +48,7 @@
 async fn a_large_batch_of_reports_is_answered_whole_and_in_order() {
     let world = Arc::new(Mutex::new(World::default()));
     let (node, _) = controller(&world, false);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     let report = world.lock().unwrap().report().to_string();
     let malformed = |n: usize| n.is_multiple_of(97);
     let body = |n: usize| if malformed(n) { "{}".to_string() } else { report.clone() };
--- a/src/net/loopback/pipelines.rs
+++ b/src/net/loopback/pipelines.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::core::records::{OverRecord, live_key, over_key};
 use crate::ids::JobId;
-use crate::time::Wall;
+use crate::time::WallTime;
 
 fn after(id: &str, awaits: Value) -> Value {
     let mut job = job(id, 1);
@@ -14,7 +14,7 @@
 /// Two controllers that know the machine types; neither runs for leader.
 async fn without_leader(world: &Arc<Mutex<World>>) -> [(Arc<Node>, Client); 2] {
     let pair = pair(world);
-    tokio::time::sleep(Span(200).std()).await;
+    tokio::time::sleep(Millis(200).to_std()).await;
     for (node, _) in &pair {
         let types = node.cloud.types(&node.http, node.now()).await;
         assert!(types.is_some());
@@ -37,7 +37,7 @@
     let mut service = job("req-000002", 1);
     service["shape"] = json!("service");
     assert_eq!(submit(service).await.0, 201);
-    let done = OverRecord::done(1, Wall(5));
+    let done = OverRecord::done(1, WallTime(5));
     world.lock().unwrap().store.insert("over/req-000003".into(), (json!(done), 1));
 
     assert_eq!(submit(after("req-000010", json!(["req-000001", "req-999999"]))).await.0, 422);
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -17,7 +17,7 @@
 use crate::core::records::OverRecord;
 use crate::ids::JobId;
 use crate::peer::JobCount;
-use crate::time::{Mono, Span, Wall};
+use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::MachineType;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -52,9 +52,9 @@
     pub checked_pipelines: CheckedPipelines,
     pub counts: HashMap<JobId, JobCount>,
     pub user_requests: usize,
-    pub refused_since: Option<Mono>,
+    pub refused_since: Option<MonotonicTime>,
     /// The state service hasn't answered at all since then, not even with a refusal.
-    pub state_silent_since: Option<Mono>,
+    pub state_silent_since: Option<MonotonicTime>,
     pub peer_has_state: bool,
     /// No peer answered when last asked.
     pub alone: bool,
@@ -80,16 +80,16 @@
 }
 
 /// Workers wait this long for an answer (PROTOCOL).
-const IN_VAIN: Span = Span(4_000);
+const IN_VAIN: Millis = Millis(4_000);
 
 struct Misdirected {
-    at: Mono,
+    at: MonotonicTime,
     /// Whom it was sent to.
     sent_to: Option<String>,
 }
 
 /// A worker that has lost its leader may take this long to come round to a controller again.
-const MISDIRECTED_FOR: Span = Span(8_000);
+const MISDIRECTED_FOR: Millis = Millis(8_000);
 /// Far more machines than any fleet served has; a fleet beyond it only loses track of misdirected.
 const MAX_MISDIRECTED: usize = 65_536;
 
@@ -97,7 +97,7 @@
     /// Notes that a machine tried to report here, and says which controller to send it to. One that
     /// has waited there in vain and comes back can't reach it, and would only be sent to and fro. One
     /// that was turned away at once is sent again: that controller may be about to start.
-    pub fn note_misdirected(&mut self, machine: &str, now: Mono, leader: Option<String>) -> Option<String> {
+    pub fn note_misdirected(&mut self, machine: &str, now: MonotonicTime, leader: Option<String>) -> Option<String> {
         if self.misdirected.len() >= MAX_MISDIRECTED {
             self.misdirected.clear();
         }
@@ -112,7 +112,7 @@
     }
 
     /// Of these machines, those that have lately tried to report here.
-    pub fn misdirected_among(&mut self, machines: &[String], now: Mono) -> Vec<String> {
+    pub fn misdirected_among(&mut self, machines: &[String], now: MonotonicTime) -> Vec<String> {
         self.misdirected.retain(|_, s| now - s.at <= MISDIRECTED_FOR);
         machines.iter().filter(|m| self.misdirected.contains_key(*m)).cloned().collect()
     }
@@ -143,9 +143,9 @@
 }
 
 /// Bad messages of peers are logged this often.
-const BAD_MESSAGES_INTERVAL: Span = Span(10_000);
+const BAD_MESSAGES_INTERVAL: Millis = Millis(10_000);
 
-const SILENT_AFTER: Span = Span(1_500);
+const SILENT_AFTER: Millis = Millis(1_500);
 
 impl Node {
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
@@ -191,12 +191,12 @@
         })
     }
 
-    pub fn now(&self) -> Mono {
-        Mono(self.started.elapsed().as_millis() as u64)
+    pub fn now(&self) -> MonotonicTime {
+        MonotonicTime(self.started.elapsed().as_millis() as u64)
     }
 
-    pub fn wall(&self) -> Wall {
-        Wall(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64))
+    pub fn wall_time(&self) -> WallTime {
+        WallTime(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64))
     }
 
     /// Never held over an await.
--- a/src/net/offloading.rs
+++ b/src/net/offloading.rs
@@ -3,17 +3,17 @@
 //! that zones which can't reach each other cut few workers off.
 
 use crate::config::Peer;
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 
 /// Workers are moved no faster than one in this time, so that peers can be seen to cope.
-const MOVE_INTERVAL: Span = Span(40);
+const MOVE_INTERVAL: Millis = Millis(40);
 
 /// The peers that take workers' reports, as of their last answers to the leader's heartbeat.
 #[derive(Default)]
 pub struct Offloading {
     peers: Vec<Peer>,
     moves: usize,
-    not_before: Mono,
+    not_before: MonotonicTime,
 }
 
 impl Offloading {
@@ -24,7 +24,7 @@
 
     /// The peer that a worker of a zone should be moved to now, if any; peers take turns. `by` is the peer
     /// that has passed its report on; none: the worker has reported to the leader itself.
-    pub fn better_peer(&self, now: Mono, zone: &str, by: Option<&str>) -> Option<&str> {
+    pub fn better_peer(&self, now: MonotonicTime, zone: &str, by: Option<&str>) -> Option<&str> {
         if now < self.not_before {
             return None;
         }
@@ -38,7 +38,7 @@
     }
 
     /// A worker has been moved.
-    pub fn moved(&mut self, now: Mono) {
+    pub fn moved(&mut self, now: MonotonicTime) {
         self.moves += 1;
         self.not_before = now + MOVE_INTERVAL;
     }
--- a/src/net/offloading/tests.rs
+++ b/src/net/offloading/tests.rs
@@ -5,7 +5,7 @@
 }
 
 /// Moves a worker, if it should be.
-fn move_one(offloading: &mut Offloading, now: Mono, zone: &str, by: Option<&str>) -> Option<String> {
+fn move_one(offloading: &mut Offloading, now: MonotonicTime, zone: &str, by: Option<&str>) -> Option<String> {
     let peer = offloading.better_peer(now, zone, by)?.to_string();
     offloading.moved(now);
     Some(peer)
@@ -14,22 +14,26 @@
 #[test]
 fn workers_are_moved_to_peers_of_their_zone_in_turn_and_not_all_at_once() {
     let mut offloading = Offloading::default();
-    assert_eq!(move_one(&mut offloading, Mono(1_000), "a", None), None, "no peer passes reports on");
+    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", None), None, "no peer passes reports on");
     offloading.set_peers(vec![peer("one", "a"), peer("two", "b"), peer("three", "a")]);
-    let first = move_one(&mut offloading, Mono(2_000), "a", None).unwrap();
-    assert_eq!(move_one(&mut offloading, Mono(2_001), "a", None), None, "too soon");
-    let second = move_one(&mut offloading, Mono(2_000) + MOVE_INTERVAL, "a", None).unwrap();
+    let first = move_one(&mut offloading, MonotonicTime(2_000), "a", None).unwrap();
+    assert_eq!(move_one(&mut offloading, MonotonicTime(2_001), "a", None), None, "too soon");
+    let second = move_one(&mut offloading, MonotonicTime(2_000) + MOVE_INTERVAL, "a", None).unwrap();
     assert_eq!([&first[..], &second[..]], ["one", "three"]);
-    assert!(move_one(&mut offloading, Mono(3_000), "c", None).is_some(), "without one of its zone, any peer");
+    assert!(move_one(&mut offloading, MonotonicTime(3_000), "c", None).is_some(), "without one of its zone, any peer");
 }
 
 #[test]
 fn a_worker_stays_with_a_peer_of_its_zone_and_with_any_where_there_is_none() {
     let mut offloading = Offloading::default();
     offloading.set_peers(vec![peer("one", "a"), peer("two", "b")]);
-    assert_eq!(move_one(&mut offloading, Mono(1_000), "a", Some("one")), None);
-    assert_eq!(move_one(&mut offloading, Mono(1_000), "c", Some("one")), None);
-    assert_eq!(move_one(&mut offloading, Mono(1_000), "b", Some("one")).as_deref(), Some("two"));
+    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", Some("one")), None);
+    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "c", Some("one")), None);
+    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "b", Some("one")).as_deref(), Some("two"));
     offloading.set_peers(vec![peer("one", "a")]);
-    assert_eq!(move_one(&mut offloading, Mono(2_000), "b", Some("one")), None, "the other does not answer any more");
+    assert_eq!(
+        move_one(&mut offloading, MonotonicTime(2_000), "b", Some("one")),
+        None,
+        "the other does not answer any more"
+    );
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -9,7 +9,7 @@
 use crate::core::work::WorkMeter;
 use crate::ids::{JobId, Revision, Term};
 use crate::peer::{Hello, HelloAnswer, PlanInput, PlanOutput, VERSION};
-use crate::time::Span;
+use crate::time::Millis;
 use bytes::Bytes;
 use hyper::Method;
 use prost::Message;
@@ -20,14 +20,14 @@
 pub const PLAN: &str = "/peer/plan";
 pub const REPORTS: &str = "/peer/reports";
 
-async fn ask(node: &Node, addr: &str, hello: &Hello, limit: Span) -> Option<HelloAnswer> {
+async fn ask(node: &Node, addr: &str, hello: &Hello, limit: Millis) -> Option<HelloAnswer> {
     let answer = node.http.call(Method::POST, addr, HELLO, hello.encode_to_vec(), limit).await;
     let Ok((200, body)) = answer else { return None };
     HelloAnswer::decode(body).ok().filter(|a| a.version == VERSION)
 }
 
 /// Says hello to all peers at once; an answer for each, or none.
-pub async fn ask_all(node: &Arc<Node>, hello: &Hello, limit: Span) -> Vec<Option<HelloAnswer>> {
+pub async fn ask_all(node: &Arc<Node>, hello: &Hello, limit: Millis) -> Vec<Option<HelloAnswer>> {
     let mut asks = Vec::new();
     for p in &node.settings.peers {
         let (node, hello, addr) = (node.clone(), hello.clone(), p.addr.to_string());
@@ -64,7 +64,7 @@
     let Some(peer) = node.settings.peers.iter().find(|p| Some(&p.name) == leader.as_ref()) else { return };
     let hello = Hello { cancelled: vec![id.to_string()], ..hello(node) };
     let (node, addr) = (node.clone(), peer.addr.to_string());
-    tokio::spawn(async move { ask(&node, &addr, &hello, Span(800)).await });
+    tokio::spawn(async move { ask(&node, &addr, &hello, Millis(800)).await });
 }
 
 /// Answers a peer; None: the message can't be read or is of another version.
@@ -106,7 +106,7 @@
 /// Has a peer plan for its share; none: it didn't.
 pub async fn ask_plan(node: &Node, peer: &str, input: &PlanInput) -> Option<PlanOutput> {
     let addr = node.settings.peers.iter().find(|p| p.name == peer)?.addr.to_string();
-    let answer = node.http.call(Method::POST, &addr, PLAN, input.encode_to_vec(), Span(400)).await;
+    let answer = node.http.call(Method::POST, &addr, PLAN, input.encode_to_vec(), Millis(400)).await;
     let Ok((200, body)) = answer else { return None };
     PlanOutput::decode(body).ok()
 }
--- a/src/net/rare_log.rs
+++ b/src/net/rare_log.rs
@@ -1,22 +1,22 @@
 //! Counts what may happen very often, and says seldom enough how often it did that it can't flood the log.
 
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 
 /// Events of one kind since they were last logged.
 pub struct RareLog {
     /// At most one line in this time.
-    interval: Span,
+    interval: Millis,
     unlogged: u64,
-    logged_at: Option<Mono>,
+    logged_at: Option<MonotonicTime>,
 }
 
 impl RareLog {
-    pub fn new(interval: Span) -> RareLog {
+    pub fn new(interval: Millis) -> RareLog {
         RareLog { interval, unlogged: 0, logged_at: None }
     }
 
     /// Counts one more. How many there were since the last time, if it is time to log them.
-    pub fn note(&mut self, now: Mono) -> Option<u64> {
+    pub fn note(&mut self, now: MonotonicTime) -> Option<u64> {
         self.unlogged += 1;
         if self.logged_at.is_some_and(|at| now - at < self.interval) {
             return None;
--- a/src/net/reports.rs
+++ b/src/net/reports.rs
@@ -8,7 +8,7 @@
 use crate::core::leader::answer_without_ledger;
 use crate::ids::MachineId;
 use crate::peer::{ReportBatch, ReportDecision, ReportDecisions, VERSION};
-use crate::time::Mono;
+use crate::time::MonotonicTime;
 use crate::wire::{Report, ReportAnswer};
 use bytes::Bytes;
 use prost::Message;
@@ -93,7 +93,7 @@
 
 impl Inner {
     /// The peer that should take a worker's reports from now on; none: it stays where it is.
-    fn moved_to(&mut self, now: Mono, report: &Report, by: Option<&str>) -> Option<String> {
+    fn moved_to(&mut self, now: MonotonicTime, report: &Report, by: Option<&str>) -> Option<String> {
         // First, as most workers are where they should be.
         let peer = self.offloading.better_peer(now, &report.zone, by)?.to_string();
         let id = MachineId::parse(&report.machine)?;
--- a/src/net/state.rs
+++ b/src/net/state.rs
@@ -3,7 +3,7 @@
 use super::http::{Http, HttpError};
 use crate::core::leader::CommitResult;
 use crate::ids::{LeaseId, Revision};
-use crate::time::Span;
+use crate::time::Millis;
 use crate::wire::{Log, Row, Rows, Txn};
 use hyper::Method;
 use serde::Deserialize;
@@ -29,7 +29,7 @@
     Status(u16),
 }
 
-const LIMIT: Span = Span(1_200);
+const LIMIT: Millis = Millis(1_200);
 
 pub struct StateClient {
     addr: String,
@@ -60,7 +60,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-        limit: Span,
+        limit: Millis,
     ) -> Result<(u16, bytes::Bytes), StateError> {
         match http.call(method, &self.addr, path, body, limit).await {
             Ok((503, _)) => Err(StateError::Refused),
@@ -87,7 +87,7 @@
         loop {
             let since = rows.last().map(|r| format!("&since={}", r.path)).unwrap_or_default();
             let path = format!("/store?prefix={prefix}{since}&limit=500");
-            let (status, body) = self.call(http, Method::GET, &path, vec![], Span(3_000)).await?;
+            let (status, body) = self.call(http, Method::GET, &path, vec![], Millis(3_000)).await?;
             if status != 200 {
                 return Err(StateError::Status(status));
             }
@@ -120,7 +120,7 @@
         }
     }
 
-    pub async fn grant(&self, http: &Http, life: Span) -> Result<LeaseId, StateError> {
+    pub async fn grant(&self, http: &Http, life: Millis) -> Result<LeaseId, StateError> {
         let body = json!({ "life_ms": life.0 }).to_string().into_bytes();
         match self.call(http, Method::POST, "/holds", body, LIMIT).await? {
             (200 | 201, body) => Ok(parse::<Tenure>(&body)?.tenure),
@@ -129,7 +129,7 @@
     }
 
     /// False: the lease has ended.
-    pub async fn renew(&self, http: &Http, lease: LeaseId, limit: Span) -> Result<bool, StateError> {
+    pub async fn renew(&self, http: &Http, lease: LeaseId, limit: Millis) -> Result<bool, StateError> {
         match self.call(http, Method::POST, &format!("/holds/{lease}/extend"), b"{}".to_vec(), limit).await? {
             (200, _) => Ok(true),
             (404, _) => Ok(false),
@@ -145,9 +145,15 @@
     }
 
     /// Changes after `since`; None: too old or too many, all must be read again, in pages.
-    pub async fn follow(&self, http: &Http, prefix: &str, since: u64, block: Span) -> Result<Option<Log>, StateError> {
+    pub async fn follow(
+        &self,
+        http: &Http,
+        prefix: &str,
+        since: u64,
+        block: Millis,
+    ) -> Result<Option<Log>, StateError> {
         let path = format!("/follow?prefix={prefix}&since={since}&block_ms={}", block.0);
-        match self.call(http, Method::GET, &path, vec![], Span(block.0 + 2_000)).await {
+        match self.call(http, Method::GET, &path, vec![], Millis(block.0 + 2_000)).await {
             Ok((200, body)) => parse(&body).map(Some),
             Ok((410, _)) | Err(StateError::TooLarge) => Ok(None),
             Ok((s, _)) => Err(StateError::Status(s)),
--- a/src/net/step_times.rs
+++ b/src/net/step_times.rs
@@ -4,7 +4,7 @@
 use super::node::Node;
 use super::rare_log::RareLog;
 use crate::core::work::Work;
-use crate::time::{Mono, Span};
+use crate::time::{Millis, MonotonicTime};
 use hdrhistogram::Histogram;
 use log::{info, warn};
 use std::collections::BTreeMap;
@@ -13,11 +13,11 @@
 use std::time::Duration;
 
 /// The line of figures is written this often.
-const LINE_INTERVAL: Span = Span(10_000);
+const LINE_INTERVAL: Millis = Millis(10_000);
 /// A step that takes this long is worth a line of its own.
 const LONG_STEP: Duration = Duration::from_millis(250);
 /// At most one such line in this time.
-const LONG_STEP_INTERVAL: Span = Span(1_000);
+const LONG_STEP_INTERVAL: Millis = Millis(1_000);
 /// Longest step that the histograms tell apart, in microseconds.
 const LONGEST_MICROS: u64 = 600_000_000;
 
@@ -71,7 +71,7 @@
 
 impl StepTimes {
     /// Takes in a step that began at `now` and has just ended.
-    pub fn record(&mut self, now: Mono, step: Step, took: Duration, work: Work) {
+    pub fn record(&mut self, now: MonotonicTime, step: Step, took: Duration, work: Work) {
         let micros = (took.as_micros() as u64).clamp(1, LONGEST_MICROS);
         let histogram = self.histograms.entry(step).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
@@ -114,7 +114,7 @@
 /// Writes the figures of this controller while it runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(LINE_INTERVAL.std()).await;
+        tokio::time::sleep(LINE_INTERVAL.to_std()).await;
         let now = node.now();
         let mut inner = node.lock();
         let Some(line) = inner.step_times.take_line() else { continue };
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -9,7 +9,7 @@
 use crate::core::records::{LiveRecord, OverRecord, absent_guards, ending_changes, live_guard, live_key, over_key};
 use crate::core::submissions::{Refusal, Submission, check_possible, never_accepted, parse_submission};
 use crate::ids::{JobId, Revision};
-use crate::time::Span;
+use crate::time::Millis;
 use crate::wire::{Change, JobAnswer, JobPhase, Row, Txn};
 use serde_json::json;
 use std::sync::Arc;
@@ -125,7 +125,7 @@
     let Submission { spec, awaits } = submission;
     let types = node.lock().types.clone().ok_or(Rejection::Later("machine types are not known yet"))?;
     check_possible(&spec, &node.settings.cluster.teams, &types).map_err(Rejection::Refused)?;
-    let mut record = LiveRecord { at: node.wall(), spec, awaits };
+    let mut record = LiveRecord { at: node.wall_time(), spec, awaits };
     if json!(record).to_string().len() > node.settings.cluster.state.value_bytes() {
         let too_large = "the job takes more than the state service holds in a value".to_string();
         return Err(Rejection::Refused(Refusal::Impossible(too_large)));
@@ -206,8 +206,8 @@
         if r != Err(StateError::Busy) || tries >= 3 {
             return r;
         }
-        let pause = Span(80 + rand::random::<u64>() % 120);
-        tokio::time::sleep(pause.std()).await;
+        let pause = Millis(80 + rand::random::<u64>() % 120);
+        tokio::time::sleep(pause.to_std()).await;
     }
 }
 
@@ -274,8 +274,8 @@
     let now = node.now();
     let inner = node.lock();
     // Refused alone, others serve users better; refused like all, nothing is gained by hiding.
-    let refused = inner.refused_since.is_some_and(|t| now - t > Span(1_500)) && inner.peer_has_state;
+    let refused = inner.refused_since.is_some_and(|t| now - t > Millis(1_500)) && inner.peer_has_state;
     // So does one that hears neither the state service nor any peer.
-    let cut_off = inner.state_silent_since.is_some_and(|t| now - t > Span(1_500)) && inner.alone;
+    let cut_off = inner.state_silent_since.is_some_and(|t| now - t > Millis(1_500)) && inner.alone;
     inner.types.is_some() && !refused && !cut_off
 }
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -12,7 +12,7 @@
 use wallstile::net::cloud::CloudClient;
 use wallstile::net::http::Http;
 use wallstile::net::state::StateClient;
-use wallstile::time::{Mono, Span};
+use wallstile::time::{Millis, MonotonicTime};
 use wallstile::wire::{RentRequest, Txn};
 
 /// Answers one request after the other, each on a connection of its own, and keeps what was asked.
@@ -74,9 +74,9 @@
     let service = StandIn::with(answers(&[(201, r#"{"tenure":12}"#), (200, "{}"), (404, "{}"), (204, "")])).await;
     let http = Http::new(8);
     let state = StateClient::new(service.address.clone());
-    assert_eq!(state.grant(&http, Span(3500)).await, Ok(LeaseId(12)));
-    assert_eq!(state.renew(&http, LeaseId(12), Span(1000)).await, Ok(true));
-    assert_eq!(state.renew(&http, LeaseId(13), Span(1000)).await, Ok(false));
+    assert_eq!(state.grant(&http, Millis(3500)).await, Ok(LeaseId(12)));
+    assert_eq!(state.renew(&http, LeaseId(12), Millis(1000)).await, Ok(true));
+    assert_eq!(state.renew(&http, LeaseId(13), Millis(1000)).await, Ok(false));
     assert_eq!(state.revoke(&http, LeaseId(12)).await, Ok(()));
     service.assert_asked(&[
         r#"POST /holds {"life_ms":3500}"#,
@@ -122,7 +122,7 @@
     let (rows, epoch) = state.list(&http, "ctl/").await.expect("it answers");
     assert_eq!((rows.len(), epoch), (1, 9002));
     assert_eq!(state.revision(&http).await, Ok(Revision(9002)));
-    let log = state.follow(&http, "live/", 9001, Span(700)).await.expect("it answers").expect("not too old");
+    let log = state.follow(&http, "live/", 9001, Millis(700)).await.expect("it answers").expect("not too old");
     assert_eq!((log.epoch, log.log.len()), (9003, 2));
     service.assert_asked(&[
         "GET /store/ctl/heir",
@@ -150,7 +150,7 @@
     let http = Http::new(8);
     let cloud = CloudClient::new(service.address.clone(), 1000.0);
     // Far enough apart that each call has its turn at once.
-    let now = |call: u64| Mono(10_000 * call);
+    let now = |call: u64| MonotonicTime(10_000 * call);
     assert_eq!(cloud.types(&http, now(1)).await, Some(vec![machine_type()]));
     let request: RentRequest = samples.read("rent_request");
     let rented = vec!["m-000231".to_string(), "m-000232".to_string()];
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -16,10 +16,10 @@
 use wallstile::core::shares::{SHARES_KEY, Shares};
 use wallstile::ids::{LeaseId, MachineId, Revision};
 use wallstile::net::leading::KINDS_KEY;
-use wallstile::time::{Mono, Wall};
+use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobPhase, Txn};
 
-const AT: Wall = Wall(1_700_000_000_123);
+const AT: WallTime = WallTime(1_700_000_000_123);
 
 fn live(awaits: &[&str]) -> LiveRecord {
     LiveRecord { at: AT, spec: full_job(), awaits: awaits.iter().map(|name| job_named(name)).collect() }
@@ -98,7 +98,7 @@
 #[test]
 fn shares_are_kept_as_the_sample() {
     let teams = ["team-a".to_string(), "team-b".to_string()];
-    let mut shares = Shares::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, Mono(0));
+    let mut shares = Shares::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, MonotonicTime(0));
     let samples = Samples::stored();
     let kept: BTreeMap<String, String> = samples.read("shares");
     assert_ne!(shares.kept(&teams), kept);
