--- a/benches/core.rs
+++ b/benches/core.rs
@@ -34,7 +34,7 @@
             fleet.submit(job(jobs));
         }
         for observed in fleet.step() {
-            most_looks = most_looks.max(observed.work.total());
+            most_looks = most_looks.max(observed.cost.total());
             let histogram = match observed.input {
                 Input::Tick => &mut ticks,
                 Input::Report => &mut reports,
--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo bench --bench growth -- [MACHINES...]
 //!
-//! Demand is three times the room. In `urgent` the machines are full of work that can be stopped; in `waiting`
+//! Demand is three times the room. In `urgent` the machines are full of cost that can be stopped; in `waiting`
 //! they are empty, as after all leases have run out. The exponent compares the first size with the last: 1 is
 //! growth in proportion to machines. Times are of this machine.
 
@@ -15,7 +15,7 @@
 
 use fleet::{Fleet, Input, Observation};
 use std::time::Duration;
-use wallstile::core::work::Work;
+use wallstile::core::cost::CostCounters;
 use wallstile::wire::{JobSpec, Kind, Priority};
 use worker::fleet_cpus;
 use workload::job;
@@ -33,14 +33,14 @@
 /// The most that inputs of one kind took.
 #[derive(Default)]
 struct Most {
-    work: Work,
+    cost: CostCounters,
     took: Duration,
 }
 
 impl Most {
     fn note(&mut self, observed: &Observation) {
-        if observed.work.total() > self.work.total() {
-            self.work = observed.work;
+        if observed.cost.total() > self.cost.total() {
+            self.cost = observed.cost;
         }
         self.took = self.took.max(observed.took);
     }
@@ -63,12 +63,12 @@
             let Measured { tick, report } = play(machines);
             println!(
                 "{name} machines={machines} tick: looks={} {} longest={:.1?}",
-                tick.work.total(),
-                tick.work,
+                tick.cost.total(),
+                tick.cost,
                 tick.took
             );
-            println!("{name} machines={machines} report: looks={} longest={:.1?}", report.work.total(), report.took);
-            totals.push((machines, tick.work.total(), report.work.total()));
+            println!("{name} machines={machines} report: looks={} longest={:.1?}", report.cost.total(), report.took);
+            totals.push((machines, tick.cost.total(), report.cost.total()));
         }
         if let [(small, ticks, reports), .., (large, more_ticks, more_reports)] = totals[..] {
             let exponent = |few: u64, many: u64| (many as f64 / few as f64).ln() / (large as f64 / small as f64).ln();
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -3,11 +3,11 @@
 use crate::worker::{REPORT_MS, Worker};
 use std::time::{Duration, Instant};
 use wallstile::config::{Settings, Tuning};
+use wallstile::core::cost::CostCounters;
 use wallstile::core::fleet::{FLEET, FleetRecord};
 use wallstile::core::leader::{Action, CommitResult, Leader, OrdersResult, RentResult, Stored, TICK};
 use wallstile::core::leadership::LeaderRecord;
 use wallstile::core::records::LiveRecord;
-use wallstile::core::work::Work;
 use wallstile::ids::{JobId, LeaseId, Revision, Term};
 use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobSpec, Row};
@@ -24,7 +24,7 @@
 pub struct Observation {
     pub input: Input,
     pub took: Duration,
-    pub work: Work,
+    pub cost: CostCounters,
 }
 
 pub struct Fleet {
@@ -121,10 +121,10 @@
     }
 
     fn observe<T>(&mut self, input: Input, give: impl FnOnce(&mut Leader) -> T) -> T {
-        let (before, started) = (self.leader.work_done(), Instant::now());
+        let (before, started) = (self.leader.cost_counters(), Instant::now());
         let answer = give(&mut self.leader);
-        let (took, work) = (started.elapsed(), self.leader.work_done().since(&before));
-        self.observed.push(Observation { input, took, work });
+        let (took, cost) = (started.elapsed(), self.leader.cost_counters().since(&before));
+        self.observed.push(Observation { input, took, cost });
         answer
     }
 }
--- a/src/core/work.rs
+++ b/src/core/cost.rs
@@ -6,7 +6,7 @@
 
 /// How many things were looked at. Each look takes about the same small time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct CostCounters {
     pub jobs: u64,
     pub machines: u64,
     /// Tasks on machines.
@@ -16,14 +16,14 @@
     pub choices: u64,
 }
 
-impl Work {
+impl CostCounters {
     pub fn total(&self) -> u64 {
         self.jobs + self.machines + self.tasks + self.reservations + self.choices
     }
 
     /// What was done after `earlier` was read.
-    pub fn since(&self, earlier: &Work) -> Work {
-        Work {
+    pub fn since(&self, earlier: &CostCounters) -> CostCounters {
+        CostCounters {
             jobs: self.jobs - earlier.jobs,
             machines: self.machines - earlier.machines,
             tasks: self.tasks - earlier.tasks,
@@ -33,45 +33,45 @@
     }
 }
 
-impl fmt::Display for Work {
+impl fmt::Display for CostCounters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Work { jobs, machines, tasks, reservations, choices } = self;
+        let CostCounters { jobs, machines, tasks, reservations, choices } = self;
         write!(f, "jobs={jobs} machines={machines} tasks={tasks} reservations={reservations} choices={choices}")
     }
 }
 
 /// A running count, kept by whoever does the work.
 #[derive(Default)]
-pub struct WorkMeter(Cell<Work>);
+pub struct CostMeter(Cell<CostCounters>);
 
-impl WorkMeter {
-    pub fn read(&self) -> Work {
+impl CostMeter {
+    pub fn read(&self) -> CostCounters {
         self.0.get()
     }
 
     pub fn add_jobs(&self, count: usize) {
-        self.update(|work| work.jobs += count as u64);
+        self.update(|cost| cost.jobs += count as u64);
     }
 
     pub fn add_machines(&self, count: usize) {
-        self.update(|work| work.machines += count as u64);
+        self.update(|cost| cost.machines += count as u64);
     }
 
     pub fn add_tasks(&self, count: usize) {
-        self.update(|work| work.tasks += count as u64);
+        self.update(|cost| cost.tasks += count as u64);
     }
 
     pub fn add_reservations(&self, count: usize) {
-        self.update(|work| work.reservations += count as u64);
+        self.update(|cost| cost.reservations += count as u64);
     }
 
     pub fn add_choices(&self, count: usize) {
-        self.update(|work| work.choices += count as u64);
+        self.update(|cost| cost.choices += count as u64);
     }
 
-    fn update(&self, change: impl FnOnce(&mut Work)) {
-        let mut work = self.0.get();
-        change(&mut work);
-        self.0.set(work);
+    fn update(&self, change: impl FnOnce(&mut CostCounters)) {
+        let mut cost = self.0.get();
+        change(&mut cost);
+        self.0.set(cost);
     }
 }
--- a/src/core/leader/consolidation.rs
+++ b/src/core/leader/consolidation.rs
@@ -8,8 +8,8 @@
 /// A machine with less than this in use may be emptied.
 const LITTLE_USED: f64 = 0.5;
 /// Looks that one search may take, for each machine and at the least; the next one goes on from there.
-const LOOKS_PER_MACHINE: usize = 64;
-const LEAST_LOOKS: usize = 16_384;
+const OPERATIONS_PER_MACHINE: usize = 64;
+const MIN_OPERATIONS: usize = 16_384;
 
 /// A machine that works, and how much of it is in use.
 struct Loaded<'a> {
@@ -54,22 +54,22 @@
         let mut sources: Vec<&Loaded> = loaded.iter().filter(|l| self.may_be_emptied(l)).collect();
         let waste = |l: &Loaded| self.types[l.machine.kind].price * (1.0 - l.share);
         sources.sort_by(|a, b| waste(b).total_cmp(&waste(a)).then(a.id.cmp(b.id)));
-        let mut looks = self.machines.len();
-        let most = LEAST_LOOKS + LOOKS_PER_MACHINE * self.machines.len();
+        let mut operations = self.machines.len();
+        let most = MIN_OPERATIONS + OPERATIONS_PER_MACHINE * self.machines.len();
         let tried = self.move_sources_tried.min(sources.len());
         let mut result = (None, 0);
         for (at, source) in sources.iter().enumerate().skip(tried) {
-            if looks > most {
+            if operations > most {
                 result = (None, at);
                 break;
             }
-            let found = self.move_from(now, source, &loaded, &mut looks);
+            let found = self.move_from(now, source, &loaded, &mut operations);
             if found.is_some() {
                 result = (found, 0);
                 break;
             }
         }
-        self.work.add_machines(looks);
+        self.cost.add_machines(operations);
         result
     }
 
@@ -90,7 +90,13 @@
     }
 
     /// A replica of a machine that another one, of `loaded`, can take: the fullest that can.
-    fn move_from(&self, now: MonotonicTime, source: &Loaded, loaded: &[Loaded], looks: &mut usize) -> Option<Move> {
+    fn move_from(
+        &self,
+        now: MonotonicTime,
+        source: &Loaded,
+        loaded: &[Loaded],
+        operations: &mut usize,
+    ) -> Option<Move> {
         let from_gpus = self.types[source.machine.kind].gpus > 0.0;
         for (key, slot) in &source.machine.slots {
             let Some(job) = self.jobs.get(&key.0.job) else { continue };
@@ -106,7 +112,7 @@
                     && miser::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &zones, l.machine.zone)
             };
             let fuller = loaded.iter().take_while(|l| from_gpus || l.share > source.share);
-            if let Some(to) = fuller.inspect(|_| *looks += 1).find(fits) {
+            if let Some(to) = fuller.inspect(|_| *operations += 1).find(fits) {
                 return Some(Move { from: source.id.clone(), to: to.id.clone(), slot: *key, need: slot.need });
             }
         }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -20,6 +20,7 @@
 use self::planner_view::PlannerView;
 use self::reservations::Reservations;
 use crate::config::{Ages, Settings, Team, Tuning, next_goal};
+use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::done_sets::{self, Layout};
 use crate::core::fleet::{
     AVOIDED_FOR, Amount, Commission, FLEET, FleetRecord, Machine, Route, Sent, Slot, SlotKey, fleet_key,
@@ -34,7 +35,6 @@
 use crate::core::rentals::{Market, Rentals, Request};
 use crate::core::shares::{SHARES_KEY, Shares};
 use crate::core::submissions;
-use crate::core::work::{Work, WorkMeter};
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, Sequence, TaskId, Term};
 use crate::peer::{
     ImageView, JobCount, JobView, MachineView, Offer, PlanInput, PlanOutput, TeamLeft, TypeView, VERSION, Waiting,
@@ -207,7 +207,7 @@
     usage: Option<Usage>,
     actions: Vec<Action>,
     /// What this leader has worked through since it began.
-    work: WorkMeter,
+    cost: CostMeter,
     spot_lives: SpotLives,
 }
 
@@ -370,7 +370,7 @@
             lag_ms: 0.0,
             usage: None,
             actions: Vec::new(),
-            work: WorkMeter::default(),
+            cost: CostMeter::default(),
         }
     }
 
@@ -391,8 +391,8 @@
     }
 
     /// What this leader has worked through since it began.
-    pub fn work_done(&self) -> Work {
-        self.work.read()
+    pub fn cost_counters(&self) -> CostCounters {
+        self.cost.read()
     }
 
     /// Figures for the log: how much there is to do, and what waits for answers.
@@ -456,8 +456,8 @@
     /// Some of what the state service holds; done sets come after their jobs. A row that can't be read is
     /// left alone.
     pub fn load_part(&mut self, now: MonotonicTime, stored: Stored) {
-        self.work.add_jobs(stored.live.len() + stored.bits.len());
-        self.work.add_machines(stored.fleet.len());
+        self.cost.add_jobs(stored.live.len() + stored.bits.len());
+        self.cost.add_machines(stored.fleet.len());
         stored.live.into_iter().for_each(|row| self.load_job(row));
         stored.bits.into_iter().for_each(|row| self.load_done_set(row));
         stored.fleet.into_iter().for_each(|row| self.load_machine(now, row));
--- a/src/core/leader/planner_view.rs
+++ b/src/core/leader/planner_view.rs
@@ -70,8 +70,8 @@
 impl Leader {
     /// The fleet and the ready tasks as the planner sees them, with what its keys stand for.
     pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
-        self.work.add_jobs(self.jobs.len());
-        self.work.add_machines(self.machines.len());
+        self.cost.add_jobs(self.jobs.len());
+        self.cost.add_machines(self.machines.len());
         self.usage = None;
         self.note_unaccounted();
         let waits = |j: &Job| j.startable_tasks() > 0 && j.pause_until <= now && !j.finishing && !self.held_back(j);
--- a/src/core/leader/room.rs
+++ b/src/core/leader/room.rs
@@ -95,7 +95,7 @@
                 });
             }
         }
-        self.work.add_jobs(out.waiting.len());
+        self.cost.add_jobs(out.waiting.len());
         // The most urgent first, and of those whoever has waited longest for a search: what the budget
         // doesn't reach goes on in the next round.
         seekers.sort_by_key(|s| (s.urgency, s.sought_in));
@@ -220,7 +220,7 @@
         let jobs = self.reservations.jobs_after(self.reservations_tried_to, RESERVATIONS_PER_TICK);
         self.reservations_tried_to = jobs.last().copied();
         for job in jobs {
-            self.work.add_reservations(self.reservations.count_of(&job));
+            self.cost.add_reservations(self.reservations.count_of(&job));
             let Some(j) = self.jobs.get(&job) else {
                 done.insert(job);
                 continue;
@@ -258,7 +258,7 @@
 
     /// Stops work of lower priority where that makes room for tasks of a job. Returns for how many.
     pub(super) fn make_room(&mut self, now: MonotonicTime, search: &mut RoomSearch, request: &RoomRequest) -> u32 {
-        let before = self.work.read();
+        let before = self.cost.read();
         let RoomRequest { job: id, wanted, tasks, .. } = request;
         let mut zones = self.zones_of(id);
         let mut candidates = self.candidates_for(now, search, request, &zones);
@@ -283,7 +283,7 @@
                 candidates.push(next.loss, at);
             }
         }
-        search.budget.spend(self.work.read().since(&before).total());
+        search.budget.spend(self.cost.read().since(&before).total());
         made
     }
 
@@ -306,13 +306,13 @@
         let (need, urgency) = (Amount::of_task(&j.spec), self.urgency(id, j));
         let mut permitted = self.permitted_markets(&j.spec);
         permitted.retain(|market| zone.is_none_or(|zone| market.zone == zone));
-        self.work.add_jobs(1);
+        self.cost.add_jobs(1);
         let survey = search.survey(self, now);
         let promising = survey.promising(&permitted, urgency, &need);
         if promising.is_empty() {
             return candidates;
         }
-        self.work.add_machines(survey.machines.len());
+        self.cost.add_machines(survey.machines.len());
         let suited = |at: &usize| {
             let machine = &survey.machines[*at];
             machine.yields_to(urgency).holds(&need) && promising.contains(&machine.market)
@@ -336,7 +336,7 @@
         let mut zones = zone_counts(j, &self.machines);
         let coming = self.reservations.of(id).filter_map(|r| self.machines.get(&r.machine));
         zones.extend(coming.map(|m| ZoneCount { zone: m.zone, count: 1 }));
-        self.work.add_tasks(j.placed.len() + zones.len());
+        self.cost.add_tasks(j.placed.len() + zones.len());
         zones
     }
 
@@ -389,7 +389,7 @@
         if spared && !service {
             return None;
         }
-        self.work.add_tasks(m.slots.len());
+        self.cost.add_tasks(m.slots.len());
         let mut free = self.unreserved(mid, m, None);
         // What is already told to stop will be free soon.
         for s in m.slots.values().filter(|s| !s.exited() && s.stop.is_some()) {
@@ -499,14 +499,14 @@
         if !self.quota_holds(team, &need, f64::from(tasks)) {
             return false;
         }
-        let before = self.work.read();
+        let before = self.cost.read();
         let held_in = self.reservations.of(id).next().and_then(|r| self.machines.get(&r.machine)).map(|m| m.zone);
         let best = self
             .gang_room(now, search, id)
             .into_iter()
             .filter(|(_, room)| room.most >= tasks)
             .max_by_key(|(zone, room)| (held_in == Some(*zone), room.soon.min(tasks), room.free_tasks()));
-        search.budget.spend(self.work.read().since(&before).total());
+        search.budget.spend(self.cost.read().since(&before).total());
         let Some((zone, room)) = best.filter(|(_, room)| insufficient == Insufficient::Hold || room.soon >= tasks)
         else {
             return false;
@@ -517,7 +517,7 @@
             let zone = (zone != ANY_ZONE).then_some(zone);
             left -= self.make_room(now, search, &RoomRequest { zone, ..RoomRequest::anywhere(*id, left) });
         }
-        self.work.add_tasks((tasks - left) as usize);
+        self.cost.add_tasks((tasks - left) as usize);
         true
     }
 
@@ -533,7 +533,7 @@
             held.entry(&reservation.machine).or_default().add(&reservation.need);
         }
         let survey = search.survey(self, now);
-        self.work.add_machines(survey.machines.len());
+        self.cost.add_machines(survey.machines.len());
         for machine in survey.machines.iter().filter(|m| permitted.contains(&m.market) && !j.avoids(&m.id, now)) {
             let (mut free, mut soon) = (machine.free, machine.yields_to(urgency));
             if let Some(held) = held.get(&machine.id) {
--- a/src/core/leader/room_survey.rs
+++ b/src/core/leader/room_survey.rs
@@ -9,8 +9,8 @@
 /// How many priorities there are; [`priority_number`] is below it.
 const PRIORITIES: usize = 4;
 /// Looks that one search for many jobs may take, for each machine and at the least.
-const SEARCH_LOOKS_PER_MACHINE: u64 = 32;
-const LEAST_SEARCH_LOOKS: u64 = 16_384;
+const SEARCH_OPERATIONS_PER_MACHINE: u64 = 32;
+const MIN_SEARCH_OPERATIONS: u64 = 16_384;
 
 /// How urgent work is that seeks room.
 #[derive(Clone, Copy)]
@@ -92,19 +92,19 @@
 }
 
 /// What finding room may still cost in a round.
-pub(super) struct SearchBudget {
+pub(super) struct OperationBudget {
     all: u64,
     left: u64,
 }
 
-impl SearchBudget {
-    fn new(machines: usize) -> SearchBudget {
-        let all = LEAST_SEARCH_LOOKS + SEARCH_LOOKS_PER_MACHINE * machines as u64;
-        SearchBudget { all, left: all }
+impl OperationBudget {
+    fn new(machines: usize) -> OperationBudget {
+        let all = MIN_SEARCH_OPERATIONS + SEARCH_OPERATIONS_PER_MACHINE * machines as u64;
+        OperationBudget { all, left: all }
     }
 
-    pub fn spend(&mut self, looks: u64) {
-        self.left = self.left.saturating_sub(looks);
+    pub fn spend(&mut self, operations: u64) {
+        self.left = self.left.saturating_sub(operations);
     }
 
     pub fn is_spent(&self) -> bool {
@@ -121,12 +121,12 @@
 /// placed meanwhile.
 pub(super) struct RoomSearch {
     survey: Option<RoomSurvey>,
-    pub budget: SearchBudget,
+    pub budget: OperationBudget,
 }
 
 impl RoomSearch {
     pub fn new(machines: usize) -> RoomSearch {
-        RoomSearch { survey: None, budget: SearchBudget::new(machines) }
+        RoomSearch { survey: None, budget: OperationBudget::new(machines) }
     }
 
     pub fn survey(&mut self, leader: &Leader, now: MonotonicTime) -> &RoomSurvey {
@@ -188,7 +188,7 @@
 impl Leader {
     /// All machines that may get tasks now, and what each could yield.
     fn survey_room(&self, now: MonotonicTime) -> RoomSurvey {
-        self.work.add_machines(self.machines.len());
+        self.cost.add_machines(self.machines.len());
         let surveyed = self.machines.iter().filter_map(|(id, m)| self.survey_machine(now, id, m));
         RoomSurvey::new(surveyed.collect())
     }
@@ -197,7 +197,7 @@
         if !m.usable(now, self.quiet()) {
             return None;
         }
-        self.work.add_tasks(m.slots.len());
+        self.cost.add_tasks(m.slots.len());
         let free = self.unreserved(id, m, None);
         let mut yields = [free; PRIORITIES];
         let mut beyond = [Amount::default(); PRIORITIES];
--- a/src/core/leader/rounds.rs
+++ b/src/core/leader/rounds.rs
@@ -31,7 +31,7 @@
             self.actions.push(Action::Plan { node: node.clone(), input: part.clone() });
             missing.insert(node, part);
         }
-        let outputs = vec![miser::plan_metered(&own, &self.work)];
+        let outputs = vec![miser::plan_metered(&own, &self.cost)];
         let until = now + PATIENCE;
         self.open_round = Some(Round { view, outputs, missing, until });
         self.close_round(now);
@@ -63,7 +63,7 @@
         if let Some((node, part)) = round.missing.pop_first() {
             debug!("{node} is silent, its share is planned here");
             self.shares.silent(&node);
-            round.outputs.push(miser::plan_metered(&part, &self.work));
+            round.outputs.push(miser::plan_metered(&part, &self.cost));
         }
         if !round.missing.is_empty() {
             self.open_round = Some(round);
--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -1,9 +1,9 @@
 //! Single situations, played against a leader with workers that answer at once.
 
-mod bounded_work;
 mod digest;
 mod leaders;
 mod machines;
+mod operation_bounds;
 mod pipelines;
 mod planning;
 
@@ -30,7 +30,7 @@
     unanswered: Option<Vec<Txn>>,
     committed: Vec<Txn>,
     /// The most work that a tick took.
-    longest_tick: Work,
+    longest_tick: CostCounters,
     /// What the state service holds.
     store: BTreeMap<String, (Value, u64)>,
     term: Term,
@@ -108,7 +108,7 @@
             store,
             term: TERM,
             committed: Vec::new(),
-            longest_tick: Work::default(),
+            longest_tick: CostCounters::default(),
         }
     }
 
@@ -216,9 +216,9 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += TICK.0;
-            let before = self.leader.work_done();
+            let before = self.leader.cost_counters();
             self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
-            let work = self.leader.work_done().since(&before);
+            let work = self.leader.cost_counters().since(&before);
             if work.total() > self.longest_tick.total() {
                 self.longest_tick = work;
             }
--- a/src/core/leader/tests/digest.rs
+++ b/src/core/leader/tests/digest.rs
@@ -397,10 +397,10 @@
 fn the_digest_and_the_work_of_a_fixed_fleet_are_unchanged() {
     let mut fleet = FixedFleet::new();
     fleet.run();
-    let (work, counts) = (fleet.leader.work_done(), fleet.digest.counts());
+    let (work, counts) = (fleet.leader.cost_counters(), fleet.digest.counts());
     println!("digest={:#018x} counts={counts:?} {work}", fleet.digest.value());
     println!("endings={} workers={}", fleet.endings.len(), fleet.workers.iter().flatten().count());
-    let expected = Work { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, choices: 83_142 };
+    let expected = CostCounters { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, choices: 83_142 };
     // In the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
     assert_eq!(work, expected);
--- a/src/core/leader/tests/bounded_work.rs
+++ b/src/core/leader/tests/operation_bounds.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Most looks that one input to the core may take, whatever waits.
-fn work_bound(machines: usize, jobs: usize, tasks: usize) -> u64 {
+fn operation_bound(machines: usize, jobs: usize, tasks: usize) -> u64 {
     (400 * machines + 20 * jobs + 10 * tasks + 40_000) as u64
 }
 
@@ -19,7 +19,7 @@
     for n in 0..machines as u32 {
         rig.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 16, 2.0));
     }
-    rig.longest_tick = Work::default();
+    rig.longest_tick = CostCounters::default();
     rig.run(3_000);
     let urgent = rig.workers.values().flat_map(|r| &r.tasks).filter(|l| l.phase == TaskPhase::Running);
     let urgent = urgent.filter(|l| l.task.is_some_and(|task| task.job.to_string() != "req-000001")).count();
@@ -30,7 +30,7 @@
 #[test]
 fn urgent_work_beyond_the_room_costs_a_bounded_part_of_a_round() {
     let work = longest_tick_under_urgent_overload(100);
-    let bound = work_bound(100, 101, 800);
+    let bound = operation_bound(100, 101, 800);
     assert!(work <= bound, "one tick took {work} looks, bound {bound}");
 }
 
@@ -41,12 +41,12 @@
     let jobs = 1_000;
     let mut rig = Rig::new(machines);
     rig.run(2_000);
-    rig.longest_tick = Work::default();
+    rig.longest_tick = CostCounters::default();
     for n in 0..jobs {
         rig.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 4, 1.0));
     }
     rig.run(1_000);
-    let (work, bound) = (rig.longest_tick.total(), work_bound(machines, jobs as usize, 8 * machines));
+    let (work, bound) = (rig.longest_tick.total(), operation_bound(machines, jobs as usize, 8 * machines));
     assert!(work <= bound, "one tick took {work} looks, bound {bound}");
 }
 
--- a/src/core/leader/workers.rs
+++ b/src/core/leader/workers.rs
@@ -158,7 +158,7 @@
         }
         let Some(m) = self.machines.get_mut(id) else { return false };
         m.listing += 1;
-        self.work.add_tasks(m.slots.len() + r.tasks.len());
+        self.cost.add_tasks(m.slots.len() + r.tasks.len());
         let mut news: Vec<(SlotKey, &TaskReport)> = Vec::new();
         for listed in &r.tasks {
             let Some(task) = listed.task else {
@@ -469,7 +469,7 @@
 
     /// Sends what is in the outboxes of machines that have no orders under way.
     pub(super) fn flush_orders(&mut self) {
-        self.work.add_machines(self.machines.len());
+        self.cost.add_machines(self.machines.len());
         let waiting = |m: &Machine| !m.outbox.is_empty() && m.in_flight.is_none();
         let ids: Vec<MachineId> = self.machines.iter().filter(|(_, m)| waiting(m)).map(|(id, _)| id.clone()).collect();
         for id in ids {
--- a/src/core/miser.rs
+++ b/src/core/miser.rs
@@ -6,7 +6,7 @@
 mod planner;
 
 use self::planner::{Active, Planner};
-use crate::core::work::WorkMeter;
+use crate::core::cost::CostMeter;
 use crate::peer::{JobView, Placement, PlanInput, PlanOutput, VERSION, Waiting, Wish, ZoneCount};
 
 const EPS: f64 = 1e-6;
@@ -102,11 +102,11 @@
 
 /// The plan for a view.
 pub fn plan(input: &PlanInput) -> PlanOutput {
-    plan_metered(input, &WorkMeter::default())
+    plan_metered(input, &CostMeter::default())
 }
 
 /// The same; `meter` counts what was compared for it.
-pub fn plan_metered(input: &PlanInput, meter: &WorkMeter) -> PlanOutput {
+pub fn plan_metered(input: &PlanInput, meter: &CostMeter) -> PlanOutput {
     if !sound(input) {
         return PlanOutput::default();
     }
--- a/src/core/miser/planner.rs
+++ b/src/core/miser/planner.rs
@@ -2,13 +2,13 @@
 
 use super::places::{Place, Reach, Room};
 use super::{Choice, EPS, log_normal_cdf, quality, sub_deadline, zone_allowed};
-use crate::core::work::WorkMeter;
+use crate::core::cost::CostMeter;
 use crate::peer::{JobView, PlanInput, Waiting, ZoneCount};
 
 pub(super) struct Planner<'a> {
     input: &'a PlanInput,
     /// Counts the places that jobs are compared with.
-    meter: &'a WorkMeter,
+    meter: &'a CostMeter,
     pub(super) places: Vec<Place>,
     offers_left: Vec<u32>,
     cpus_left: std::collections::BTreeMap<u32, (f64, f64)>,
@@ -58,7 +58,7 @@
 }
 
 impl<'a> Planner<'a> {
-    pub(super) fn new(input: &'a PlanInput, meter: &'a WorkMeter) -> Planner<'a> {
+    pub(super) fn new(input: &'a PlanInput, meter: &'a CostMeter) -> Planner<'a> {
         let mut p = Planner {
             input,
             meter,
--- a/src/core/miser/tests.rs
+++ b/src/core/miser/tests.rs
@@ -60,7 +60,7 @@
     (booting.up, booting.ready_s, booting.spot) = (false, 12.0, true);
     let mut i = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
     i.offers = vec![Offer { kind: 0, zone: 0, spot: false, most: 1 }];
-    let meter = WorkMeter::default();
+    let meter = CostMeter::default();
     let p = Planner::new(&i, &meter);
     // Running: 1 GB at 0.5 GB/s, then 36 s, on a quarter of a machine at 1.0 an hour.
     let up = p.choice(&i.jobs[0], 0).unwrap();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,6 +1,7 @@
 //! The core: no sockets, no files, no clocks. Inputs in; sends, writes and answers out.
 
 pub mod cancellations;
+pub mod cost;
 pub mod done_sets;
 pub mod fleet;
 pub mod jobs;
@@ -13,7 +14,6 @@
 pub mod rentals;
 pub mod shares;
 pub mod submissions;
-pub mod work;
 
 #[cfg(test)]
 mod election_model;
--- a/src/net/leading.rs
+++ b/src/net/leading.rs
@@ -9,10 +9,10 @@
 use crate::core::fleet::FLEET;
 use crate::core::leader::{Action, CommitResult, Leader, OrdersResult, RentResult, Stored, TICK};
 
+use crate::core::cost::CostCounters;
 use crate::core::leadership::{LEADER_KEY, LeaderRecord, should_hand_over};
 use crate::core::records::{BITS, Ending, LIVE};
 use crate::core::shares::SHARES_KEY;
-use crate::core::work::Work;
 use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::peer::HelloAnswer;
 use crate::time::{Millis, MonotonicTime};
@@ -104,8 +104,8 @@
 async fn load_in_steps(node: &Node, leader: &mut Leader, stored: Stored) {
     for part in stored.into_parts(ROWS_PER_STEP) {
         let now = node.now();
-        let ((), took, work) = measured(leader, |leader| leader.load_part(now, part));
-        node.lock().step_times.record(now, Step::Load, took, work);
+        let ((), took, cost) = measured(leader, |leader| leader.load_part(now, part));
+        node.lock().step_times.record(now, Step::Load, took, cost);
         tokio::task::yield_now().await;
     }
     leader.finish_load(node.now());
@@ -147,16 +147,16 @@
 
 /// Has the ledger, if there is one, take an input, and notes how long that took.
 fn timed<T>(inner: &mut Inner, now: MonotonicTime, step: Step, input: impl FnOnce(&mut Leader) -> T) -> Option<T> {
-    let (answer, took, work) = measured(inner.leader.as_mut()?, input);
-    inner.step_times.record(now, step, took, work);
+    let (answer, took, cost) = measured(inner.leader.as_mut()?, input);
+    inner.step_times.record(now, step, took, cost);
     Some(answer)
 }
 
 /// Gives a ledger an input. Returns its answer, how long that took and what it worked through.
-fn measured<T>(leader: &mut Leader, input: impl FnOnce(&mut Leader) -> T) -> (T, Duration, Work) {
-    let (started, before) = (Instant::now(), leader.work_done());
+fn measured<T>(leader: &mut Leader, input: impl FnOnce(&mut Leader) -> T) -> (T, Duration, CostCounters) {
+    let (started, before) = (Instant::now(), leader.cost_counters());
     let answer = input(leader);
-    (answer, started.elapsed(), leader.work_done().since(&before))
+    (answer, started.elapsed(), leader.cost_counters().since(&before))
 }
 
 /// Tells the ledger something, if there is one: also while not acting, as it is knowledge and no order.
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -4,9 +4,9 @@
 use super::node::Node;
 use super::step_times::Step;
 use crate::config::Peer;
+use crate::core::cost::CostMeter;
 use crate::core::miser;
 use crate::core::records::Ending;
-use crate::core::work::WorkMeter;
 use crate::ids::{JobId, Revision, Term};
 use crate::peer::{Hello, HelloAnswer, PlanInput, PlanOutput, VERSION};
 use crate::time::Millis;
@@ -114,7 +114,7 @@
 /// Plans for a leader. It decides nothing: the leader checks every placement.
 pub fn plan(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
-    let (now, started, meter) = (node.now(), Instant::now(), WorkMeter::default());
+    let (now, started, meter) = (node.now(), Instant::now(), CostMeter::default());
     let output = miser::plan_metered(&input, &meter);
     node.lock().step_times.record(now, Step::PlanForPeer, started.elapsed(), meter.read());
     Some(output.encode_to_vec())
--- a/src/net/step_times.rs
+++ b/src/net/step_times.rs
@@ -3,7 +3,7 @@
 
 use super::node::Node;
 use super::rare_log::RareLog;
-use crate::core::work::Work;
+use crate::core::cost::CostCounters;
 use crate::time::{Millis, MonotonicTime};
 use hdrhistogram::Histogram;
 use log::{info, warn};
@@ -53,7 +53,7 @@
 struct Longest {
     step: Step,
     took: Duration,
-    work: Work,
+    cost: CostCounters,
 }
 
 /// Step times since the last line.
@@ -71,7 +71,7 @@
 
 impl StepTimes {
     /// Takes in a step that began at `now` and has just ended.
-    pub fn record(&mut self, now: MonotonicTime, step: Step, took: Duration, work: Work) {
+    pub fn record(&mut self, now: MonotonicTime, step: Step, took: Duration, cost: CostCounters) {
         let micros = (took.as_micros() as u64).clamp(1, LONGEST_MICROS);
         let histogram = self.histograms.entry(step).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
@@ -79,10 +79,10 @@
             && let Some(count) = self.long_steps.note(now)
         {
             let (name, unmentioned) = (step.name(), count - 1);
-            warn!("long step: {name} took {} ms, {work}, unmentioned={unmentioned}", took.as_millis());
+            warn!("long step: {name} took {} ms, {cost}, unmentioned={unmentioned}", took.as_millis());
         }
         if self.longest.as_ref().is_none_or(|longest| took > longest.took) {
-            self.longest = Some(Longest { step, took, work });
+            self.longest = Some(Longest { step, took, cost });
         }
     }
 
@@ -102,7 +102,7 @@
                 millis(1.0)
             );
         }
-        let _ = write!(line, "longest: {} {}", longest.step.name(), longest.work);
+        let _ = write!(line, "longest: {} {}", longest.step.name(), longest.cost);
         Some(line)
     }
 }
