--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -5,7 +5,7 @@
 use wallstile::config::{Settings, Tuning};
 use wallstile::core::cost::CostCounters;
 use wallstile::core::fleet::{FLEET, FleetRecord};
-use wallstile::core::leader::{Action, CommitResult, Leader, OrdersResult, RentResult, Stored, TICK};
+use wallstile::core::leader::{Action, CommitOutcome, Leader, OrdersResult, RentResult, Stored, TICK};
 use wallstile::core::leadership::LeaderRecord;
 use wallstile::core::records::LiveRecord;
 use wallstile::ids::{JobId, LeaseId, Revision, Term};
@@ -111,7 +111,7 @@
             }
             Action::Commit { ticket, .. } => {
                 self.commits += 1;
-                self.observe(Input::Answer, |leader| leader.on_committed(now, ticket, CommitResult::Done));
+                self.observe(Input::Answer, |leader| leader.on_committed(now, ticket, CommitOutcome::Committed));
             }
             Action::Rent(request) => {
                 self.observe(Input::Answer, |leader| leader.on_rented(now, &request.name, RentResult::NoCapacity));
--- a/src/core/election_model.rs
+++ b/src/core/election_model.rs
@@ -161,9 +161,9 @@
         let served = self.served(n);
         let c = &mut self.controllers[n];
         if served {
-            c.leadership.state_answered()
+            c.leadership.store_answered()
         } else {
-            c.leadership.state_refused()
+            c.leadership.store_refused()
         }
         if served {
             c.cancellations.at_revision(Revision(self.revision));
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -89,11 +89,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum CommitResult {
-    Done,
+pub enum CommitOutcome {
+    Committed,
     Conflict(Vec<String>),
     /// Not carried out, nor will it be.
-    Refused,
+    Rejected,
     /// Perhaps carried out, perhaps yet to be.
     Unknown,
 }
--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -251,11 +251,11 @@
                     Action::Commit { ticket, txn } => match &mut self.unanswered {
                         Some(l) => {
                             l.push(txn);
-                            self.leader.on_committed(now, ticket, CommitResult::Unknown);
+                            self.leader.on_committed(now, ticket, CommitOutcome::Unknown);
                         }
                         None => {
                             self.commit(txn);
-                            self.leader.on_committed(now, ticket, CommitResult::Done);
+                            self.leader.on_committed(now, ticket, CommitOutcome::Committed);
                         }
                     },
                     Action::Reguard(_) => {
--- a/src/core/leader/tests/digest.rs
+++ b/src/core/leader/tests/digest.rs
@@ -347,13 +347,13 @@
     }
 
     /// Some transactions are refused; of others it isn't known whether they were carried out.
-    fn commit(&mut self, txn: &Txn) -> CommitResult {
+    fn commit(&mut self, txn: &Txn) -> CommitOutcome {
         self.given.commits += 1;
         self.revision += 1;
         let answer = match self.given.commits % 40 {
-            10 => CommitResult::Unknown,
-            30 => return CommitResult::Refused,
-            _ => CommitResult::Done,
+            10 => CommitOutcome::Unknown,
+            30 => return CommitOutcome::Rejected,
+            _ => CommitOutcome::Committed,
         };
         for change in &txn.apply {
             if let Change::Write { write, value, .. } = change
--- a/src/core/leader/writes.rs
+++ b/src/core/leader/writes.rs
@@ -203,15 +203,15 @@
         }
     }
 
-    pub fn on_committed(&mut self, now: MonotonicTime, ticket: u64, result: CommitResult) {
+    pub fn on_committed(&mut self, now: MonotonicTime, ticket: u64, result: CommitOutcome) {
         let Some((purpose, guard)) = self.commits.remove(&ticket) else { return };
-        let ok = result == CommitResult::Done;
-        if matches!(result, CommitResult::Refused | CommitResult::Unknown) {
+        let ok = result == CommitOutcome::Committed;
+        if matches!(result, CommitOutcome::Rejected | CommitOutcome::Unknown) {
             self.commit_pause = now + Millis(300);
         }
         // Guarded by an older revision of the key it can't be carried out any more.
-        let outdated = matches!(&result, CommitResult::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY));
-        if (outdated || result == CommitResult::Unknown) && guard == self.guard && self.reguard == Reguard::No {
+        let outdated = matches!(&result, CommitOutcome::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY));
+        if (outdated || result == CommitOutcome::Unknown) && guard == self.guard && self.reguard == Reguard::No {
             self.reguard = Reguard::Due;
         }
         self.dirty = true;
@@ -220,7 +220,7 @@
                 for id in commission {
                     if let Some(m) = self.machines.get_mut(&id) {
                         m.commission = if ok { Commission::Yes } else { Commission::No };
-                    } else if result != CommitResult::Refused {
+                    } else if result != CommitOutcome::Rejected {
                         self.forget.insert(id);
                     }
                 }
@@ -241,13 +241,13 @@
                 }
             }
             Purpose::Finish(id, at) => match result {
-                CommitResult::Done => {
+                CommitOutcome::Committed => {
                     info!("job {id} is done");
                     self.on_over(&id, Ending::Done(Some(at)));
                 }
                 // The job's key has changed: cancelled, or an earlier try was carried out. The
                 // watch says which; until then nothing of it is started, as all is done.
-                CommitResult::Conflict(_) if !outdated => {}
+                CommitOutcome::Conflict(_) if !outdated => {}
                 _ => {
                     if let Some(j) = self.jobs.get_mut(&id) {
                         j.finishing = false;
@@ -255,14 +255,14 @@
                 }
             },
             Purpose::Cancel(ids) => match result {
-                CommitResult::Done => {
+                CommitOutcome::Committed => {
                     for id in ids {
                         info!("job {id} is cancelled with one that it needs");
                         self.on_over(&id, Ending::Cancelled);
                     }
                 }
                 // It is over already: the watch says so, late perhaps, and says no more than that.
-                CommitResult::Conflict(failed) => {
+                CommitOutcome::Conflict(failed) => {
                     let over = ids.iter().filter(|id| failed.contains(&live_key(id)));
                     over.for_each(|id| self.on_over(id, Ending::Unknown));
                 }
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -94,13 +94,13 @@
         }
     }
 
-    pub fn state_answered(&mut self) {
+    pub fn store_answered(&mut self) {
         self.refused = false;
     }
-    pub fn state_refused(&mut self) {
+    pub fn store_refused(&mut self) {
         self.refused = true;
     }
-    pub fn is_refused(&self) -> bool {
+    pub fn is_refused_by_store(&self) -> bool {
         self.refused
     }
 
--- a/src/core/leadership/tests.rs
+++ b/src/core/leadership/tests.rs
@@ -45,7 +45,7 @@
     let mut p = leadership();
     let ask = |p: &mut Leadership| p.promise_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing());
     assert_eq!(ask(&mut p), None, "it is served by the state service");
-    p.state_refused();
+    p.store_refused();
     p.bid_sent();
     assert_eq!(ask(&mut p), None, "an open bid may be carried out late");
     p.bid_settled();
@@ -60,7 +60,7 @@
     let mut p = leadership();
     p.elected(Term(8), LeaseId(1), MonotonicTime(0));
     p.step_down();
-    p.state_refused();
+    p.store_refused();
     assert_eq!(p.promise_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing()), None);
     assert!(p.promise_to(MonotonicTime(20_000), Term(9), Revision(9), &told_nothing()).is_some());
 }
@@ -68,7 +68,7 @@
 #[test]
 fn a_promise_carries_what_the_leader_cannot_have_read() {
     let mut p = leadership();
-    p.state_refused();
+    p.store_refused();
     let mut c = Cancellations::default();
     let ask = |p: &mut Leadership, c: &Cancellations, read_to| {
         p.promise_to(MonotonicTime(20_000), Term(7), Revision(read_to), c).map(|p| p.cancelled)
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/ledger_model/mod.rs
@@ -11,7 +11,7 @@
 use self::digest::Digest;
 use super::done_sets::{Layout, parse_key};
 use super::fleet::FLEET;
-use super::leader::{Action, CommitResult, Leader, OrdersResult, RentResult, Stored};
+use super::leader::{Action, CommitOutcome, Leader, OrdersResult, RentResult, Stored};
 use super::leadership::{LEADER_KEY, LeaderRecord};
 use super::miser;
 use super::records::{BITS, Ending, LIVE, LiveRecord, OVER, OverRecord, live_key, over_key};
@@ -103,7 +103,7 @@
     Committed {
         leader: u64,
         ticket: u64,
-        result: CommitResult,
+        result: CommitOutcome,
     },
     Reguard {
         leader: u64,
@@ -246,12 +246,12 @@
 
     // ---- the store
 
-    fn commit(&mut self, txn: &Txn) -> CommitResult {
+    fn commit(&mut self, txn: &Txn) -> CommitOutcome {
         let revision = |m: &Model, k: &str| m.store.get(k).map_or(0, |v| v.1);
         let failed: Vec<String> =
             txn.guards.iter().filter(|g| revision(self, &g.path) != g.revision).map(|g| g.path.clone()).collect();
         if !failed.is_empty() {
-            return CommitResult::Conflict(failed);
+            return CommitOutcome::Conflict(failed);
         }
         assert!(txn.apply.len() <= self.settings.cluster.state.txn_ops, "too many changes in a transaction");
         self.epoch += 1;
@@ -278,7 +278,7 @@
                 self.post(delay, Mail::Watch { leader, key: key.clone(), value });
             }
         }
-        CommitResult::Done
+        CommitOutcome::Committed
     }
 
     fn rows(&self, prefix: &str) -> Vec<Row> {
@@ -329,7 +329,7 @@
                     let delay = self.delay();
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { delay };
                     if delay > 1_200 {
-                        self.post(1_200, Mail::Committed { leader, ticket, result: CommitResult::Unknown });
+                        self.post(1_200, Mail::Committed { leader, ticket, result: CommitOutcome::Unknown });
                     }
                     self.post(delay, Mail::Commit { leader, ticket, txn });
                 }
@@ -463,7 +463,7 @@
         let guards = vec![crate::wire::Guard { path: live_key(id), revision }];
         let apply = vec![Change::drop(live_key(id)), Change::write(over_key(id), json!(over))];
         let cancelled_before = self.cancelled.insert(*id, self.now);
-        if self.commit(&Txn { guards, apply }) != CommitResult::Done {
+        if self.commit(&Txn { guards, apply }) != CommitOutcome::Committed {
             match cancelled_before {
                 Some(at) => self.cancelled.insert(*id, at),
                 None => self.cancelled.remove(id),
@@ -580,12 +580,12 @@
             }
             Mail::Commit { leader, ticket, txn } => {
                 let result = self.commit(&txn);
-                let result = if self.lost() { CommitResult::Unknown } else { result };
+                let result = if self.lost() { CommitOutcome::Unknown } else { result };
                 let delay = self.rng.random_range(1..20);
                 self.post(delay, Mail::Committed { leader, ticket, result });
             }
             Mail::Reguard { leader, txn } => {
-                if self.commit(&txn) == CommitResult::Done {
+                if self.commit(&txn) == CommitOutcome::Committed {
                     let revision = Revision(self.epoch);
                     if let Some(l) = self.leader.as_mut().filter(|_| leader == current && !self.faults) {
                         l.on_reguarded(now, Some(revision));
--- a/src/net/ancestors.rs
+++ b/src/net/ancestors.rs
@@ -1,9 +1,9 @@
 //! Whether a job that a waiting job needs, directly or through others, was cancelled. The leader cancels the
 //! jobs after a cancelled one; until it has, or while there is none, no controller calls them live.
 
+use super::kv::KvError;
 use super::lookups::{Found, in_time, read};
 use super::node::Node;
-use super::state::StateError;
 use crate::core::records::{LiveRecord, awaits_others};
 use crate::ids::JobId;
 use crate::time::{Millis, MonotonicTime};
@@ -52,7 +52,7 @@
 }
 
 /// How a job stands to the jobs that await it, by readings that are fresh enough to tell users.
-pub async fn standing(node: &Node, id: &JobId) -> Result<Standing, StateError> {
+pub async fn standing(node: &Node, id: &JobId) -> Result<Standing, KvError> {
     in_time(node, check(node, *id, MAX_STEPS)).await.map(|checked| checked.standing)
 }
 
@@ -61,7 +61,7 @@
 const MAX_STEPS: u32 = 64;
 
 /// Whether a live job has to be cancelled, as one that it needs is.
-pub async fn needs_cancelled(node: &Node, id: &JobId, row: &Row) -> Result<bool, StateError> {
+pub async fn needs_cancelled(node: &Node, id: &JobId, row: &Row) -> Result<bool, KvError> {
     // Most jobs that users ask about await none.
     if !awaits_others(&row.value) {
         return Ok(false);
@@ -70,7 +70,7 @@
     Ok(checked.standing == Standing::Cancelled)
 }
 
-fn check(node: &Node, id: JobId, steps: u32) -> Pin<Box<dyn Future<Output = Result<Checked, StateError>> + Send + '_>> {
+fn check(node: &Node, id: JobId, steps: u32) -> Pin<Box<dyn Future<Output = Result<Checked, KvError>> + Send + '_>> {
     Box::pin(async move {
         let at = node.now();
         Ok(match read(node, &id).await? {
@@ -82,7 +82,7 @@
     })
 }
 
-async fn check_live(node: &Node, id: JobId, row: &Row, steps: u32) -> Result<Checked, StateError> {
+async fn check_live(node: &Node, id: JobId, row: &Row, steps: u32) -> Result<Checked, KvError> {
     let now = node.now();
     let Some(record) = record(row) else { return Ok(Checked { standing: Standing::Live, at: now }) };
     let standing = if record.spec.kind == Kind::Service { Standing::Service } else { Standing::Live };
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -1,9 +1,9 @@
 //! Runs for leader, keeps it, and gives it up in time.
 
+use super::kv::KvError;
 use super::leading;
 use super::node::{Inner, Node};
 use super::peers;
-use super::state::StateError;
 use crate::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_KEY, YIELD};
 use crate::core::records::Ending;
 use crate::ids::{Revision, Term};
@@ -23,11 +23,11 @@
     let mut held_it = false;
     loop {
         if !node.lock().cancellations.is_known()
-            && let Ok(revision) = node.served(node.state.revision(&node.http)).await
+            && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
         {
             node.lock().cancellations.at_revision(revision);
         }
-        let row = node.served(node.state.get(&node.http, LEADER_KEY)).await;
+        let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await;
         match row {
             Ok(Some(row)) => {
                 let record = serde_json::from_value::<LeaderRecord>(row.value).ok();
@@ -39,7 +39,7 @@
                     // An earlier process here led, and there is only ever one at an address: the
                     // lease can be ended for it. Its late bids and answers are outranked.
                     info!("ending the lease of an earlier process here");
-                    let ended = node.served(node.state.revoke(&node.http, r.lease)).await;
+                    let ended = node.track_store(node.kv.revoke(&node.http, r.lease)).await;
                     held_it = ended.is_ok();
                     tokio::time::sleep(Millis(20).to_std()).await;
                     continue;
@@ -48,7 +48,7 @@
             Ok(None) => {
                 node.lock().leader_name = None;
                 if initialized {
-                    let f = node.served(node.state.get(&node.http, INITIALIZED_KEY)).await;
+                    let f = node.track_store(node.kv.get(&node.http, INITIALIZED_KEY)).await;
                     initialized = !matches!(f, Ok(None));
                 }
                 let may = {
@@ -65,7 +65,7 @@
                     tokio::time::sleep(Millis(rand::random::<u64>() % 200).to_std()).await;
                 }
             }
-            Err(StateError::Refused | StateError::Unknown(_)) => ask_about_state(&node).await,
+            Err(KvError::Refused | KvError::Unknown(_)) => probe_peers(&node).await,
             Err(_) => {}
         }
         tokio::time::sleep(POLL.to_std()).await;
@@ -73,20 +73,20 @@
 }
 
 /// Whether a peer is served, which makes this controller the one to avoid.
-async fn ask_about_state(node: &Arc<Node>) {
+async fn probe_peers(node: &Arc<Node>) {
     let answers = peers::ask_all(node, &peers::hello(node), Millis(700)).await;
-    heard_peers(&mut node.lock(), &answers);
+    record_peer_answers(&mut node.lock(), &answers);
 }
 
-fn heard_peers(inner: &mut Inner, answers: &[Option<HelloAnswer>]) {
-    inner.peer_has_state = answers.iter().flatten().any(|a| a.state_ok);
-    inner.alone = !answers.is_empty() && answers.iter().all(Option::is_none);
-    inner.leader_by_peers = answers.iter().flatten().map(|a| a.leader.clone()).find(|l| !l.is_empty());
+fn record_peer_answers(inner: &mut Inner, answers: &[Option<HelloAnswer>]) {
+    inner.peer_reaches_store = answers.iter().flatten().any(|a| a.store_ok);
+    inner.no_peer_answers = !answers.is_empty() && answers.iter().all(Option::is_none);
+    inner.leader_per_peers = answers.iter().flatten().map(|a| a.leader.clone()).find(|l| !l.is_empty());
 }
 
 async fn bid(node: &Arc<Node>) -> Option<(LeaderLease, LeaderRecord)> {
     let asked_at = node.now();
-    let lease = node.served(node.state.grant(&node.http, node.settings.state_ttl())).await.ok()?;
+    let lease = node.track_store(node.kv.grant(&node.http, node.settings.state_ttl())).await.ok()?;
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: node.incarnation, lease };
     {
         let now = node.now();
@@ -104,23 +104,23 @@
             Change::write(INITIALIZED_KEY, json!(true)),
         ],
     };
-    let result = node.served(node.state.commit(&node.http, &txn)).await;
+    let result = node.track_store(node.kv.commit(&node.http, &txn)).await;
     let mut term = None;
     match result {
         Ok(Ok(epoch)) => term = Some(Term(epoch)),
-        Ok(Err(_)) | Err(StateError::Refused | StateError::Busy | StateError::Status(_)) => {}
-        Err(StateError::Unknown(_) | StateError::TooLarge) => {
+        Ok(Err(_)) | Err(KvError::Refused | KvError::Busy | KvError::Status(_)) => {}
+        Err(KvError::Unknown(_) | KvError::TooLarge) => {
             // Perhaps carried out, perhaps yet to be: the key says, or the lease is ended so that
             // it never can be.
             loop {
-                let row = node.served(node.state.get(&node.http, LEADER_KEY)).await;
+                let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await;
                 if let Ok(Some(row)) = &row
                     && serde_json::from_value::<LeaderRecord>(row.value.clone()).ok().as_ref() == Some(&record)
                 {
                     term = Some(Term(row.revision));
                     break;
                 }
-                if row.is_ok() && node.state.revoke(&node.http, lease).await.is_ok() {
+                if row.is_ok() && node.kv.revoke(&node.http, lease).await.is_ok() {
                     break;
                 }
                 tokio::time::sleep(POLL.to_std()).await;
@@ -144,7 +144,7 @@
     let mut promised = false;
     loop {
         let asked_at = node.now();
-        let renewed = node.served(node.state.renew(&node.http, leader_lease.id, Millis(900))).await;
+        let renewed = node.track_store(node.kv.renew(&node.http, leader_lease.id, Millis(900))).await;
         match renewed {
             Ok(true) => {
                 let mut inner = node.lock();
@@ -200,24 +200,24 @@
     // A peer that the leader can't reach reads of it in the state service.
     let _ = tokio::join!(
         peers::ask_all(node, &hello, Millis(300)),
-        node.served(name_successor(node, guard, &hello.successor))
+        node.track_store(name_successor(node, guard, &hello.successor))
     );
     // Unanswered, the lease ends by itself.
-    let _ = node.served(node.state.revoke(&node.http, leader_lease.id)).await;
+    let _ = node.track_store(node.kv.revoke(&node.http, leader_lease.id)).await;
 }
 
-async fn name_successor(node: &Arc<Node>, guard: Revision, successor: &str) -> Result<(), StateError> {
-    let lease = node.state.grant(&node.http, YIELD).await?;
+async fn name_successor(node: &Arc<Node>, guard: Revision, successor: &str) -> Result<(), KvError> {
+    let lease = node.kv.grant(&node.http, YIELD).await?;
     let txn = Txn {
         guards: vec![Guard { path: LEADER_KEY.into(), revision: guard.0 }],
         apply: vec![Change::Write { write: SUCCESSOR_KEY.into(), value: json!(successor), tenure: Some(lease.0) }],
     };
-    node.state.commit(&node.http, &txn).await.map(drop)
+    node.kv.commit(&node.http, &txn).await.map(drop)
 }
 
 /// Whether a leader that has just handed over named somebody else.
 async fn must_yield(node: &Arc<Node>) -> bool {
-    let row = node.served(node.state.get(&node.http, SUCCESSOR_KEY)).await;
+    let row = node.track_store(node.kv.get(&node.http, SUCCESSOR_KEY)).await;
     matches!(row, Ok(Some(row)) if row.value.as_str() != Some(&node.settings.name))
 }
 
@@ -249,7 +249,7 @@
     };
     let promises: Vec<_> = answers.iter().map(promised).collect();
     let mut inner = node.lock();
-    heard_peers(&mut inner, &answers);
+    record_peer_answers(&mut inner, &answers);
     let Some(l) = &mut inner.leader else { return false };
     for (_, cancelled) in promises.iter().flatten() {
         cancelled.iter().for_each(|id| l.on_over(id, Ending::Cancelled));
--- a/src/net/state.rs
+++ b/src/net/kv.rs
@@ -1,7 +1,7 @@
 //! Client of the state service.
 
 use super::http::{Http, HttpError};
-use crate::core::leader::CommitResult;
+use crate::core::leader::CommitOutcome;
 use crate::ids::{LeaseId, Revision};
 use crate::time::Millis;
 use crate::wire::{Log, Row, Rows, Txn};
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum StateError {
+pub enum KvError {
     /// 503: not carried out.
     #[error("refused")]
     Refused,
@@ -31,7 +31,7 @@
 
 const LIMIT: Millis = Millis(1_200);
 
-pub struct StateClient {
+pub struct KvClient {
     addr: String,
 }
 
@@ -49,9 +49,9 @@
     tenure: LeaseId,
 }
 
-impl StateClient {
-    pub fn new(addr: String) -> StateClient {
-        StateClient { addr }
+impl KvClient {
+    pub fn new(addr: String) -> KvClient {
+        KvClient { addr }
     }
 
     async fn call(
@@ -61,27 +61,27 @@
         path: &str,
         body: Vec<u8>,
         limit: Millis,
-    ) -> Result<(u16, bytes::Bytes), StateError> {
+    ) -> Result<(u16, bytes::Bytes), KvError> {
         match http.call(method, &self.addr, path, body, limit).await {
-            Ok((503, _)) => Err(StateError::Refused),
-            Ok((429, _)) => Err(StateError::Busy),
+            Ok((503, _)) => Err(KvError::Refused),
+            Ok((429, _)) => Err(KvError::Busy),
             Ok(answer) => Ok(answer),
-            Err(HttpError::TooLarge) => Err(StateError::TooLarge),
-            Err(e) => Err(StateError::Unknown(e.to_string())),
+            Err(HttpError::TooLarge) => Err(KvError::TooLarge),
+            Err(e) => Err(KvError::Unknown(e.to_string())),
         }
     }
 
     /// A linearizable read; None: the key is absent.
-    pub async fn get(&self, http: &Http, key: &str) -> Result<Option<Row>, StateError> {
+    pub async fn get(&self, http: &Http, key: &str) -> Result<Option<Row>, KvError> {
         match self.call(http, Method::GET, &format!("/store/{key}"), vec![], LIMIT).await? {
             (200, body) => parse(&body).map(Some),
             (404, _) => Ok(None),
-            (s, _) => Err(StateError::Status(s)),
+            (s, _) => Err(KvError::Status(s)),
         }
     }
 
     /// All keys with the prefix, and the revision from which to follow them.
-    pub async fn list(&self, http: &Http, prefix: &str) -> Result<(Vec<Row>, u64), StateError> {
+    pub async fn list(&self, http: &Http, prefix: &str) -> Result<(Vec<Row>, u64), KvError> {
         let mut rows: Vec<Row> = Vec::new();
         let mut epoch = None;
         loop {
@@ -89,7 +89,7 @@
             let path = format!("/store?prefix={prefix}{since}&limit=500");
             let (status, body) = self.call(http, Method::GET, &path, vec![], Millis(3_000)).await?;
             if status != 200 {
-                return Err(StateError::Status(status));
+                return Err(KvError::Status(status));
             }
             let page: Rows = parse(&body)?;
             // Changes after the first page are seen again by the watch.
@@ -103,74 +103,68 @@
     }
 
     /// The revision that the state service is at.
-    pub async fn revision(&self, http: &Http) -> Result<Revision, StateError> {
+    pub async fn revision(&self, http: &Http) -> Result<Revision, KvError> {
         match self.call(http, Method::GET, "/store?prefix=ctl/&limit=1", vec![], LIMIT).await? {
             (200, body) => Ok(Revision(parse::<Rows>(&body)?.epoch)),
-            (s, _) => Err(StateError::Status(s)),
+            (s, _) => Err(KvError::Status(s)),
         }
     }
 
     /// The revision of the commit, or why there is none.
-    pub async fn commit(&self, http: &Http, txn: &Txn) -> Result<Result<u64, Vec<String>>, StateError> {
-        let body = serde_json::to_vec(txn).map_err(|e| StateError::Unknown(e.to_string()))?;
+    pub async fn commit(&self, http: &Http, txn: &Txn) -> Result<Result<u64, Vec<String>>, KvError> {
+        let body = serde_json::to_vec(txn).map_err(|e| KvError::Unknown(e.to_string()))?;
         match self.call(http, Method::POST, "/commit", body, LIMIT).await? {
             (200, body) => Ok(Ok(parse::<Epoch>(&body)?.epoch)),
             (409, body) => Ok(Err(parse::<Failed>(&body)?.failed)),
-            (s, _) => Err(StateError::Status(s)),
+            (s, _) => Err(KvError::Status(s)),
         }
     }
 
-    pub async fn grant(&self, http: &Http, life: Millis) -> Result<LeaseId, StateError> {
+    pub async fn grant(&self, http: &Http, life: Millis) -> Result<LeaseId, KvError> {
         let body = json!({ "life_ms": life.0 }).to_string().into_bytes();
         match self.call(http, Method::POST, "/holds", body, LIMIT).await? {
             (200 | 201, body) => Ok(parse::<Tenure>(&body)?.tenure),
-            (s, _) => Err(StateError::Status(s)),
+            (s, _) => Err(KvError::Status(s)),
         }
     }
 
     /// False: the lease has ended.
-    pub async fn renew(&self, http: &Http, lease: LeaseId, limit: Millis) -> Result<bool, StateError> {
+    pub async fn renew(&self, http: &Http, lease: LeaseId, limit: Millis) -> Result<bool, KvError> {
         match self.call(http, Method::POST, &format!("/holds/{lease}/extend"), b"{}".to_vec(), limit).await? {
             (200, _) => Ok(true),
             (404, _) => Ok(false),
-            (s, _) => Err(StateError::Status(s)),
+            (s, _) => Err(KvError::Status(s)),
         }
     }
 
-    pub async fn revoke(&self, http: &Http, lease: LeaseId) -> Result<(), StateError> {
+    pub async fn revoke(&self, http: &Http, lease: LeaseId) -> Result<(), KvError> {
         match self.call(http, Method::DELETE, &format!("/holds/{lease}"), vec![], LIMIT).await? {
             (200 | 204 | 404, _) => Ok(()),
-            (s, _) => Err(StateError::Status(s)),
+            (s, _) => Err(KvError::Status(s)),
         }
     }
 
     /// Changes after `since`; None: too old or too many, all must be read again, in pages.
-    pub async fn follow(
-        &self,
-        http: &Http,
-        prefix: &str,
-        since: u64,
-        block: Millis,
-    ) -> Result<Option<Log>, StateError> {
+    pub async fn follow(&self, http: &Http, prefix: &str, since: u64, block: Millis) -> Result<Option<Log>, KvError> {
         let path = format!("/follow?prefix={prefix}&since={since}&block_ms={}", block.0);
         match self.call(http, Method::GET, &path, vec![], Millis(block.0 + 2_000)).await {
             Ok((200, body)) => parse(&body).map(Some),
-            Ok((410, _)) | Err(StateError::TooLarge) => Ok(None),
-            Ok((s, _)) => Err(StateError::Status(s)),
+            Ok((410, _)) | Err(KvError::TooLarge) => Ok(None),
+            Ok((s, _)) => Err(KvError::Status(s)),
             Err(e) => Err(e),
         }
     }
 }
 
-pub fn commit_result(r: &Result<Result<u64, Vec<String>>, StateError>) -> CommitResult {
+pub fn commit_outcome(r: &Result<Result<u64, Vec<String>>, KvError>) -> CommitOutcome {
     match r {
-        Ok(Ok(_)) => CommitResult::Done,
-        Ok(Err(failed)) => CommitResult::Conflict(failed.clone()),
-        Err(StateError::Unknown(_) | StateError::TooLarge) => CommitResult::Unknown,
-        Err(StateError::Refused | StateError::Busy | StateError::Status(_)) => CommitResult::Refused,
+        Ok(Ok(_)) => CommitOutcome::Committed,
+        Ok(Err(failed)) => CommitOutcome::Conflict(failed.clone()),
+        Err(KvError::Unknown(_) | KvError::TooLarge) => CommitOutcome::Unknown,
+        Err(KvError::Refused | KvError::Busy | KvError::Status(_)) => CommitOutcome::Rejected,
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StateError> {
-    serde_json::from_slice(body).map_err(|e| StateError::Unknown(format!("unreadable answer: {e}")))
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, KvError> {
+    serde_json::from_slice(body).map_err(|e| KvError::Unknown(format!("unreadable answer: {e}")))
 }
--- a/src/net/leading.rs
+++ b/src/net/leading.rs
@@ -1,13 +1,13 @@
 //! The leader's work: loads the ledger, feeds it, and carries out what it asks for.
 
+use super::kv::{KvError, commit_outcome};
 use super::lookups;
 use super::node::{Inner, Node};
 use super::peers;
-use super::state::{StateError, commit_result};
 use super::step_times::Step;
 use crate::config::Peer;
 use crate::core::fleet::FLEET;
-use crate::core::leader::{Action, CommitResult, Leader, OrdersResult, RentResult, Stored, TICK};
+use crate::core::leader::{Action, CommitOutcome, Leader, OrdersResult, RentResult, Stored, TICK};
 
 use crate::core::cost::CostCounters;
 use crate::core::leadership::{LEADER_KEY, LeaderRecord, should_hand_over};
@@ -34,7 +34,7 @@
 /// Keeps the machine kinds known: from the state service, or (the leader) from the cloud.
 pub async fn learn_types(node: Arc<Node>) {
     loop {
-        let row = node.served(node.state.get(&node.http, KINDS_KEY)).await;
+        let row = node.track_store(node.kv.get(&node.http, KINDS_KEY)).await;
         if let Ok(Some(row)) = row {
             match serde_json::from_value::<Vec<MachineType>>(row.value) {
                 Ok(types) if !types.is_empty() => {
@@ -63,7 +63,7 @@
                 guards: vec![Guard { path: KINDS_KEY.into(), revision: 0 }],
                 apply: vec![Change::write(KINDS_KEY, json!(types))],
             };
-            let _ = node.served(node.state.commit(&node.http, &txn)).await;
+            let _ = node.track_store(node.kv.commit(&node.http, &txn)).await;
             node.lock().types = Some(types);
             continue;
         }
@@ -111,11 +111,11 @@
     leader.finish_load(node.now());
 }
 
-async fn load(node: &Node) -> Result<(Stored, u64), StateError> {
-    let (live, epoch) = node.state.list(&node.http, LIVE).await?;
-    let (bits, _) = node.state.list(&node.http, BITS).await?;
-    let (fleet, _) = node.state.list(&node.http, FLEET).await?;
-    let shares = node.state.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
+async fn load(node: &Node) -> Result<(Stored, u64), KvError> {
+    let (live, epoch) = node.kv.list(&node.http, LIVE).await?;
+    let (bits, _) = node.kv.list(&node.http, BITS).await?;
+    let (fleet, _) = node.kv.list(&node.http, FLEET).await?;
+    let shares = node.kv.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
     Ok((Stored { live, bits, fleet, shares }, epoch))
 }
 
@@ -178,8 +178,8 @@
         }
         Action::Commit { ticket, txn } => {
             let result = match acting {
-                true => commit_result(&node.served(node.state.commit(&node.http, &txn)).await),
-                false => CommitResult::Refused,
+                true => commit_outcome(&node.track_store(node.kv.commit(&node.http, &txn)).await),
+                false => CommitOutcome::Rejected,
             };
             inform(&node, |leader, now| leader.on_committed(now, ticket, result));
             carry_out(&node);
@@ -234,11 +234,11 @@
 
 /// Writes the leader's key anew; its revision then, if that is known and the key still this leader's.
 async fn reguard(node: &Node, txn: &Txn) -> Option<Revision> {
-    if let Ok(Ok(revision)) = node.served(node.state.commit(&node.http, txn)).await {
+    if let Ok(Ok(revision)) = node.track_store(node.kv.commit(&node.http, txn)).await {
         return Some(Revision(revision));
     }
     // Perhaps written, now or by an earlier try.
-    let row = node.served(node.state.get(&node.http, LEADER_KEY)).await.ok()??;
+    let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await.ok()??;
     let own = txn.apply.iter().any(|c| matches!(c, Change::Write { value, .. } if *value == row.value));
     own.then_some(Revision(row.revision))
 }
@@ -257,10 +257,10 @@
     let block = Millis(3_000).min(node.settings.read_ttl().mul_f64(0.25));
     while still_leads(node, term) {
         let asked_at = node.now();
-        let log = node.state.follow(&node.http, LIVE, since, block).await;
+        let log = node.kv.follow(&node.http, LIVE, since, block).await;
         // A watch that stays open says nothing.
-        if !matches!(log, Err(StateError::Unknown(_))) {
-            node.heard_state(&log);
+        if !matches!(log, Err(KvError::Unknown(_))) {
+            node.record_store_result(&log);
         }
         match log {
             Ok(Some(log)) => {
@@ -283,7 +283,7 @@
             }
             Ok(None) => {
                 let asked_at = node.now();
-                match node.served(node.state.list(&node.http, LIVE)).await {
+                match node.track_store(node.kv.list(&node.http, LIVE)).await {
                     Ok((rows, epoch)) => {
                         since = epoch;
                         let now = node.now();
@@ -360,7 +360,7 @@
     let mut inner = node.lock();
     let Some(leader) = inner.leader.as_ref().filter(|leader| leader.settled(now)) else { return };
     let lag = leader.lag();
-    let able = peers::answered(node, answers).filter(|(_, answer)| answer.state_ok && answer.forwards);
+    let able = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.forwards);
     let able: Vec<&Peer> = able.map(|(peer, _)| peer).collect();
     let Some(peer) = able.choose(&mut rand::rng()) else { return };
     if inner.overload.note(now, lag) {
@@ -389,7 +389,7 @@
     for (peer, a) in peers::answered(node, answers) {
         l.peer_answered(now, &peer.name);
         misdirected.extend(a.misdirected.iter().map(String::as_str));
-        if a.state_ok {
+        if a.store_ok {
             successor = successor.max(Some((a.misdirected.len(), &peer.name)));
         }
     }
--- a/src/net/lookups.rs
+++ b/src/net/lookups.rs
@@ -1,7 +1,7 @@
 //! What the state service holds of jobs: linearizable reads, and what this controller remembers of them.
 
+use super::kv::KvError;
 use super::node::Node;
-use super::state::StateError;
 use crate::core::records::{Ending, OverRecord, live_key, over_key};
 use crate::ids::{JobId, Revision};
 use crate::time::Millis;
@@ -18,31 +18,31 @@
 
 /// What the state service holds of a job now. A job goes from live to over and never back, so
 /// reading in this order misses nothing.
-pub async fn look_up(node: &Node, id: &JobId) -> Result<Found, StateError> {
+pub async fn look_up(node: &Node, id: &JobId) -> Result<Found, KvError> {
     in_time(node, read(node, id)).await
 }
 
 /// Some reading for a user, given up while the user still waits.
-pub async fn in_time<T>(node: &Node, reading: impl Future<Output = Result<T, StateError>>) -> Result<T, StateError> {
-    if node.state_is_silent() {
-        return Err(StateError::Unknown("silent for long".into()));
+pub async fn in_time<T>(node: &Node, reading: impl Future<Output = Result<T, KvError>>) -> Result<T, KvError> {
+    if node.store_unreachable() {
+        return Err(KvError::Unknown("silent for long".into()));
     }
     let limited = tokio::time::timeout(LOOK_UP_LIMIT.to_std(), reading).await;
-    limited.unwrap_or_else(|_| Err(StateError::Unknown("too slow".into())))
+    limited.unwrap_or_else(|_| Err(KvError::Unknown("too slow".into())))
 }
 
-pub(super) async fn read(node: &Node, id: &JobId) -> Result<Found, StateError> {
+pub(super) async fn read(node: &Node, id: &JobId) -> Result<Found, KvError> {
     let known = node.lock().finals.get(id);
     if let Some(record) = known {
         return Ok(Found::Over(record));
     }
-    let live = node.served(node.state.get(&node.http, &live_key(id))).await;
+    let live = node.track_store(node.kv.get(&node.http, &live_key(id))).await;
     if let Some(row) = live? {
         return Ok(Found::Live(row));
     }
-    let over = node.served(node.state.get(&node.http, &over_key(id))).await;
+    let over = node.track_store(node.kv.get(&node.http, &over_key(id))).await;
     let Some(row) = over? else { return Ok(Found::Absent) };
-    let record: OverRecord = serde_json::from_value(row.value).map_err(|e| StateError::Unknown(e.to_string()))?;
+    let record: OverRecord = serde_json::from_value(row.value).map_err(|e| KvError::Unknown(e.to_string()))?;
     note_over(node, id, record, Revision(row.revision));
     Ok(Found::Over(record))
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,6 +6,7 @@
 pub mod election;
 pub mod forwarding;
 pub mod http;
+pub mod kv;
 pub mod leading;
 pub mod lookups;
 pub mod node;
@@ -14,7 +15,6 @@
 pub mod rare_log;
 pub mod reports;
 pub mod server;
-pub mod state;
 pub mod step_times;
 pub mod users;
 
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -5,9 +5,9 @@
 use super::detours::Detours;
 use super::forwarding::{Forwarding, ReportWaits};
 use super::http::Http;
+use super::kv::{KvClient, KvError};
 use super::offloading::Offloading;
 use super::rare_log::RareLog;
-use super::state::{StateClient, StateError};
 use super::step_times::StepTimes;
 use crate::config::{Settings, Tuning};
 use crate::core::cancellations::Cancellations;
@@ -29,7 +29,7 @@
     pub http: Http,
     /// The same for orders to workers, which are many more than all else that is called.
     pub orders: Http,
-    pub state: StateClient,
+    pub kv: KvClient,
     pub cloud: CloudClient,
     /// Tells this process from earlier ones at the same address.
     pub incarnation: u64,
@@ -52,14 +52,14 @@
     pub checked_pipelines: CheckedPipelines,
     pub counts: HashMap<JobId, JobCount>,
     pub user_requests: usize,
-    pub refused_since: Option<MonotonicTime>,
+    pub store_refused_since: Option<MonotonicTime>,
     /// The state service hasn't answered at all since then, not even with a refusal.
-    pub state_silent_since: Option<MonotonicTime>,
-    pub peer_has_state: bool,
+    pub store_unreachable_since: Option<MonotonicTime>,
+    pub peer_reaches_store: bool,
     /// No peer answered when last asked.
-    pub alone: bool,
+    pub no_peer_answers: bool,
     /// Who leads, by the word of a peer that the state service answers.
-    pub leader_by_peers: Option<String>,
+    pub leader_per_peers: Option<String>,
     /// Machines that have reported here while another led, and when.
     misdirected: HashMap<String, Misdirected>,
     /// Machines that the leader has said it doesn't hear from.
@@ -151,7 +151,7 @@
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
         let cloud = CloudClient::new(settings.services.cloud.to_string(), settings.cluster.cloud.rps);
         let sockets = settings.sockets();
-        let state = StateClient::new(settings.services.state.to_string());
+        let kv = KvClient::new(settings.services.state.to_string());
         let inner = Inner {
             leadership: Leadership::new(settings.state_ttl(), settings.read_ttl()),
             leader: None,
@@ -162,11 +162,11 @@
             checked_pipelines: CheckedPipelines::default(),
             counts: HashMap::new(),
             user_requests: 0,
-            refused_since: None,
-            state_silent_since: None,
-            peer_has_state: false,
-            alone: false,
-            leader_by_peers: None,
+            store_refused_since: None,
+            store_unreachable_since: None,
+            peer_reaches_store: false,
+            no_peer_answers: false,
+            leader_per_peers: None,
             misdirected: HashMap::new(),
             silent: HashSet::new(),
             successor: None,
@@ -182,7 +182,7 @@
             tuning,
             http: Http::new(sockets.own),
             orders: Http::new(sockets.orders),
-            state,
+            kv,
             cloud,
             incarnation: rand::random::<u64>() >> 1,
             report_waits: ReportWaits::default(),
@@ -205,38 +205,38 @@
     }
 
     /// A call to the state service; how it went tells whether this controller is served.
-    pub async fn served<T>(&self, call: impl Future<Output = Result<T, StateError>>) -> Result<T, StateError> {
+    pub async fn track_store<T>(&self, call: impl Future<Output = Result<T, KvError>>) -> Result<T, KvError> {
         let r = call.await;
-        self.heard_state(&r);
+        self.record_store_result(&r);
         r
     }
 
     /// Anything but 503 and silence is being served.
-    pub fn heard_state<T>(&self, r: &Result<T, StateError>) {
+    pub fn record_store_result<T>(&self, r: &Result<T, KvError>) {
         let now = self.now();
         let mut inner = self.lock();
         match r {
-            Err(StateError::Refused | StateError::Unknown(_)) => {
-                inner.leadership.state_refused();
-                inner.refused_since.get_or_insert(now);
-                if matches!(r, Err(StateError::Unknown(_))) {
-                    inner.state_silent_since.get_or_insert(now);
+            Err(KvError::Refused | KvError::Unknown(_)) => {
+                inner.leadership.store_refused();
+                inner.store_refused_since.get_or_insert(now);
+                if matches!(r, Err(KvError::Unknown(_))) {
+                    inner.store_unreachable_since.get_or_insert(now);
                 } else {
-                    inner.state_silent_since = None;
+                    inner.store_unreachable_since = None;
                 }
             }
             _ => {
-                inner.leadership.state_answered();
-                inner.refused_since = None;
-                inner.state_silent_since = None;
+                inner.leadership.store_answered();
+                inner.store_refused_since = None;
+                inner.store_unreachable_since = None;
             }
         }
     }
 
     /// Whether the state service has been silent for so long that asking it for a user would only
     /// make the user wait; the election keeps asking.
-    pub fn state_is_silent(&self) -> bool {
+    pub fn store_unreachable(&self) -> bool {
         let now = self.now();
-        self.lock().state_silent_since.is_some_and(|t| now - t > SILENT_AFTER)
+        self.lock().store_unreachable_since.is_some_and(|t| now - t > SILENT_AFTER)
     }
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -89,8 +89,12 @@
     if !hello.successor.is_empty() && hello.successor != node.settings.name {
         inner.leadership.yield_to_successor(now);
     }
-    let mut answer =
-        HelloAnswer { version: VERSION, misdirected, state_ok: !inner.leadership.is_refused(), ..Default::default() };
+    let mut answer = HelloAnswer {
+        version: VERSION,
+        misdirected,
+        store_ok: !inner.leadership.is_refused_by_store(),
+        ..Default::default()
+    };
     if hello.hold_on
         && let Some(p) =
             inner.leadership.promise_to(now, Term(hello.term), Revision(hello.read_to), &inner.cancellations)
@@ -99,7 +103,7 @@
         answer.cancelled = p.cancelled.iter().map(JobId::to_string).collect();
     }
     answer.forwards = inner.forwarding.has_capacity(now);
-    answer.leader = inner.leader_name.clone().filter(|_| answer.state_ok).unwrap_or_default();
+    answer.leader = inner.leader_name.clone().filter(|_| answer.store_ok).unwrap_or_default();
     Some(answer.encode_to_vec())
 }
 
--- a/src/net/reports.rs
+++ b/src/net/reports.rs
@@ -114,7 +114,7 @@
     }
     // A worker that the leader doesn't hear would only wait there in vain. And a name read before the
     // state service fell silent may send it round in circles; peers may know.
-    let known = if inner.refused_since.is_some() { &inner.leader_by_peers } else { &inner.leader_name };
+    let known = if inner.store_refused_since.is_some() { &inner.leader_per_peers } else { &inner.leader_name };
     let known = if inner.silent.contains(&report.machine) { None } else { known.clone() };
     inner.note_misdirected(&report.machine, now, known).filter(|name| *name != node.settings.name)
 }
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -2,10 +2,10 @@
 //! committed write or a linearizable read, so no controller gives an older answer than another.
 
 use super::ancestors::{self, Standing};
+use super::kv::KvError;
 use super::lookups::{Found, look_up, note_over};
 use super::node::Node;
 use super::peers;
-use super::state::StateError;
 use crate::core::records::{LiveRecord, OverRecord, absent_guards, ending_changes, live_guard, live_key, over_key};
 use crate::core::submissions::{Refusal, Submission, check_possible, never_accepted, parse_submission};
 use crate::ids::{JobId, Revision};
@@ -84,13 +84,13 @@
     Later(&'static str),
 }
 
-impl From<StateError> for Rejection {
-    fn from(_: StateError) -> Rejection {
-        Rejection::Later(OUT_OF_REACH)
+impl From<KvError> for Rejection {
+    fn from(_: KvError) -> Rejection {
+        Rejection::Later(STORE_UNREACHABLE)
     }
 }
 
-const OUT_OF_REACH: &str = "the state service is out of reach";
+const STORE_UNREACHABLE: &str = "the state service is out of reach";
 
 /// What is to be stored of an accepted job.
 enum Accepted {
@@ -170,8 +170,8 @@
             note_over(node, id, record, Revision(epoch));
             Reply::job(201, id, record.phase, None, None)
         }
-        (Ok(Err(_)), _) => describe(node, id, Reply::later(OUT_OF_REACH)).await,
-        (Err(_), _) => Reply::later(OUT_OF_REACH),
+        (Ok(Err(_)), _) => describe(node, id, Reply::later(STORE_UNREACHABLE)).await,
+        (Err(_), _) => Reply::later(STORE_UNREACHABLE),
     }
 }
 
@@ -181,7 +181,7 @@
         Ok(Found::Over(r)) => Reply::over(id, r),
         Ok(Found::Live(row)) => describe_live(node, id, row).await,
         Ok(Found::Absent) => absent,
-        Err(_) => Reply::later(OUT_OF_REACH),
+        Err(_) => Reply::later(STORE_UNREACHABLE),
     }
 }
 
@@ -190,20 +190,20 @@
     match ancestors::needs_cancelled(node, id, &row).await {
         Ok(false) => live_reply(node, id),
         Ok(true) => cancel(node, id, row).await,
-        Err(_) => Reply::later(OUT_OF_REACH),
+        Err(_) => Reply::later(STORE_UNREACHABLE),
     }
 }
 
 /// Commits; when the state service has too much to do, tries again for a short while only.
-async fn commit(node: &Node, txn: &Txn) -> Result<Result<u64, Vec<String>>, StateError> {
-    if node.state_is_silent() {
-        return Err(StateError::Refused);
+async fn commit(node: &Node, txn: &Txn) -> Result<Result<u64, Vec<String>>, KvError> {
+    if node.store_unreachable() {
+        return Err(KvError::Refused);
     }
     let mut tries = 0;
     loop {
-        let r = node.served(node.state.commit(&node.http, txn)).await;
+        let r = node.track_store(node.kv.commit(&node.http, txn)).await;
         tries += 1;
-        if r != Err(StateError::Busy) || tries >= 3 {
+        if r != Err(KvError::Busy) || tries >= 3 {
             return r;
         }
         let pause = Millis(80 + rand::random::<u64>() % 120);
@@ -232,7 +232,7 @@
         Ok(Found::Live(row)) => cancel(node, &id, row).await,
         Ok(Found::Over(r)) => Reply::over(&id, r),
         Ok(Found::Absent) => Reply::error(404, "no such job"),
-        Err(_) => Reply::later(OUT_OF_REACH),
+        Err(_) => Reply::later(STORE_UNREACHABLE),
     }
 }
 
@@ -266,7 +266,7 @@
             Err(_) => break,
         }
     }
-    Reply::later(OUT_OF_REACH)
+    Reply::later(STORE_UNREACHABLE)
 }
 
 /// Whether the load balancer should send users here.
@@ -274,8 +274,8 @@
     let now = node.now();
     let inner = node.lock();
     // Refused alone, others serve users better; refused like all, nothing is gained by hiding.
-    let refused = inner.refused_since.is_some_and(|t| now - t > Millis(1_500)) && inner.peer_has_state;
+    let refused = inner.store_refused_since.is_some_and(|t| now - t > Millis(1_500)) && inner.peer_reaches_store;
     // So does one that hears neither the state service nor any peer.
-    let cut_off = inner.state_silent_since.is_some_and(|t| now - t > Millis(1_500)) && inner.alone;
+    let cut_off = inner.store_unreachable_since.is_some_and(|t| now - t > Millis(1_500)) && inner.no_peer_answers;
     inner.types.is_some() && !refused && !cut_off
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -54,7 +54,7 @@
     #[prost(uint32, tag = "1")]
     pub version: u32,
     #[prost(bool, tag = "2")]
-    pub state_ok: bool,
+    pub store_ok: bool,
     /// For this long the answering controller will not try to lead; 0 is a no.
     #[prost(uint64, tag = "3")]
     pub promise_ms: u64,
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -11,7 +11,7 @@
 use wallstile::ids::{LeaseId, Revision};
 use wallstile::net::cloud::CloudClient;
 use wallstile::net::http::Http;
-use wallstile::net::state::StateClient;
+use wallstile::net::kv::KvClient;
 use wallstile::time::{Millis, MonotonicTime};
 use wallstile::wire::{RentRequest, Txn};
 
@@ -73,7 +73,7 @@
 async fn leases_of_the_state_service_are_asked_for() {
     let service = StandIn::with(answers(&[(201, r#"{"tenure":12}"#), (200, "{}"), (404, "{}"), (204, "")])).await;
     let http = Http::new(8);
-    let state = StateClient::new(service.address.clone());
+    let state = KvClient::new(service.address.clone());
     assert_eq!(state.grant(&http, Millis(3500)).await, Ok(LeaseId(12)));
     assert_eq!(state.renew(&http, LeaseId(12), Millis(1000)).await, Ok(true));
     assert_eq!(state.renew(&http, LeaseId(13), Millis(1000)).await, Ok(false));
@@ -91,7 +91,7 @@
     let service =
         StandIn::with(answers(&[(200, r#"{"epoch":9002}"#), (409, r#"{"failed":["ctl/leader"],"epoch":9003}"#)])).await;
     let http = Http::new(8);
-    let state = StateClient::new(service.address.clone());
+    let state = KvClient::new(service.address.clone());
     let samples = Samples::wire();
     let txn: Txn = samples.read("transaction");
     assert_eq!(state.commit(&http, &txn).await, Ok(Ok(9002)));
@@ -115,7 +115,7 @@
     ]))
     .await;
     let http = Http::new(8);
-    let state = StateClient::new(service.address.clone());
+    let state = KvClient::new(service.address.clone());
     let read = state.get(&http, "ctl/heir").await.expect("it answers").expect("the key is there");
     assert_eq!((read.path.as_str(), read.value, read.revision), ("ctl/heir", json!("plinth-1"), 9001));
     assert!(state.get(&http, "ctl/leader").await.expect("it answers").is_none());
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -52,7 +52,7 @@
 fn answers_to_hellos_are_the_samples() {
     let full = HelloAnswer {
         version: 3,
-        state_ok: true,
+        store_ok: true,
         promise_ms: 3500,
         misdirected: vec!["m-000231".into()],
         leader: "plinth-2".into(),
@@ -61,7 +61,7 @@
     };
     assert_samples(&[
         ("hello_answer", full),
-        ("hello_answer_state_ok", HelloAnswer { state_ok: true, ..HelloAnswer::default() }),
+        ("hello_answer_state_ok", HelloAnswer { store_ok: true, ..HelloAnswer::default() }),
         ("hello_answer_forwards", HelloAnswer { forwards: true, ..HelloAnswer::default() }),
     ]);
 }
