--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -10,7 +10,7 @@
 use wallstile::core::records::LiveRecord;
 use wallstile::ids::{JobId, LeaseId, Revision, Term};
 use wallstile::time::{MonotonicTime, WallTime};
-use wallstile::wire::{JobSpec, Row};
+use wallstile::wire::{JobSpec, KeyValue};
 
 /// What the leader was given.
 #[derive(Clone, Copy, PartialEq)]
@@ -62,7 +62,7 @@
             let report = &worker.report;
             let (endpoint, kind, zone) = (report.endpoint.clone(), report.kind.clone(), report.zone.clone());
             let record = FleetRecord { endpoint, kind, zone, spot: report.spot };
-            Row { path: format!("{FLEET}{}", report.machine), value: serde_json::json!(record), revision: 1 }
+            KeyValue { key: format!("{FLEET}{}", report.machine), value: serde_json::json!(record), revision: 1 }
         };
         let fleet = self.workers.iter().take(machines).map(row).collect();
         self.leader.load(MonotonicTime(0), Stored { fleet, ..Stored::default() });
--- a/benches/support/stand_ins.rs
+++ b/benches/support/stand_ins.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use wallstile::wire::{Change, DirectOrders, MachineTypes, Txn};
+use wallstile::wire::{DirectOrders, MachineTypes, Mutation, Transaction};
 
 /// Requests seen so far, by who answers them.
 #[derive(Default)]
@@ -42,22 +42,22 @@
 }
 
 impl StateService {
-    fn commit(&mut self, txn: &Txn) -> (u16, Value) {
+    fn commit(&mut self, transaction: &Transaction) -> (u16, Value) {
         let revision = |key: &str| self.keys.get(key).map_or(0, |(_, revision)| *revision);
         let failed: Vec<&String> =
-            txn.guards.iter().filter(|g| revision(&g.path) != g.revision).map(|g| &g.path).collect();
+            transaction.preconditions.iter().filter(|g| revision(&g.key) != g.revision).map(|g| &g.key).collect();
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "epoch": self.epoch}));
         }
         self.epoch += 1;
         let stamp = self.epoch;
-        for change in &txn.apply {
+        for change in &transaction.mutations {
             let entry = match change {
-                Change::Write { write, value, .. } => {
+                Mutation::Put { key: write, value, .. } => {
                     self.keys.insert(write.clone(), (value.clone(), stamp));
                     (write.clone(), json!({"write": write, "value": value, "stamp": stamp}))
                 }
-                Change::Drop { drop } => {
+                Mutation::Delete { key: drop } => {
                     self.keys.remove(drop);
                     (drop.clone(), json!({"drop": drop, "stamp": stamp}))
                 }
@@ -85,7 +85,7 @@
     fn answer(&mut self, method: &str, path: &str, query: &str, body: &[u8]) -> (u16, Value) {
         match (method, path) {
             ("POST", "commit") => match serde_json::from_slice(body) {
-                Ok(txn) => self.commit(&txn),
+                Ok(transaction) => self.commit(&transaction),
                 Err(_) => (400, json!({})),
             },
             ("POST", "holds") => (200, json!({"tenure": 7})),
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -30,7 +30,7 @@
 use crate::core::miser;
 use crate::core::pipelines::{Pipelines, Stage};
 use crate::core::records::{
-    CHANGES_OF_AN_ENDING, Ending, LIVE, LiveRecord, OverRecord, ending_changes, live_guard, live_key,
+    CHANGES_OF_AN_ENDING, Ending, LIVE, LiveRecord, OverRecord, ending_changes, live_key, live_precondition,
 };
 use crate::core::rentals::{Market, Rentals, Request};
 use crate::core::shares::{SHARES_KEY, Shares};
@@ -42,8 +42,8 @@
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    Cause, Change, DirectOrders, Guard, JobSpec, Kind, ListPhase, ListedMachine, MachineType, Order, Priority,
-    RentRequest, Report, ReportAnswer, Row, TaskPhase, TaskReport, Txn,
+    Cause, DirectOrders, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType, Mutation, Order, Precondition,
+    Priority, RentRequest, Report, ReportAnswer, TaskPhase, TaskReport, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use log::{debug, info, warn};
@@ -65,10 +65,10 @@
     },
     Commit {
         ticket: u64,
-        txn: Txn,
+        transaction: Transaction,
     },
     /// Writes the leader's key anew and says which revision it has then.
-    Reguard(Txn),
+    Reguard(Transaction),
     Rent(RentRequest),
     Return(Vec<MachineId>),
     /// Reads how these jobs have ended.
@@ -260,9 +260,9 @@
 /// Everything kept in the state service, as read by a new leader.
 #[derive(Default)]
 pub struct Stored {
-    pub live: Vec<Row>,
-    pub bits: Vec<Row>,
-    pub fleet: Vec<Row>,
+    pub live: Vec<KeyValue>,
+    pub bits: Vec<KeyValue>,
+    pub fleet: Vec<KeyValue>,
     pub shares: Option<Value>,
 }
 
@@ -278,9 +278,11 @@
     }
 }
 
-fn in_chunks(rows: Vec<Row>, most: usize) -> impl Iterator<Item = Vec<Row>> {
+fn in_chunks(rows: Vec<KeyValue>, most: usize) -> impl Iterator<Item = Vec<KeyValue>> {
     let mut rows = rows.into_iter();
-    std::iter::from_fn(move || Some(rows.by_ref().take(most).collect::<Vec<Row>>()).filter(|chunk| !chunk.is_empty()))
+    std::iter::from_fn(move || {
+        Some(rows.by_ref().take(most).collect::<Vec<KeyValue>>()).filter(|chunk| !chunk.is_empty())
+    })
 }
 
 impl Leader {
@@ -474,21 +476,21 @@
         info!("ledger loaded: term={} jobs={} machines={}", self.term, self.jobs.len(), self.machines.len());
     }
 
-    fn load_job(&mut self, row: Row) {
-        match row.path.strip_prefix(LIVE).and_then(JobId::parse) {
+    fn load_job(&mut self, row: KeyValue) {
+        match row.key.strip_prefix(LIVE).and_then(JobId::parse) {
             Some(id) => self.on_live(&id, &row.value, Revision(row.revision)),
-            None => warn!("state: key {} is no job", row.path),
+            None => warn!("state: key {} is no job", row.key),
         }
     }
 
-    fn load_done_set(&mut self, row: Row) {
-        let parsed = done_sets::parse_key(&row.path);
+    fn load_done_set(&mut self, row: KeyValue) {
+        let parsed = done_sets::parse_key(&row.key);
         let Some((job, number)) = parsed.and_then(|(id, number)| Some((self.jobs.get_mut(&id)?, number))) else {
-            self.orphaned_sets.push(row.path);
+            self.orphaned_sets.push(row.key);
             return;
         };
         if !self.p.layout.read(&mut job.durable, number, &row.value) {
-            warn!("state: {} can't be read", row.path);
+            warn!("state: {} can't be read", row.key);
         }
         let done: Vec<usize> = job.durable.ones().collect();
         for i in done {
@@ -496,11 +498,11 @@
         }
     }
 
-    fn load_machine(&mut self, now: MonotonicTime, row: Row) {
-        let id = row.path.strip_prefix(FLEET).and_then(MachineId::parse);
+    fn load_machine(&mut self, now: MonotonicTime, row: KeyValue) {
+        let id = row.key.strip_prefix(FLEET).and_then(MachineId::parse);
         let record = serde_json::from_value::<FleetRecord>(row.value);
         let (Some(id), Ok(r)) = (id, record) else {
-            return warn!("state: {} can't be read", row.path);
+            return warn!("state: {} can't be read", row.key);
         };
         let Some((kind, zone)) = self.place_of(&r.kind, &r.zone) else {
             return warn!("state: machine {id} is of unknown kind {} or zone {}", r.kind, r.zone);
@@ -549,15 +551,15 @@
     }
 
     /// The watch has missed changes: what is no longer listed is over.
-    pub fn reload_live(&mut self, rows: Vec<Row>, epoch: u64) {
+    pub fn reload_live(&mut self, rows: Vec<KeyValue>, revision: u64) {
         let mut listed = BTreeSet::new();
         for row in rows {
-            if let Some(id) = row.path.strip_prefix(LIVE).and_then(JobId::parse) {
+            if let Some(id) = row.key.strip_prefix(LIVE).and_then(JobId::parse) {
                 self.on_live(&id, &row.value, Revision(row.revision));
                 listed.insert(id);
             }
         }
-        let gone = |(id, j): &(&JobId, &Job)| !listed.contains(*id) && j.revision.0 <= epoch;
+        let gone = |(id, j): &(&JobId, &Job)| !listed.contains(*id) && j.revision.0 <= revision;
         let over: Vec<JobId> = self.jobs.iter().filter(gone).map(|(id, _)| *id).collect();
         for id in over {
             self.on_over(&id, Ending::Unknown);
--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -27,8 +27,8 @@
     /// The cloud carries out no returns.
     cloud_down: bool,
     /// Writes get no answer; they are kept here.
-    unanswered: Option<Vec<Txn>>,
-    committed: Vec<Txn>,
+    unanswered: Option<Vec<Transaction>>,
+    committed: Vec<Transaction>,
     /// The most work that a tick took.
     longest_tick: CostCounters,
     /// What the state service holds.
@@ -83,9 +83,9 @@
     }
 }
 
-fn record(i: usize) -> Row {
+fn record(i: usize) -> KeyValue {
     let r = FleetRecord { endpoint: format!("w{i}"), kind: "plain".into(), zone: "a".into(), spot: false };
-    Row { path: format!("fleet/m-{i:06}"), value: json!(r), revision: 1 }
+    KeyValue { key: format!("fleet/m-{i:06}"), value: json!(r), revision: 1 }
 }
 
 impl Rig {
@@ -94,7 +94,7 @@
         let tuning = Tuning { gather_s: 30.0, idle_s: 600.0, ..Tuning::default() };
         let mut leader = Leader::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
         leader.load(MonotonicTime(0), Stored { fleet: (0..machines).map(record).collect(), ..Stored::default() });
-        let store = (0..machines).map(record).map(|r| (r.path, (r.value, r.revision))).collect();
+        let store = (0..machines).map(record).map(|r| (r.key, (r.value, r.revision))).collect();
         let workers = (0..machines).map(|i| (format!("w{i}"), Rig::fresh(i))).collect();
         Rig {
             leader,
@@ -152,26 +152,26 @@
         Some(serde_json::from_value::<OverRecord>(record.clone()).unwrap().ending())
     }
 
-    fn commit(&mut self, txn: Txn) {
-        for c in &txn.apply {
+    fn commit(&mut self, transaction: Transaction) {
+        for c in &transaction.mutations {
             match c {
-                Change::Write { write, value, .. } => {
+                Mutation::Put { key: write, value, .. } => {
                     self.store.insert(write.clone(), (value.clone(), self.term.0 + 1));
                 }
-                Change::Drop { drop } => {
+                Mutation::Delete { key: drop } => {
                     self.store.remove(drop);
                 }
             }
         }
-        self.committed.push(txn);
+        self.committed.push(transaction);
     }
 
     /// The leader ends, and another is elected.
     fn succeed(&mut self) {
         self.term.0 += 1_000_000;
-        let rows = |prefix: &str| -> Vec<Row> {
+        let rows = |prefix: &str| -> Vec<KeyValue> {
             let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
-            of.map(|(k, v)| Row { path: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
+            of.map(|(k, v)| KeyValue { key: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
         };
         let stored = Stored { live: rows(LIVE), bits: rows(BITS), fleet: rows(FLEET), shares: None };
         self.leader =
@@ -248,13 +248,13 @@
                         };
                         self.leader.on_orders_result(now, ticket, result);
                     }
-                    Action::Commit { ticket, txn } => match &mut self.unanswered {
+                    Action::Commit { ticket, transaction } => match &mut self.unanswered {
                         Some(l) => {
-                            l.push(txn);
+                            l.push(transaction);
                             self.leader.on_committed(now, ticket, CommitOutcome::Unknown);
                         }
                         None => {
-                            self.commit(txn);
+                            self.commit(transaction);
                             self.leader.on_committed(now, ticket, CommitOutcome::Committed);
                         }
                     },
--- a/src/core/leader/tests/digest.rs
+++ b/src/core/leader/tests/digest.rs
@@ -44,10 +44,10 @@
         SimulatedWorker::new(index, kind, zone, index.is_multiple_of(5), report_at)
     }
 
-    fn record(&self) -> Row {
+    fn record(&self) -> KeyValue {
         let Report { endpoint, kind, zone, spot, .. } = self.report.clone();
         let value = json!(FleetRecord { endpoint, kind, zone, spot });
-        Row { path: format!("{FLEET}{}", self.report.machine), value, revision: 1 }
+        KeyValue { key: format!("{FLEET}{}", self.report.machine), value, revision: 1 }
     }
 
     fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
@@ -302,8 +302,8 @@
                 let result = self.execute(&endpoint, &body);
                 self.leader.on_orders_result(now, ticket, result);
             }
-            Action::Commit { ticket, txn } => {
-                let result = self.commit(&txn);
+            Action::Commit { ticket, transaction } => {
+                let result = self.commit(&transaction);
                 self.leader.on_committed(now, ticket, result);
             }
             Action::Reguard(_) => {
@@ -347,7 +347,7 @@
     }
 
     /// Some transactions are refused; of others it isn't known whether they were carried out.
-    fn commit(&mut self, txn: &Txn) -> CommitOutcome {
+    fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         self.given.commits += 1;
         self.revision += 1;
         let answer = match self.given.commits % 40 {
@@ -355,8 +355,8 @@
             30 => return CommitOutcome::Rejected,
             _ => CommitOutcome::Committed,
         };
-        for change in &txn.apply {
-            if let Change::Write { write, value, .. } = change
+        for change in &transaction.mutations {
+            if let Mutation::Put { key: write, value, .. } = change
                 && let Some(id) = write.strip_prefix(OVER).and_then(JobId::parse)
             {
                 let record: OverRecord = serde_json::from_value(value.clone()).expect("a record of an ending");
--- a/src/core/leader/tests/leaders.rs
+++ b/src/core/leader/tests/leaders.rs
@@ -27,13 +27,17 @@
     rig.run(4_000);
     let lost = rig.unanswered.take().unwrap();
     assert_eq!(lost.len(), 1, "nothing more is written while an older write may come late");
-    let is_bits = |t: &Txn| matches!(&t.apply[0], Change::Write { write, .. } if write.starts_with(BITS));
+    let is_bits =
+        |t: &Transaction| matches!(&t.mutations[0], Mutation::Put { key: write, .. } if write.starts_with(BITS));
     assert!(is_bits(&lost[0]));
     assert!(rig.workers["w0"].tasks.iter().any(TaskReport::is_done), "kept until it is durable");
     rig.committed.clear();
     rig.run(3_000);
     assert!(rig.committed.iter().any(is_bits));
-    assert!(rig.committed.iter().all(|t| t.guards[0].revision > lost[0].guards[0].revision), "the older one is dead");
+    assert!(
+        rig.committed.iter().all(|t| t.preconditions[0].revision > lost[0].preconditions[0].revision),
+        "the older one is dead"
+    );
     assert!(!rig.workers["w0"].tasks.iter().any(TaskReport::is_done));
     assert_eq!(rig.runs(&id), 1);
 }
@@ -173,7 +177,7 @@
     rig.run(1_000);
     // The job's own key guards the end, so that it can't be declared over a cancellation, however late.
     let end = &rig.unanswered.as_ref().unwrap()[0];
-    let guard = end.guards.iter().find(|g| g.path == live_key(&id)).unwrap();
+    let guard = end.preconditions.iter().find(|g| g.key == live_key(&id)).unwrap();
     assert_eq!(guard.revision, 200);
     rig.cancel(&id);
     rig.leader.on_over(&id, Ending::Cancelled);
--- a/src/core/leader/tests/operation_bounds.rs
+++ b/src/core/leader/tests/operation_bounds.rs
@@ -127,11 +127,11 @@
 
 #[test]
 fn a_ledger_loaded_in_parts_is_the_same() {
-    let rows = |n: usize| (0..n).map(record).collect::<Vec<Row>>();
+    let rows = |n: usize| (0..n).map(record).collect::<Vec<KeyValue>>();
     let job = |n: u32| {
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 2, 1.0);
-        Row {
-            path: format!("live/{}", spec.id),
+        KeyValue {
+            key: format!("live/{}", spec.id),
             value: json!(LiveRecord { at: WallTime(0), spec, awaits: vec![] }),
             revision: 9,
         }
--- a/src/core/leader/tests/pipelines.rs
+++ b/src/core/leader/tests/pipelines.rs
@@ -81,7 +81,9 @@
     for id in [last, late].iter().chain(&after) {
         assert_eq!((rig.ending(id), rig.runs(id)), (Some(Ending::Cancelled), 0), "{id}");
     }
-    assert!(rig.committed.iter().all(|txn| txn.apply.len() <= sample_settings().cluster.state.txn_ops));
+    assert!(
+        rig.committed.iter().all(|transaction| transaction.mutations.len() <= sample_settings().cluster.state.txn_ops)
+    );
     finish_all(&mut rig);
     assert_eq!((rig.ending(&unhurt), rig.runs(&unhurt)), (None, 1));
 }
@@ -154,7 +156,7 @@
     rig.cancel(&first);
     rig.store.insert(over_key(&first), (json!(OverRecord::cancelled(1)), 300));
     let rows = rig.store.iter().filter(|(key, _)| key.starts_with(LIVE));
-    let rows = rows.map(|(key, v)| Row { path: key.clone(), value: v.0.clone(), revision: v.1 }).collect();
+    let rows = rows.map(|(key, v)| KeyValue { key: key.clone(), value: v.0.clone(), revision: v.1 }).collect();
     rig.leader.reload_live(rows, 400);
     rig.run(2_000);
     assert_eq!((rig.ending(&last), rig.ending(&second)), (Some(Ending::Cancelled), None));
--- a/src/core/leader/writes.rs
+++ b/src/core/leader/writes.rs
@@ -6,15 +6,15 @@
 const MAX_COMMITS: usize = 6;
 
 impl Leader {
-    pub(super) fn own_guard(&self) -> Guard {
-        Guard { path: LEADER_KEY.into(), revision: self.guard.0 }
+    pub(super) fn own_guard(&self) -> Precondition {
+        Precondition { key: LEADER_KEY.into(), revision: self.guard.0 }
     }
 
-    pub(super) fn commit(&mut self, purpose: Purpose, txn: Txn) {
+    pub(super) fn commit(&mut self, purpose: Purpose, transaction: Transaction) {
         self.tickets += 1;
-        self.tokens -= txn.apply.len() as f64;
+        self.tokens -= transaction.mutations.len() as f64;
         self.commits.insert(self.tickets, (purpose, self.guard));
-        self.actions.push(Action::Commit { ticket: self.tickets, txn });
+        self.actions.push(Action::Commit { ticket: self.tickets, transaction });
     }
 
     /// Writes what must be durable, most urgent first, within the share of writes.
@@ -45,8 +45,9 @@
         self.reguard = Reguard::UnderWay;
         self.tokens -= 1.0;
         let value = serde_json::json!(self.record);
-        let write = Change::Write { write: LEADER_KEY.into(), value, tenure: Some(self.record.lease.0) };
-        self.actions.push(Action::Reguard(Txn { guards: vec![self.own_guard()], apply: vec![write] }));
+        let write = Mutation::Put { key: LEADER_KEY.into(), value, lease: Some(self.record.lease.0) };
+        self.actions
+            .push(Action::Reguard(Transaction { preconditions: vec![self.own_guard()], mutations: vec![write] }));
     }
 
     /// Records machines before their first order, and forgets those that are gone.
@@ -55,10 +56,10 @@
         if self.tokens < 1.0 || under_way {
             return;
         }
-        let mut apply = Vec::new();
+        let mut mutations = Vec::new();
         let mut commission = Vec::new();
         for (id, m) in &mut self.machines {
-            if apply.len() < self.p.txn_ops && m.up && m.commission == Commission::No && !m.doomed {
+            if mutations.len() < self.p.txn_ops && m.up && m.commission == Commission::No && !m.doomed {
                 m.commission = Commission::Writing;
                 let record = FleetRecord {
                     endpoint: m.endpoint.clone(),
@@ -66,16 +67,16 @@
                     zone: self.zones[m.zone as usize].clone(),
                     spot: m.spot,
                 };
-                apply.push(Change::write(fleet_key(id), serde_json::json!(record)));
+                mutations.push(Mutation::put(fleet_key(id), serde_json::json!(record)));
                 commission.push(id.clone());
             }
         }
-        let room = self.p.txn_ops - apply.len();
+        let room = self.p.txn_ops - mutations.len();
         let forget: Vec<MachineId> = self.forget.iter().take(room).cloned().collect();
-        apply.extend(forget.iter().map(|id| Change::drop(fleet_key(id))));
-        if !apply.is_empty() {
-            let txn = Txn { guards: vec![self.own_guard()], apply };
-            self.commit(Purpose::Fleet { commission, forget }, txn);
+        mutations.extend(forget.iter().map(|id| Mutation::delete(fleet_key(id))));
+        if !mutations.is_empty() {
+            let transaction = Transaction { preconditions: vec![self.own_guard()], mutations };
+            self.commit(Purpose::Fleet { commission, forget }, transaction);
         }
     }
 
@@ -87,16 +88,16 @@
         }
         let most = (self.p.txn_ops / CHANGES_OF_AN_ENDING).max(1);
         let doomed = self.pipelines.doomed().filter_map(|id| Some((*id, self.jobs.get(id)?)));
-        let mut guards = vec![self.own_guard()];
-        let mut apply = Vec::new();
+        let mut preconditions = vec![self.own_guard()];
+        let mut mutations = Vec::new();
         let mut ids = Vec::new();
         for (id, job) in doomed.take(most) {
-            guards.push(live_guard(&id, job.revision));
-            apply.extend(ending_changes(&id, &OverRecord::cancelled(job.spec.tasks)));
+            preconditions.push(live_precondition(&id, job.revision));
+            mutations.extend(ending_changes(&id, &OverRecord::cancelled(job.spec.tasks)));
             ids.push(id);
         }
         if !ids.is_empty() {
-            self.commit(Purpose::Cancel(ids), Txn { guards, apply });
+            self.commit(Purpose::Cancel(ids), Transaction { preconditions, mutations });
         }
     }
 
@@ -112,9 +113,9 @@
             let guard = self.own_guard();
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.finishing = true;
-            let guards = vec![guard, live_guard(&id, job.revision)];
-            let apply = ending_changes(&id, &OverRecord::done(job.spec.tasks, wall)).into();
-            self.commit(Purpose::Finish(id, wall), Txn { guards, apply });
+            let preconditions = vec![guard, live_precondition(&id, job.revision)];
+            let mutations = ending_changes(&id, &OverRecord::done(job.spec.tasks, wall)).into();
+            self.commit(Purpose::Finish(id, wall), Transaction { preconditions, mutations });
         }
     }
 
@@ -129,29 +130,29 @@
         }
         self.bits_at = now;
         let room = self.p.txn_ops.min(self.tokens as usize);
-        let mut apply = Vec::new();
+        let mut mutations = Vec::new();
         let mut which = Vec::new();
         for id in dirty {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let mut rows = self.p.layout.rows(job.spec.tasks);
             rows.retain(|row| row.differs(&job.done, &job.durable));
-            if apply.len() + rows.len() > room && !apply.is_empty() {
+            if mutations.len() + rows.len() > room && !mutations.is_empty() {
                 break;
             }
             rows.truncate(room);
             let mut durable = job.durable.clone();
             for row in rows {
                 durable.extend(row.members(&job.done));
-                apply.push(Change::write(row.key(&id), row.encode(&job.done)));
+                mutations.push(Mutation::put(row.key(&id), row.encode(&job.done)));
             }
             job.bits_in_flight = true;
             which.push((id, durable));
-            if apply.len() >= room {
+            if mutations.len() >= room {
                 break;
             }
         }
-        let txn = Txn { guards: vec![self.own_guard()], apply };
-        self.commit(Purpose::DoneSets(which), txn);
+        let transaction = Transaction { preconditions: vec![self.own_guard()], mutations };
+        self.commit(Purpose::DoneSets(which), transaction);
         true
     }
 
@@ -167,8 +168,9 @@
             warn!("{SHARES_KEY} has too many teams for a value and isn't kept");
             return false;
         }
-        let txn = Txn { guards: vec![self.own_guard()], apply: vec![Change::write(SHARES_KEY, value)] };
-        self.commit(Purpose::Shares, txn);
+        let transaction =
+            Transaction { preconditions: vec![self.own_guard()], mutations: vec![Mutation::put(SHARES_KEY, value)] };
+        self.commit(Purpose::Shares, transaction);
         true
     }
 
@@ -179,9 +181,9 @@
         }
         let n = self.orphaned_sets.len().min(self.p.txn_ops).min(4);
         let keys: Vec<String> = self.orphaned_sets.drain(..n).collect();
-        let apply = keys.iter().map(Change::drop).collect();
-        let txn = Txn { guards: vec![self.own_guard()], apply };
-        self.commit(Purpose::Tidy(keys), txn);
+        let mutations = keys.iter().map(Mutation::delete).collect();
+        let transaction = Transaction { preconditions: vec![self.own_guard()], mutations };
+        self.commit(Purpose::Tidy(keys), transaction);
     }
 
     fn has_writes_to_spare(&self) -> bool {
--- a/src/core/ledger_model/checks.rs
+++ b/src/core/ledger_model/checks.rs
@@ -30,7 +30,7 @@
             }
             let mut set = FixedBitSet::with_capacity(self.specs[&task.job].tasks as usize);
             for row in self.rows(&format!("{BITS}{}/", task.job)) {
-                let (_, number) = parse_key(&row.path).expect("a key of a done set");
+                let (_, number) = parse_key(&row.key).expect("a key of a done set");
                 assert!(layout.read(&mut set, number, &row.value));
             }
             assert!(set.contains(task.index as usize), "{task} was cleared and isn't done at {}", self.now);
--- a/src/core/ledger_model/digest.rs
+++ b/src/core/ledger_model/digest.rs
@@ -54,14 +54,14 @@
                 self.part(endpoint.as_bytes());
                 self.json(body);
             }
-            Action::Commit { ticket, txn } => {
+            Action::Commit { ticket, transaction } => {
                 self.tag(Tag::Commit);
                 self.number(*ticket);
-                self.json(txn);
+                self.json(transaction);
             }
-            Action::Reguard(txn) => {
+            Action::Reguard(transaction) => {
                 self.tag(Tag::Reguard);
-                self.json(txn);
+                self.json(transaction);
             }
             Action::Rent(request) => {
                 self.tag(Tag::Rent);
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/ledger_model/mod.rs
@@ -20,8 +20,8 @@
 use crate::peer::PlanOutput;
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    Cause, Change, JobPhase, JobSpec, Kind, MachineType, Order, Priority, RentRequest, Report, ReportAnswer, Row,
-    TaskPhase, TaskReport, Txn,
+    Cause, JobPhase, JobSpec, KeyValue, Kind, MachineType, Mutation, Order, Priority, RentRequest, Report,
+    ReportAnswer, TaskPhase, TaskReport, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use rand::rngs::StdRng;
@@ -98,7 +98,7 @@
     Commit {
         leader: u64,
         ticket: u64,
-        txn: Txn,
+        transaction: Transaction,
     },
     Committed {
         leader: u64,
@@ -107,11 +107,11 @@
     },
     Reguard {
         leader: u64,
-        txn: Txn,
+        transaction: Transaction,
     },
     ReadKey {
         leader: u64,
-        txn: Txn,
+        transaction: Transaction,
     },
     Rented {
         leader: u64,
@@ -246,19 +246,26 @@
 
     // ---- the store
 
-    fn commit(&mut self, txn: &Txn) -> CommitOutcome {
+    fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         let revision = |m: &Model, k: &str| m.store.get(k).map_or(0, |v| v.1);
-        let failed: Vec<String> =
-            txn.guards.iter().filter(|g| revision(self, &g.path) != g.revision).map(|g| g.path.clone()).collect();
+        let failed: Vec<String> = transaction
+            .preconditions
+            .iter()
+            .filter(|g| revision(self, &g.key) != g.revision)
+            .map(|g| g.key.clone())
+            .collect();
         if !failed.is_empty() {
             return CommitOutcome::Conflict(failed);
         }
-        assert!(txn.apply.len() <= self.settings.cluster.state.txn_ops, "too many changes in a transaction");
+        assert!(
+            transaction.mutations.len() <= self.settings.cluster.state.txn_ops,
+            "too many changes in a transaction"
+        );
         self.epoch += 1;
-        for c in &txn.apply {
+        for c in &transaction.mutations {
             let (key, value) = match c {
-                Change::Write { write, value, .. } => (write, Some(value.clone())),
-                Change::Drop { drop } => (drop, None),
+                Mutation::Put { key: write, value, .. } => (write, Some(value.clone())),
+                Mutation::Delete { key: drop } => (drop, None),
             };
             match &value {
                 Some(v) => {
@@ -281,9 +288,9 @@
         CommitOutcome::Committed
     }
 
-    fn rows(&self, prefix: &str) -> Vec<Row> {
+    fn rows(&self, prefix: &str) -> Vec<KeyValue> {
         let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
-        of.map(|(k, v)| Row { path: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
+        of.map(|(k, v)| KeyValue { key: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
     }
 
     // ---- leaders
@@ -325,21 +332,21 @@
                     let (token, session, orders) = (body.token, body.session, body.orders);
                     self.post(delay, Mail::Orders { leader, ticket, worker, token, session, orders });
                 }
-                Action::Commit { ticket, txn } => {
+                Action::Commit { ticket, transaction } => {
                     let delay = self.delay();
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { delay };
                     if delay > 1_200 {
                         self.post(1_200, Mail::Committed { leader, ticket, result: CommitOutcome::Unknown });
                     }
-                    self.post(delay, Mail::Commit { leader, ticket, txn });
+                    self.post(delay, Mail::Commit { leader, ticket, transaction });
                 }
-                Action::Reguard(txn) => {
+                Action::Reguard(transaction) => {
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { self.delay() };
                     if delay > 1_200 {
                         // The read that follows an unanswered write.
-                        self.post(1_200, Mail::ReadKey { leader, txn: txn.clone() });
+                        self.post(1_200, Mail::ReadKey { leader, transaction: transaction.clone() });
                     }
-                    self.post(delay, Mail::Reguard { leader, txn });
+                    self.post(delay, Mail::Reguard { leader, transaction });
                 }
                 Action::Plan { node, input } => {
                     // Peers plan on a view that is old by then, answer late, twice or not at all,
@@ -460,10 +467,10 @@
         let Some((_, _)) = self.store.get(&live_key(id)) else { return };
         let over = OverRecord::cancelled(self.specs[id].tasks);
         let revision = self.store[&live_key(id)].1;
-        let guards = vec![crate::wire::Guard { path: live_key(id), revision }];
-        let apply = vec![Change::drop(live_key(id)), Change::write(over_key(id), json!(over))];
+        let preconditions = vec![crate::wire::Precondition { key: live_key(id), revision }];
+        let mutations = vec![Mutation::delete(live_key(id)), Mutation::put(over_key(id), json!(over))];
         let cancelled_before = self.cancelled.insert(*id, self.now);
-        if self.commit(&Txn { guards, apply }) != CommitOutcome::Committed {
+        if self.commit(&Transaction { preconditions, mutations }) != CommitOutcome::Committed {
             match cancelled_before {
                 Some(at) => self.cancelled.insert(*id, at),
                 None => self.cancelled.remove(id),
@@ -578,14 +585,14 @@
                     l.on_orders_result(now, ticket, result);
                 }
             }
-            Mail::Commit { leader, ticket, txn } => {
-                let result = self.commit(&txn);
+            Mail::Commit { leader, ticket, transaction } => {
+                let result = self.commit(&transaction);
                 let result = if self.lost() { CommitOutcome::Unknown } else { result };
                 let delay = self.rng.random_range(1..20);
                 self.post(delay, Mail::Committed { leader, ticket, result });
             }
-            Mail::Reguard { leader, txn } => {
-                if self.commit(&txn) == CommitOutcome::Committed {
+            Mail::Reguard { leader, transaction } => {
+                if self.commit(&transaction) == CommitOutcome::Committed {
                     let revision = Revision(self.epoch);
                     if let Some(l) = self.leader.as_mut().filter(|_| leader == current && !self.faults) {
                         l.on_reguarded(now, Some(revision));
@@ -593,11 +600,11 @@
                     }
                 }
                 // Answered late, or not at all: read.
-                self.post(100, Mail::ReadKey { leader, txn });
+                self.post(100, Mail::ReadKey { leader, transaction });
             }
-            Mail::ReadKey { leader, txn } if leader == current => {
+            Mail::ReadKey { leader, transaction } if leader == current => {
                 let own = |v: &(Value, u64)| {
-                    txn.apply.iter().any(|c| matches!(c, Change::Write { value, .. } if *value == v.0))
+                    transaction.mutations.iter().any(|c| matches!(c, Mutation::Put { value, .. } if *value == v.0))
                 };
                 let revision = self.store.get(LEADER_KEY).filter(|v| own(v)).map(|v| Revision(v.1));
                 if let Some(l) = &mut self.leader {
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{JobId, Revision};
 use crate::time::WallTime;
-use crate::wire::{Change, Guard, JobPhase, JobSpec};
+use crate::wire::{JobPhase, JobSpec, Mutation, Precondition};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
@@ -20,21 +20,21 @@
 }
 
 /// Both keys must be absent for a job to be new.
-pub fn absent_guards(id: &JobId) -> Vec<Guard> {
-    vec![Guard { path: live_key(id), revision: 0 }, Guard { path: over_key(id), revision: 0 }]
+pub fn absent_preconditions(id: &JobId) -> Vec<Precondition> {
+    vec![Precondition { key: live_key(id), revision: 0 }, Precondition { key: over_key(id), revision: 0 }]
 }
 
 /// Nothing may have become of a live job since this revision of its record.
-pub fn live_guard(id: &JobId, revision: Revision) -> Guard {
-    Guard { path: live_key(id), revision: revision.0 }
+pub fn live_precondition(id: &JobId, revision: Revision) -> Precondition {
+    Precondition { key: live_key(id), revision: revision.0 }
 }
 
 /// Changes that the end of a job takes.
 pub const CHANGES_OF_AN_ENDING: usize = 2;
 
 /// Moves a job from those that are live to those that are over.
-pub fn ending_changes(id: &JobId, record: &OverRecord) -> [Change; CHANGES_OF_AN_ENDING] {
-    [Change::drop(live_key(id)), Change::write(over_key(id), json!(record))]
+pub fn ending_changes(id: &JobId, record: &OverRecord) -> [Mutation; CHANGES_OF_AN_ENDING] {
+    [Mutation::delete(live_key(id)), Mutation::put(over_key(id), json!(record))]
 }
 
 /// A job that is neither done nor cancelled.
--- a/src/net/ancestors.rs
+++ b/src/net/ancestors.rs
@@ -7,7 +7,7 @@
 use crate::core::records::{LiveRecord, awaits_others};
 use crate::ids::JobId;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{Kind, Row};
+use crate::wire::{KeyValue, Kind};
 use std::collections::HashMap;
 use std::pin::Pin;
 
@@ -61,7 +61,7 @@
 const MAX_STEPS: u32 = 64;
 
 /// Whether a live job has to be cancelled, as one that it needs is.
-pub async fn needs_cancelled(node: &Node, id: &JobId, row: &Row) -> Result<bool, KvError> {
+pub async fn needs_cancelled(node: &Node, id: &JobId, row: &KeyValue) -> Result<bool, KvError> {
     // Most jobs that users ask about await none.
     if !awaits_others(&row.value) {
         return Ok(false);
@@ -82,7 +82,7 @@
     })
 }
 
-async fn check_live(node: &Node, id: JobId, row: &Row, steps: u32) -> Result<Checked, KvError> {
+async fn check_live(node: &Node, id: JobId, row: &KeyValue, steps: u32) -> Result<Checked, KvError> {
     let now = node.now();
     let Some(record) = record(row) else { return Ok(Checked { standing: Standing::Live, at: now }) };
     let standing = if record.spec.kind == Kind::Service { Standing::Service } else { Standing::Live };
@@ -107,6 +107,6 @@
 }
 
 /// A live job's record; none: it can't be read.
-fn record(row: &Row) -> Option<LiveRecord> {
+fn record(row: &KeyValue) -> Option<LiveRecord> {
     serde_json::from_value(row.value.clone()).ok()
 }
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -9,7 +9,7 @@
 use crate::ids::{Revision, Term};
 use crate::peer::HelloAnswer;
 use crate::time::Millis;
-use crate::wire::{Change, Guard, Txn};
+use crate::wire::{Mutation, Precondition, Transaction};
 use log::{info, warn};
 use serde_json::json;
 use std::sync::Arc;
@@ -97,14 +97,14 @@
         }
         inner.leadership.bid_sent();
     }
-    let txn = Txn {
-        guards: vec![Guard { path: LEADER_KEY.into(), revision: 0 }],
-        apply: vec![
-            Change::Write { write: LEADER_KEY.into(), value: json!(record), tenure: Some(lease.0) },
-            Change::write(INITIALIZED_KEY, json!(true)),
+    let transaction = Transaction {
+        preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: 0 }],
+        mutations: vec![
+            Mutation::Put { key: LEADER_KEY.into(), value: json!(record), lease: Some(lease.0) },
+            Mutation::put(INITIALIZED_KEY, json!(true)),
         ],
     };
-    let result = node.track_store(node.kv.commit(&node.http, &txn)).await;
+    let result = node.track_store(node.kv.commit(&node.http, &transaction)).await;
     let mut term = None;
     match result {
         Ok(Ok(epoch)) => term = Some(Term(epoch)),
@@ -208,11 +208,11 @@
 
 async fn name_successor(node: &Arc<Node>, guard: Revision, successor: &str) -> Result<(), KvError> {
     let lease = node.kv.grant(&node.http, YIELD).await?;
-    let txn = Txn {
-        guards: vec![Guard { path: LEADER_KEY.into(), revision: guard.0 }],
-        apply: vec![Change::Write { write: SUCCESSOR_KEY.into(), value: json!(successor), tenure: Some(lease.0) }],
+    let transaction = Transaction {
+        preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: guard.0 }],
+        mutations: vec![Mutation::Put { key: SUCCESSOR_KEY.into(), value: json!(successor), lease: Some(lease.0) }],
     };
-    node.kv.commit(&node.http, &txn).await.map(drop)
+    node.kv.commit(&node.http, &transaction).await.map(drop)
 }
 
 /// Whether a leader that has just handed over named somebody else.
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -4,7 +4,7 @@
 use crate::core::leader::CommitOutcome;
 use crate::ids::{LeaseId, Revision};
 use crate::time::Millis;
-use crate::wire::{Log, Row, Rows, Txn};
+use crate::wire::{KeyValue, RangeResponse, Transaction, WatchResponse};
 use hyper::Method;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -41,8 +41,9 @@
     failed: Vec<String>,
 }
 #[derive(Deserialize)]
-struct Epoch {
-    epoch: u64,
+struct Committed {
+    #[serde(rename = "epoch")]
+    revision: u64,
 }
 #[derive(Deserialize)]
 struct Tenure {
@@ -72,7 +73,7 @@
     }
 
     /// A linearizable read; None: the key is absent.
-    pub async fn get(&self, http: &Http, key: &str) -> Result<Option<Row>, KvError> {
+    pub async fn get(&self, http: &Http, key: &str) -> Result<Option<KeyValue>, KvError> {
         match self.call(http, Method::GET, &format!("/store/{key}"), vec![], LIMIT).await? {
             (200, body) => parse(&body).map(Some),
             (404, _) => Ok(None),
@@ -81,23 +82,23 @@
     }
 
     /// All keys with the prefix, and the revision from which to follow them.
-    pub async fn list(&self, http: &Http, prefix: &str) -> Result<(Vec<Row>, u64), KvError> {
-        let mut rows: Vec<Row> = Vec::new();
-        let mut epoch = None;
+    pub async fn list(&self, http: &Http, prefix: &str) -> Result<(Vec<KeyValue>, u64), KvError> {
+        let mut rows: Vec<KeyValue> = Vec::new();
+        let mut revision = None;
         loop {
-            let since = rows.last().map(|r| format!("&since={}", r.path)).unwrap_or_default();
+            let since = rows.last().map(|r| format!("&since={}", r.key)).unwrap_or_default();
             let path = format!("/store?prefix={prefix}{since}&limit=500");
             let (status, body) = self.call(http, Method::GET, &path, vec![], Millis(3_000)).await?;
             if status != 200 {
                 return Err(KvError::Status(status));
             }
-            let page: Rows = parse(&body)?;
+            let page: RangeResponse = parse(&body)?;
             // Changes after the first page are seen again by the watch.
-            let epoch = *epoch.get_or_insert(page.epoch);
-            let more = page.has_next && !page.rows.is_empty();
-            rows.extend(page.rows);
+            let revision = *revision.get_or_insert(page.revision);
+            let more = page.has_next && !page.entries.is_empty();
+            rows.extend(page.entries);
             if !more {
-                return Ok((rows, epoch));
+                return Ok((rows, revision));
             }
         }
     }
@@ -105,16 +106,16 @@
     /// The revision that the state service is at.
     pub async fn revision(&self, http: &Http) -> Result<Revision, KvError> {
         match self.call(http, Method::GET, "/store?prefix=ctl/&limit=1", vec![], LIMIT).await? {
-            (200, body) => Ok(Revision(parse::<Rows>(&body)?.epoch)),
+            (200, body) => Ok(Revision(parse::<RangeResponse>(&body)?.revision)),
             (s, _) => Err(KvError::Status(s)),
         }
     }
 
     /// The revision of the commit, or why there is none.
-    pub async fn commit(&self, http: &Http, txn: &Txn) -> Result<Result<u64, Vec<String>>, KvError> {
-        let body = serde_json::to_vec(txn).map_err(|e| KvError::Unknown(e.to_string()))?;
+    pub async fn commit(&self, http: &Http, transaction: &Transaction) -> Result<Result<u64, Vec<String>>, KvError> {
+        let body = serde_json::to_vec(transaction).map_err(|e| KvError::Unknown(e.to_string()))?;
         match self.call(http, Method::POST, "/commit", body, LIMIT).await? {
-            (200, body) => Ok(Ok(parse::<Epoch>(&body)?.epoch)),
+            (200, body) => Ok(Ok(parse::<Committed>(&body)?.revision)),
             (409, body) => Ok(Err(parse::<Failed>(&body)?.failed)),
             (s, _) => Err(KvError::Status(s)),
         }
@@ -145,7 +146,13 @@
     }
 
     /// Changes after `since`; None: too old or too many, all must be read again, in pages.
-    pub async fn follow(&self, http: &Http, prefix: &str, since: u64, block: Millis) -> Result<Option<Log>, KvError> {
+    pub async fn follow(
+        &self,
+        http: &Http,
+        prefix: &str,
+        since: u64,
+        block: Millis,
+    ) -> Result<Option<WatchResponse>, KvError> {
         let path = format!("/follow?prefix={prefix}&since={since}&block_ms={}", block.0);
         match self.call(http, Method::GET, &path, vec![], Millis(block.0 + 2_000)).await {
             Ok((200, body)) => parse(&body).map(Some),
--- a/src/net/leading.rs
+++ b/src/net/leading.rs
@@ -16,7 +16,7 @@
 use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::peer::HelloAnswer;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{Change, DirectOrders, Guard, LogEntry, MachineType, Report, Txn};
+use crate::wire::{DirectOrders, MachineType, Mutation, Precondition, Report, Transaction, WatchEvent};
 use hyper::Method;
 use log::{debug, info, warn};
 use rand::seq::IndexedRandom;
@@ -59,11 +59,11 @@
         if let Some(types) = node.cloud.types(&node.http, node.now()).await
             && !types.is_empty()
         {
-            let txn = Txn {
-                guards: vec![Guard { path: KINDS_KEY.into(), revision: 0 }],
-                apply: vec![Change::write(KINDS_KEY, json!(types))],
+            let transaction = Transaction {
+                preconditions: vec![Precondition { key: KINDS_KEY.into(), revision: 0 }],
+                mutations: vec![Mutation::put(KINDS_KEY, json!(types))],
             };
-            let _ = node.track_store(node.kv.commit(&node.http, &txn)).await;
+            let _ = node.track_store(node.kv.commit(&node.http, &transaction)).await;
             node.lock().types = Some(types);
             continue;
         }
@@ -78,10 +78,10 @@
 pub async fn run(node: Arc<Node>, term: Term, record: LeaderRecord) {
     let since = node.now();
     let types = types_for_leader(&node).await;
-    let (asked_at, stored, epoch) = loop {
+    let (asked_at, stored, revision) = loop {
         let asked_at = node.now();
         match load(&node).await {
-            Ok((stored, epoch)) => break (asked_at, stored, epoch),
+            Ok((stored, revision)) => break (asked_at, stored, revision),
             Err(e) => debug!("loading: {e}"),
         }
         tokio::time::sleep(Millis(150).to_std()).await;
@@ -94,10 +94,10 @@
         if inner.leadership.lease().is_none_or(|o| o.term != term) {
             return;
         }
-        inner.leadership.read(asked_at, now, Revision(epoch));
+        inner.leadership.read(asked_at, now, Revision(revision));
         inner.leader = Some(leader);
     }
-    tokio::join!(tick(&node, term), follow(&node, term, epoch), watch_cloud(&node, term), tell_peers(&node, term));
+    tokio::join!(tick(&node, term), follow(&node, term, revision), watch_cloud(&node, term), tell_peers(&node, term));
 }
 
 /// Gives a new leader what is stored, a part at a time: renewals, users and reports are served in between.
@@ -112,11 +112,11 @@
 }
 
 async fn load(node: &Node) -> Result<(Stored, u64), KvError> {
-    let (live, epoch) = node.kv.list(&node.http, LIVE).await?;
+    let (live, revision) = node.kv.list(&node.http, LIVE).await?;
     let (bits, _) = node.kv.list(&node.http, BITS).await?;
     let (fleet, _) = node.kv.list(&node.http, FLEET).await?;
     let shares = node.kv.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
-    Ok((Stored { live, bits, fleet, shares }, epoch))
+    Ok((Stored { live, bits, fleet, shares }, revision))
 }
 
 /// Feeds the ledger something and carries out what follows. Outside the bound of the leader's lease
@@ -176,16 +176,16 @@
             inform(&node, |leader, now| leader.on_orders_result(now, ticket, result));
             carry_out(&node);
         }
-        Action::Commit { ticket, txn } => {
+        Action::Commit { ticket, transaction } => {
             let result = match acting {
-                true => commit_outcome(&node.track_store(node.kv.commit(&node.http, &txn)).await),
+                true => commit_outcome(&node.track_store(node.kv.commit(&node.http, &transaction)).await),
                 false => CommitOutcome::Rejected,
             };
             inform(&node, |leader, now| leader.on_committed(now, ticket, result));
             carry_out(&node);
         }
-        Action::Reguard(txn) => {
-            let revision = reguard(&node, &txn).await;
+        Action::Reguard(transaction) => {
+            let revision = reguard(&node, &transaction).await;
             inform(&node, |leader, now| leader.on_reguarded(now, revision));
             carry_out(&node);
         }
@@ -233,13 +233,13 @@
 }
 
 /// Writes the leader's key anew; its revision then, if that is known and the key still this leader's.
-async fn reguard(node: &Node, txn: &Txn) -> Option<Revision> {
-    if let Ok(Ok(revision)) = node.track_store(node.kv.commit(&node.http, txn)).await {
+async fn reguard(node: &Node, transaction: &Transaction) -> Option<Revision> {
+    if let Ok(Ok(revision)) = node.track_store(node.kv.commit(&node.http, transaction)).await {
         return Some(Revision(revision));
     }
     // Perhaps written, now or by an earlier try.
     let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await.ok()??;
-    let own = txn.apply.iter().any(|c| matches!(c, Change::Write { value, .. } if *value == row.value));
+    let own = transaction.mutations.iter().any(|c| matches!(c, Mutation::Put { value, .. } if *value == row.value));
     own.then_some(Revision(row.revision))
 }
 
@@ -264,15 +264,15 @@
         }
         match log {
             Ok(Some(log)) => {
-                since = since.max(log.epoch);
+                since = since.max(log.revision);
                 let now = node.now();
                 let mut inner = node.lock();
                 inner.leadership.read(asked_at, now, Revision(since));
                 let Some(l) = &mut inner.leader else { continue };
-                for e in log.log {
+                for e in log.events {
                     let (key, value) = match e {
-                        LogEntry::Write { write, value, revision } => (write, Some((value, revision))),
-                        LogEntry::Drop { drop } => (drop, None),
+                        WatchEvent::Put { key: write, value, revision } => (write, Some((value, revision))),
+                        WatchEvent::Delete { key: drop } => (drop, None),
                     };
                     let Some(id) = key.strip_prefix(LIVE).and_then(JobId::parse) else { continue };
                     match value {
@@ -284,13 +284,13 @@
             Ok(None) => {
                 let asked_at = node.now();
                 match node.track_store(node.kv.list(&node.http, LIVE)).await {
-                    Ok((rows, epoch)) => {
-                        since = epoch;
+                    Ok((rows, revision)) => {
+                        since = revision;
                         let now = node.now();
                         let mut inner = node.lock();
                         if let Some(l) = &mut inner.leader {
-                            l.reload_live(rows, epoch);
-                            inner.leadership.read(asked_at, now, Revision(epoch));
+                            l.reload_live(rows, revision);
+                            inner.leadership.read(asked_at, now, Revision(revision));
                         }
                     }
                     Err(_) => tokio::time::sleep(Millis(300).to_std()).await,
--- a/src/net/lookups.rs
+++ b/src/net/lookups.rs
@@ -5,11 +5,11 @@
 use crate::core::records::{Ending, OverRecord, live_key, over_key};
 use crate::ids::{JobId, Revision};
 use crate::time::Millis;
-use crate::wire::{JobPhase, Row};
+use crate::wire::{JobPhase, KeyValue};
 
 pub enum Found {
     Absent,
-    Live(Row),
+    Live(KeyValue),
     Over(OverRecord),
 }
 
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -12,7 +12,7 @@
 use crate::core::leadership::{LEADER_KEY, SUCCESSOR_KEY};
 use crate::ids::{Attempt, FencingToken, LeaseId, Revision, Session, TaskId, Term};
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{Change, DirectOrders, Order, Txn};
+use crate::wire::{DirectOrders, Mutation, Order, Transaction};
 use hyper::Method;
 use salvo::prelude::*;
 use serde_json::{Value, json};
@@ -41,22 +41,22 @@
 }
 
 impl World {
-    fn commit(&mut self, txn: &Txn) -> (u16, Value) {
+    fn commit(&mut self, transaction: &Transaction) -> (u16, Value) {
         let revision = |w: &World, k: &str| w.store.get(k).map_or(0, |v| v.1);
         let failed: Vec<&String> =
-            txn.guards.iter().filter(|g| revision(self, &g.path) != g.revision).map(|g| &g.path).collect();
+            transaction.preconditions.iter().filter(|g| revision(self, &g.key) != g.revision).map(|g| &g.key).collect();
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "epoch": self.epoch}));
         }
         self.epoch += 1;
-        for c in &txn.apply {
+        for c in &transaction.mutations {
             match c {
-                Change::Write { write, value, .. } => {
+                Mutation::Put { key: write, value, .. } => {
                     self.store.insert(write.clone(), (value.clone(), self.epoch));
                     let entry = json!({"write": write, "value": value, "stamp": self.epoch});
                     self.log.push((write.clone(), self.epoch, entry));
                 }
-                Change::Drop { drop } => {
+                Mutation::Delete { key: drop } => {
                     self.store.remove(drop);
                     self.log.push((drop.clone(), self.epoch, json!({"drop": drop, "stamp": self.epoch})));
                 }
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -6,11 +6,13 @@
 use super::lookups::{Found, look_up, note_over};
 use super::node::Node;
 use super::peers;
-use crate::core::records::{LiveRecord, OverRecord, absent_guards, ending_changes, live_guard, live_key, over_key};
+use crate::core::records::{
+    LiveRecord, OverRecord, absent_preconditions, ending_changes, live_key, live_precondition, over_key,
+};
 use crate::core::submissions::{Refusal, Submission, check_possible, never_accepted, parse_submission};
 use crate::ids::{JobId, Revision};
 use crate::time::Millis;
-use crate::wire::{Change, JobAnswer, JobPhase, Row, Txn};
+use crate::wire::{JobAnswer, JobPhase, KeyValue, Mutation, Transaction};
 use serde_json::json;
 use std::sync::Arc;
 
@@ -158,16 +160,17 @@
         Accepted::Live(record) => (live_key(id), json!(record)),
         Accepted::Cancelled(record) => (over_key(id), json!(record)),
     };
-    let txn = Txn { guards: absent_guards(id), apply: vec![Change::write(key, value.clone())] };
-    match (commit(node, &txn).await, accepted) {
-        (Ok(Ok(epoch)), Accepted::Live(_)) => {
+    let transaction =
+        Transaction { preconditions: absent_preconditions(id), mutations: vec![Mutation::put(key, value.clone())] };
+    match (commit(node, &transaction).await, accepted) {
+        (Ok(Ok(revision)), Accepted::Live(_)) => {
             if let Some(l) = &mut node.lock().leader {
-                l.on_live(id, &value, Revision(epoch));
+                l.on_live(id, &value, Revision(revision));
             }
             Reply::job(201, id, JobPhase::Queued, None, None)
         }
-        (Ok(Ok(epoch)), Accepted::Cancelled(record)) => {
-            note_over(node, id, record, Revision(epoch));
+        (Ok(Ok(revision)), Accepted::Cancelled(record)) => {
+            note_over(node, id, record, Revision(revision));
             Reply::job(201, id, record.phase, None, None)
         }
         (Ok(Err(_)), _) => describe(node, id, Reply::later(STORE_UNREACHABLE)).await,
@@ -186,7 +189,7 @@
 }
 
 /// The answer about a job that is live by a reading just made.
-async fn describe_live(node: &Arc<Node>, id: &JobId, row: Row) -> Reply {
+async fn describe_live(node: &Arc<Node>, id: &JobId, row: KeyValue) -> Reply {
     match ancestors::needs_cancelled(node, id, &row).await {
         Ok(false) => live_reply(node, id),
         Ok(true) => cancel(node, id, row).await,
@@ -195,13 +198,13 @@
 }
 
 /// Commits; when the state service has too much to do, tries again for a short while only.
-async fn commit(node: &Node, txn: &Txn) -> Result<Result<u64, Vec<String>>, KvError> {
+async fn commit(node: &Node, transaction: &Transaction) -> Result<Result<u64, Vec<String>>, KvError> {
     if node.store_unreachable() {
         return Err(KvError::Refused);
     }
     let mut tries = 0;
     loop {
-        let r = node.track_store(node.kv.commit(&node.http, txn)).await;
+        let r = node.track_store(node.kv.commit(&node.http, transaction)).await;
         tries += 1;
         if r != Err(KvError::Busy) || tries >= 3 {
             return r;
@@ -240,7 +243,7 @@
 const CANCEL_TRIES: usize = 3;
 
 /// Cancels a job that was live a moment ago, unless it has ended since.
-async fn cancel(node: &Arc<Node>, id: &JobId, row: Row) -> Reply {
+async fn cancel(node: &Arc<Node>, id: &JobId, row: KeyValue) -> Reply {
     let mut row = row;
     for _ in 0..CANCEL_TRIES {
         // A record that can't be read is never overwritten.
@@ -248,8 +251,11 @@
             return Reply::later("the job's record can't be read");
         };
         let over = OverRecord::cancelled(live.spec.tasks);
-        let txn = Txn { guards: vec![live_guard(id, Revision(row.revision))], apply: ending_changes(id, &over).into() };
-        match commit(node, &txn).await {
+        let transaction = Transaction {
+            preconditions: vec![live_precondition(id, Revision(row.revision))],
+            mutations: ending_changes(id, &over).into(),
+        };
+        match commit(node, &transaction).await {
             Ok(Ok(revision)) => {
                 note_over(node, id, over, Revision(revision));
                 peers::tell_leader(node, id);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -291,74 +291,85 @@
 // ---- state service
 
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct Guard {
-    pub path: String,
+pub struct Precondition {
+    #[serde(rename = "path")]
+    pub key: String,
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change {
-    Write {
-        write: String,
+pub enum Mutation {
+    Put {
+        #[serde(rename = "write")]
+        key: String,
         value: Value,
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        tenure: Option<u64>,
+        #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
     },
-    Drop {
-        drop: String,
+    Delete {
+        #[serde(rename = "drop")]
+        key: String,
     },
 }
 
-impl Change {
-    pub fn write(key: impl Into<String>, value: Value) -> Change {
-        Change::Write { write: key.into(), value, tenure: None }
+impl Mutation {
+    pub fn put(key: impl Into<String>, value: Value) -> Mutation {
+        Mutation::Put { key: key.into(), value, lease: None }
     }
-    pub fn drop(key: impl Into<String>) -> Change {
-        Change::Drop { drop: key.into() }
+    pub fn delete(key: impl Into<String>) -> Mutation {
+        Mutation::Delete { key: key.into() }
     }
 }
 
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
-pub struct Txn {
-    pub guards: Vec<Guard>,
-    pub apply: Vec<Change>,
+pub struct Transaction {
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
+    #[serde(rename = "apply")]
+    pub mutations: Vec<Mutation>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Row {
-    pub path: String,
+pub struct KeyValue {
+    #[serde(rename = "path")]
+    pub key: String,
     pub value: Value,
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Rows {
-    pub rows: Vec<Row>,
+pub struct RangeResponse {
+    #[serde(rename = "rows")]
+    pub entries: Vec<KeyValue>,
     #[serde(default)]
     pub has_next: bool,
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
-pub enum LogEntry {
-    Write {
-        write: String,
+pub enum WatchEvent {
+    Put {
+        #[serde(rename = "write")]
+        key: String,
         value: Value,
         #[serde(rename = "stamp")]
         revision: u64,
     },
-    Drop {
-        drop: String,
+    Delete {
+        #[serde(rename = "drop")]
+        key: String,
     },
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Log {
-    pub epoch: u64,
-    #[serde(default)]
-    pub log: Vec<LogEntry>,
+pub struct WatchResponse {
+    #[serde(rename = "epoch")]
+    pub revision: u64,
+    #[serde(rename = "log", default)]
+    pub events: Vec<WatchEvent>,
 }
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -13,7 +13,7 @@
 use wallstile::net::http::Http;
 use wallstile::net::kv::KvClient;
 use wallstile::time::{Millis, MonotonicTime};
-use wallstile::wire::{RentRequest, Txn};
+use wallstile::wire::{RentRequest, Transaction};
 
 /// Answers one request after the other, each on a connection of its own, and keeps what was asked.
 struct StandIn {
@@ -93,9 +93,9 @@
     let http = Http::new(8);
     let state = KvClient::new(service.address.clone());
     let samples = Samples::wire();
-    let txn: Txn = samples.read("transaction");
-    assert_eq!(state.commit(&http, &txn).await, Ok(Ok(9002)));
-    assert_eq!(state.commit(&http, &txn).await, Ok(Err(vec!["ctl/leader".to_string()])));
+    let transaction: Transaction = samples.read("transaction");
+    assert_eq!(state.commit(&http, &transaction).await, Ok(Ok(9002)));
+    assert_eq!(state.commit(&http, &transaction).await, Ok(Err(vec!["ctl/leader".to_string()])));
     let asked = format!("POST /commit {}", samples.text("transaction"));
     service.assert_asked(&[&asked, &asked]);
 }
@@ -117,13 +117,13 @@
     let http = Http::new(8);
     let state = KvClient::new(service.address.clone());
     let read = state.get(&http, "ctl/heir").await.expect("it answers").expect("the key is there");
-    assert_eq!((read.path.as_str(), read.value, read.revision), ("ctl/heir", json!("plinth-1"), 9001));
+    assert_eq!((read.key.as_str(), read.value, read.revision), ("ctl/heir", json!("plinth-1"), 9001));
     assert!(state.get(&http, "ctl/leader").await.expect("it answers").is_none());
     let (rows, epoch) = state.list(&http, "ctl/").await.expect("it answers");
     assert_eq!((rows.len(), epoch), (1, 9002));
     assert_eq!(state.revision(&http).await, Ok(Revision(9002)));
     let log = state.follow(&http, "live/", 9001, Millis(700)).await.expect("it answers").expect("not too old");
-    assert_eq!((log.epoch, log.log.len()), (9003, 2));
+    assert_eq!((log.revision, log.events.len()), (9003, 2));
     service.assert_asked(&[
         "GET /store/ctl/heir",
         "GET /store/ctl/leader",
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -10,14 +10,14 @@
 use wallstile::core::fleet::{FLEET, FleetRecord, fleet_key};
 use wallstile::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::records::{
-    BITS, LIVE, LiveRecord, OVER, OverRecord, absent_guards, awaits_others, ending_changes, live_guard, live_key,
-    over_key,
+    BITS, LIVE, LiveRecord, OVER, OverRecord, absent_preconditions, awaits_others, ending_changes, live_key,
+    live_precondition, over_key,
 };
 use wallstile::core::shares::{SHARES_KEY, Shares};
 use wallstile::ids::{LeaseId, MachineId, Revision};
 use wallstile::net::leading::KINDS_KEY;
 use wallstile::time::{MonotonicTime, WallTime};
-use wallstile::wire::{JobPhase, Txn};
+use wallstile::wire::{JobPhase, Transaction};
 
 const AT: WallTime = WallTime(1_700_000_000_123);
 
@@ -71,11 +71,13 @@
 #[test]
 fn the_changes_of_a_job_are_the_samples() {
     let samples = Samples::stored();
-    let begun = Txn { guards: absent_guards(&job_id()), apply: Vec::new() };
+    let begun = Transaction { preconditions: absent_preconditions(&job_id()), mutations: Vec::new() };
     samples.assert_both_ways("guards_of_a_new_job", &begun);
     let record = OverRecord::done(17, AT);
-    let ended =
-        Txn { guards: vec![live_guard(&job_id(), Revision(9001))], apply: ending_changes(&job_id(), &record).into() };
+    let ended = Transaction {
+        preconditions: vec![live_precondition(&job_id(), Revision(9001))],
+        mutations: ending_changes(&job_id(), &record).into(),
+    };
     samples.assert_both_ways("ending_of_a_job", &ended);
 }
 
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -7,9 +7,9 @@
 use wallstile::ids::{Attempt, FencingToken, Sequence, Session};
 use wallstile::net::users::Reply;
 use wallstile::wire::{
-    Cause, Change, DirectOrders, Guard, JobAnswer, JobPhase, Kind, ListPhase, ListedMachine, Log, LogEntry,
-    MachineList, MachineNames, MachineType, MachineTypes, Order, Priority, RentRequest, Report, ReportAnswer, Row,
-    Rows, TaskPhase, TaskReport, Txn,
+    Cause, DirectOrders, JobAnswer, JobPhase, KeyValue, Kind, ListPhase, ListedMachine, MachineList, MachineNames,
+    MachineType, MachineTypes, Mutation, Order, Precondition, Priority, RangeResponse, RentRequest, Report,
+    ReportAnswer, TaskPhase, TaskReport, Transaction, WatchEvent, WatchResponse,
 };
 
 #[test]
@@ -189,37 +189,38 @@
 
 #[test]
 fn transactions_are_the_samples() {
-    let leased = Change::Write { write: "ctl/leader".into(), value: json!({"node": "plinth-0"}), tenure: Some(12) };
-    let txn = Txn {
-        guards: vec![Guard { path: "ctl/leader".into(), revision: 9001 }],
-        apply: vec![leased, Change::write("ctl/founded", json!(true)), Change::drop("live/req-000412")],
+    let leased = Mutation::Put { key: "ctl/leader".into(), value: json!({"node": "plinth-0"}), lease: Some(12) };
+    let transaction = Transaction {
+        preconditions: vec![Precondition { key: "ctl/leader".into(), revision: 9001 }],
+        mutations: vec![leased, Mutation::put("ctl/founded", json!(true)), Mutation::delete("live/req-000412")],
     };
-    Samples::wire().assert_both_ways("transaction", &txn);
-    Samples::wire().assert_both_ways("transaction_of_nothing", &Txn::default());
+    Samples::wire().assert_both_ways("transaction", &transaction);
+    Samples::wire().assert_both_ways("transaction_of_nothing", &Transaction::default());
 }
 
 #[test]
 fn rows_of_the_state_service_are_read() {
     let samples = Samples::wire();
-    let page: Rows = samples.read("rows");
-    assert_eq!((page.has_next, page.epoch), (true, 9002));
-    let fields = |row: &Row| (row.path.clone(), row.value.clone(), row.revision);
+    let page: RangeResponse = samples.read("rows");
+    assert_eq!((page.has_next, page.revision), (true, 9002));
+    let fields = |row: &KeyValue| (row.key.clone(), row.value.clone(), row.revision);
     let expected = [("ctl/heir".to_string(), json!("plinth-1"), 9001)];
-    assert_eq!(page.rows.iter().map(fields).collect::<Vec<_>>(), expected);
-    let last: Rows = samples.read("rows_of_the_least_members");
-    assert_eq!((last.rows.len(), last.has_next, last.epoch), (0, false, 9002));
+    assert_eq!(page.entries.iter().map(fields).collect::<Vec<_>>(), expected);
+    let last: RangeResponse = samples.read("rows_of_the_least_members");
+    assert_eq!((last.entries.len(), last.has_next, last.revision), (0, false, 9002));
 }
 
 #[test]
 fn changes_that_are_followed_are_read() {
     let samples = Samples::wire();
-    let log: Log = samples.read("log");
-    assert_eq!(log.epoch, 9003);
-    let [LogEntry::Write { write, value, revision }, LogEntry::Drop { drop }] = log.log.as_slice() else {
+    let log: WatchResponse = samples.read("log");
+    assert_eq!(log.revision, 9003);
+    let [WatchEvent::Put { key: write, value, revision }, WatchEvent::Delete { key: drop }] = log.events.as_slice()
+    else {
         panic!("not a write and a drop: {log:?}");
     };
     assert_eq!((write.as_str(), value, *revision), ("ctl/heir", &json!("plinth-1"), 9001));
     assert_eq!(drop, "live/req-000412");
-    let quiet: Log = samples.read("log_of_the_least_members");
-    assert_eq!((quiet.epoch, quiet.log.len()), (9003, 0));
+    let quiet: WatchResponse = samples.read("log_of_the_least_members");
+    assert_eq!((quiet.revision, quiet.events.len()), (9003, 0));
 }
