--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -116,7 +116,7 @@
             Action::Rent(request) => {
                 self.observe(Input::Answer, |leader| leader.on_rented(now, &request.name, RentResult::NoCapacity));
             }
-            Action::Return(_) | Action::Plan { .. } | Action::Reguard(_) | Action::LookUp(_) => {}
+            Action::Return(_) | Action::Plan { .. } | Action::RefreshFence(_) | Action::LookUp(_) => {}
         }
     }
 
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -68,7 +68,7 @@
         transaction: Transaction,
     },
     /// Writes the leader's key anew and says which revision it has then.
-    Reguard(Transaction),
+    RefreshFence(Transaction),
     Rent(RentRequest),
     Return(Vec<MachineId>),
     /// Reads how these jobs have ended.
@@ -136,8 +136,8 @@
     /// The revision of the leader's key that guards all writes: the term, until a write goes
     /// unanswered. It may be carried out at any time, over newer ones; so the key is written anew, and
     /// what is guarded by an older revision of it never will be.
-    guard: Revision,
-    reguard: Reguard,
+    fence_revision: Revision,
+    fence_refresh: FenceRefresh,
     /// The state service doesn't answer, and may answer others: users may have been told of
     /// cancellations that aren't known here.
     in_doubt: bool,
@@ -212,10 +212,10 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Reguard {
-    No,
+enum FenceRefresh {
+    Idle,
     Due,
-    UnderWay,
+    InFlight,
 }
 
 /// What is possibly on machines, by team.
@@ -323,8 +323,8 @@
             tuning,
             term,
             record,
-            guard: Revision(term.0),
-            reguard: Reguard::No,
+            fence_revision: Revision(term.0),
+            fence_refresh: FenceRefresh::Idle,
             in_doubt: false,
             since: now,
             gpu_demand: GpuDemand::new(zones.len(), now),
@@ -377,8 +377,8 @@
     }
 
     /// The revision of the leader's key that guards its writes.
-    pub fn guard(&self) -> Revision {
-        self.guard
+    pub fn fence_revision(&self) -> Revision {
+        self.fence_revision
     }
 
     /// Whether a worker may be sent to another controller now: answers reach it, and this leader is not
--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -258,9 +258,9 @@
                             self.leader.on_committed(now, ticket, CommitOutcome::Committed);
                         }
                     },
-                    Action::Reguard(_) => {
-                        let next = self.unanswered.is_none().then(|| Revision(self.leader.guard().0 + 1_000));
-                        self.leader.on_reguarded(now, next);
+                    Action::RefreshFence(_) => {
+                        let next = self.unanswered.is_none().then(|| Revision(self.leader.fence_revision().0 + 1_000));
+                        self.leader.on_fence_refreshed(now, next);
                     }
                     Action::Rent(r) => self.leader.on_rented(now, &r.name, RentResult::NoCapacity),
                     Action::Return(ids) => {
--- a/src/core/leader/tests/digest.rs
+++ b/src/core/leader/tests/digest.rs
@@ -306,9 +306,9 @@
                 let result = self.commit(&transaction);
                 self.leader.on_committed(now, ticket, result);
             }
-            Action::Reguard(_) => {
+            Action::RefreshFence(_) => {
                 self.revision += 1;
-                self.leader.on_reguarded(now, Some(Revision(self.revision)));
+                self.leader.on_fence_refreshed(now, Some(Revision(self.revision)));
             }
             Action::Rent(request) => {
                 let result = self.rent(&request);
--- a/src/core/leader/writes.rs
+++ b/src/core/leader/writes.rs
@@ -6,14 +6,14 @@
 const MAX_COMMITS: usize = 6;
 
 impl Leader {
-    pub(super) fn own_guard(&self) -> Precondition {
-        Precondition { key: LEADER_KEY.into(), revision: self.guard.0 }
+    pub(super) fn fence_precondition(&self) -> Precondition {
+        Precondition { key: LEADER_KEY.into(), revision: self.fence_revision.0 }
     }
 
     pub(super) fn commit(&mut self, purpose: Purpose, transaction: Transaction) {
         self.tickets += 1;
         self.tokens -= transaction.mutations.len() as f64;
-        self.commits.insert(self.tickets, (purpose, self.guard));
+        self.commits.insert(self.tickets, (purpose, self.fence_revision));
         self.actions.push(Action::Commit { ticket: self.tickets, transaction });
     }
 
@@ -25,8 +25,8 @@
         if now < self.commit_pause || self.commits.len() >= MAX_COMMITS {
             return;
         }
-        if self.reguard != Reguard::No {
-            self.write_key_anew();
+        if self.fence_refresh != FenceRefresh::Idle {
+            self.refresh_fence();
             return;
         }
         self.write_machines();
@@ -38,16 +38,18 @@
         }
     }
 
-    fn write_key_anew(&mut self) {
-        if self.reguard != Reguard::Due || self.tokens < 1.0 {
+    fn refresh_fence(&mut self) {
+        if self.fence_refresh != FenceRefresh::Due || self.tokens < 1.0 {
             return;
         }
-        self.reguard = Reguard::UnderWay;
+        self.fence_refresh = FenceRefresh::InFlight;
         self.tokens -= 1.0;
         let value = serde_json::json!(self.record);
         let write = Mutation::Put { key: LEADER_KEY.into(), value, lease: Some(self.record.lease.0) };
-        self.actions
-            .push(Action::Reguard(Transaction { preconditions: vec![self.own_guard()], mutations: vec![write] }));
+        self.actions.push(Action::RefreshFence(Transaction {
+            preconditions: vec![self.fence_precondition()],
+            mutations: vec![write],
+        }));
     }
 
     /// Records machines before their first order, and forgets those that are gone.
@@ -75,7 +77,7 @@
         let forget: Vec<MachineId> = self.forget.iter().take(room).cloned().collect();
         mutations.extend(forget.iter().map(|id| Mutation::delete(fleet_key(id))));
         if !mutations.is_empty() {
-            let transaction = Transaction { preconditions: vec![self.own_guard()], mutations };
+            let transaction = Transaction { preconditions: vec![self.fence_precondition()], mutations };
             self.commit(Purpose::Fleet { commission, forget }, transaction);
         }
     }
@@ -88,7 +90,7 @@
         }
         let most = (self.p.txn_ops / CHANGES_OF_AN_ENDING).max(1);
         let doomed = self.pipelines.doomed().filter_map(|id| Some((*id, self.jobs.get(id)?)));
-        let mut preconditions = vec![self.own_guard()];
+        let mut preconditions = vec![self.fence_precondition()];
         let mut mutations = Vec::new();
         let mut ids = Vec::new();
         for (id, job) in doomed.take(most) {
@@ -110,7 +112,7 @@
             if self.tokens < 1.0 || self.commits.len() >= MAX_COMMITS {
                 break;
             }
-            let guard = self.own_guard();
+            let guard = self.fence_precondition();
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.finishing = true;
             let preconditions = vec![guard, live_precondition(&id, job.revision)];
@@ -151,7 +153,7 @@
                 break;
             }
         }
-        let transaction = Transaction { preconditions: vec![self.own_guard()], mutations };
+        let transaction = Transaction { preconditions: vec![self.fence_precondition()], mutations };
         self.commit(Purpose::DoneSets(which), transaction);
         true
     }
@@ -168,8 +170,10 @@
             warn!("{SHARES_KEY} has too many teams for a value and isn't kept");
             return false;
         }
-        let transaction =
-            Transaction { preconditions: vec![self.own_guard()], mutations: vec![Mutation::put(SHARES_KEY, value)] };
+        let transaction = Transaction {
+            preconditions: vec![self.fence_precondition()],
+            mutations: vec![Mutation::put(SHARES_KEY, value)],
+        };
         self.commit(Purpose::Shares, transaction);
         true
     }
@@ -182,7 +186,7 @@
         let n = self.orphaned_sets.len().min(self.p.txn_ops).min(4);
         let keys: Vec<String> = self.orphaned_sets.drain(..n).collect();
         let mutations = keys.iter().map(Mutation::delete).collect();
-        let transaction = Transaction { preconditions: vec![self.own_guard()], mutations };
+        let transaction = Transaction { preconditions: vec![self.fence_precondition()], mutations };
         self.commit(Purpose::Tidy(keys), transaction);
     }
 
@@ -191,15 +195,15 @@
     }
 
     /// The leader's key has this revision now; none: it isn't known, or no longer this leader's.
-    pub fn on_reguarded(&mut self, now: MonotonicTime, revision: Option<Revision>) {
-        match revision.filter(|r| *r > self.guard) {
+    pub fn on_fence_refreshed(&mut self, now: MonotonicTime, revision: Option<Revision>) {
+        match revision.filter(|r| *r > self.fence_revision) {
             Some(r) => {
                 debug!("writes are guarded by revision {r}");
-                self.guard = r;
-                self.reguard = Reguard::No;
+                self.fence_revision = r;
+                self.fence_refresh = FenceRefresh::Idle;
             }
             None => {
-                self.reguard = Reguard::Due;
+                self.fence_refresh = FenceRefresh::Due;
                 self.commit_pause = now + Millis(300);
             }
         }
@@ -213,8 +217,11 @@
         }
         // Guarded by an older revision of the key it can't be carried out any more.
         let outdated = matches!(&result, CommitOutcome::Conflict(failed) if failed.iter().any(|k| k == LEADER_KEY));
-        if (outdated || result == CommitOutcome::Unknown) && guard == self.guard && self.reguard == Reguard::No {
-            self.reguard = Reguard::Due;
+        if (outdated || result == CommitOutcome::Unknown)
+            && guard == self.fence_revision
+            && self.fence_refresh == FenceRefresh::Idle
+        {
+            self.fence_refresh = FenceRefresh::Due;
         }
         self.dirty = true;
         match purpose {
--- a/src/core/ledger_model/digest.rs
+++ b/src/core/ledger_model/digest.rs
@@ -13,7 +13,7 @@
 enum Tag {
     Orders = 0,
     Commit = 1,
-    Reguard = 2,
+    FenceRefresh = 2,
     Rent = 3,
     Return = 4,
     LookUp = 5,
@@ -59,8 +59,8 @@
                 self.number(*ticket);
                 self.json(transaction);
             }
-            Action::Reguard(transaction) => {
-                self.tag(Tag::Reguard);
+            Action::RefreshFence(transaction) => {
+                self.tag(Tag::FenceRefresh);
                 self.json(transaction);
             }
             Action::Rent(request) => {
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/ledger_model/mod.rs
@@ -105,7 +105,7 @@
         ticket: u64,
         result: CommitOutcome,
     },
-    Reguard {
+    FenceRefresh {
         leader: u64,
         transaction: Transaction,
     },
@@ -340,13 +340,13 @@
                     }
                     self.post(delay, Mail::Commit { leader, ticket, transaction });
                 }
-                Action::Reguard(transaction) => {
+                Action::RefreshFence(transaction) => {
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { self.delay() };
                     if delay > 1_200 {
                         // The read that follows an unanswered write.
                         self.post(1_200, Mail::ReadKey { leader, transaction: transaction.clone() });
                     }
-                    self.post(delay, Mail::Reguard { leader, transaction });
+                    self.post(delay, Mail::FenceRefresh { leader, transaction });
                 }
                 Action::Plan { node, input } => {
                     // Peers plan on a view that is old by then, answer late, twice or not at all,
@@ -591,11 +591,11 @@
                 let delay = self.rng.random_range(1..20);
                 self.post(delay, Mail::Committed { leader, ticket, result });
             }
-            Mail::Reguard { leader, transaction } => {
+            Mail::FenceRefresh { leader, transaction } => {
                 if self.commit(&transaction) == CommitOutcome::Committed {
                     let revision = Revision(self.epoch);
                     if let Some(l) = self.leader.as_mut().filter(|_| leader == current && !self.faults) {
-                        l.on_reguarded(now, Some(revision));
+                        l.on_fence_refreshed(now, Some(revision));
                         return;
                     }
                 }
@@ -608,7 +608,7 @@
                 };
                 let revision = self.store.get(LEADER_KEY).filter(|v| own(v)).map(|v| Revision(v.1));
                 if let Some(l) = &mut self.leader {
-                    l.on_reguarded(now, revision);
+                    l.on_fence_refreshed(now, revision);
                 }
             }
             Mail::Committed { leader, ticket, result } if leader == current => {
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -187,29 +187,29 @@
 
 /// Stops acting, tells the peers who is to come, and ends the lease.
 async fn hand_over(node: &Arc<Node>, leader_lease: LeaderLease, successor: String) {
-    let guard = {
+    let fence_revision = {
         let now = node.now();
         let mut inner = node.lock();
         inner.leadership.step_down();
         inner.leadership.yield_to_successor(now);
         inner.leader_name = None;
-        inner.leader.take().map_or(Revision(leader_lease.term.0), |l| l.guard())
+        inner.leader.take().map_or(Revision(leader_lease.term.0), |l| l.fence_revision())
     };
     let mut hello = peers::hello(node);
     hello.successor = successor;
     // A peer that the leader can't reach reads of it in the state service.
     let _ = tokio::join!(
         peers::ask_all(node, &hello, Millis(300)),
-        node.track_store(name_successor(node, guard, &hello.successor))
+        node.track_store(name_successor(node, fence_revision, &hello.successor))
     );
     // Unanswered, the lease ends by itself.
     let _ = node.track_store(node.kv.revoke(&node.http, leader_lease.id)).await;
 }
 
-async fn name_successor(node: &Arc<Node>, guard: Revision, successor: &str) -> Result<(), KvError> {
+async fn name_successor(node: &Arc<Node>, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
     let lease = node.kv.grant(&node.http, YIELD).await?;
     let transaction = Transaction {
-        preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: guard.0 }],
+        preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: fence_revision.0 }],
         mutations: vec![Mutation::Put { key: SUCCESSOR_KEY.into(), value: json!(successor), lease: Some(lease.0) }],
     };
     node.kv.commit(&node.http, &transaction).await.map(drop)
--- a/src/net/leading.rs
+++ b/src/net/leading.rs
@@ -184,9 +184,9 @@
             inform(&node, |leader, now| leader.on_committed(now, ticket, result));
             carry_out(&node);
         }
-        Action::Reguard(transaction) => {
-            let revision = reguard(&node, &transaction).await;
-            inform(&node, |leader, now| leader.on_reguarded(now, revision));
+        Action::RefreshFence(transaction) => {
+            let revision = refresh_fence(&node, &transaction).await;
+            inform(&node, |leader, now| leader.on_fence_refreshed(now, revision));
             carry_out(&node);
         }
         Action::Plan { node: peer, input } => {
@@ -233,7 +233,7 @@
 }
 
 /// Writes the leader's key anew; its revision then, if that is known and the key still this leader's.
-async fn reguard(node: &Node, transaction: &Transaction) -> Option<Revision> {
+async fn refresh_fence(node: &Node, transaction: &Transaction) -> Option<Revision> {
     if let Ok(Ok(revision)) = node.track_store(node.kv.commit(&node.http, transaction)).await {
         return Some(Revision(revision));
     }
