--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -1,7 +1,7 @@
 //! A simulated worker: executes orders at once and ends its tasks after a fixed time.
 
 use std::collections::BTreeMap;
-use wallstile::ids::{Attempt, FencingToken, Sequence, Session, TaskId};
+use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber, TaskId};
 use wallstile::wire::{Cause, Order, Report, TaskPhase, TaskReport};
 
 /// How long each task runs.
@@ -34,8 +34,8 @@
             kind: if index.is_multiple_of(LARGE_EVERY) { "large" } else { "small" }.into(),
             zone: if index.is_multiple_of(2) { "a" } else { "b" }.into(),
             spot: false,
-            session: Session(1),
-            sequence: Sequence(0),
+            agent_epoch: AgentEpoch(1),
+            sequence: SequenceNumber(0),
             token: FencingToken::NONE,
             notice_s: None,
             tasks: Vec::new(),
@@ -74,7 +74,7 @@
 
     /// The next report, or the answer to orders.
     pub fn next_report(&mut self) -> Report {
-        self.report.sequence = Sequence(self.report.sequence.0 + 1);
+        self.report.sequence = SequenceNumber(self.report.sequence.0 + 1);
         self.report.clone()
     }
 
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -4,7 +4,7 @@
 //! gone. What counts as proof is decided here and in [`super::leader`], nowhere else.
 
 use crate::core::rentals::Market;
-use crate::ids::{Attempt, FencingToken, MachineId, Sequence, Session, TaskId};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, SequenceNumber, TaskId};
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{JobSpec, MachineType, Order, Priority, TaskPhase};
 use serde::{Deserialize, Serialize};
@@ -137,18 +137,18 @@
     pub up: bool,
     pub since: MonotonicTime,
     pub commission: Commission,
-    pub session: Session,
-    /// When the session was first heard of. Its lease counts from its beginning, which was before, even
+    pub agent_epoch: AgentEpoch,
+    /// When the agent epoch was first heard of. Its lease counts from its beginning, which was before, even
     /// if no report of it has been answered.
-    pub session_heard_at: MonotonicTime,
-    pub sequence: Sequence,
+    pub agent_epoch_first_heard: MonotonicTime,
+    pub sequence: SequenceNumber,
     /// The latest *report*; orders' answers count their sequence numbers on as well, but are no reports.
-    pub reported: (Session, Sequence),
+    pub reported: (AgentEpoch, SequenceNumber),
     /// When the last report that was answered came in. A copy of an earlier one is no sign of life.
     pub last_report: MonotonicTime,
     /// The way that it took; none: this leader has not answered any.
     pub route: Option<Route>,
-    /// Its session has ended by the ledger's own count: what comes of it later is stale.
+    /// Its agent epoch has ended by the ledger's own count: what comes of it later is stale.
     pub ended: bool,
     /// It has reported under this leader's token, so answers reach it.
     pub confirmed: bool,
@@ -191,10 +191,10 @@
             up: false,
             since: now,
             commission: Commission::No,
-            session: Session(0),
-            session_heard_at: now,
-            sequence: Sequence(0),
-            reported: (Session(0), Sequence(0)),
+            agent_epoch: AgentEpoch(0),
+            agent_epoch_first_heard: now,
+            sequence: SequenceNumber(0),
+            reported: (AgentEpoch(0), SequenceNumber(0)),
             last_report: now,
             route: None,
             ended: false,
--- a/src/core/leader/machines.rs
+++ b/src/core/leader/machines.rs
@@ -63,7 +63,7 @@
         for (id, m) in &mut self.machines {
             // Before this leader, answers may have been given until it was elected.
             let answered = m.last_report.max(self.since);
-            if now - answered.max(m.session_heard_at) <= lease {
+            if now - answered.max(m.agent_epoch_first_heard) <= lease {
                 continue;
             }
             if !m.accounted {
@@ -80,11 +80,11 @@
             if !m.slots.is_empty() {
                 info!("machine {id} is silent past its lease, tasks={}", m.slots.len());
             }
-            // Messages of the ended session that come late mean nothing any more.
-            if m.session.0 > 0 {
-                m.session.0 += 1;
+            // Messages of the ended agent epoch that come late mean nothing any more.
+            if m.agent_epoch.0 > 0 {
+                m.agent_epoch.0 += 1;
                 m.sequence.0 = 0;
-                m.reported = (m.session, m.sequence);
+                m.reported = (m.agent_epoch, m.sequence);
             }
             m.outbox.clear();
             let spot = m.spot;
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -35,7 +35,7 @@
 use crate::core::rentals::{Market, Rentals, Request};
 use crate::core::shares::{SHARES_KEY, Shares};
 use crate::core::submissions;
-use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, Sequence, TaskId, Term};
+use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::{
     ImageView, JobCount, JobView, MachineView, Offer, PlanInput, PlanOutput, TeamLeft, TypeView, VERSION, Waiting,
     Wish, ZoneCount,
--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -11,7 +11,7 @@
 use super::*;
 use crate::config::sample_settings;
 use crate::core::records::{BITS, OVER, over_key};
-use crate::ids::{LeaseId, Sequence, Session};
+use crate::ids::{AgentEpoch, LeaseId, SequenceNumber};
 use crate::wire::JobSpec;
 use serde_json::json;
 
@@ -119,8 +119,8 @@
             kind: "plain".into(),
             zone: "a".into(),
             spot: false,
-            session: Session(1),
-            sequence: Sequence(0),
+            agent_epoch: AgentEpoch(1),
+            sequence: SequenceNumber(0),
             token: FencingToken(0),
             notice_s: None,
             tasks: Vec::new(),
@@ -236,7 +236,7 @@
                         let result = match self.workers.get_mut(&endpoint) {
                             Some(r) if !self.deaf.contains(&endpoint) => {
                                 r.sequence.0 += 1;
-                                if body.token < r.token || body.session != r.session {
+                                if body.token < r.token || body.agent_epoch != r.agent_epoch {
                                     OrdersResult::Rejected(r.clone())
                                 } else {
                                     r.token = body.token;
--- a/src/core/leader/tests/leaders.rs
+++ b/src/core/leader/tests/leaders.rs
@@ -107,7 +107,7 @@
     rig.mute.clear();
     rig.run(2_000);
     assert!(rig.leader.on_report(MonotonicTime(rig.now), &late).is_none());
-    let old = Report { session: Session(0), sequence: Sequence(900), ..held };
+    let old = Report { agent_epoch: AgentEpoch(0), sequence: SequenceNumber(900), ..held };
     assert!(rig.leader.on_report(MonotonicTime(rig.now), &old).is_none(), "of an earlier session");
     rig.run(1_000);
     assert_eq!(rig.runs(&id), 2);
--- a/src/core/leader/tests/machines.rs
+++ b/src/core/leader/tests/machines.rs
@@ -29,7 +29,7 @@
     rig.deaf.insert("w0".into());
     // Its lease has run out, as the answers didn't reach it.
     let w = rig.workers.get_mut("w0").unwrap();
-    (w.session, w.sequence) = (Session(2), Sequence(0));
+    (w.agent_epoch, w.sequence) = (AgentEpoch(2), SequenceNumber(0));
     w.tasks.clear();
     rig.report("w0");
     assert_eq!(rig.leader.jobs[&id].ready.len(), 1, "to be started anew");
@@ -83,8 +83,8 @@
 
 #[test]
 fn the_lease_of_a_session_counts_from_when_it_was_first_heard_of() {
-    // A machine was back at once, its new session became known by the answer to an order, and no report
-    // of that session arrived: its lease was counted from the last report of the session before, and its
+    // A machine was back at once, its new agent epoch became known by the answer to an order, and no report
+    // of that agent epoch arrived: its lease was counted from the last report of the agent epoch before, and its
     // task started a second time while the first still ran.
     let mut rig = Rig::new(2);
     rig.cloud_down = true;
@@ -94,7 +94,7 @@
     rig.run(2_500);
     for name in ["w0", "w1"] {
         let worker = rig.workers.get_mut(name).unwrap();
-        (worker.session, worker.sequence, worker.token) = (Session(2), Sequence(0), FencingToken::NONE);
+        (worker.agent_epoch, worker.sequence, worker.token) = (AgentEpoch(2), SequenceNumber(0), FencingToken::NONE);
     }
     let id = rig.submit(200, spec("req-000001", Kind::Array, 1, 8.0));
     rig.run(1_000);
@@ -123,7 +123,7 @@
     assert_eq!(job(&rig), 2, "the lease may still run");
     rig.run(1_500);
     assert_eq!(job(&rig), 1, "silent past its lease, whatever copies came");
-    // After the ledger has ended the session, a copy with a later sequence revives nothing either.
+    // After the ledger has ended the agent epoch, a copy with a later sequence revives nothing either.
     let mut later = copy;
     later.sequence.0 += 100;
     assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), &later), None);
@@ -136,7 +136,7 @@
     let old = rig.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
     // Of a machine that an earlier leader has returned: it has no record any more.
     let mut ghost = Rig::fresh(7);
-    ghost.sequence = Sequence(9);
+    ghost.sequence = SequenceNumber(9);
     let attempt = Attempt::new(Term(40), 1);
     let listed =
         TaskReport { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
@@ -145,7 +145,7 @@
     assert!(rig.leader.jobs[&old].placed.is_empty());
     // A copy that reaches a new leader before the machine itself tells nothing of now.
     let mut copy = Rig::fresh(0);
-    (copy.sequence, copy.token) = (Sequence(3), FencingToken::new(Term(40), 0));
+    (copy.sequence, copy.token) = (SequenceNumber(3), FencingToken::new(Term(40), 0));
     rig.workers.remove("w0");
     rig.leader.on_report(MonotonicTime(20), &copy);
     rig.run(5_000);
@@ -153,7 +153,7 @@
     // An empty report of a ghost: nothing is ordered there until it has confirmed the token.
     rig.leader.on_report(MonotonicTime(rig.now), &Rig::fresh(8));
     ghost = Rig::fresh(8);
-    ghost.sequence = Sequence(1);
+    ghost.sequence = SequenceNumber(1);
     rig.leader.on_report(MonotonicTime(rig.now), &ghost);
     let id = MachineId::parse("m-000008").unwrap();
     rig.run(1_000);
@@ -209,7 +209,7 @@
     assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
     // Also in the answer to a report that other news has overtaken.
     r.sequence.0 += 5;
-    rig.leader.machines.values_mut().for_each(|m| m.sequence = Sequence(r.sequence.0 + 1));
+    rig.leader.machines.values_mut().for_each(|m| m.sequence = SequenceNumber(r.sequence.0 + 1));
     assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
 }
 
@@ -224,9 +224,9 @@
     rig.mute.insert(mute.clone());
     rig.run(9_000);
     assert_eq!(rig.runs(&id), 2, "it may run on, so nothing is started anew");
-    // Its session ends; direct orders still arrive, but they are of a session that is over.
+    // Its agent epoch ends; direct orders still arrive, but they are of an agent epoch that is over.
     let r = rig.workers.get_mut(&mute).unwrap();
-    (r.session, r.sequence) = (Session(2), Sequence(0));
+    (r.agent_epoch, r.sequence) = (AgentEpoch(2), SequenceNumber(0));
     r.tasks.clear();
     rig.run(4_000);
     assert_eq!(rig.runs(&id), 2, "started on the machine that is left");
--- a/src/core/leader/workers.rs
+++ b/src/core/leader/workers.rs
@@ -31,12 +31,12 @@
         let quiet = self.quiet();
         let unacknowledged_after = self.p.lease;
         let m = self.machines.get_mut(&id)?;
-        if r.session < m.session || (r.session, r.sequence) <= m.reported {
-            // Of a session that has ended, or a copy: nobody waits for an answer to it, and it is
+        if r.agent_epoch < m.agent_epoch || (r.agent_epoch, r.sequence) <= m.reported {
+            // Of an agent epoch that has ended, or a copy: nobody waits for an answer to it, and it is
             // no sign of life.
             return None;
         }
-        m.reported = (r.session, r.sequence);
+        m.reported = (r.agent_epoch, r.sequence);
         m.ended = false;
         if now - m.last_report > quiet {
             m.slots.values_mut().for_each(|s| s.timed = false);
@@ -98,7 +98,7 @@
                 self.take_report(now, &id, &r);
             }
             OrdersResult::Unknown => {
-                // The orders may be carried out at any time within the session, so the fence
+                // The orders may be carried out at any time within the agent epoch, so the fence
                 // rises: once the worker has reported it, they are dead.
                 if m.fence >= MAX_FENCE {
                     m.doomed = true;
@@ -115,7 +115,7 @@
     /// Takes in what a worker lists. False: something newer was known.
     pub(super) fn take_report(&mut self, now: MonotonicTime, id: &MachineId, r: &Report) -> bool {
         let Some(m) = self.machines.get_mut(id) else { return false };
-        if (r.session, r.sequence) <= (m.session, m.sequence) {
+        if (r.agent_epoch, r.sequence) <= (m.agent_epoch, m.sequence) {
             return false;
         }
         m.endpoint.clone_from(&r.endpoint);
@@ -124,11 +124,11 @@
             m.idle_since = None;
             info!("machine {id} is up after {:.0} s", (now - m.since).as_secs_f64());
         }
-        if r.session > m.session && m.session.0 > 0 {
-            // A new session: the worker has killed and forgotten all it had.
+        if r.agent_epoch > m.agent_epoch && m.agent_epoch.0 > 0 {
+            // A new agent epoch: the worker has killed and forgotten all it had.
             let keys: Vec<SlotKey> = m.slots.keys().cloned().collect();
             if !keys.is_empty() {
-                info!("machine {id}: new session, tasks={}", keys.len());
+                info!("machine {id}: new agent epoch, tasks={}", keys.len());
             }
             for k in keys {
                 self.vanish(id, &k, false);
@@ -136,10 +136,10 @@
         }
         let own = FencingToken::new(self.term, 0);
         let Some(m) = self.machines.get_mut(id) else { return false };
-        if r.session > m.session || m.sequence == Sequence(0) {
-            m.session_heard_at = now;
+        if r.agent_epoch > m.agent_epoch || m.sequence == SequenceNumber(0) {
+            m.agent_epoch_first_heard = now;
         }
-        m.session = r.session;
+        m.agent_epoch = r.agent_epoch;
         m.sequence = r.sequence;
         let fence = FencingToken::new(self.term, m.fence);
         if m.fencing && r.token >= fence {
@@ -519,7 +519,7 @@
         self.tickets += 1;
         m.in_flight = Some(self.tickets);
         self.orders.insert(self.tickets, (id.clone(), runs));
-        let body = DirectOrders { token, session: m.session, orders };
+        let body = DirectOrders { token, agent_epoch: m.agent_epoch, orders };
         self.actions.push(Action::Orders { ticket: self.tickets, endpoint: m.endpoint.clone(), body });
     }
 }
--- a/src/core/ledger_model/faults.rs
+++ b/src/core/ledger_model/faults.rs
@@ -46,9 +46,9 @@
             self.workers[i].mute_until = until;
         }
         if self.chance(0.003) {
-            // Back at once, with a new session.
+            // Back at once, with a new agent epoch.
             let w = &mut self.workers[i];
-            w.session += 1;
+            w.agent_epoch += 1;
             w.began = self.now;
             w.tasks.clear();
             w.in_flight = None;
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/ledger_model/mod.rs
@@ -16,7 +16,7 @@
 use super::miser;
 use super::records::{BITS, Ending, LIVE, LiveRecord, OVER, OverRecord, live_key, over_key};
 use crate::config::{Settings, Tuning, sample_settings};
-use crate::ids::{Attempt, FencingToken, JobId, LeaseId, Revision, Sequence, Session, TaskId, Term};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, JobId, LeaseId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::PlanOutput;
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
@@ -54,7 +54,7 @@
     /// Its reports reach no controller, while orders reach it.
     mute_until: u64,
     sick: bool,
-    session: u64,
+    agent_epoch: u64,
     sequence: u64,
     token: u64,
     began: u64,
@@ -79,7 +79,7 @@
     Answer {
         worker: usize,
         sent: u64,
-        session: u64,
+        agent_epoch: u64,
         answer: ReportAnswer,
     },
     Orders {
@@ -87,7 +87,7 @@
         ticket: u64,
         worker: usize,
         token: FencingToken,
-        session: Session,
+        agent_epoch: AgentEpoch,
         orders: Vec<Order>,
     },
     OrdersResult {
@@ -329,8 +329,8 @@
                         let result = OrdersResult::Unknown;
                         self.post(2_000, Mail::OrdersResult { leader, ticket, result });
                     }
-                    let (token, session, orders) = (body.token, body.session, body.orders);
-                    self.post(delay, Mail::Orders { leader, ticket, worker, token, session, orders });
+                    let (token, agent_epoch, orders) = (body.token, body.agent_epoch, body.orders);
+                    self.post(delay, Mail::Orders { leader, ticket, worker, token, agent_epoch, orders });
                 }
                 Action::Commit { ticket, transaction } => {
                     let delay = self.delay();
@@ -528,9 +528,9 @@
                     answers.into_iter().for_each(|answer| self.post(delay, answer));
                 }
             }
-            Mail::Answer { worker, sent, session, answer } => {
+            Mail::Answer { worker, sent, agent_epoch, answer } => {
                 let w = &mut self.workers[worker];
-                let live = !w.dead && self.now >= w.hangs_until && w.session == session;
+                let live = !w.dead && self.now >= w.hangs_until && w.agent_epoch == agent_epoch;
                 if !live || self.now - sent > 4_000 || w.in_flight.is_none_or(|(_, s)| s != sent) {
                     return;
                 }
@@ -545,7 +545,7 @@
                 w.answered_sent = w.answered_sent.max(sent);
                 self.execute(worker, &answer.orders);
             }
-            Mail::Orders { leader, ticket, worker, token, session, orders } => {
+            Mail::Orders { leader, ticket, worker, token, agent_epoch, orders } => {
                 let w = &self.workers[worker];
                 if w.dead || self.now < w.up_at {
                     return;
@@ -557,12 +557,12 @@
                 if self.now < w.hangs_until.max(w.cut_until) {
                     // Held back, and delivered after all.
                     let later = w.hangs_until.max(w.cut_until) - self.now + 10;
-                    self.post(later, Mail::Orders { leader, ticket, worker, token, session, orders });
+                    self.post(later, Mail::Orders { leader, ticket, worker, token, agent_epoch, orders });
                     self.post(2_000, Mail::OrdersResult { leader, ticket, result: OrdersResult::Unknown });
                     return;
                 }
                 let w = &mut self.workers[worker];
-                let ok = token.0 >= w.token && session.0 == w.session;
+                let ok = token.0 >= w.token && agent_epoch.0 == w.agent_epoch;
                 if ok {
                     w.token = token.0;
                     self.execute(worker, &orders);
--- a/src/core/ledger_model/workers.rs
+++ b/src/core/ledger_model/workers.rs
@@ -15,7 +15,7 @@
             deaf_until: 0,
             mute_until: 0,
             sick: false,
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
             token: 0,
             began: up_at,
@@ -37,8 +37,8 @@
             kind: self.types[w.kind].name.clone(),
             zone: self.types[w.kind].zones[w.zone].clone(),
             spot: w.spot,
-            session: Session(w.session),
-            sequence: Sequence(w.sequence),
+            agent_epoch: AgentEpoch(w.agent_epoch),
+            sequence: SequenceNumber(w.sequence),
             token: FencingToken(w.token),
             notice_s: w.notice_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0),
             tasks: w
@@ -206,7 +206,7 @@
         let answer = answer?;
         let w = &self.workers[worker];
         let reachable = self.now >= w.cut_until && self.now >= w.deaf_until;
-        reachable.then_some(Mail::Answer { worker, sent, session: report.session.0, answer })
+        reachable.then_some(Mail::Answer { worker, sent, agent_epoch: report.agent_epoch.0, answer })
     }
 
     /// Gangs begin when all tasks wait, complete together, and break when one is gone.
@@ -254,7 +254,7 @@
         let now = self.now;
         let w = &mut self.workers[i];
         if now - w.answered_sent.max(w.began) > lease {
-            w.session += 1;
+            w.agent_epoch += 1;
             w.began = now;
             w.tasks.clear();
             w.in_flight = None;
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -129,12 +129,12 @@
     Attempt
 );
 counter!(
-    /// A worker's session.
-    Session
+    /// A worker's agent epoch.
+    AgentEpoch
 );
 counter!(
     /// A worker's message count.
-    Sequence
+    SequenceNumber
 );
 counter!(
     /// A lease of the state service.
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -10,7 +10,7 @@
 use crate::core::cancellations::Cancellations;
 use crate::core::leader::Action;
 use crate::core::leadership::{LEADER_KEY, SUCCESSOR_KEY};
-use crate::ids::{Attempt, FencingToken, LeaseId, Revision, Session, TaskId, Term};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, Revision, TaskId, Term};
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{DirectOrders, Mutation, Order, Transaction};
 use hyper::Method;
@@ -534,7 +534,7 @@
     tokio::time::sleep(Millis(200).to_std()).await;
     let endpoint = world.lock().unwrap().worker.clone();
     let run = Order::Run { task: TaskId::parse("req-000001/0").unwrap(), attempt: Attempt(1) };
-    let body = DirectOrders { token: FencingToken::new(Term(5), 0), session: Session(1), orders: vec![run] };
+    let body = DirectOrders { token: FencingToken::new(Term(5), 0), agent_epoch: AgentEpoch(1), orders: vec![run] };
     let order = || Action::Orders { ticket: 1, endpoint: endpoint.clone(), body: body.clone() };
     leading::perform(node.clone(), Term(5), order()).await;
     assert!(world.lock().unwrap().orders.is_empty(), "it is no longer the leader");
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,6 +1,6 @@
 //! The JSON of users, workers, cloud and state service. The odd names of the wire stay here.
 
-use crate::ids::{Attempt, FencingToken, Sequence, Session, TaskId};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber, TaskId};
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 use std::borrow::Cow;
@@ -152,10 +152,10 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: Session,
-    /// Larger in every later message of the session.
+    pub agent_epoch: AgentEpoch,
+    /// Larger in every later message of the agent epoch.
     #[serde(rename = "tally")]
-    pub sequence: Sequence,
+    pub sequence: SequenceNumber,
     #[serde(rename = "baton")]
     pub token: FencingToken,
     #[serde(rename = "warn_s", default)]
@@ -200,7 +200,7 @@
     #[serde(rename = "baton")]
     pub token: FencingToken,
     #[serde(rename = "shift")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     pub orders: Vec<Order>,
 }
 
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -4,7 +4,7 @@
 use crate::values::{full_job, job_id, job_named, machine_type, sparse_job, task};
 use serde_json::json;
 use wallstile::core::submissions::{Submission, parse_submission};
-use wallstile::ids::{Attempt, FencingToken, Sequence, Session};
+use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber};
 use wallstile::net::users::Reply;
 use wallstile::wire::{
     Cause, DirectOrders, JobAnswer, JobPhase, KeyValue, Kind, ListPhase, ListedMachine, MachineList, MachineNames,
@@ -99,8 +99,8 @@
         kind: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: Session(31),
-        sequence: Sequence(32),
+        agent_epoch: AgentEpoch(31),
+        sequence: SequenceNumber(32),
         token: FencingToken(33),
         notice_s: Some(12.5),
         tasks: vec![full_task(), sparse_task()],
@@ -139,7 +139,7 @@
     samples.assert_both_ways("report_answer", &ReportAnswer { token: FencingToken(33), orders: orders() });
     let nothing = ReportAnswer { token: FencingToken(33), orders: Vec::new() };
     samples.assert_both_ways("report_answer_without_orders", &nothing);
-    let direct = DirectOrders { token: FencingToken(33), session: Session(31), orders: orders() };
+    let direct = DirectOrders { token: FencingToken(33), agent_epoch: AgentEpoch(31), orders: orders() };
     samples.assert_both_ways("direct_orders", &direct);
 }
 
