--- a/benches/core.rs
+++ b/benches/core.rs
@@ -24,7 +24,7 @@
     let seconds: u64 = args.next().and_then(|a| a.parse().ok()).unwrap_or(60);
     let mut fleet = Fleet::new(machines, 0);
     let hist = || Histogram::<u64>::new(3).expect("three digits are allowed");
-    let (mut reports, mut ticks, mut answers) = (hist(), hist(), hist());
+    let (mut heartbeats, mut ticks, mut answers) = (hist(), hist(), hist());
     // Slightly more work than the machines can do, so that there is always some that waits.
     let every = (f64::from(ARRAY_TASKS) * RUN_MS as f64 / fleet_cpus(machines) * 0.95).max(1.0) as u64;
     let (mut jobs, mut most_looks) = (0u64, 0u64);
@@ -37,14 +37,14 @@
             most_looks = most_looks.max(observed.cost.total());
             let histogram = match observed.input {
                 Input::Tick => &mut ticks,
-                Input::Report => &mut reports,
+                Input::Heartbeat => &mut heartbeats,
                 Input::Answer => &mut answers,
             };
             histogram.record(observed.took.as_nanos() as u64).expect("it grows as needed");
         }
     }
     println!("machines={machines} seconds={seconds} jobs={jobs} commits={} most_looks={most_looks}", fleet.commits);
-    for (name, h) in [("report", &reports), ("tick", &ticks), ("answer", &answers)] {
+    for (name, h) in [("report", &heartbeats), ("tick", &ticks), ("answer", &answers)] {
         let us = |q: f64| h.value_at_quantile(q) as f64 / 1e3;
         let total_ms = h.mean() * h.len() as f64 / 1e6;
         println!(
--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -51,7 +51,7 @@
 
 struct Measured {
     tick: Most,
-    report: Most,
+    heartbeat: Most,
 }
 
 fn main() {
@@ -60,22 +60,26 @@
     for (name, play) in [("urgent", urgent as Scenario), ("waiting", waiting)] {
         let mut totals = Vec::new();
         for &machines in &sizes {
-            let Measured { tick, report } = play(machines);
+            let Measured { tick, heartbeat } = play(machines);
             println!(
                 "{name} machines={machines} tick: looks={} {} longest={:.1?}",
                 tick.cost.total(),
                 tick.cost,
                 tick.took
             );
-            println!("{name} machines={machines} report: looks={} longest={:.1?}", report.cost.total(), report.took);
-            totals.push((machines, tick.cost.total(), report.cost.total()));
+            println!(
+                "{name} machines={machines} report: looks={} longest={:.1?}",
+                heartbeat.cost.total(),
+                heartbeat.took
+            );
+            totals.push((machines, tick.cost.total(), heartbeat.cost.total()));
         }
-        if let [(small, ticks, reports), .., (large, more_ticks, more_reports)] = totals[..] {
+        if let [(small, ticks, heartbeats), .., (large, more_ticks, more_reports)] = totals[..] {
             let exponent = |few: u64, many: u64| (many as f64 / few as f64).ln() / (large as f64 / small as f64).ln();
             println!(
                 "{name} growth from {small} to {large} machines: tick {:.2}, report {:.2}",
                 exponent(ticks, more_ticks),
-                exponent(reports.max(1), more_reports.max(1))
+                exponent(heartbeats.max(1), more_reports.max(1))
             );
         }
     }
@@ -95,12 +99,12 @@
 }
 
 fn play(fleet: &mut Fleet, until_ms: u64) -> Measured {
-    let mut measured = Measured { tick: Most::default(), report: Most::default() };
+    let mut measured = Measured { tick: Most::default(), heartbeat: Most::default() };
     while fleet.now < until_ms {
         for observed in fleet.step() {
             match observed.input {
                 Input::Tick => measured.tick.note(&observed),
-                Input::Report => measured.report.note(&observed),
+                Input::Heartbeat => measured.heartbeat.note(&observed),
                 Input::Answer => {}
             }
         }
--- a/benches/load.rs
+++ b/benches/load.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use wallstile::net::http::Http;
 use wallstile::time::Millis;
-use wallstile::wire::ReportAnswer;
+use wallstile::wire::HeartbeatResponse;
 use worker::{REPORT_MS, RUN_MS, Worker, fleet_cpus};
 use workload::{ARRAY_TASKS, job};
 
@@ -69,7 +69,7 @@
     settings.to_string()
 }
 
-/// Reports as a worker does, with one connection of its own.
+/// Heartbeats as a worker does, with one connection of its own.
 async fn report_for_ever(worker: Arc<Mutex<Worker>>, controller: SocketAddr, counts: Arc<Counts>) {
     let http = Http::new(4);
     let started = tokio::time::Instant::now();
@@ -77,20 +77,20 @@
     loop {
         tokio::time::sleep(STEP).await;
         let now = started.elapsed().as_millis() as u64;
-        let report = {
+        let heartbeat = {
             let mut worker = worker.lock().expect("no holder panics");
             let changed = worker.step(now) && now - last >= REPORT_GAP_MS;
             if !changed && worker.report_at > now {
                 continue;
             }
             worker.report_at = now + REPORT_MS;
-            serde_json::to_vec(&worker.next_report()).expect("a report is JSON")
+            serde_json::to_vec(&worker.next_heartbeat()).expect("a report is JSON")
         };
         last = now;
-        let answer = http.call(Method::POST, &controller.to_string(), "/v1/report", report, Millis(4_000)).await;
-        counts.reports.fetch_add(1, Ordering::Relaxed);
+        let answer = http.call(Method::POST, &controller.to_string(), "/v1/report", heartbeat, Millis(4_000)).await;
+        counts.heartbeats.fetch_add(1, Ordering::Relaxed);
         let Ok((200, body)) = answer else { continue };
-        let Ok(answer) = serde_json::from_slice::<ReportAnswer>(&body) else { continue };
+        let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(&body) else { continue };
         let mut worker = worker.lock().expect("no holder panics");
         worker.obey(now, answer.token, &answer.orders);
     }
@@ -132,7 +132,7 @@
     for index in 0..machines {
         let worker = Arc::new(Mutex::new(Worker::new(index, machines, String::new())));
         let address = serve_worker(worker.clone(), counts.clone());
-        worker.lock().expect("no holder panics").report.endpoint = address.to_string();
+        worker.lock().expect("no holder panics").heartbeat.endpoint = address.to_string();
         workers.push(worker);
     }
     let state = serve_state(StateService::default(), counts.clone());
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum Input {
     Tick,
-    Report,
+    Heartbeat,
     Answer,
 }
 
@@ -59,10 +59,10 @@
     /// Gives the leader what an earlier one has recorded.
     fn load(&mut self, machines: usize) {
         let row = |worker: &Worker| {
-            let report = &worker.report;
-            let (endpoint, kind, zone) = (report.endpoint.clone(), report.kind.clone(), report.zone.clone());
-            let record = FleetRecord { endpoint, kind, zone, spot: report.spot };
-            KeyValue { key: format!("{FLEET}{}", report.machine), value: serde_json::json!(record), revision: 1 }
+            let heartbeat = &worker.heartbeat;
+            let (endpoint, kind, zone) = (heartbeat.endpoint.clone(), heartbeat.kind.clone(), heartbeat.zone.clone());
+            let record = FleetRecord { endpoint, kind, zone, spot: heartbeat.spot };
+            KeyValue { key: format!("{FLEET}{}", heartbeat.machine), value: serde_json::json!(record), revision: 1 }
         };
         let fleet = self.workers.iter().take(machines).map(row).collect();
         self.leader.load(MonotonicTime(0), Stored { fleet, ..Stored::default() });
@@ -75,7 +75,7 @@
         self.leader.on_live(&id, &record, Revision(self.revision));
     }
 
-    /// Plays one tick, the reports that are due and all that follows. Returns what it took.
+    /// Plays one tick, the heartbeats that are due and all that follows. Returns what it took.
     pub fn step(&mut self) -> Vec<Observation> {
         self.now += TICK.0;
         let (now, wall) = (MonotonicTime(self.now), WallTime(self.now));
@@ -85,8 +85,8 @@
             let changed = worker.step(self.now);
             if changed || worker.report_at <= self.now {
                 worker.report_at = self.now + REPORT_MS;
-                let report = worker.next_report();
-                let answer = self.observe(Input::Report, |leader| leader.on_report(now, &report));
+                let heartbeat = worker.next_heartbeat();
+                let answer = self.observe(Input::Heartbeat, |leader| leader.on_heartbeat(now, &heartbeat));
                 if let Some(answer) = answer {
                     self.workers[at].obey(self.now, answer.token, &answer.orders);
                 }
@@ -106,7 +106,7 @@
             Action::Orders { ticket, endpoint, body } => {
                 let worker = &mut self.workers[endpoint.parse::<usize>().expect("a worker's number")];
                 worker.obey(self.now, body.token, &body.orders);
-                let result = OrdersResult::Executed(worker.next_report());
+                let result = OrdersResult::Executed(worker.next_heartbeat());
                 self.observe(Input::Answer, |leader| leader.on_orders_result(now, ticket, result));
             }
             Action::Commit { ticket, .. } => {
--- a/benches/support/stand_ins.rs
+++ b/benches/support/stand_ins.rs
@@ -15,7 +15,7 @@
 /// Requests seen so far, by who answers them.
 #[derive(Default)]
 pub struct Counts {
-    pub reports: AtomicU64,
+    pub heartbeats: AtomicU64,
     pub orders: AtomicU64,
     pub state: AtomicU64,
     pub users: AtomicU64,
@@ -25,7 +25,7 @@
     pub fn snapshot(&self) -> Vec<(&'static str, u64)> {
         let read = |c: &AtomicU64| c.load(Ordering::Relaxed);
         vec![
-            ("reports", read(&self.reports)),
+            ("reports", read(&self.heartbeats)),
             ("orders", read(&self.orders)),
             ("state service", read(&self.state)),
             ("users", read(&self.users)),
@@ -189,9 +189,9 @@
         };
         let mut worker = self.0.lock().expect("no holder panics");
         worker.obey(self.2.elapsed().as_millis() as u64, orders.token, &orders.orders);
-        let report = serde_json::to_string(&worker.next_report()).expect("a report is JSON");
+        let heartbeat = serde_json::to_string(&worker.next_heartbeat()).expect("a report is JSON");
         drop(worker);
-        send(response, 200, report);
+        send(response, 200, heartbeat);
     }
 }
 
--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber, TaskId};
-use wallstile::wire::{Cause, Order, Report, TaskPhase, TaskReport};
+use wallstile::wire::{Cause, Heartbeat, Order, TaskPhase, TaskStatus};
 
 /// How long each task runs.
 pub const RUN_MS: u64 = 20_000;
@@ -19,16 +19,16 @@
 }
 
 pub struct Worker {
-    pub report: Report,
+    pub heartbeat: Heartbeat,
     /// When each listed task that runs will end.
     ends: BTreeMap<(TaskId, Attempt), u64>,
     pub report_at: u64,
 }
 
 impl Worker {
-    /// The worker of one of so many machines; their reports are spread over the reporting interval.
+    /// The worker of one of so many machines; their heartbeats are spread over the reporting interval.
     pub fn new(index: usize, machines: usize, endpoint: String) -> Worker {
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: format!("m-{index:06}"),
             endpoint,
             kind: if index.is_multiple_of(LARGE_EVERY) { "large" } else { "small" }.into(),
@@ -40,48 +40,48 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        Worker { report, ends: BTreeMap::new(), report_at: index as u64 * REPORT_MS / machines as u64 }
+        Worker { heartbeat, ends: BTreeMap::new(), report_at: index as u64 * REPORT_MS / machines as u64 }
     }
 
-    /// Takes orders under a token, which the next reports carry.
+    /// Takes orders under a token, which the next heartbeats carry.
     pub fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
-        self.report.token = self.report.token.max(token);
+        self.heartbeat.token = self.heartbeat.token.max(token);
         for order in orders {
             match order {
                 Order::Run { task, attempt } => {
-                    let listed = TaskReport {
+                    let listed = TaskStatus {
                         task: Some(*task),
                         attempt: *attempt,
                         phase: TaskPhase::Running,
                         cause: None,
                         kept: None,
                     };
-                    self.report.tasks.push(listed);
+                    self.heartbeat.tasks.push(listed);
                     self.ends.insert((*task, *attempt), now + RUN_MS);
                 }
                 Order::Stop { task, attempt, .. } => {
-                    let same = |l: &&mut TaskReport| l.task == Some(*task) && l.attempt == *attempt;
-                    for listed in self.report.tasks.iter_mut().filter(same) {
+                    let same = |l: &&mut TaskStatus| l.task == Some(*task) && l.attempt == *attempt;
+                    for listed in self.heartbeat.tasks.iter_mut().filter(same) {
                         (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Halted));
                     }
                 }
                 Order::Clear { task, attempt } => {
-                    self.report.tasks.retain(|l| l.task != Some(*task) || l.attempt != *attempt);
+                    self.heartbeat.tasks.retain(|l| l.task != Some(*task) || l.attempt != *attempt);
                 }
             }
         }
     }
 
-    /// The next report, or the answer to orders.
-    pub fn next_report(&mut self) -> Report {
-        self.report.sequence = SequenceNumber(self.report.sequence.0 + 1);
-        self.report.clone()
+    /// The next heartbeat, or the answer to orders.
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
+        self.heartbeat.sequence = SequenceNumber(self.heartbeat.sequence.0 + 1);
+        self.heartbeat.clone()
     }
 
     /// Ends tasks that have run their time; true: something has changed.
     pub fn step(&mut self, now: u64) -> bool {
         let mut changed = false;
-        for listed in self.report.tasks.iter_mut().filter(|l| l.phase != TaskPhase::Exited) {
+        for listed in self.heartbeat.tasks.iter_mut().filter(|l| l.phase != TaskPhase::Exited) {
             let Some(task) = listed.task else { continue };
             let key = (task, listed.attempt);
             if self.ends.get(&key).is_some_and(|t| *t <= now) {
--- a/src/core/election_model.rs
+++ b/src/core/election_model.rs
@@ -48,7 +48,7 @@
     reports_to: usize,
     token: u64,
     answered_sent: u64,
-    next_report: u64,
+    next_heartbeat: u64,
     runs: bool,
 }
 
@@ -105,7 +105,7 @@
                 reports_to: rng.random_range(0..NODES),
                 token: 0,
                 answered_sent: 0,
-                next_report: rng.random_range(0..1_500),
+                next_heartbeat: rng.random_range(0..1_500),
                 runs: true,
             })
             .collect();
@@ -306,10 +306,10 @@
             if now - w.answered_sent > LEASE {
                 w.runs = false;
             }
-            if now < w.next_report {
+            if now < w.next_heartbeat {
                 continue;
             }
-            w.next_report = now + 1_500;
+            w.next_heartbeat = now + 1_500;
             let c = &self.controllers[w.reports_to];
             let term = c.leadership.acting(c.clock(now)).filter(|_| c.loaded && now >= c.frozen_until);
             match term {
@@ -322,7 +322,7 @@
                 }
                 _ => {
                     w.reports_to = (w.reports_to + 1) % NODES;
-                    w.next_report = now + 1_000;
+                    w.next_heartbeat = now + 1_000;
                 }
             }
         }
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct Slot {
     pub need: Amount,
-    /// None: a task of a job that is over, known from a report only.
+    /// None: a task of a job that is over, known from a heartbeat only.
     pub team: Option<u32>,
     pub priority: Priority,
     /// None: not listed by the worker yet.
@@ -86,7 +86,7 @@
     pub listed: u64,
     pub placed_at: MonotonicTime,
     pub running_since: Option<MonotonicTime>,
-    /// Its whole run was seen, so that its time tells something. Reports that were missing in
+    /// Its whole run was seen, so that its time tells something. Heartbeats that were missing in
     /// between would make it look longer.
     pub timed: bool,
     /// A stop was ordered, with this leeway.
@@ -139,13 +139,13 @@
     pub commission: Commission,
     pub agent_epoch: AgentEpoch,
     /// When the agent epoch was first heard of. Its lease counts from its beginning, which was before, even
-    /// if no report of it has been answered.
+    /// if no heartbeat of it has been answered.
     pub agent_epoch_first_heard: MonotonicTime,
     pub sequence: SequenceNumber,
-    /// The latest *report*; orders' answers count their sequence numbers on as well, but are no reports.
-    pub reported: (AgentEpoch, SequenceNumber),
-    /// When the last report that was answered came in. A copy of an earlier one is no sign of life.
-    pub last_report: MonotonicTime,
+    /// The latest *report*; orders' answers count their sequence numbers on as well, but are no heartbeats.
+    pub latest_heartbeat: (AgentEpoch, SequenceNumber),
+    /// When the last heartbeat that was answered came in. A copy of an earlier one is no sign of life.
+    pub last_heartbeat: MonotonicTime,
     /// The way that it took; none: this leader has not answered any.
     pub route: Option<Route>,
     /// Its agent epoch has ended by the ledger's own count: what comes of it later is stale.
@@ -194,8 +194,8 @@
             agent_epoch: AgentEpoch(0),
             agent_epoch_first_heard: now,
             sequence: SequenceNumber(0),
-            reported: (AgentEpoch(0), SequenceNumber(0)),
-            last_report: now,
+            latest_heartbeat: (AgentEpoch(0), SequenceNumber(0)),
+            last_heartbeat: now,
             route: None,
             ended: false,
             confirmed: false,
@@ -259,7 +259,7 @@
             && !self.doomed
             && !self.has_unknown()
             && self.sick_until <= now
-            && now - self.last_report <= quiet
+            && now - self.last_heartbeat <= quiet
     }
 
     /// A task has run `ratio` times as long as its job's average. True: by now it is plain that
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -39,7 +39,7 @@
     /// Those of them that were on a spot machine which was taken.
     pub reclaimed: BTreeSet<u32>,
     /// Where a task possibly is. More than one place only where a new leader can't tell yet which
-    /// of two reports came late.
+    /// of two heartbeats came late.
     pub placed: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     pub gang: Option<GangRun>,
     pub finishing: bool,
--- a/src/core/leader/machines.rs
+++ b/src/core/leader/machines.rs
@@ -11,7 +11,7 @@
 /// Where many machines are silent at once.
 struct ManySilent {
     everywhere: bool,
-    /// Of those whose reports came this way.
+    /// Of those whose heartbeats came this way.
     routes: BTreeSet<Option<Route>>,
 }
 
@@ -62,7 +62,7 @@
         let mut dead = Vec::new();
         for (id, m) in &mut self.machines {
             // Before this leader, answers may have been given until it was elected.
-            let answered = m.last_report.max(self.since);
+            let answered = m.last_heartbeat.max(self.since);
             if now - answered.max(m.agent_epoch_first_heard) <= lease {
                 continue;
             }
@@ -84,7 +84,7 @@
             if m.agent_epoch.0 > 0 {
                 m.agent_epoch.0 += 1;
                 m.sequence.0 = 0;
-                m.reported = (m.agent_epoch, m.sequence);
+                m.latest_heartbeat = (m.agent_epoch, m.sequence);
             }
             m.outbox.clear();
             let spot = m.spot;
@@ -118,7 +118,7 @@
             if !m.doomed {
                 let t = &self.types[m.kind];
                 let boot = Millis::from_secs_f64((t.boot_s * 3.5).max(60.0)) + self.p.list_lag;
-                let silent = now - m.last_report.max(self.since);
+                let silent = now - m.last_heartbeat.max(self.since);
                 // A worker may need some seconds to find a new leader: one that hasn't yet is no
                 // more silent than its lease is long.
                 let silent_after = silent_after(&m.route);
@@ -179,7 +179,7 @@
         for m in self.machines.values().filter(|m| m.commission == Commission::Yes) {
             let (up, silent) = counts.entry(m.route).or_default();
             *up += usize::from(m.up);
-            *silent += usize::from(now - m.last_report > quiet);
+            *silent += usize::from(now - m.last_heartbeat > quiet);
         }
         let up = counts.values().map(|(up, _)| up).sum();
         let silent = counts.values().map(|(_, silent)| silent).sum();
@@ -200,17 +200,17 @@
     /// Machines that should report but don't, and how many should.
     pub fn silent_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
         // Less than what makes a machine unusable: a cut leaves little time to find another leader.
-        let limit = self.p.report.mul_f64(1.25) + Millis(500);
+        let limit = self.p.heartbeat.mul_f64(1.25) + Millis(500);
         let ours = || self.machines.iter().filter(|(_, m)| m.commission == Commission::Yes && !m.doomed);
         // Those on their way to a new leader must still be sent to it.
         let settled = self.settled(now);
-        let silent = ours().filter(|(_, m)| (settled || m.confirmed) && now - m.last_report.max(self.since) > limit);
+        let silent = ours().filter(|(_, m)| (settled || m.confirmed) && now - m.last_heartbeat.max(self.since) > limit);
         (silent.map(|(id, _)| id.to_string()).collect(), ours().count())
     }
 
     /// A worker that hasn't reported for longer gets no new tasks.
     pub(super) fn quiet(&self) -> Millis {
-        self.p.report.mul_f64(2.0) + Millis(500)
+        self.p.heartbeat.mul_f64(2.0) + Millis(500)
     }
 
     /// The cloud has carried out a return, or it isn't known.
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -42,8 +42,8 @@
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    Cause, DirectOrders, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType, Mutation, Order, Precondition,
-    Priority, RentRequest, Report, ReportAnswer, TaskPhase, TaskReport, Transaction,
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType,
+    Mutation, Order, Precondition, Priority, RentRequest, TaskPhase, TaskStatus, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use log::{debug, info, warn};
@@ -82,8 +82,8 @@
 
 #[derive(Clone, Debug)]
 pub enum OrdersResult {
-    Executed(Report),
-    Rejected(Report),
+    Executed(Heartbeat),
+    Rejected(Heartbeat),
     /// Perhaps executed, perhaps yet to be.
     Unknown,
 }
@@ -118,7 +118,7 @@
 }
 
 struct Params {
-    report: Millis,
+    heartbeat: Millis,
     lease: Millis,
     txn_ops: usize,
     value_bytes: usize,
@@ -141,7 +141,7 @@
     /// The state service doesn't answer, and may answer others: users may have been told of
     /// cancellations that aren't known here.
     in_doubt: bool,
-    /// When the ledger was loaded: no answer to a report that it doesn't know of is later than that.
+    /// When the ledger was loaded: no answer to a heartbeat that it doesn't know of is later than that.
     since: MonotonicTime,
     types: Vec<MachineType>,
     zones: Vec<String>,
@@ -154,7 +154,7 @@
     /// The latest jobs that are over.
     over: VecDeque<JobId>,
     machines: BTreeMap<MachineId, Machine>,
-    /// Returned for good; late reports of theirs mean nothing.
+    /// Returned for good; late heartbeats of theirs mean nothing.
     gone: BTreeSet<MachineId>,
     /// Listed as running by the cloud, but never heard of: since when.
     unseen: BTreeMap<MachineId, MonotonicTime>,
@@ -203,7 +203,7 @@
     ticked_at: MonotonicTime,
     lag_ms: f64,
     /// What each team possibly uses: counted when it is needed, kept up by starts, and dropped
-    /// whenever a report may have added to it.
+    /// whenever a heartbeat may have added to it.
     usage: Option<Usage>,
     actions: Vec<Action>,
     /// What this leader has worked through since it began.
@@ -303,7 +303,7 @@
         }
         let limits = c.state.lowest();
         let p = Params {
-            report: Millis::from_secs_f64(c.workers.report_s),
+            heartbeat: Millis::from_secs_f64(c.workers.report_s),
             lease: Millis::from_secs_f64(c.workers.lease_s),
             txn_ops: limits.txn_ops,
             value_bytes: c.state.value_bytes(),
@@ -592,10 +592,10 @@
 
 /// The answer of a leader that is still reading its ledger: it can't tell which tasks are cancelled, so
 /// it renews no lease over any. An answer without a token is dropped, but keeps the worker here.
-pub fn answer_without_ledger(term: Term, report: &Report) -> ReportAnswer {
-    let empty = report.tasks.iter().all(|l| l.phase == TaskPhase::Exited);
+pub fn response_before_load(term: Term, heartbeat: &Heartbeat) -> HeartbeatResponse {
+    let empty = heartbeat.tasks.iter().all(|l| l.phase == TaskPhase::Exited);
     let token = if empty { FencingToken::new(term, 0) } else { FencingToken::NONE };
-    ReportAnswer { token, orders: Vec::new() }
+    HeartbeatResponse { token, orders: Vec::new() }
 }
 
 /// Most orders in one message, which has a limit of 64 KiB.
@@ -610,7 +610,7 @@
     s.stop = Some(s.stop.map_or(leeway, |l| l.min(leeway)));
     let run = Order::Run { task: key.0, attempt: key.1 };
     if let Some(at) = m.outbox.iter().position(|o| *o == run) {
-        // Not sent yet: the order is turned into nothing, and the next report shows it absent.
+        // Not sent yet: the order is turned into nothing, and the next heartbeat shows it absent.
         m.outbox.remove(at);
         s.sent = Some(Sent { token: FencingToken(0), answered: true });
         return;
--- a/src/core/leader/tests.rs
+++ b/src/core/leader/tests.rs
@@ -18,7 +18,7 @@
 struct Rig {
     leader: Leader,
     now: u64,
-    workers: BTreeMap<String, Report>,
+    workers: BTreeMap<String, Heartbeat>,
     /// Where answers and orders don't arrive.
     deaf: BTreeSet<String>,
     returned: BTreeSet<String>,
@@ -112,8 +112,8 @@
         }
     }
 
-    fn fresh(i: usize) -> Report {
-        Report {
+    fn fresh(i: usize) -> Heartbeat {
+        Heartbeat {
             machine: format!("m-{i:06}"),
             endpoint: format!("w{i}"),
             kind: "plain".into(),
@@ -179,10 +179,10 @@
         self.leader.load(MonotonicTime(self.now), stored);
     }
 
-    fn execute(r: &mut Report, orders: &[Order]) {
+    fn execute(r: &mut Heartbeat, orders: &[Order]) {
         for o in orders {
             match o {
-                Order::Run { task, attempt } => r.tasks.push(TaskReport {
+                Order::Run { task, attempt } => r.tasks.push(TaskStatus {
                     task: Some(*task),
                     attempt: *attempt,
                     phase: TaskPhase::Running,
@@ -195,16 +195,16 @@
         }
     }
 
-    fn end(r: &mut Report, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
+    fn end(r: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
         for l in r.tasks.iter_mut().filter(|l| l.task == task && l.attempt == attempt) {
             (l.phase, l.cause) = (TaskPhase::Exited, Some(cause));
         }
     }
 
-    fn report(&mut self, name: &str) -> bool {
+    fn heartbeat(&mut self, name: &str) -> bool {
         let Some(r) = self.workers.get_mut(name) else { return false };
         r.sequence.0 += 1;
-        let answer = self.leader.on_report(MonotonicTime(self.now), r);
+        let answer = self.leader.on_heartbeat(MonotonicTime(self.now), r);
         if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.deaf.contains(name)) {
             r.token = a.token;
             Rig::execute(r, &a.orders);
@@ -225,7 +225,7 @@
             if self.now.is_multiple_of(500) {
                 for name in self.workers.keys().cloned().collect::<Vec<_>>() {
                     if !self.mute.contains(&name) {
-                        self.report(&name);
+                        self.heartbeat(&name);
                     }
                 }
             }
@@ -279,19 +279,19 @@
 
     /// The first task that a worker lists completes.
     fn finish_first_task(&mut self, name: &str) {
-        let report = self.workers.get_mut(name).expect("a worker of the rig");
-        let first = report.tasks[0].clone();
-        Rig::end(report, first.task, first.attempt, Cause::Done);
+        let heartbeat = self.workers.get_mut(name).expect("a worker of the rig");
+        let first = heartbeat.tasks[0].clone();
+        Rig::end(heartbeat, first.task, first.attempt, Cause::Done);
     }
 
     /// The first worker that holds something.
     fn busy_worker(&self) -> String {
-        let busy = self.workers.iter().find(|(_, report)| !report.tasks.is_empty());
+        let busy = self.workers.iter().find(|(_, heartbeat)| !heartbeat.tasks.is_empty());
         busy.map(|(name, _)| name.clone()).expect("some worker is busy")
     }
 
     fn runs(&self, id: &JobId) -> usize {
-        let of = |l: &&TaskReport| l.phase == TaskPhase::Running && l.task.is_some_and(|t| t.job == *id);
+        let of = |l: &&TaskStatus| l.phase == TaskPhase::Running && l.task.is_some_and(|t| t.job == *id);
         self.workers.values().flat_map(|r| &r.tasks).filter(of).count()
     }
 }
--- a/src/core/leader/tests/digest.rs
+++ b/src/core/leader/tests/digest.rs
@@ -20,7 +20,7 @@
 
 struct SimulatedWorker {
     index: usize,
-    report: Report,
+    heartbeat: Heartbeat,
     /// When each listed task goes on to its next phase.
     next: BTreeMap<SlotKey, u64>,
     report_at: u64,
@@ -29,8 +29,8 @@
 impl SimulatedWorker {
     fn new(index: usize, kind: &str, zone: &str, spot: bool, report_at: u64) -> SimulatedWorker {
         let kind = kind.into();
-        let report = Report { endpoint: index.to_string(), kind, zone: zone.into(), spot, ..Rig::fresh(index) };
-        SimulatedWorker { index, report, next: BTreeMap::new(), report_at }
+        let heartbeat = Heartbeat { endpoint: index.to_string(), kind, zone: zone.into(), spot, ..Rig::fresh(index) };
+        SimulatedWorker { index, heartbeat, next: BTreeMap::new(), report_at }
     }
 
     fn of_first_fleet(index: usize) -> SimulatedWorker {
@@ -45,20 +45,20 @@
     }
 
     fn record(&self) -> KeyValue {
-        let Report { endpoint, kind, zone, spot, .. } = self.report.clone();
+        let Heartbeat { endpoint, kind, zone, spot, .. } = self.heartbeat.clone();
         let value = json!(FleetRecord { endpoint, kind, zone, spot });
-        KeyValue { key: format!("{FLEET}{}", self.report.machine), value, revision: 1 }
+        KeyValue { key: format!("{FLEET}{}", self.heartbeat.machine), value, revision: 1 }
     }
 
     fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
-        self.report.token = self.report.token.max(token);
-        Rig::execute(&mut self.report, orders);
+        self.heartbeat.token = self.heartbeat.token.max(token);
+        Rig::execute(&mut self.heartbeat, orders);
         for order in orders {
             if let Order::Run { task, attempt } = order {
                 self.next.insert((*task, *attempt), now + 500);
             }
         }
-        for listed in self.report.tasks.iter_mut().filter(|l| l.phase == TaskPhase::Running) {
+        for listed in self.heartbeat.tasks.iter_mut().filter(|l| l.phase == TaskPhase::Running) {
             let key = (listed.task.expect("a task that was ordered"), listed.attempt);
             if self.next.get(&key) == Some(&(now + 500)) {
                 listed.phase = TaskPhase::Pulling;
@@ -79,7 +79,7 @@
     /// Tasks go on to their next phases; services never end.
     fn step(&mut self, now: u64, services: &BTreeSet<JobId>) {
         let (faulty, slowness) = (self.is_faulty(), self.slowness());
-        for listed in &mut self.report.tasks {
+        for listed in &mut self.heartbeat.tasks {
             let key = (listed.task.expect("a task that was ordered"), listed.attempt);
             if listed.phase == TaskPhase::Exited || self.next.get(&key).is_none_or(|at| *at > now) {
                 continue;
@@ -95,9 +95,9 @@
         }
     }
 
-    fn next_report(&mut self) -> Report {
-        self.report.sequence.0 += 1;
-        self.report.clone()
+    fn next_heartbeat(&mut self) -> Heartbeat {
+        self.heartbeat.sequence.0 += 1;
+        self.heartbeat.clone()
     }
 }
 
@@ -224,23 +224,23 @@
             match &mut self.workers[index] {
                 Some(_) if self.now >= gone_at => self.workers[index] = None,
                 Some(worker) if self.now + 6_000 >= gone_at => {
-                    worker.report.notice_s = Some((gone_at - self.now) as f64 / 1_000.0);
+                    worker.heartbeat.notice_s = Some((gone_at - self.now) as f64 / 1_000.0);
                 }
                 _ => {}
             }
         }
     }
 
-    fn reports(&mut self) {
+    fn heartbeats(&mut self) {
         let now = self.now;
         for (index, worker) in self.workers.iter_mut().enumerate() {
             let Some(worker) = worker.as_mut().filter(|worker| worker.report_at <= now) else { continue };
             worker.step(now, &self.services);
             worker.report_at = now + REPORT_MS;
-            let report = worker.next_report();
+            let heartbeat = worker.next_heartbeat();
             let answer = match index % 3 {
-                0 => self.leader.on_report_by(MonotonicTime(now), &report, Route::by_peer(0)),
-                _ => self.leader.on_report(MonotonicTime(now), &report),
+                0 => self.leader.on_heartbeat_via(MonotonicTime(now), &heartbeat, Route::by_peer(0)),
+                _ => self.leader.on_heartbeat(MonotonicTime(now), &heartbeat),
             };
             self.digest.answer(answer.as_ref());
             if let Some(answer) = answer {
@@ -254,18 +254,18 @@
         if !self.now.is_multiple_of(LIST_MS) {
             return;
         }
-        let listed = |report: &Report| ListedMachine {
-            id: report.machine.clone(),
-            endpoint: Some(report.endpoint.clone()),
-            kind: report.kind.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
+        let listed = |heartbeat: &Heartbeat| ListedMachine {
+            id: heartbeat.machine.clone(),
+            endpoint: Some(heartbeat.endpoint.clone()),
+            kind: heartbeat.kind.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
             phase: ListPhase::Running,
             age_s: 60.0,
         };
         let unseen = SimulatedWorker::new(900_000, "plain", "a", false, 0);
         let workers = self.workers.iter().flatten().chain([&unseen]);
-        let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.report)).collect();
+        let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.heartbeat)).collect();
         self.leader.on_list(MonotonicTime(self.now), &machines);
     }
 
@@ -285,7 +285,7 @@
             self.peers();
             self.list();
             self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
-            self.reports();
+            self.heartbeats();
             let mut actions = self.leader.take_actions();
             while !actions.is_empty() {
                 actions.into_iter().for_each(|action| self.perform(action));
@@ -338,10 +338,10 @@
         let Some(worker) = &mut self.workers[index] else { return OrdersResult::Unknown };
         match self.given.orders % 100 {
             50 => OrdersResult::Unknown,
-            90 => OrdersResult::Rejected(worker.next_report()),
+            90 => OrdersResult::Rejected(worker.next_heartbeat()),
             _ => {
                 worker.obey(self.now, body.token, &body.orders);
-                OrdersResult::Executed(worker.next_report())
+                OrdersResult::Executed(worker.next_heartbeat())
             }
         }
     }
@@ -379,7 +379,7 @@
     fn add_worker(&mut self, request: &RentRequest) -> String {
         let (index, up_at) = (self.workers.len(), self.now + BOOT_MS);
         let worker = SimulatedWorker::new(index, &request.kind, &request.zone, request.spot, up_at);
-        let name = worker.report.machine.clone();
+        let name = worker.heartbeat.machine.clone();
         self.workers.push(Some(worker));
         name
     }
--- a/src/core/leader/tests/leaders.rs
+++ b/src/core/leader/tests/leaders.rs
@@ -30,7 +30,7 @@
     let is_bits =
         |t: &Transaction| matches!(&t.mutations[0], Mutation::Put { key: write, .. } if write.starts_with(BITS));
     assert!(is_bits(&lost[0]));
-    assert!(rig.workers["w0"].tasks.iter().any(TaskReport::is_done), "kept until it is durable");
+    assert!(rig.workers["w0"].tasks.iter().any(TaskStatus::is_done), "kept until it is durable");
     rig.committed.clear();
     rig.run(3_000);
     assert!(rig.committed.iter().any(is_bits));
@@ -38,7 +38,7 @@
         rig.committed.iter().all(|t| t.preconditions[0].revision > lost[0].preconditions[0].revision),
         "the older one is dead"
     );
-    assert!(!rig.workers["w0"].tasks.iter().any(TaskReport::is_done));
+    assert!(!rig.workers["w0"].tasks.iter().any(TaskStatus::is_done));
     assert_eq!(rig.runs(&id), 1);
 }
 
@@ -87,7 +87,7 @@
     rig.run(2_000);
     let id = rig.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
     // Sent before the machine got its task.
-    let sent: BTreeMap<String, Report> = rig.workers.clone();
+    let sent: BTreeMap<String, Heartbeat> = rig.workers.clone();
     rig.run(3_000);
     assert_eq!(rig.runs(&id), 2);
     let name = rig.busy_worker();
@@ -98,7 +98,7 @@
     // It arrives at the new leader before any other of its machine: an empty list, which isn't true.
     let mut late = held.clone();
     late.sequence.0 += 1;
-    rig.leader.on_report(MonotonicTime(rig.now), &late);
+    rig.leader.on_heartbeat(MonotonicTime(rig.now), &late);
     rig.run(3_000);
     assert_eq!(rig.runs(&id), 2, "nothing is started twice");
     let machine = MachineId::parse(&held.machine).unwrap();
@@ -106,9 +106,9 @@
     // And after newer ones.
     rig.mute.clear();
     rig.run(2_000);
-    assert!(rig.leader.on_report(MonotonicTime(rig.now), &late).is_none());
-    let old = Report { agent_epoch: AgentEpoch(0), sequence: SequenceNumber(900), ..held };
-    assert!(rig.leader.on_report(MonotonicTime(rig.now), &old).is_none(), "of an earlier session");
+    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &late).is_none());
+    let old = Heartbeat { agent_epoch: AgentEpoch(0), sequence: SequenceNumber(900), ..held };
+    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &old).is_none(), "of an earlier session");
     rig.run(1_000);
     assert_eq!(rig.runs(&id), 2);
 }
@@ -127,7 +127,7 @@
     let id = rig.submit(term + 1, array);
     rig.run(4_000);
     let zones = |rig: &Rig| -> BTreeSet<String> {
-        let runs = |r: &&Report| r.tasks.iter().any(|l| l.phase == TaskPhase::Running);
+        let runs = |r: &&Heartbeat| r.tasks.iter().any(|l| l.phase == TaskPhase::Running);
         rig.workers.values().filter(runs).map(|r| r.zone.clone()).collect()
     };
     assert_eq!(zones(&rig).len(), 1);
--- a/src/core/leader/tests/machines.rs
+++ b/src/core/leader/tests/machines.rs
@@ -10,9 +10,9 @@
     let old = rig.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
     rig.run(9_000);
     assert_eq!(rig.runs(&old), 0, "w0 may still hold its tasks");
-    assert!(rig.report("w0"), "it may be slow to confirm");
+    assert!(rig.heartbeat("w0"), "it may be slow to confirm");
     rig.run(2_000);
-    assert!(!rig.report("w0"), "unanswered, it ends its session");
+    assert!(!rig.heartbeat("w0"), "unanswered, it ends its session");
     rig.run(12_000);
     assert_eq!(rig.runs(&old), 2, "its lease has proven it empty");
     assert!(rig.returned.contains("m-000000"), "and it goes back");
@@ -31,13 +31,13 @@
     let w = rig.workers.get_mut("w0").unwrap();
     (w.agent_epoch, w.sequence) = (AgentEpoch(2), SequenceNumber(0));
     w.tasks.clear();
-    rig.report("w0");
+    rig.heartbeat("w0");
     assert_eq!(rig.leader.jobs[&id].ready.len(), 1, "to be started anew");
 }
 
 #[test]
 fn a_leader_whose_ticks_come_late_does_not_take_unread_reports_for_silence() {
-    // A controller at a third of its speed returned 50 machines, whose reports waited for it.
+    // A controller at a third of its speed returned 50 machines, whose heartbeats waited for it.
     let mut rig = Rig::new(6);
     rig.run(2_000);
     for _ in 0..8 {
@@ -46,7 +46,7 @@
         rig.run(TICK.0);
     }
     assert!(rig.leader.lag() >= Millis(250) && rig.returned.is_empty());
-    // Reports arrive again but for one machine's; ticks come in time.
+    // Heartbeats arrive again but for one machine's; ticks come in time.
     rig.mute = BTreeSet::from(["w0".into()]);
     rig.run(2_500);
     assert!(rig.leader.lag() < Millis(50));
@@ -55,14 +55,14 @@
 
 #[test]
 fn machines_of_a_peer_that_has_ended_get_time_to_find_another_controller() {
-    // Two zones parted, and 82 machines whose reports had come by peers beyond the cut were returned.
+    // Two zones parted, and 82 machines whose heartbeats had come by peers beyond the cut were returned.
     let mut rig = Rig::new(16);
     rig.run(2_000);
     let by_peer: BTreeSet<String> = ["w0", "w1", "w2", "w3"].map(String::from).into();
     for name in &by_peer {
-        let report = rig.workers.get_mut(name).unwrap();
-        report.sequence.0 += 1;
-        assert!(rig.leader.on_report_by(MonotonicTime(rig.now), report, Route::by_peer(0)).is_some());
+        let heartbeat = rig.workers.get_mut(name).unwrap();
+        heartbeat.sequence.0 += 1;
+        assert!(rig.leader.on_heartbeat_via(MonotonicTime(rig.now), heartbeat, Route::by_peer(0)).is_some());
     }
     rig.mute = by_peer.clone();
     rig.run(9_000);
@@ -83,8 +83,8 @@
 
 #[test]
 fn the_lease_of_a_session_counts_from_when_it_was_first_heard_of() {
-    // A machine was back at once, its new agent epoch became known by the answer to an order, and no report
-    // of that agent epoch arrived: its lease was counted from the last report of the agent epoch before, and its
+    // A machine was back at once, its new agent epoch became known by the answer to an order, and no heartbeat
+    // of that agent epoch arrived: its lease was counted from the last heartbeat of the agent epoch before, and its
     // task started a second time while the first still ran.
     let mut rig = Rig::new(2);
     rig.cloud_down = true;
@@ -118,7 +118,7 @@
     let job = |rig: &Rig| rig.leader.jobs[&id].placed.len();
     for _ in 0..10 {
         rig.run(1_000);
-        assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), &copy), None);
+        assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &copy), None);
     }
     assert_eq!(job(&rig), 2, "the lease may still run");
     rig.run(1_500);
@@ -126,7 +126,7 @@
     // After the ledger has ended the agent epoch, a copy with a later sequence revives nothing either.
     let mut later = copy;
     later.sequence.0 += 100;
-    assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), &later), None);
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &later), None);
     assert_eq!(job(&rig), 1);
 }
 
@@ -139,22 +139,22 @@
     ghost.sequence = SequenceNumber(9);
     let attempt = Attempt::new(Term(40), 1);
     let listed =
-        TaskReport { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
+        TaskStatus { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
     ghost.tasks.push(listed);
-    assert_eq!(rig.leader.on_report(MonotonicTime(10), &ghost), None);
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(10), &ghost), None);
     assert!(rig.leader.jobs[&old].placed.is_empty());
     // A copy that reaches a new leader before the machine itself tells nothing of now.
     let mut copy = Rig::fresh(0);
     (copy.sequence, copy.token) = (SequenceNumber(3), FencingToken::new(Term(40), 0));
     rig.workers.remove("w0");
-    rig.leader.on_report(MonotonicTime(20), &copy);
+    rig.leader.on_heartbeat(MonotonicTime(20), &copy);
     rig.run(5_000);
     assert_eq!(rig.runs(&old), 0, "a copy accounts for nothing");
     // An empty report of a ghost: nothing is ordered there until it has confirmed the token.
-    rig.leader.on_report(MonotonicTime(rig.now), &Rig::fresh(8));
+    rig.leader.on_heartbeat(MonotonicTime(rig.now), &Rig::fresh(8));
     ghost = Rig::fresh(8);
     ghost.sequence = SequenceNumber(1);
-    rig.leader.on_report(MonotonicTime(rig.now), &ghost);
+    rig.leader.on_heartbeat(MonotonicTime(rig.now), &ghost);
     let id = MachineId::parse("m-000008").unwrap();
     rig.run(1_000);
     assert!(!rig.leader.machines[&id].usable(MonotonicTime(rig.now), Millis(5_000)));
@@ -197,20 +197,20 @@
     }
     assert!(ordered);
     rig.leader.on_over(&id, Ending::Cancelled);
-    rig.report("w0");
+    rig.heartbeat("w0");
     assert_eq!(rig.runs(&id), 0);
     // Lost with its answer, the stop is said again in the next.
-    let stops = |a: &ReportAnswer| a.orders.iter().filter(|o| matches!(o, Order::Stop { .. })).count();
+    let stops = |a: &HeartbeatResponse| a.orders.iter().filter(|o| matches!(o, Order::Stop { .. })).count();
     let r = rig.workers.get_mut("w0").unwrap();
     for l in &mut r.tasks {
         (l.phase, l.cause) = (TaskPhase::Running, None);
     }
     r.sequence.0 += 1;
-    assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
-    // Also in the answer to a report that other news has overtaken.
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
+    // Also in the answer to a heartbeat that other news has overtaken.
     r.sequence.0 += 5;
     rig.leader.machines.values_mut().for_each(|m| m.sequence = SequenceNumber(r.sequence.0 + 1));
-    assert_eq!(rig.leader.on_report(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
 }
 
 #[test]
--- a/src/core/leader/tests/pipelines.rs
+++ b/src/core/leader/tests/pipelines.rs
@@ -18,9 +18,9 @@
 
 /// All tasks that run now complete, and the leader hears of it.
 fn finish_all(rig: &mut Rig) {
-    for report in rig.workers.values_mut() {
-        let running: Vec<TaskReport> = report.tasks.clone();
-        running.iter().for_each(|task| Rig::end(report, task.task, task.attempt, Cause::Done));
+    for heartbeat in rig.workers.values_mut() {
+        let running: Vec<TaskStatus> = heartbeat.tasks.clone();
+        running.iter().for_each(|task| Rig::end(heartbeat, task.task, task.attempt, Cause::Done));
     }
     rig.run(3_000);
 }
--- a/src/core/leader/workers.rs
+++ b/src/core/leader/workers.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 impl Leader {
-    /// A worker's report that has come directly. None: not to be answered.
-    pub fn on_report(&mut self, now: MonotonicTime, r: &Report) -> Option<ReportAnswer> {
-        self.on_report_by(now, r, Route::DIRECT)
+    /// A worker's heartbeat that has come directly. None: not to be answered.
+    pub fn on_heartbeat(&mut self, now: MonotonicTime, r: &Heartbeat) -> Option<HeartbeatResponse> {
+        self.on_heartbeat_via(now, r, Route::DIRECT)
     }
 
-    /// A worker's report, and the way that it took.
-    pub fn on_report_by(&mut self, now: MonotonicTime, r: &Report, route: Route) -> Option<ReportAnswer> {
+    /// A worker's heartbeat, and the way that it took.
+    pub fn on_heartbeat_via(&mut self, now: MonotonicTime, r: &Heartbeat, route: Route) -> Option<HeartbeatResponse> {
         let id = MachineId::parse(&r.machine)?;
         if self.gone.contains(&id) {
             return None;
@@ -31,17 +31,17 @@
         let quiet = self.quiet();
         let unacknowledged_after = self.p.lease;
         let m = self.machines.get_mut(&id)?;
-        if r.agent_epoch < m.agent_epoch || (r.agent_epoch, r.sequence) <= m.reported {
+        if r.agent_epoch < m.agent_epoch || (r.agent_epoch, r.sequence) <= m.latest_heartbeat {
             // Of an agent epoch that has ended, or a copy: nobody waits for an answer to it, and it is
             // no sign of life.
             return None;
         }
-        m.reported = (r.agent_epoch, r.sequence);
+        m.latest_heartbeat = (r.agent_epoch, r.sequence);
         m.ended = false;
-        if now - m.last_report > quiet {
+        if now - m.last_heartbeat > quiet {
             m.slots.values_mut().for_each(|s| s.timed = false);
         }
-        let newer = self.take_report(now, &id, r);
+        let newer = self.apply_heartbeat(now, &id, r);
         let m = self.machines.get_mut(&id)?;
         if r.token >= FencingToken::new(self.term, m.fence) {
             m.unacknowledged_since = None;
@@ -49,8 +49,8 @@
             // Answers don't reach it. Without them its lease runs out, which proves it empty.
             return None;
         }
-        // Even a report that other news has overtaken renews the lease by being answered.
-        m.last_report = now;
+        // Even a heartbeat that other news has overtaken renews the lease by being answered.
+        m.last_heartbeat = now;
         m.route = Some(route);
         let token = FencingToken::new(self.term, m.fence);
         // The answer renews the lease, so it carries every stop, whatever else is under way: a worker
@@ -72,7 +72,7 @@
             m.outbox = rest;
         }
         self.flush_machine(&id);
-        Some(ReportAnswer { token, orders })
+        Some(HeartbeatResponse { token, orders })
     }
 
     pub fn on_orders_result(&mut self, now: MonotonicTime, ticket: u64, result: OrdersResult) {
@@ -88,14 +88,14 @@
                         s.answered = true;
                     }
                 }
-                self.take_report(now, &id, &r);
+                self.apply_heartbeat(now, &id, &r);
             }
             OrdersResult::Rejected(r) => {
                 // Nothing of it was carried out, nor will it be.
                 for k in &sent {
                     self.vanish(&id, k, false);
                 }
-                self.take_report(now, &id, &r);
+                self.apply_heartbeat(now, &id, &r);
             }
             OrdersResult::Unknown => {
                 // The orders may be carried out at any time within the agent epoch, so the fence
@@ -113,7 +113,7 @@
     }
 
     /// Takes in what a worker lists. False: something newer was known.
-    pub(super) fn take_report(&mut self, now: MonotonicTime, id: &MachineId, r: &Report) -> bool {
+    pub(super) fn apply_heartbeat(&mut self, now: MonotonicTime, id: &MachineId, r: &Heartbeat) -> bool {
         let Some(m) = self.machines.get_mut(id) else { return false };
         if (r.agent_epoch, r.sequence) <= (m.agent_epoch, m.sequence) {
             return false;
@@ -159,7 +159,7 @@
         let Some(m) = self.machines.get_mut(id) else { return false };
         m.listing += 1;
         self.cost.add_tasks(m.slots.len() + r.tasks.len());
-        let mut news: Vec<(SlotKey, &TaskReport)> = Vec::new();
+        let mut news: Vec<(SlotKey, &TaskStatus)> = Vec::new();
         for listed in &r.tasks {
             let Some(task) = listed.task else {
                 warn!("machine {id} lists a task of an unknown form");
@@ -178,7 +178,7 @@
             }
         }
         for (key, listed) in news {
-            self.take_listed(now, id, &key, listed);
+            self.apply_task_status(now, id, &key, listed);
         }
         let Some(m) = self.machines.get_mut(id) else { return false };
         if r.token >= own && !(m.accounted && m.confirmed) {
@@ -213,7 +213,7 @@
     }
 
     /// One task that a worker lists.
-    pub(super) fn take_listed(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskReport) {
+    pub(super) fn apply_task_status(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskStatus) {
         let (task, attempt) = key;
         let known = self.machines.get(id).is_some_and(|m| m.slots.contains_key(key));
         if !known {
@@ -260,7 +260,7 @@
     }
 
     /// Enters a listed task that the ledger doesn't have.
-    pub(super) fn adopt(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskReport) {
+    pub(super) fn adopt(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskStatus) {
         let (task, attempt) = key;
         self.usage = None;
         let Some(m) = self.machines.get_mut(id) else { return };
@@ -283,7 +283,7 @@
             if let Some(places) = job.placed.get(&task.index)
                 && listed.phase != TaskPhase::Exited
             {
-                // One of the two reports is late, and which one isn't known: both count until one
+                // One of the two heartbeats is late, and which one isn't known: both count until one
                 // is proven gone.
                 info!("machine {id} lists {task} try {attempt}, and so do {places:?}");
             }
@@ -316,7 +316,7 @@
         now: MonotonicTime,
         id: &MachineId,
         key: &SlotKey,
-        listed: &TaskReport,
+        listed: &TaskStatus,
         ran: Option<f64>,
         stopped: bool,
     ) {
@@ -493,7 +493,7 @@
             unsent.iter().for_each(|k| self.vanish(id, k, false));
         }
         let Some(m) = self.machines.get_mut(id) else { return };
-        // Clears can wait for the next report.
+        // Clears can wait for the next heartbeat.
         if m.outbox.iter().all(|o| matches!(o, Order::Clear { .. })) {
             return;
         }
--- a/src/core/ledger_model/digest.rs
+++ b/src/core/ledger_model/digest.rs
@@ -90,7 +90,7 @@
     }
 
     /// What the leader answers to a heartbeat, if it does.
-    pub(in crate::core) fn answer(&mut self, answer: Option<&ReportAnswer>) {
+    pub(in crate::core) fn answer(&mut self, answer: Option<&HeartbeatResponse>) {
         match answer {
             Some(answer) => {
                 self.tag(Tag::Answer);
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/ledger_model/mod.rs
@@ -20,8 +20,8 @@
 use crate::peer::PlanOutput;
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    Cause, JobPhase, JobSpec, KeyValue, Kind, MachineType, Mutation, Order, Priority, RentRequest, Report,
-    ReportAnswer, TaskPhase, TaskReport, Transaction,
+    Cause, Heartbeat, HeartbeatResponse, JobPhase, JobSpec, KeyValue, Kind, MachineType, Mutation, Order, Priority,
+    RentRequest, TaskPhase, TaskStatus, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use rand::rngs::StdRng;
@@ -59,7 +59,7 @@
     token: u64,
     began: u64,
     answered_sent: u64,
-    next_report: u64,
+    next_heartbeat: u64,
     in_flight: Option<(u64, u64)>,
     tasks: BTreeMap<(TaskId, Attempt), Task>,
     notice_at: Option<u64>,
@@ -67,20 +67,20 @@
 
 /// Something on its way; delivered when its time has come.
 enum Mail {
-    Report {
+    Heartbeat {
         worker: usize,
         sent: u64,
-        report: Report,
+        heartbeat: Heartbeat,
     },
-    /// Reports that a controller which does not lead has gathered; all go the same way.
+    /// Heartbeats that a controller which does not lead has gathered; all go the same way.
     Batch {
-        reports: Vec<(usize, u64, Report)>,
+        heartbeats: Vec<(usize, u64, Heartbeat)>,
     },
     Answer {
         worker: usize,
         sent: u64,
         agent_epoch: u64,
-        answer: ReportAnswer,
+        answer: HeartbeatResponse,
     },
     Orders {
         leader: u64,
@@ -148,8 +148,8 @@
     epoch: u64,
     workers: Vec<Worker>,
     mail: Vec<(u64, Mail)>,
-    /// Reports that wait at the controller which passes them on.
-    gathered: Vec<(usize, u64, Report)>,
+    /// Heartbeats that wait at the controller which passes them on.
+    gathered: Vec<(usize, u64, Heartbeat)>,
     leader: Option<Leader>,
     leader_no: u64,
     next_leader_at: u64,
@@ -171,7 +171,7 @@
     cancels: f64,
     /// How likely a new job awaits earlier ones.
     pipelines: f64,
-    /// The share of reports that reach a controller which passes them on.
+    /// The share of heartbeats that reach a controller which passes them on.
     forwarded: f64,
     /// How much longer than usual all mail takes.
     slow: u64,
@@ -513,16 +513,17 @@
         let now = MonotonicTime(self.now);
         let current = self.leader_no;
         match m {
-            // A late report may still reach a leader that came meanwhile.
-            Mail::Report { worker, sent, report } => {
-                let Some(answer) = self.answer(worker, sent, &report) else { return };
+            // A late heartbeat may still reach a leader that came meanwhile.
+            Mail::Heartbeat { worker, sent, heartbeat } => {
+                let Some(answer) = self.answer(worker, sent, &heartbeat) else { return };
                 if !self.lost() {
                     let delay = self.delay();
                     self.post(delay, answer);
                 }
             }
-            Mail::Batch { reports } => {
-                let answers: Vec<Mail> = reports.iter().filter_map(|(w, sent, r)| self.answer(*w, *sent, r)).collect();
+            Mail::Batch { heartbeats } => {
+                let answers: Vec<Mail> =
+                    heartbeats.iter().filter_map(|(w, sent, r)| self.answer(*w, *sent, r)).collect();
                 if !self.lost() {
                     let delay = self.delay();
                     answers.into_iter().for_each(|answer| self.post(delay, answer));
@@ -539,7 +540,7 @@
                     return;
                 }
                 if answer.token.0 > w.token {
-                    w.next_report = w.next_report.min(self.now + 500);
+                    w.next_heartbeat = w.next_heartbeat.min(self.now + 500);
                 }
                 w.token = answer.token.0;
                 w.answered_sent = w.answered_sent.max(sent);
@@ -567,12 +568,12 @@
                     w.token = token.0;
                     self.execute(worker, &orders);
                 }
-                let report = self.report(worker);
+                let heartbeat = self.heartbeat(worker);
                 if self.lost() {
                     self.post(2_000, Mail::OrdersResult { leader, ticket, result: OrdersResult::Unknown });
                     return;
                 }
-                let result = if ok { OrdersResult::Executed(report) } else { OrdersResult::Rejected(report) };
+                let result = if ok { OrdersResult::Executed(heartbeat) } else { OrdersResult::Rejected(heartbeat) };
                 let delay = self.delay();
                 if delay > 1_900 {
                     self.post(2_000, Mail::OrdersResult { leader, ticket, result: OrdersResult::Unknown });
--- a/src/core/ledger_model/workers.rs
+++ b/src/core/ledger_model/workers.rs
@@ -20,7 +20,7 @@
             token: 0,
             began: up_at,
             answered_sent: up_at,
-            next_report: up_at,
+            next_heartbeat: up_at,
             in_flight: None,
             tasks: BTreeMap::new(),
             notice_at: None,
@@ -28,10 +28,10 @@
         format!("m-{:06}", self.workers.len() - 1)
     }
 
-    pub(super) fn report(&mut self, i: usize) -> Report {
+    pub(super) fn heartbeat(&mut self, i: usize) -> Heartbeat {
         let w = &mut self.workers[i];
         w.sequence += 1;
-        Report {
+        Heartbeat {
             machine: format!("m-{i:06}"),
             endpoint: i.to_string(),
             kind: self.types[w.kind].name.clone(),
@@ -44,7 +44,7 @@
             tasks: w
                 .tasks
                 .iter()
-                .map(|((t, a), x)| TaskReport {
+                .map(|((t, a), x)| TaskStatus {
                     task: Some(*t),
                     attempt: *a,
                     phase: x.phase,
@@ -149,15 +149,15 @@
             let w = &mut self.workers[i];
             if w.in_flight.is_some_and(|(_, sent)| now - sent > 4_000) {
                 w.in_flight = None;
-                w.next_report = now + 1_000;
+                w.next_heartbeat = now + 1_000;
             }
-            if w.in_flight.is_none() && now >= w.next_report {
-                let report = self.report(i);
+            if w.in_flight.is_none() && now >= w.next_heartbeat {
+                let heartbeat = self.heartbeat(i);
                 let w = &mut self.workers[i];
-                w.in_flight = Some((report.sequence.0, now));
-                w.next_report = now + 1_500;
+                w.in_flight = Some((heartbeat.sequence.0, now));
+                w.next_heartbeat = now + 1_500;
                 let cut = now < w.cut_until;
-                // A report on its way into a cut comes late or never.
+                // A heartbeat on its way into a cut comes late or never.
                 if cut && self.chance(0.5) || self.lost() || now < self.workers[i].mute_until {
                     continue;
                 }
@@ -165,13 +165,13 @@
                 if self.faults && self.chance(0.05) {
                     // A copy, seconds to well over a lease later; nobody hears an answer to it.
                     let late = self.rng.random_range(1_000..30_000);
-                    let copy = report.clone();
-                    self.post(late, Mail::Report { worker: i, sent: 0, report: copy });
+                    let copy = heartbeat.clone();
+                    self.post(late, Mail::Heartbeat { worker: i, sent: 0, heartbeat: copy });
                 }
                 if self.chance(self.forwarded) {
-                    self.gathered.push((i, now, report));
+                    self.gathered.push((i, now, heartbeat));
                 } else {
-                    self.post(delay, Mail::Report { worker: i, sent: now, report });
+                    self.post(delay, Mail::Heartbeat { worker: i, sent: now, heartbeat });
                 }
             }
         }
@@ -179,34 +179,34 @@
         self.forward();
     }
 
-    /// The controller that passes reports on sends a batch. Batches are lost, late and doubled as a
+    /// The controller that passes heartbeats on sends a batch. Batches are lost, late and doubled as a
     /// whole, and that controller restarts.
     pub(super) fn forward(&mut self) {
         if self.gathered.is_empty() || !self.now.is_multiple_of(FORWARD_EVERY) {
             return;
         }
-        let reports = std::mem::take(&mut self.gathered);
+        let heartbeats = std::mem::take(&mut self.gathered);
         if self.lost() {
             return;
         }
         if self.faults && self.chance(0.03) {
             let late = self.rng.random_range(1_000..30_000);
-            let copies = reports.iter().map(|(worker, _, report)| (*worker, 0, report.clone())).collect();
-            self.post(late, Mail::Batch { reports: copies });
+            let copies = heartbeats.iter().map(|(worker, _, heartbeat)| (*worker, 0, heartbeat.clone())).collect();
+            self.post(late, Mail::Batch { heartbeats: copies });
         }
         let delay = self.delay();
-        self.post(delay, Mail::Batch { reports });
+        self.post(delay, Mail::Batch { heartbeats });
     }
 
-    /// What the leader answers to a report, if the answer can reach the worker.
-    pub(super) fn answer(&mut self, worker: usize, sent: u64, report: &Report) -> Option<Mail> {
+    /// What the leader answers to a heartbeat, if the answer can reach the worker.
+    pub(super) fn answer(&mut self, worker: usize, sent: u64, heartbeat: &Heartbeat) -> Option<Mail> {
         let leader = self.leader.as_mut()?;
-        let answer = leader.on_report(MonotonicTime(self.now), report);
+        let answer = leader.on_heartbeat(MonotonicTime(self.now), heartbeat);
         self.digest.answer(answer.as_ref());
         let answer = answer?;
         let w = &self.workers[worker];
         let reachable = self.now >= w.cut_until && self.now >= w.deaf_until;
-        reachable.then_some(Mail::Answer { worker, sent, agent_epoch: report.agent_epoch.0, answer })
+        reachable.then_some(Mail::Answer { worker, sent, agent_epoch: heartbeat.agent_epoch.0, answer })
     }
 
     /// Gangs begin when all tasks wait, complete together, and break when one is gone.
--- a/src/net/detours.rs
+++ b/src/net/detours.rs
@@ -1,5 +1,5 @@
 //! Peers that reach the leader while this controller does not, as when two zones can't reach each other:
-//! workers that report here are sent to them. Naming the leader would only make those wait which are
+//! workers that heartbeat here are sent to them. Naming the leader would only make those wait which are
 //! on this side of the cut.
 
 use super::node::Node;
@@ -11,7 +11,7 @@
 const ASK_INTERVAL: Millis = Millis(1_000);
 const ASK_LIMIT: Millis = Millis(700);
 
-/// The peers that pass reports on to the leader, as of their last answers.
+/// The peers that pass heartbeats on to the leader, as of their last answers.
 #[derive(Default)]
 pub struct Detours {
     peers: Vec<String>,
@@ -54,7 +54,7 @@
 }
 
 async fn ask_peers(node: &Arc<Node>) -> Vec<String> {
-    let answers = peers::ask_all(node, &peers::hello(node), ASK_LIMIT).await;
+    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), ASK_LIMIT).await;
     let forwards = peers::answered(node, &answers).filter(|(_, answer)| answer.forwards);
     forwards.map(|(peer, _)| peer.name.clone()).collect()
 }
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -7,7 +7,7 @@
 use crate::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_KEY, YIELD};
 use crate::core::records::Ending;
 use crate::ids::{Revision, Term};
-use crate::peer::HelloAnswer;
+use crate::peer::PeerHeartbeatResponse;
 use crate::time::Millis;
 use crate::wire::{Mutation, Precondition, Transaction};
 use log::{info, warn};
@@ -74,11 +74,11 @@
 
 /// Whether a peer is served, which makes this controller the one to avoid.
 async fn probe_peers(node: &Arc<Node>) {
-    let answers = peers::ask_all(node, &peers::hello(node), Millis(700)).await;
+    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), Millis(700)).await;
     record_peer_answers(&mut node.lock(), &answers);
 }
 
-fn record_peer_answers(inner: &mut Inner, answers: &[Option<HelloAnswer>]) {
+fn record_peer_answers(inner: &mut Inner, answers: &[Option<PeerHeartbeatResponse>]) {
     inner.peer_reaches_store = answers.iter().flatten().any(|a| a.store_ok);
     inner.no_peer_answers = !answers.is_empty() && answers.iter().all(Option::is_none);
     inner.leader_per_peers = answers.iter().flatten().map(|a| a.leader.clone()).find(|l| !l.is_empty());
@@ -195,12 +195,12 @@
         inner.leader_name = None;
         inner.leader.take().map_or(Revision(leader_lease.term.0), |l| l.fence_revision())
     };
-    let mut hello = peers::hello(node);
-    hello.successor = successor;
+    let mut peer_heartbeat = peers::peer_heartbeat(node);
+    peer_heartbeat.successor = successor;
     // A peer that the leader can't reach reads of it in the state service.
     let _ = tokio::join!(
-        peers::ask_all(node, &hello, Millis(300)),
-        node.track_store(name_successor(node, fence_revision, &hello.successor))
+        peers::ask_all(node, &peer_heartbeat, Millis(300)),
+        node.track_store(name_successor(node, fence_revision, &peer_heartbeat.successor))
     );
     // Unanswered, the lease ends by itself.
     let _ = node.track_store(node.kv.revoke(&node.http, leader_lease.id)).await;
@@ -236,14 +236,14 @@
 /// and has passed on the cancellations that can't have been read here. True: all have.
 async fn hold_on(node: &Arc<Node>, term: Term) -> bool {
     let asked_at = node.now();
-    let mut hello = peers::hello(node);
-    hello.hold_on = true;
-    hello.leading = true;
-    hello.term = term.0;
-    hello.read_to = node.lock().leadership.lease().map_or(0, |o| o.read_to.0);
-    let answers = peers::ask_all(node, &hello, Millis(800)).await;
+    let mut peer_heartbeat = peers::peer_heartbeat(node);
+    peer_heartbeat.hold_on = true;
+    peer_heartbeat.leading = true;
+    peer_heartbeat.term = term.0;
+    peer_heartbeat.read_to = node.lock().leadership.lease().map_or(0, |o| o.read_to.0);
+    let answers = peers::ask_all(node, &peer_heartbeat, Millis(800)).await;
     // A promise whose cancellations can't be read is none.
-    let promised = |a: &Option<HelloAnswer>| {
+    let promised = |a: &Option<PeerHeartbeatResponse>| {
         let a = a.as_ref().filter(|a| a.promise_ms > 0)?;
         Some((Millis(a.promise_ms), peers::jobs(&a.cancelled)?))
     };
--- a/src/net/forwarding.rs
+++ b/src/net/forwarding.rs
@@ -1,13 +1,13 @@
-//! Passing workers' reports on to the leader. A controller that does not lead gathers the reports that
+//! Passing workers' heartbeats on to the leader. A controller that does not lead gathers the heartbeats that
 //! reach it, sends them to the leader in batches, and gives each worker what the leader has decided on
-//! its report. It decides nothing itself: to the worker and to the leader's ledger a forwarded report is
+//! its heartbeat. It decides nothing itself: to the worker and to the leader's ledger a forwarded report is
 //! one that took a longer way, which may be lost, late or delivered after a newer one like any other.
 
 use super::detours;
 use super::node::Node;
 use super::peers;
 use crate::ids::Term;
-use crate::peer::{ReportBatch, ReportDecision, ReportDecisions, VERSION};
+use crate::peer::{HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, VERSION};
 use crate::time::{Millis, MonotonicTime};
 use bytes::Bytes;
 use hyper::Method;
@@ -37,20 +37,20 @@
     heard_at: MonotonicTime,
 }
 
-/// A report that waits for the leader's decision.
-struct WaitingReport {
-    report: Bytes,
-    decision: oneshot::Sender<ReportDecision>,
+/// A heartbeat that waits for the leader's decision.
+struct WaitingHeartbeat {
+    heartbeat: Bytes,
+    decision: oneshot::Sender<HeartbeatDecision>,
 }
 
 /// The state of forwarding at one controller.
 #[derive(Default)]
 pub struct Forwarding {
     leader: Option<HeardLeader>,
-    /// The leader has answered the last batch. Workers' reports are taken in only then; until then each
+    /// The leader has answered the last batch. Workers' heartbeats are taken in only then; until then each
     /// heartbeat of the leader is followed by an empty batch.
     proven: bool,
-    waiting: Vec<WaitingReport>,
+    waiting: Vec<WaitingHeartbeat>,
     waiting_bytes: usize,
     /// By how much timers come late on average.
     lag_ms: f64,
@@ -76,13 +76,13 @@
         self.proven
     }
 
-    /// Whether workers' reports can be passed on to a leader now.
+    /// Whether workers' heartbeats can be passed on to a leader now.
     pub fn is_open(&self, now: MonotonicTime) -> bool {
         let has_room = self.waiting.len() < MAX_WAITING && self.waiting_bytes < MAX_WAITING_BYTES;
         self.proven && has_room && self.destination(now).is_some()
     }
 
-    /// How many reports wait for the next batch.
+    /// How many heartbeats wait for the next batch.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -97,18 +97,18 @@
         self.lag_ms += LAG_WEIGHT * (late.0 as f64 - self.lag_ms);
     }
 
-    /// Takes a report in; none: it can't be passed on now.
-    fn admit(&mut self, report: Bytes, now: MonotonicTime) -> Option<oneshot::Receiver<ReportDecision>> {
+    /// Takes a heartbeat in; none: it can't be passed on now.
+    fn admit(&mut self, heartbeat: Bytes, now: MonotonicTime) -> Option<oneshot::Receiver<HeartbeatDecision>> {
         if !self.is_open(now) {
             return None;
         }
         let (decision, receiver) = oneshot::channel();
-        self.waiting_bytes += report.len();
-        self.waiting.push(WaitingReport { report, decision });
+        self.waiting_bytes += heartbeat.len();
+        self.waiting.push(WaitingHeartbeat { heartbeat, decision });
         Some(receiver)
     }
 
-    fn take_waiting(&mut self) -> Vec<WaitingReport> {
+    fn take_waiting(&mut self) -> Vec<WaitingHeartbeat> {
         self.waiting_bytes = 0;
         std::mem::take(&mut self.waiting)
     }
@@ -121,33 +121,33 @@
     }
 }
 
-/// What became of a report that was to be passed on.
+/// What became of a heartbeat that was to be passed on.
 pub enum Forwarded {
     /// The leader has decided.
-    Decided(ReportDecision),
+    Decided(HeartbeatDecision),
     /// It was sent, and there is no decision: the worker should try another controller.
     Unanswered,
     /// There is no leader that it could be sent to.
     Unavailable,
 }
 
-/// Passes a report on to the leader and waits for its decision.
-pub async fn forward(node: &Node, report: Bytes) -> Forwarded {
+/// Passes a heartbeat on to the leader and waits for its decision.
+pub async fn forward(node: &Node, heartbeat: Bytes) -> Forwarded {
     let now = node.now();
-    let admitted = node.lock().forwarding.admit(report, now);
+    let admitted = node.lock().forwarding.admit(heartbeat, now);
     let Some(receiver) = admitted else { return Forwarded::Unavailable };
-    node.report_waits.notify_one();
+    node.relay_wakeup.notify_one();
     receiver.await.map_or(Forwarded::Unanswered, Forwarded::Decided)
 }
 
 /// Wakes the task that sends batches.
-pub type ReportWaits = Notify;
+pub type RelayWakeup = Notify;
 
-/// Sends the reports that wait, batch after batch, for as long as the process runs. Woken without any, it
+/// Sends the heartbeats that wait, batch after batch, for as long as the process runs. Woken without any, it
 /// sends an empty batch, which proves the way to the leader.
 pub async fn run(node: Arc<Node>) {
     loop {
-        node.report_waits.notified().await;
+        node.relay_wakeup.notified().await;
         let due = node.now() + BATCH_INTERVAL;
         tokio::time::sleep(BATCH_INTERVAL.to_std()).await;
         let now = node.now();
@@ -162,16 +162,16 @@
     }
 }
 
-async fn send_batch(node: &Arc<Node>, leader: &HeardLeader, waiting: Vec<WaitingReport>) {
-    let reports = waiting.iter().map(|w| w.report.clone()).collect();
-    let batch = ReportBatch { version: VERSION, reports, from: node.settings.name.clone() };
+async fn send_batch(node: &Arc<Node>, leader: &HeardLeader, waiting: Vec<WaitingHeartbeat>) {
+    let heartbeats = waiting.iter().map(|w| w.heartbeat.clone()).collect();
+    let batch = HeartbeatBatch { version: VERSION, heartbeats, from: node.settings.name.clone() };
     let decisions = ask_leader(node, &leader.name, &batch).await;
     let decisions = decisions.filter(|d| d.len() == waiting.len());
     node.lock().forwarding.sent(leader.term, decisions.is_some());
     let Some(decisions) = decisions else {
         log::debug!("{} has not answered a batch of reports={}", leader.name, waiting.len());
         // The workers are told where to try next, as going round all controllers takes longer than a lease
-        // where some of them can't be reached either. So are those whose reports have come meanwhile: another
+        // where some of them can't be reached either. So are those whose heartbeats have come meanwhile: another
         // batch would only wait as long.
         detours::look_for(node).await;
         drop(node.lock().forwarding.take_waiting());
@@ -184,12 +184,12 @@
 }
 
 /// The leader's decisions; none: it did not answer, or does not lead.
-async fn ask_leader(node: &Node, leader: &str, batch: &ReportBatch) -> Option<Vec<ReportDecision>> {
+async fn ask_leader(node: &Node, leader: &str, batch: &HeartbeatBatch) -> Option<Vec<HeartbeatDecision>> {
     let address = node.settings.peers.iter().find(|p| p.name == leader)?.addr.to_string();
     let body = batch.encode_to_vec();
-    let answer = node.http.call(Method::POST, &address, peers::REPORTS, body, BATCH_LIMIT).await;
+    let answer = node.http.call(Method::POST, &address, peers::HEARTBEAT_BATCH_PATH, body, BATCH_LIMIT).await;
     let Ok((200, body)) = answer else { return None };
-    let answer = ReportDecisions::decode(body).ok()?;
+    let answer = HeartbeatDecisions::decode(body).ok()?;
     (answer.version == VERSION && answer.leading).then_some(answer.decisions)
 }
 
--- a/src/net/forwarding/tests.rs
+++ b/src/net/forwarding/tests.rs
@@ -75,7 +75,7 @@
 
 #[tokio::test]
 async fn what_waits_behind_an_unanswered_batch_is_sent_to_a_peer_that_reaches_the_leader() {
-    // Two zones could not reach each other: the first reports waited for one time limit and those behind them
+    // Two zones could not reach each other: the first heartbeats waited for one time limit and those behind them
     // for two, and the workers then went round controllers beyond the cut until their leases ran out.
     let world = Arc::new(Mutex::new(World::default()));
     let [(detour, _), (other, _)] = pair(&world);
@@ -99,9 +99,9 @@
     let begun = std::time::Instant::now();
     let mut answers = Vec::new();
     for _ in 0..3 {
-        let report = world.lock().unwrap().report();
+        let heartbeat = world.lock().unwrap().heartbeat();
         let client = client.clone();
-        answers.push(tokio::spawn(async move { client.post("/v1/report", report).await }));
+        answers.push(tokio::spawn(async move { client.post("/v1/report", heartbeat).await }));
         // Each comes while the batch before it is under way.
         tokio::time::sleep(Millis(500).to_std()).await;
     }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -24,7 +24,7 @@
     Request(#[from] hyper::http::Error),
     #[error("no answer in time")]
     Timeout,
-    #[error("an answer of over {MAX_ANSWER} bytes")]
+    #[error("an answer of over {MAX_RESPONSE_BYTES} bytes")]
     TooLarge,
     #[error("{0}")]
     Exchange(String),
@@ -112,7 +112,7 @@
 }
 
 /// Far above any answer but a whole fleet's, which the state service and the cloud give in pages.
-const MAX_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 impl Http {
     pub fn new(sockets: usize) -> Http {
@@ -149,7 +149,7 @@
         let exchange = async {
             let answer = self.client.request(request).await?;
             let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
+            let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|e| match e.is::<LengthLimitError>() {
                 true => HttpError::TooLarge,
                 false => HttpError::Exchange(e.to_string()),
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -39,9 +39,9 @@
         let (mut c, _) = listener.accept().await.unwrap();
         let mut buf = [0u8; 1024];
         let _ = c.read(&mut buf).await;
-        let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", MAX_ANSWER + 1);
+        let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", MAX_RESPONSE_BYTES + 1);
         let _ = c.write_all(head.as_bytes()).await;
-        let _ = c.write_all(&vec![b' '; MAX_ANSWER + 1]).await;
+        let _ = c.write_all(&vec![b' '; MAX_RESPONSE_BYTES + 1]).await;
     });
     let answer = Http::new(4).call(Method::GET, &addr, "/follow", vec![], Millis(5_000)).await;
     assert!(matches!(answer, Err(HttpError::TooLarge)));
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn more_hosts_than_sockets_are_all_served() {
     // A leader of 2,000 machines kept a connection to each that it had sent an order, until it
-    // had no socket left for reports.
+    // had no socket left for heartbeats.
     let (addrs, open) = hosts(40).await;
     let http = Http::new(12);
     let call = |addr: &str| {
--- a/src/net/leading.rs
+++ b/src/net/leading.rs
@@ -14,9 +14,9 @@
 use crate::core::records::{BITS, Ending, LIVE};
 use crate::core::shares::SHARES_KEY;
 use crate::ids::{JobId, MachineId, Revision, Term};
-use crate::peer::HelloAnswer;
+use crate::peer::PeerHeartbeatResponse;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{DirectOrders, MachineType, Mutation, Precondition, Report, Transaction, WatchEvent};
+use crate::wire::{DirectOrders, Heartbeat, MachineType, Mutation, Precondition, Transaction, WatchEvent};
 use hyper::Method;
 use log::{debug, info, warn};
 use rand::seq::IndexedRandom;
@@ -100,7 +100,7 @@
     tokio::join!(tick(&node, term), follow(&node, term, revision), watch_cloud(&node, term), tell_peers(&node, term));
 }
 
-/// Gives a new leader what is stored, a part at a time: renewals, users and reports are served in between.
+/// Gives a new leader what is stored, a part at a time: renewals, users and heartbeats are served in between.
 async fn load_in_steps(node: &Node, leader: &mut Leader, stored: Stored) {
     for part in stored.into_parts(ROWS_PER_STEP) {
         let now = node.now();
@@ -217,10 +217,10 @@
 /// Sends orders to a worker, once.
 async fn send_orders(node: &Node, endpoint: &str, orders: &DirectOrders) -> OrdersResult {
     let body = serde_json::to_vec(orders).unwrap_or_default();
-    let report = |body: &[u8]| serde_json::from_slice::<Report>(body).ok();
+    let heartbeat = |body: &[u8]| serde_json::from_slice::<Heartbeat>(body).ok();
     match node.orders.call(Method::POST, endpoint, "/orders", body, ORDERS_LIMIT).await {
-        Ok((200, body)) => report(&body).map_or(OrdersResult::Unknown, OrdersResult::Executed),
-        Ok((409, body)) => report(&body).map_or(OrdersResult::Unknown, OrdersResult::Rejected),
+        Ok((200, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Executed),
+        Ok((409, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Rejected),
         Ok((status, _)) => {
             warn!("orders to {endpoint}: status {status}");
             OrdersResult::Unknown
@@ -331,22 +331,22 @@
 async fn tell_peers(node: &Arc<Node>, term: Term) {
     let mut suspicion = 0;
     while still_leads(node, term) {
-        let mut hello = peers::hello(node);
-        hello.leading = true;
-        hello.term = term.0;
+        let mut peer_heartbeat = peers::peer_heartbeat(node);
+        peer_heartbeat.leading = true;
+        peer_heartbeat.term = term.0;
         let mut machines = 0;
         {
             let mut inner = node.lock();
             let now = node.now();
             if let Some(l) = &inner.leader {
-                hello.counts = l.counts();
-                (hello.silent, machines) = l.silent_machines(now);
+                peer_heartbeat.counts = l.counts();
+                (peer_heartbeat.silent, machines) = l.silent_machines(now);
             }
-            inner.take_counts(&hello.counts);
+            inner.take_counts(&peer_heartbeat.counts);
         }
-        let answers = peers::ask_all(node, &hello, Millis(800)).await;
+        let answers = peers::ask_all(node, &peer_heartbeat, Millis(800)).await;
         note_forwarding(node, &answers);
-        suspicion = judge(node, &answers, hello.silent.len(), machines, suspicion);
+        suspicion = judge(node, &answers, peer_heartbeat.silent.len(), machines, suspicion);
         relieve(node, &answers);
         let pause = if suspicion > 0 { Millis(300) } else { Millis(1_000) };
         tokio::time::sleep(pause.to_std()).await;
@@ -355,7 +355,7 @@
 }
 
 /// Names a successor if this controller has been too slow for a while and a peer can take over.
-fn relieve(node: &Node, answers: &[Option<HelloAnswer>]) {
+fn relieve(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
     let now = node.now();
     let mut inner = node.lock();
     let Some(leader) = inner.leader.as_ref().filter(|leader| leader.settled(now)) else { return };
@@ -369,8 +369,8 @@
     }
 }
 
-/// Notes which peers can pass workers' reports on.
-fn note_forwarding(node: &Node, answers: &[Option<HelloAnswer>]) {
+/// Notes which peers can pass workers' heartbeats on.
+fn note_forwarding(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
     let forwards = peers::answered(node, answers).filter(|(_, answer)| answer.forwards);
     let peers = forwards.map(|(peer, _)| peer.clone()).collect();
     node.lock().offloading.set_peers(peers);
@@ -379,7 +379,7 @@
 /// Takes in what the peers have said, and names an successor if it is this controller that the workers
 /// can't reach. Once may be chance, as workers that have just lost their leader stray for a moment:
 /// returns how often in a row it looked so.
-fn judge(node: &Node, answers: &[Option<HelloAnswer>], silent: usize, all: usize, before: u32) -> u32 {
+fn judge(node: &Node, answers: &[Option<PeerHeartbeatResponse>], silent: usize, all: usize, before: u32) -> u32 {
     let now = node.now();
     let mut inner = node.lock();
     let Some(l) = &mut inner.leader else { return 0 };
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -74,7 +74,7 @@
         json!({"epoch": self.epoch, "log": log})
     }
 
-    pub(super) fn report(&mut self) -> Value {
+    pub(super) fn heartbeat(&mut self) -> Value {
         self.sequence += 1;
         json!({"plinth": "m-000001", "endpoint": self.worker, "build": "g8", "quay": "a", "loaner": false,
             "shift": 1, "tally": self.sequence, "baton": self.token, "warn_s": null,
@@ -151,7 +151,7 @@
                         }
                         w.orders.push(o);
                     }
-                    (200, w.report())
+                    (200, w.heartbeat())
                 }
             }
         };
@@ -276,8 +276,8 @@
     }
     assert!(leader.lock().leadership.lease().is_some());
     until(async || at_leader.post("/api/jobs", job("req-000001", 1)).await.0 == 201).await;
-    let report = async || {
-        let r = world.lock().unwrap().report();
+    let heartbeat = async || {
+        let r = world.lock().unwrap().heartbeat();
         let (status, answer) = at_leader.post("/v1/report", r).await;
         let mut w = world.lock().unwrap();
         w.token = w.token.max(answer["baton"].as_u64().unwrap_or(0));
@@ -287,7 +287,7 @@
         status
     };
     until(async || {
-        report().await;
+        heartbeat().await;
         // What the other can tell begins where the leader has read to, or before.
         let read_to = leader.lock().leadership.lease().map_or(0, |o| o.read_to.0);
         let known = other.lock().cancellations.since(Revision(read_to)).is_some();
@@ -302,20 +302,20 @@
     world.lock().unwrap().down = true;
     let since = std::time::Instant::now();
     until(async || {
-        report().await;
+        heartbeat().await;
         world.lock().unwrap().tasks.is_empty()
     })
     .await;
     // It goes on for longer than its lease, as the other has promised.
     while since.elapsed() < leader.settings.state_ttl().mul_f64(2.0).to_std() {
-        report().await;
+        heartbeat().await;
         tokio::time::sleep(Millis(300).to_std()).await;
     }
-    until(async || report().await == 200).await;
+    until(async || heartbeat().await == 200).await;
 
     // The other ends, and what is there in its place can't tell what users were told: no promise.
     other.lock().cancellations = Cancellations::default();
-    until(async || report().await == 421).await;
+    until(async || heartbeat().await == 421).await;
 }
 
 #[tokio::test]
@@ -329,8 +329,8 @@
         tokio::spawn(election::run(node.clone()));
         until(async || world.lock().unwrap().store.contains_key(LEADER_KEY)).await;
     }
-    let report = async |client: &Client| {
-        let r = world.lock().unwrap().report();
+    let heartbeat = async |client: &Client| {
+        let r = world.lock().unwrap().heartbeat();
         let (status, answer) = client.post("/v1/report", r).await;
         let mut w = world.lock().unwrap();
         w.token = w.token.max(answer["baton"].as_u64().unwrap_or(0));
@@ -339,7 +339,7 @@
     // The worker never speaks to the leader, and gets its token and its tasks.
     until(async || at_leader.post("/api/jobs", job("req-000001", 1)).await.0 == 201).await;
     until(async || {
-        let (status, answer) = report(&at_other).await;
+        let (status, answer) = heartbeat(&at_other).await;
         let term = leader.lock().leadership.lease().map(|o| FencingToken::new(o.term, 0));
         let held = !world.lock().unwrap().tasks.is_empty();
         held && status == 200 && answer["baton"] == json!(term)
@@ -347,18 +347,18 @@
     .await;
     // A cancellation reaches it the same way.
     assert_eq!(at_other.post("/api/jobs/req-000001/withdraw", json!({})).await.1["phase"], "aborted");
-    until(async || report(&at_other).await.1["orders"].to_string().contains("stop")).await;
+    until(async || heartbeat(&at_other).await.1["orders"].to_string().contains("stop")).await;
     assert_eq!(at_other.post("/v1/report", json!({"what": "is this"})).await.0, 400, "malformed wherever it arrives");
 
     // So is what is no message of this version between controllers.
     let peer = Client { http: Http::new(4), addr: other.settings.peer_listen.to_string() };
-    for path in [peers::HELLO, peers::PLAN, peers::REPORTS] {
+    for path in [peers::HEARTBEAT_PATH, peers::PLAN_PATH, peers::HEARTBEAT_BATCH_PATH] {
         assert_eq!(peer.post(path, json!("no message")).await.0, 400, "{path}");
     }
 
     // The leader moves the worker to the other, which is there for that.
     let other_name = other.settings.name.clone();
-    until(async || report(&at_leader).await == (421, json!({"steward": other_name}))).await;
+    until(async || heartbeat(&at_leader).await == (421, json!({"steward": other_name}))).await;
 
     // A controller that reaches the other alone sends workers there, as naming the leader is in vain.
     let mut settings = sample_settings();
@@ -369,12 +369,12 @@
     let (third, at_third) = start(&world, settings);
     tokio::time::sleep(Millis(200).to_std()).await;
     third.lock().leader_name = Some(leader.settings.name.clone());
-    until(async || report(&at_third).await == (421, json!({"steward": other_name}))).await;
+    until(async || heartbeat(&at_third).await == (421, json!({"steward": other_name}))).await;
 
     // Without a leader that acts there is no answer, and none is made up or remembered.
     leader.lock().leadership.step_down();
-    assert_eq!(report(&at_other).await, (421, json!({})));
-    assert_ne!(report(&at_other).await.0, 200);
+    assert_eq!(heartbeat(&at_other).await, (421, json!({})));
+    assert_ne!(heartbeat(&at_other).await.0, 200);
 }
 
 #[tokio::test]
@@ -386,16 +386,16 @@
     tokio::spawn(leading::learn_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
     until(async || c.get("/healthz").await.0 == 200).await;
-    let report = async || {
-        let r = world.lock().unwrap().report();
+    let heartbeat = async || {
+        let r = world.lock().unwrap().heartbeat();
         c.post("/v1/report", r).await
     };
-    until(async || report().await.0 == 200).await;
+    until(async || heartbeat().await.0 == 200).await;
     assert_eq!(c.post("/api/jobs", job("req-000001", 2)).await.0, 201);
 
     world.lock().unwrap().silent = true;
     // Its workers must find another leader: it stops answering at its bound and names nobody.
-    until(async || report().await == (421, json!({}))).await;
+    until(async || heartbeat().await == (421, json!({}))).await;
     until(async || c.get("/healthz").await.0 == 503).await;
     let asked = std::time::Instant::now();
     assert_eq!(c.get("/api/jobs/req-000001").await.0, 503);
@@ -405,7 +405,7 @@
     world.lock().unwrap().silent = false;
     until(async || c.get("/api/jobs/req-000001").await.0 == 200).await;
     until(async || c.get("/healthz").await.0 == 200).await;
-    until(async || report().await.0 == 200).await;
+    until(async || heartbeat().await.0 == 200).await;
 }
 
 #[tokio::test]
@@ -440,12 +440,12 @@
 
     // A worker reports, is commissioned, gets its orders, and its tasks end.
     assert_eq!(c.post("/v1/report", json!({"what": "is this"})).await.0, 400);
-    let report = async || {
-        let r = world.lock().unwrap().report();
+    let heartbeat = async || {
+        let r = world.lock().unwrap().heartbeat();
         c.post("/v1/report", r).await
     };
     until(async || {
-        let (status, answer) = report().await;
+        let (status, answer) = heartbeat().await;
         let mut w = world.lock().unwrap();
         w.token = w.token.max(answer["baton"].as_u64().unwrap_or(0));
         status == 200 && w.tasks.len() == 2
@@ -458,7 +458,7 @@
         listed["cause"] = json!("done");
     }
     until(async || {
-        report().await;
+        heartbeat().await;
         c.get("/api/jobs/req-000001").await.1["phase"] == "done"
     })
     .await;
@@ -520,10 +520,10 @@
     tokio::time::sleep(Millis(200).to_std()).await;
     node.lock().leadership.elected(Term(5), LeaseId(7), node.now());
     let own = FencingToken::new(Term(5), 0);
-    let empty = world.lock().unwrap().report();
+    let empty = world.lock().unwrap().heartbeat();
     assert_eq!(c.post("/v1/report", empty).await, (200, json!({"baton": own, "orders": []})));
     world.lock().unwrap().tasks.insert("any".into(), json!({"lot": "req-000001/0", "try": 1, "phase": "running"}));
-    let busy = world.lock().unwrap().report();
+    let busy = world.lock().unwrap().heartbeat();
     assert_eq!(c.post("/v1/report", busy).await, (200, json!({"baton": 0, "orders": []})));
 }
 
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -6,9 +6,9 @@
 use crate::core::records::{Ending, LiveRecord};
 use crate::core::submissions::{Submission, parse_submission};
 use crate::ids::JobId;
-use crate::net::reports;
+use crate::net::heartbeats;
 use crate::net::step_times::Step;
-use crate::peer::{ReportBatch, ReportDecisions, VERSION};
+use crate::peer::{HeartbeatBatch, HeartbeatDecisions, VERSION};
 use crate::time::WallTime;
 use prost::Message;
 
@@ -49,14 +49,14 @@
     let world = Arc::new(Mutex::new(World::default()));
     let (node, _) = controller(&world, false);
     tokio::time::sleep(Millis(200).to_std()).await;
-    let report = world.lock().unwrap().report().to_string();
+    let heartbeat = world.lock().unwrap().heartbeat().to_string();
     let malformed = |n: usize| n.is_multiple_of(97);
-    let body = |n: usize| if malformed(n) { "{}".to_string() } else { report.clone() };
-    let reports = (0..600).map(|n| body(n).into()).collect();
-    let batch = ReportBatch { version: VERSION, reports, from: "plinth-1".into() }.encode_to_vec();
+    let body = |n: usize| if malformed(n) { "{}".to_string() } else { heartbeat.clone() };
+    let heartbeats = (0..600).map(|n| body(n).into()).collect();
+    let batch = HeartbeatBatch { version: VERSION, heartbeats, from: "plinth-1".into() }.encode_to_vec();
     let ask = async || {
-        let answer = reports::answer_batch(&node, &batch).await.expect("it can be read");
-        ReportDecisions::decode(answer.as_slice()).expect("it is a message")
+        let answer = heartbeats::answer_batch(&node, &batch).await.expect("it can be read");
+        HeartbeatDecisions::decode(answer.as_slice()).expect("it is a message")
     };
     let answer = ask().await;
     assert!(!answer.leading && answer.decisions.is_empty(), "nobody leads here");
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -3,7 +3,7 @@
 use super::ancestors::CheckedPipelines;
 use super::cloud::CloudClient;
 use super::detours::Detours;
-use super::forwarding::{Forwarding, ReportWaits};
+use super::forwarding::{Forwarding, RelayWakeup};
 use super::http::Http;
 use super::kv::{KvClient, KvError};
 use super::offloading::Offloading;
@@ -33,8 +33,8 @@
     pub cloud: CloudClient,
     /// Tells this process from earlier ones at the same address.
     pub incarnation: u64,
-    /// Says that a report waits to be passed on to the leader.
-    pub report_waits: ReportWaits,
+    /// Says that a heartbeat waits to be passed on to the leader.
+    pub relay_wakeup: RelayWakeup,
     started: Instant,
     inner: Mutex<Inner>,
 }
@@ -66,13 +66,13 @@
     pub silent: HashSet<String>,
     /// The peer that this controller should hand over to.
     pub successor: Option<String>,
-    /// Workers' reports on their way to the leader.
+    /// Workers' heartbeats on their way to the leader.
     pub forwarding: Forwarding,
     /// Messages of peers that can't be read, are too large or of another version.
     pub bad_messages: RareLog,
     /// While another leads and can't be reached: the peers that reach it.
     pub detours: Detours,
-    /// While leading: the peers that take workers' reports.
+    /// While leading: the peers that take workers' heartbeats.
     pub offloading: Offloading,
     /// While leading: whether this controller is too slow for it.
     pub overload: Overload,
@@ -80,7 +80,7 @@
 }
 
 /// Workers wait this long for an answer (PROTOCOL).
-const IN_VAIN: Millis = Millis(4_000);
+const WORKER_RESPONSE_TIMEOUT: Millis = Millis(4_000);
 
 struct Misdirected {
     at: MonotonicTime,
@@ -102,7 +102,7 @@
             self.misdirected.clear();
         }
         let before = self.misdirected.insert(machine.into(), Misdirected { at: now, sent_to: leader.clone() });
-        let waited = |b: &Misdirected| (IN_VAIN..=MISDIRECTED_FOR).contains(&(now - b.at));
+        let waited = |b: &Misdirected| (WORKER_RESPONSE_TIMEOUT..=MISDIRECTED_FOR).contains(&(now - b.at));
         leader.filter(|l| before.is_none_or(|b| !waited(&b) || b.sent_to.as_ref() != Some(l)))
     }
 
@@ -185,7 +185,7 @@
             kv,
             cloud,
             incarnation: rand::random::<u64>() >> 1,
-            report_waits: ReportWaits::default(),
+            relay_wakeup: RelayWakeup::default(),
             started: Instant::now(),
             inner: Mutex::new(inner),
         })
--- a/src/net/offloading.rs
+++ b/src/net/offloading.rs
@@ -1,5 +1,5 @@
 //! Which controller each worker should report to, as the leader sees it: a batch of a peer costs the leader
-//! about as much as one worker's report, so workers report to peers; and to peers of their own zone, so
+//! about as much as one worker's heartbeat, so workers report to peers; and to peers of their own zone, so
 //! that zones which can't reach each other cut few workers off.
 
 use crate::config::Peer;
@@ -8,7 +8,7 @@
 /// Workers are moved no faster than one in this time, so that peers can be seen to cope.
 const MOVE_INTERVAL: Millis = Millis(40);
 
-/// The peers that take workers' reports, as of their last answers to the leader's heartbeat.
+/// The peers that take workers' heartbeats, as of their last answers to the leader's heartbeat.
 #[derive(Default)]
 pub struct Offloading {
     peers: Vec<Peer>,
@@ -17,13 +17,13 @@
 }
 
 impl Offloading {
-    /// The peers that can pass reports on now.
+    /// The peers that can pass heartbeats on now.
     pub fn set_peers(&mut self, peers: Vec<Peer>) {
         self.peers = peers;
     }
 
     /// The peer that a worker of a zone should be moved to now, if any; peers take turns. `by` is the peer
-    /// that has passed its report on; none: the worker has reported to the leader itself.
+    /// that has passed its heartbeat on; none: the worker has reported to the leader itself.
     pub fn better_peer(&self, now: MonotonicTime, zone: &str, by: Option<&str>) -> Option<&str> {
         if now < self.not_before {
             return None;
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -8,7 +8,7 @@
 use crate::core::miser;
 use crate::core::records::Ending;
 use crate::ids::{JobId, Revision, Term};
-use crate::peer::{Hello, HelloAnswer, PlanInput, PlanOutput, VERSION};
+use crate::peer::{PeerHeartbeat, PeerHeartbeatResponse, PlanInput, PlanOutput, VERSION};
 use crate::time::Millis;
 use bytes::Bytes;
 use hyper::Method;
@@ -16,22 +16,26 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-pub const HELLO: &str = "/peer/hello";
-pub const PLAN: &str = "/peer/plan";
-pub const REPORTS: &str = "/peer/reports";
+pub const HEARTBEAT_PATH: &str = "/peer/hello";
+pub const PLAN_PATH: &str = "/peer/plan";
+pub const HEARTBEAT_BATCH_PATH: &str = "/peer/reports";
 
-async fn ask(node: &Node, addr: &str, hello: &Hello, limit: Millis) -> Option<HelloAnswer> {
-    let answer = node.http.call(Method::POST, addr, HELLO, hello.encode_to_vec(), limit).await;
+async fn ask(node: &Node, addr: &str, peer_heartbeat: &PeerHeartbeat, limit: Millis) -> Option<PeerHeartbeatResponse> {
+    let answer = node.http.call(Method::POST, addr, HEARTBEAT_PATH, peer_heartbeat.encode_to_vec(), limit).await;
     let Ok((200, body)) = answer else { return None };
-    HelloAnswer::decode(body).ok().filter(|a| a.version == VERSION)
+    PeerHeartbeatResponse::decode(body).ok().filter(|a| a.version == VERSION)
 }
 
 /// Says hello to all peers at once; an answer for each, or none.
-pub async fn ask_all(node: &Arc<Node>, hello: &Hello, limit: Millis) -> Vec<Option<HelloAnswer>> {
+pub async fn ask_all(
+    node: &Arc<Node>,
+    peer_heartbeat: &PeerHeartbeat,
+    limit: Millis,
+) -> Vec<Option<PeerHeartbeatResponse>> {
     let mut asks = Vec::new();
     for p in &node.settings.peers {
-        let (node, hello, addr) = (node.clone(), hello.clone(), p.addr.to_string());
-        asks.push(tokio::spawn(async move { ask(&node, &addr, &hello, limit).await }));
+        let (node, peer_heartbeat, addr) = (node.clone(), peer_heartbeat.clone(), p.addr.to_string());
+        asks.push(tokio::spawn(async move { ask(&node, &addr, &peer_heartbeat, limit).await }));
     }
     let mut answers = Vec::new();
     for a in asks {
@@ -43,13 +47,13 @@
 /// The peers that have answered, each with its answer.
 pub fn answered<'a>(
     node: &'a Node,
-    answers: &'a [Option<HelloAnswer>],
-) -> impl Iterator<Item = (&'a Peer, &'a HelloAnswer)> {
+    answers: &'a [Option<PeerHeartbeatResponse>],
+) -> impl Iterator<Item = (&'a Peer, &'a PeerHeartbeatResponse)> {
     node.settings.peers.iter().zip(answers).filter_map(|(peer, answer)| Some((peer, answer.as_ref()?)))
 }
 
-pub fn hello(node: &Node) -> Hello {
-    Hello { version: VERSION, from: node.settings.name.clone(), ..Default::default() }
+pub fn peer_heartbeat(node: &Node) -> PeerHeartbeat {
+    PeerHeartbeat { version: VERSION, from: node.settings.name.clone(), ..Default::default() }
 }
 
 /// Jobs by their names; none: not all are names of jobs.
@@ -62,42 +66,46 @@
 pub fn tell_leader(node: &Arc<Node>, id: &JobId) {
     let leader = node.lock().leader_name.clone();
     let Some(peer) = node.settings.peers.iter().find(|p| Some(&p.name) == leader.as_ref()) else { return };
-    let hello = Hello { cancelled: vec![id.to_string()], ..hello(node) };
+    let peer_heartbeat = PeerHeartbeat { cancelled: vec![id.to_string()], ..peer_heartbeat(node) };
     let (node, addr) = (node.clone(), peer.addr.to_string());
-    tokio::spawn(async move { ask(&node, &addr, &hello, Millis(800)).await });
+    tokio::spawn(async move { ask(&node, &addr, &peer_heartbeat, Millis(800)).await });
 }
 
 /// Answers a peer; None: the message can't be read or is of another version.
 pub fn answer(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
-    let hello = Hello::decode(body).ok().filter(|h| h.version == VERSION)?;
-    let cancelled = jobs(&hello.cancelled)?;
+    let peer_heartbeat = PeerHeartbeat::decode(body).ok().filter(|h| h.version == VERSION)?;
+    let cancelled = jobs(&peer_heartbeat.cancelled)?;
     if !cancelled.is_empty() {
         leading::feed(node, Step::Result, |l| cancelled.iter().for_each(|id| l.on_over(id, Ending::Cancelled)));
     }
     let now = node.now();
     let mut guard = node.lock();
     let inner = &mut *guard;
-    let misdirected = inner.misdirected_among(&hello.silent, now);
-    if hello.leading && !hello.hold_on {
-        inner.silent = hello.silent.into_iter().collect();
-        inner.take_counts(&hello.counts);
-        inner.forwarding.heard_leader(&hello.from, Term(hello.term), now);
+    let misdirected = inner.misdirected_among(&peer_heartbeat.silent, now);
+    if peer_heartbeat.leading && !peer_heartbeat.hold_on {
+        inner.silent = peer_heartbeat.silent.into_iter().collect();
+        inner.take_counts(&peer_heartbeat.counts);
+        inner.forwarding.heard_leader(&peer_heartbeat.from, Term(peer_heartbeat.term), now);
         if !inner.forwarding.is_proven() && inner.leadership.acting(now).is_none() {
-            node.report_waits.notify_one();
+            node.relay_wakeup.notify_one();
         }
     }
-    if !hello.successor.is_empty() && hello.successor != node.settings.name {
+    if !peer_heartbeat.successor.is_empty() && peer_heartbeat.successor != node.settings.name {
         inner.leadership.yield_to_successor(now);
     }
-    let mut answer = HelloAnswer {
+    let mut answer = PeerHeartbeatResponse {
         version: VERSION,
         misdirected,
         store_ok: !inner.leadership.is_refused_by_store(),
         ..Default::default()
     };
-    if hello.hold_on
-        && let Some(p) =
-            inner.leadership.promise_to(now, Term(hello.term), Revision(hello.read_to), &inner.cancellations)
+    if peer_heartbeat.hold_on
+        && let Some(p) = inner.leadership.promise_to(
+            now,
+            Term(peer_heartbeat.term),
+            Revision(peer_heartbeat.read_to),
+            &inner.cancellations,
+        )
     {
         answer.promise_ms = p.span.0;
         answer.cancelled = p.cancelled.iter().map(JobId::to_string).collect();
@@ -110,7 +118,7 @@
 /// Has a peer plan for its share; none: it didn't.
 pub async fn ask_plan(node: &Node, peer: &str, input: &PlanInput) -> Option<PlanOutput> {
     let addr = node.settings.peers.iter().find(|p| p.name == peer)?.addr.to_string();
-    let answer = node.http.call(Method::POST, &addr, PLAN, input.encode_to_vec(), Millis(400)).await;
+    let answer = node.http.call(Method::POST, &addr, PLAN_PATH, input.encode_to_vec(), Millis(400)).await;
     let Ok((200, body)) = answer else { return None };
     PlanOutput::decode(body).ok()
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,9 +1,9 @@
 //! The listening side: users, workers and health checks on one address, peers on the other.
 
+use super::heartbeats;
 use super::leading;
 use super::node::Node;
 use super::peers;
-use super::reports;
 use super::users::{self, Reply};
 use bytes::Bytes;
 use salvo::http::header::{CONTENT_TYPE, HeaderValue};
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 
 /// The limit of the protocol on a request's body.
-const MAX_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A worker with a great many tasks may say more than users may.
-const MAX_REPORT: usize = 4 * MAX_BODY;
+const MAX_HEARTBEAT_BYTES: usize = 4 * MAX_BODY_BYTES;
 /// A view of a few thousand machines, with the images of each, has one or two MB. One beyond this is
 /// refused and logged, and the leader plans that part itself.
-const MAX_PEER_BODY: usize = 16 << 20;
+const MAX_PEER_BODY_BYTES: usize = 16 << 20;
 
 #[derive(Clone, Copy)]
 enum Route {
@@ -26,10 +26,10 @@
     Poll,
     Withdraw,
     Health,
-    Report,
-    Hello,
+    Heartbeat,
+    PeerHeartbeat,
     Plan,
-    Reports,
+    Heartbeats,
 }
 
 struct Edge {
@@ -46,7 +46,7 @@
                 let ok = users::healthy(node);
                 send(res, if ok { 200 } else { 503 }, json!({ "ok": ok }).to_string());
             }
-            Route::Submit => match req.payload_with_max_size(MAX_BODY).await {
+            Route::Submit => match req.payload_with_max_size(MAX_BODY_BYTES).await {
                 Ok(body) => {
                     let body = body.clone();
                     reply(res, users::submit(node, &body).await);
@@ -62,18 +62,18 @@
                 reply(res, users::withdraw(node, &id).await);
                 leading::carry_out(node);
             }
-            Route::Report => {
-                // Unreadable, it is answered like any other that is not a report.
-                let body = req.payload_with_max_size(MAX_REPORT).await.cloned().unwrap_or_default();
-                let decision = reports::answer_worker(node, &body).await;
+            Route::Heartbeat => {
+                // Unreadable, it is answered like any other that is not a heartbeat.
+                let body = req.payload_with_max_size(MAX_HEARTBEAT_BYTES).await.cloned().unwrap_or_default();
+                let decision = heartbeats::respond_to_worker(node, &body).await;
                 send(res, decision.status as u16, decision.body);
             }
-            Route::Hello | Route::Plan | Route::Reports => {
-                let body = req.payload_with_max_size(MAX_PEER_BODY).await.ok();
+            Route::PeerHeartbeat | Route::Plan | Route::Heartbeats => {
+                let body = req.payload_with_max_size(MAX_PEER_BODY_BYTES).await.ok();
                 let answer = match (body, self.route) {
                     (None, _) => None,
                     (Some(body), Route::Plan) => peers::plan(node, body),
-                    (Some(body), Route::Reports) => reports::answer_batch(node, body).await,
+                    (Some(body), Route::Heartbeats) => heartbeats::answer_batch(node, body).await,
                     (Some(body), _) => peers::answer(node, body),
                 };
                 match answer {
@@ -121,14 +121,14 @@
                 .push(Router::with_path("{id}").get(edge(node, Route::Poll)))
                 .push(Router::with_path("{id}/withdraw").post(edge(node, Route::Withdraw))),
         )
-        .push(Router::with_path("v1/report").post(edge(node, Route::Report)))
+        .push(Router::with_path("v1/report").post(edge(node, Route::Heartbeat)))
 }
 
 pub fn internal(node: &Arc<Node>) -> Router {
     Router::new()
-        .push(Router::with_path(&peers::HELLO[1..]).post(edge(node, Route::Hello)))
-        .push(Router::with_path(&peers::PLAN[1..]).post(edge(node, Route::Plan)))
-        .push(Router::with_path(&peers::REPORTS[1..]).post(edge(node, Route::Reports)))
+        .push(Router::with_path(&peers::HEARTBEAT_PATH[1..]).post(edge(node, Route::PeerHeartbeat)))
+        .push(Router::with_path(&peers::PLAN_PATH[1..]).post(edge(node, Route::Plan)))
+        .push(Router::with_path(&peers::HEARTBEAT_BATCH_PATH[1..]).post(edge(node, Route::Heartbeats)))
 }
 
 /// Serves at most `most` connections at once. Those beyond wait unaccepted, so that the load
--- a/src/net/step_times.rs
+++ b/src/net/step_times.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
     Tick,
-    Reports,
+    Heartbeats,
     /// A peer's plan for a round of this leader.
     Plan,
     /// Planning for another leader.
@@ -40,7 +40,7 @@
     fn name(self) -> &'static str {
         match self {
             Step::Tick => "tick",
-            Step::Reports => "reports",
+            Step::Heartbeats => "reports",
             Step::Plan => "plan",
             Step::PlanForPeer => "plan_for_peer",
             Step::Result => "result",
@@ -120,12 +120,12 @@
         let Some(line) = inner.step_times.take_line() else { continue };
         info!("steps: {line}");
         let term = inner.leadership.acting(now);
-        let (reports, requests) = (inner.forwarding.waiting(), inner.user_requests);
+        let (heartbeats, requests) = (inner.forwarding.waiting(), inner.user_requests);
         match (&inner.leader, term) {
             (Some(leader), Some(term)) => {
-                info!("load: acting term={term} {} reports={reports} requests={requests}", leader.load_figures());
+                info!("load: acting term={term} {} reports={heartbeats} requests={requests}", leader.load_figures());
             }
-            _ => info!("load: not acting, leader={:?} reports={reports} requests={requests}", inner.leader_name),
+            _ => info!("load: not acting, leader={:?} reports={heartbeats} requests={requests}", inner.leader_name),
         }
     }
 }
--- a/src/net/step_times/tests.rs
+++ b/src/net/step_times/tests.rs
@@ -6,7 +6,7 @@
     assert_eq!(times.take_line(), None);
     let cost = CostCounters { machines: 4_000, tasks: 7, ..CostCounters::default() };
     times.record(MonotonicTime(0), Step::Tick, Duration::from_millis(3), cost);
-    times.record(MonotonicTime(0), Step::Reports, Duration::from_millis(1), CostCounters::default());
+    times.record(MonotonicTime(0), Step::Heartbeats, Duration::from_millis(1), CostCounters::default());
     let line = times.take_line().expect("there were steps");
     assert!(line.contains("tick n=1") && line.contains("reports n=1"), "{line}");
     assert!(line.contains("longest: tick jobs=0 machines=4000 tasks=7"), "{line}");
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -9,7 +9,7 @@
 
 /// A regular word between controllers; also the question whether a leader may hold on.
 #[derive(Clone, PartialEq, Message)]
-pub struct Hello {
+pub struct PeerHeartbeat {
     #[prost(uint32, tag = "1")]
     pub version: u32,
     #[prost(string, tag = "2")]
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct HelloAnswer {
+pub struct PeerHeartbeatResponse {
     #[prost(uint32, tag = "1")]
     pub version: u32,
     #[prost(bool, tag = "2")]
@@ -68,37 +68,37 @@
     /// leader can't have read.
     #[prost(string, repeated, tag = "6")]
     pub cancelled: Vec<String>,
-    /// The answering controller can pass workers' reports on to the asking leader.
+    /// The answering controller can pass workers' heartbeats on to the asking leader.
     #[prost(bool, tag = "7")]
     pub forwards: bool,
 }
 
-/// Workers' reports that a controller has taken in for the leader, each as the worker wrote it.
+/// Workers' heartbeats that a controller has taken in for the leader, each as the worker wrote it.
 #[derive(Clone, PartialEq, Message)]
-pub struct ReportBatch {
+pub struct HeartbeatBatch {
     #[prost(uint32, tag = "1")]
     pub version: u32,
     #[prost(bytes = "bytes", repeated, tag = "2")]
-    pub reports: Vec<Bytes>,
+    pub heartbeats: Vec<Bytes>,
     /// The controller that has taken them in.
     #[prost(string, tag = "3")]
     pub from: String,
 }
 
-/// What the leader has decided on each report of a batch, in the order of the batch.
+/// What the leader has decided on each heartbeat of a batch, in the order of the batch.
 #[derive(Clone, PartialEq, Message)]
-pub struct ReportDecisions {
+pub struct HeartbeatDecisions {
     #[prost(uint32, tag = "1")]
     pub version: u32,
     /// False: the controller that was asked does not lead, and has decided nothing.
     #[prost(bool, tag = "2")]
     pub leading: bool,
     #[prost(message, repeated, tag = "3")]
-    pub decisions: Vec<ReportDecision>,
+    pub decisions: Vec<HeartbeatDecision>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct ReportDecision {
+pub struct HeartbeatDecision {
     /// The HTTP status that the worker gets.
     #[prost(uint32, tag = "1")]
     pub status: u32,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -115,7 +115,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// None: a name that no task has.
     #[serde(rename = "lot", deserialize_with = "task_if_any")]
     pub task: Option<TaskId>,
@@ -128,7 +128,7 @@
     pub kept: Option<bool>,
 }
 
-impl TaskReport {
+impl TaskStatus {
     pub fn is_done(&self) -> bool {
         self.phase == TaskPhase::Exited && self.cause == Some(Cause::Done)
     }
@@ -141,7 +141,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "plinth")]
     pub machine: String,
     pub endpoint: String,
@@ -161,7 +161,7 @@
     #[serde(rename = "warn_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "lots", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
@@ -189,7 +189,7 @@
 }
 
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
     pub token: FencingToken,
     pub orders: Vec<Order>,
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -5,8 +5,9 @@
 use prost::Message;
 use std::fmt::Debug;
 use wallstile::peer::{
-    Hello, HelloAnswer, ImageView, JobCount, JobView, MachineView, Offer, Placement, PlanInput, PlanOutput,
-    ReportBatch, ReportDecision, ReportDecisions, TeamLeft, TypeView, VERSION, Waiting, Wish, ZoneCount,
+    HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineView, Offer,
+    PeerHeartbeat, PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, TeamLeft, TypeView, VERSION, Waiting, Wish,
+    ZoneCount,
 };
 
 /// Each message has its sample.
@@ -28,7 +29,7 @@
 
 #[test]
 fn hellos_are_the_samples() {
-    let full = Hello {
+    let full = PeerHeartbeat {
         version: 3,
         from: "plinth-0".into(),
         hold_on: true,
@@ -42,15 +43,15 @@
     };
     assert_samples(&[
         ("hello", full),
-        ("hello_hold_on", Hello { hold_on: true, ..Hello::default() }),
-        ("hello_leading", Hello { leading: true, ..Hello::default() }),
+        ("hello_hold_on", PeerHeartbeat { hold_on: true, ..PeerHeartbeat::default() }),
+        ("hello_leading", PeerHeartbeat { leading: true, ..PeerHeartbeat::default() }),
     ]);
     assert_samples(&[("job_count", job_count())]);
 }
 
 #[test]
 fn answers_to_hellos_are_the_samples() {
-    let full = HelloAnswer {
+    let full = PeerHeartbeatResponse {
         version: 3,
         store_ok: true,
         promise_ms: 3500,
@@ -61,18 +62,18 @@
     };
     assert_samples(&[
         ("hello_answer", full),
-        ("hello_answer_state_ok", HelloAnswer { store_ok: true, ..HelloAnswer::default() }),
-        ("hello_answer_forwards", HelloAnswer { forwards: true, ..HelloAnswer::default() }),
+        ("hello_answer_state_ok", PeerHeartbeatResponse { store_ok: true, ..PeerHeartbeatResponse::default() }),
+        ("hello_answer_forwards", PeerHeartbeatResponse { forwards: true, ..PeerHeartbeatResponse::default() }),
     ]);
 }
 
 #[test]
 fn reports_passed_on_are_the_samples() {
-    let decision = ReportDecision { status: 421, body: Bytes::from_static(b"{}") };
-    let reports = vec![Bytes::from_static(b"{\"a\":1}"), Bytes::from_static(b"\x00\xff")];
-    assert_samples(&[("report_batch", ReportBatch { version: 3, reports, from: "plinth-1".into() })]);
+    let decision = HeartbeatDecision { status: 421, body: Bytes::from_static(b"{}") };
+    let heartbeats = vec![Bytes::from_static(b"{\"a\":1}"), Bytes::from_static(b"\x00\xff")];
+    assert_samples(&[("report_batch", HeartbeatBatch { version: 3, heartbeats, from: "plinth-1".into() })]);
     let decisions = vec![decision.clone()];
-    assert_samples(&[("report_decisions", ReportDecisions { version: 3, leading: true, decisions })]);
+    assert_samples(&[("report_decisions", HeartbeatDecisions { version: 3, leading: true, decisions })]);
     assert_samples(&[("report_decision", decision)]);
 }
 
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -7,9 +7,9 @@
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber};
 use wallstile::net::users::Reply;
 use wallstile::wire::{
-    Cause, DirectOrders, JobAnswer, JobPhase, KeyValue, Kind, ListPhase, ListedMachine, MachineList, MachineNames,
-    MachineType, MachineTypes, Mutation, Order, Precondition, Priority, RangeResponse, RentRequest, Report,
-    ReportAnswer, TaskPhase, TaskReport, Transaction, WatchEvent, WatchResponse,
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobAnswer, JobPhase, KeyValue, Kind, ListPhase, ListedMachine,
+    MachineList, MachineNames, MachineType, MachineTypes, Mutation, Order, Precondition, Priority, RangeResponse,
+    RentRequest, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
 };
 
 #[test]
@@ -78,8 +78,8 @@
 
 // ---- workers
 
-fn full_task() -> TaskReport {
-    TaskReport {
+fn full_task() -> TaskStatus {
+    TaskStatus {
         task: Some(task(3)),
         attempt: Attempt(70_000_000_001),
         phase: TaskPhase::Exited,
@@ -88,12 +88,12 @@
     }
 }
 
-fn sparse_task() -> TaskReport {
-    TaskReport { phase: TaskPhase::Pulling, cause: None, kept: None, ..full_task() }
+fn sparse_task() -> TaskStatus {
+    TaskStatus { phase: TaskPhase::Pulling, cause: None, kept: None, ..full_task() }
 }
 
-fn full_report() -> Report {
-    Report {
+fn full_report() -> Heartbeat {
+    Heartbeat {
         machine: "m-000231".into(),
         endpoint: "10.1.0.7:9000".into(),
         kind: "g8".into(),
@@ -113,15 +113,15 @@
     samples.assert_both_ways("task_report", &full_task());
     samples.assert_both_ways("task_report_sparse", &sparse_task());
     samples.assert_both_ways("report", &full_report());
-    let quiet = Report { notice_s: None, tasks: Vec::new(), ..full_report() };
+    let quiet = Heartbeat { notice_s: None, tasks: Vec::new(), ..full_report() };
     samples.assert_both_ways("report_quiet", &quiet);
-    let least: Report = samples.read("report_of_the_least_members");
+    let least: Heartbeat = samples.read("report_of_the_least_members");
     assert_eq!(format!("{least:?}"), format!("{quiet:?}"));
 }
 
 #[test]
 fn a_report_on_what_is_no_task_is_read() {
-    let odd: TaskReport = Samples::wire().read("task_report_of_an_odd_name");
+    let odd: TaskStatus = Samples::wire().read("task_report_of_an_odd_name");
     assert_eq!((odd.task, odd.attempt, odd.phase), (None, Attempt(4), TaskPhase::Running));
 }
 
@@ -136,8 +136,8 @@
 #[test]
 fn orders_are_the_samples() {
     let samples = Samples::wire();
-    samples.assert_both_ways("report_answer", &ReportAnswer { token: FencingToken(33), orders: orders() });
-    let nothing = ReportAnswer { token: FencingToken(33), orders: Vec::new() };
+    samples.assert_both_ways("report_answer", &HeartbeatResponse { token: FencingToken(33), orders: orders() });
+    let nothing = HeartbeatResponse { token: FencingToken(33), orders: Vec::new() };
     samples.assert_both_ways("report_answer_without_orders", &nothing);
     let direct = DirectOrders { token: FencingToken(33), agent_epoch: AgentEpoch(31), orders: orders() };
     samples.assert_both_ways("direct_orders", &direct);
