--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -5,9 +5,11 @@
 use wallstile::config::{Settings, Tuning};
 use wallstile::core::cost::CostCounters;
 use wallstile::core::fleet::{FLEET, FleetRecord};
-use wallstile::core::leader::{Action, CommitOutcome, Leader, OrdersResult, RentResult, Stored, TICK};
 use wallstile::core::leadership::LeaderRecord;
 use wallstile::core::records::LiveRecord;
+use wallstile::core::scheduler::{
+    CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState, TICK_INTERVAL,
+};
 use wallstile::ids::{JobId, LeaseId, Revision, Term};
 use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobSpec, KeyValue};
@@ -28,7 +30,7 @@
 }
 
 pub struct Fleet {
-    pub leader: Leader,
+    pub leader: Scheduler,
     pub workers: Vec<Worker>,
     /// Milliseconds since the leader began.
     pub now: u64,
@@ -45,7 +47,7 @@
         let record = LeaderRecord { node: settings.name.clone(), incarnation: 1, lease: LeaseId(1) };
         let types = crate::workload::machine_types();
         let mut fleet = Fleet {
-            leader: Leader::new(settings, Tuning::default(), types, Term(1), record, MonotonicTime(0)),
+            leader: Scheduler::new(settings, Tuning::default(), types, Term(1), record, MonotonicTime(0)),
             workers: (0..machines).map(|i| Worker::new(i, machines, i.to_string())).collect(),
             now: 0,
             commits: 0,
@@ -65,7 +67,7 @@
             KeyValue { key: format!("{FLEET}{}", heartbeat.machine), value: serde_json::json!(record), revision: 1 }
         };
         let fleet = self.workers.iter().take(machines).map(row).collect();
-        self.leader.load(MonotonicTime(0), Stored { fleet, ..Stored::default() });
+        self.leader.load(MonotonicTime(0), StoredState { fleet, ..StoredState::default() });
     }
 
     pub fn submit(&mut self, spec: JobSpec) {
@@ -77,7 +79,7 @@
 
     /// Plays one tick, the heartbeats that are due and all that follows. Returns what it took.
     pub fn step(&mut self) -> Vec<Observation> {
-        self.now += TICK.0;
+        self.now += TICK_INTERVAL.0;
         let (now, wall) = (MonotonicTime(self.now), WallTime(self.now));
         self.observe(Input::Tick, |leader| leader.tick(now, wall));
         for at in 0..self.workers.len() {
@@ -92,35 +94,35 @@
                 }
             }
         }
-        let mut actions = self.leader.take_actions();
-        while !actions.is_empty() {
-            actions.into_iter().for_each(|action| self.perform(action));
-            actions = self.leader.take_actions();
+        let mut effects = self.leader.take_effects();
+        while !effects.is_empty() {
+            effects.into_iter().for_each(|effect| self.perform(effect));
+            effects = self.leader.take_effects();
         }
         std::mem::take(&mut self.observed)
     }
 
-    fn perform(&mut self, action: Action) {
+    fn perform(&mut self, effect: Effect) {
         let now = MonotonicTime(self.now);
-        match action {
-            Action::Orders { ticket, endpoint, body } => {
+        match effect {
+            Effect::Orders { ticket, endpoint, body } => {
                 let worker = &mut self.workers[endpoint.parse::<usize>().expect("a worker's number")];
                 worker.obey(self.now, body.token, &body.orders);
                 let result = OrdersResult::Executed(worker.next_heartbeat());
                 self.observe(Input::Answer, |leader| leader.on_orders_result(now, ticket, result));
             }
-            Action::Commit { ticket, .. } => {
+            Effect::Commit { ticket, .. } => {
                 self.commits += 1;
                 self.observe(Input::Answer, |leader| leader.on_committed(now, ticket, CommitOutcome::Committed));
             }
-            Action::Rent(request) => {
+            Effect::Rent(request) => {
                 self.observe(Input::Answer, |leader| leader.on_rented(now, &request.name, RentResult::NoCapacity));
             }
-            Action::Return(_) | Action::Plan { .. } | Action::RefreshFence(_) | Action::LookUp(_) => {}
+            Effect::Return(_) | Effect::Plan { .. } | Effect::RefreshFence(_) | Effect::LookUp(_) => {}
         }
     }
 
-    fn observe<T>(&mut self, input: Input, give: impl FnOnce(&mut Leader) -> T) -> T {
+    fn observe<T>(&mut self, input: Input, give: impl FnOnce(&mut Scheduler) -> T) -> T {
         let (before, started) = (self.leader.cost_counters(), Instant::now());
         let answer = give(&mut self.leader);
         let (took, cost) = (started.elapsed(), self.leader.cost_counters().since(&before));
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -1,4 +1,4 @@
-//! The ledger: which machines there are, and what is possibly on each of them.
+//! The cluster state: which machines there are, and what is possibly on each of them.
 //!
 //! A task counts as on a machine from before its order is sent until there is proof that it is
 //! gone. What counts as proof is decided here and in [`super::leader`], nowhere else.
@@ -148,7 +148,7 @@
     pub last_heartbeat: MonotonicTime,
     /// The way that it took; none: this leader has not answered any.
     pub route: Option<Route>,
-    /// Its agent epoch has ended by the ledger's own count: what comes of it later is stale.
+    /// Its agent epoch has ended by the cluster state's own count: what comes of it later is stale.
     pub ended: bool,
     /// It has reported under this leader's token, so answers reach it.
     pub confirmed: bool,
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// All changes of live jobs up to the revision are in the ledger; they were asked for at `asked_at`.
+    /// All changes of live jobs up to the revision are in the cluster state; they were asked for at `asked_at`.
     pub fn read(&mut self, asked_at: MonotonicTime, now: MonotonicTime, revision: Revision) {
         if let Some(lease) = &mut self.lease {
             lease.read_bound = lease.read_bound.max(asked_at + self.read_ttl);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Every peer has promised, and its cancellations are in the ledger; each promise began after
+    /// Every peer has promised, and its cancellations are in the cluster state; each promise began after
     /// `asked_at`.
     pub fn all_promised(&mut self, asked_at: MonotonicTime, shortest: Millis) {
         if let Some(lease) = &mut self.lease {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -5,17 +5,17 @@
 pub mod done_sets;
 pub mod fleet;
 pub mod jobs;
-pub mod leader;
 pub mod leadership;
 pub mod miser;
 pub mod overload;
 pub mod pipelines;
 pub mod records;
 pub mod rentals;
+pub mod scheduler;
 pub mod shares;
 pub mod submissions;
 
 #[cfg(test)]
-mod election_model;
+mod election_simulation;
 #[cfg(test)]
-mod ledger_model;
+mod simulation;
--- a/src/core/leader/awaited.rs
+++ b/src/core/scheduler/awaited.rs
@@ -9,7 +9,7 @@
 /// Jobs whose ending is still not known are asked about again after this long.
 const LOOK_UP_AGAIN: Millis = Millis(500);
 
-impl Leader {
+impl Scheduler {
     /// What the end of a job means to those that await it.
     pub(super) fn settle_successors(&mut self, id: &JobId, ending: Ending) {
         for successor in self.pipelines.ended(id, ending) {
@@ -30,7 +30,7 @@
         let ids = self.pipelines.next_unresolved(MOST_LOOKED_UP);
         if !ids.is_empty() {
             self.looking_up = true;
-            self.actions.push(Action::LookUp(ids));
+            self.effects.push(Effect::LookUp(ids));
         }
     }
 
--- a/src/core/leader/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -28,7 +28,7 @@
     need: Amount,
 }
 
-impl Leader {
+impl Scheduler {
     /// Moves a replica off a machine that does nothing else, onto one that is busy anyway, so that the
     /// former can go back. One at a time, and only while nothing waits.
     pub(super) fn consolidate(&mut self, now: MonotonicTime) {
--- a/src/core/leader/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -20,7 +20,7 @@
     count > 2 && count * 3 > up
 }
 
-impl Leader {
+impl Scheduler {
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         self.note_lag(now);
         if now - self.looked_at >= LOOK_EVERY {
@@ -51,7 +51,7 @@
 
     /// Averages by how much ticks come later than they should.
     fn note_lag(&mut self, now: MonotonicTime) {
-        let late = (now - self.ticked_at).0.saturating_sub(TICK.0) as f64;
+        let late = (now - self.ticked_at).0.saturating_sub(TICK_INTERVAL.0) as f64;
         self.ticked_at = now;
         self.lag_ms += 0.1 * (late - self.lag_ms);
     }
@@ -167,7 +167,7 @@
                     m.returning = true;
                 }
             }
-            self.actions.push(Action::Return(returns));
+            self.effects.push(Effect::Return(returns));
         }
     }
 
@@ -358,6 +358,6 @@
                 });
             }
         }
-        self.actions.extend(send.into_iter().map(Action::Rent));
+        self.effects.extend(send.into_iter().map(Effect::Rent));
     }
 }
--- a/src/core/leader/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The leader: keeps the ledger, has rounds planned, checks and commits placements, and says what
+//! The leader: keeps the cluster state, has rounds planned, checks and commits placements, and says what
 //! to send to workers, cloud and state service. A state machine: the edges feed it inputs and
 //! carry out the actions it leaves behind.
 
@@ -57,7 +57,7 @@
 
 /// What the edges must do for the leader.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum Effect {
     Orders {
         ticket: u64,
         endpoint: String,
@@ -127,7 +127,7 @@
     list_lag: Millis,
 }
 
-pub struct Leader {
+pub struct Scheduler {
     p: Params,
     settings: Settings,
     tuning: Tuning,
@@ -141,7 +141,7 @@
     /// The state service doesn't answer, and may answer others: users may have been told of
     /// cancellations that aren't known here.
     in_doubt: bool,
-    /// When the ledger was loaded: no answer to a heartbeat that it doesn't know of is later than that.
+    /// When the cluster state was loaded: no answer to a heartbeat that it doesn't know of is later than that.
     since: MonotonicTime,
     types: Vec<MachineType>,
     zones: Vec<String>,
@@ -205,7 +205,7 @@
     /// What each team possibly uses: counted when it is needed, kept up by starts, and dropped
     /// whenever a heartbeat may have added to it.
     usage: Option<Usage>,
-    actions: Vec<Action>,
+    effects: Vec<Effect>,
     /// What this leader has worked through since it began.
     cost: CostMeter,
     spot_lives: SpotLives,
@@ -251,29 +251,29 @@
     until: MonotonicTime,
 }
 
-/// The edges call [`Leader::tick`] this often.
-pub const TICK: Millis = Millis(50);
+/// The edges call [`Scheduler::tick`] this often.
+pub const TICK_INTERVAL: Millis = Millis(50);
 
 /// How long a round waits for its parts.
-const PATIENCE: Millis = Millis(250);
+const PLAN_TIMEOUT: Millis = Millis(250);
 
 /// Everything kept in the state service, as read by a new leader.
 #[derive(Default)]
-pub struct Stored {
+pub struct StoredState {
     pub live: Vec<KeyValue>,
     pub bits: Vec<KeyValue>,
     pub fleet: Vec<KeyValue>,
     pub shares: Option<Value>,
 }
 
-impl Stored {
+impl StoredState {
     /// The same in parts of at most so many rows, done sets after all jobs.
-    pub fn into_parts(self, rows: usize) -> Vec<Stored> {
-        let Stored { live, bits, fleet, shares } = self;
-        let live = in_chunks(live, rows).map(|live| Stored { live, ..Stored::default() });
-        let bits = in_chunks(bits, rows).map(|bits| Stored { bits, ..Stored::default() });
-        let fleet = in_chunks(fleet, rows).map(|fleet| Stored { fleet, ..Stored::default() });
-        let shares = shares.map(|shares| Stored { shares: Some(shares), ..Stored::default() });
+    pub fn into_parts(self, rows: usize) -> Vec<StoredState> {
+        let StoredState { live, bits, fleet, shares } = self;
+        let live = in_chunks(live, rows).map(|live| StoredState { live, ..StoredState::default() });
+        let bits = in_chunks(bits, rows).map(|bits| StoredState { bits, ..StoredState::default() });
+        let fleet = in_chunks(fleet, rows).map(|fleet| StoredState { fleet, ..StoredState::default() });
+        let shares = shares.map(|shares| StoredState { shares: Some(shares), ..StoredState::default() });
         live.chain(bits).chain(fleet).chain(shares).collect()
     }
 }
@@ -285,7 +285,7 @@
     })
 }
 
-impl Leader {
+impl Scheduler {
     pub fn new(
         settings: Settings,
         tuning: Tuning,
@@ -293,7 +293,7 @@
         term: Term,
         record: LeaderRecord,
         now: MonotonicTime,
-    ) -> Leader {
+    ) -> Scheduler {
         let c = &settings.cluster;
         let mut zones = c.zones.clone();
         for z in types.iter().flat_map(|t| &t.zones) {
@@ -315,7 +315,7 @@
         let team_names: Vec<String> = c.teams.iter().map(|t| t.name.clone()).collect();
         let peers = settings.peers.iter().map(|p| p.name.clone());
         let shares = Shares::new(&settings.name, peers, team_names.len() as u32, now);
-        Leader {
+        Scheduler {
             tokens: p.write_rps,
             p,
             spot_lives: SpotLives { mu: tuning.spot_median_s.ln(), sigma: tuning.spot_sigma, seen: 0.0 },
@@ -371,7 +371,7 @@
             ticked_at: now,
             lag_ms: 0.0,
             usage: None,
-            actions: Vec::new(),
+            effects: Vec::new(),
             cost: CostMeter::default(),
         }
     }
@@ -398,7 +398,7 @@
     }
 
     /// Figures for the log: how much there is to do, and what waits for answers.
-    pub fn load_figures(&self) -> String {
+    pub fn load_summary(&self) -> String {
         let ready: usize = self.jobs.values().map(Job::startable_tasks).sum();
         let (jobs, machines) = (self.jobs.len(), self.machines.len());
         let unaccounted = self.machines.values().filter(|m| !m.accounted).count();
@@ -412,8 +412,8 @@
         )
     }
 
-    pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.actions)
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
     }
 
     /// Live jobs with their counts of done tasks and of tasks that run.
@@ -450,14 +450,14 @@
     // ---- becoming leader
 
     /// What the state service holds, in one go.
-    pub fn load(&mut self, now: MonotonicTime, stored: Stored) {
+    pub fn load(&mut self, now: MonotonicTime, stored: StoredState) {
         self.load_part(now, stored);
         self.finish_load(now);
     }
 
     /// Some of what the state service holds; done sets come after their jobs. A row that can't be read is
     /// left alone.
-    pub fn load_part(&mut self, now: MonotonicTime, stored: Stored) {
+    pub fn load_part(&mut self, now: MonotonicTime, stored: StoredState) {
         self.cost.add_jobs(stored.live.len() + stored.bits.len());
         self.cost.add_machines(stored.fleet.len());
         stored.live.into_iter().for_each(|row| self.load_job(row));
@@ -471,9 +471,9 @@
 
     /// All that the state service holds has been loaded.
     pub fn finish_load(&mut self, now: MonotonicTime) {
-        // Until now reports were answered without the ledger, which renewed workers' leases.
+        // Until now reports were answered without the cluster state, which renewed workers' leases.
         self.since = now;
-        info!("ledger loaded: term={} jobs={} machines={}", self.term, self.jobs.len(), self.machines.len());
+        info!("cluster state loaded: term={} jobs={} machines={}", self.term, self.jobs.len(), self.machines.len());
     }
 
     fn load_job(&mut self, row: KeyValue) {
@@ -590,7 +590,7 @@
     }
 }
 
-/// The answer of a leader that is still reading its ledger: it can't tell which tasks are cancelled, so
+/// The answer of a leader that is still reading its cluster state: it can't tell which tasks are cancelled, so
 /// it renews no lease over any. An answer without a token is dropped, but keeps the worker here.
 pub fn response_before_load(term: Term, heartbeat: &Heartbeat) -> HeartbeatResponse {
     let empty = heartbeat.tasks.iter().all(|l| l.phase == TaskPhase::Exited);
@@ -601,7 +601,7 @@
 /// Most orders in one message, which has a limit of 64 KiB.
 const MAX_ORDERS: usize = 500;
 
-/// Tells a worker to stop a task; the ledger keeps it until it is proven gone.
+/// Tells a worker to stop a task; the cluster state keeps it until it is proven gone.
 fn stop_slot(m: &mut Machine, key: &SlotKey, leeway: f64) {
     let Some(s) = m.slots.get_mut(key) else { return };
     if s.exited() {
--- a/src/core/leader/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -67,7 +67,7 @@
     reclaimed: u32,
 }
 
-impl Leader {
+impl Scheduler {
     /// The fleet and the ready tasks as the planner sees them, with what its keys stand for.
     pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
         self.cost.add_jobs(self.jobs.len());
--- a/src/core/leader/room.rs
+++ b/src/core/scheduler/room.rs
@@ -71,7 +71,7 @@
 const LOSS_OF_GPU_MACHINE: f64 = 1e6;
 const LOSS_OF_GPU_ROOM: f64 = 1e9;
 
-impl Leader {
+impl Scheduler {
     /// Tasks that found no machine that is up: preemption, and the paper's second fall-back.
     pub(super) fn heed_waiting(
         &mut self,
--- a/src/core/leader/room_survey.rs
+++ b/src/core/scheduler/room_survey.rs
@@ -129,12 +129,12 @@
         RoomSearch { survey: None, budget: OperationBudget::new(machines) }
     }
 
-    pub fn survey(&mut self, leader: &Leader, now: MonotonicTime) -> &RoomSurvey {
+    pub fn survey(&mut self, leader: &Scheduler, now: MonotonicTime) -> &RoomSurvey {
         self.survey.get_or_insert_with(|| leader.survey_room(now))
     }
 
     /// Looks at a machine again, whose tasks or reservations have changed.
-    pub fn refresh(&mut self, leader: &Leader, now: MonotonicTime, id: &MachineId) {
+    pub fn refresh(&mut self, leader: &Scheduler, now: MonotonicTime, id: &MachineId) {
         let Some(survey) = &mut self.survey else { return };
         let Some(at) = survey.position(id) else { return };
         if let Some(machine) = leader.machines.get(id).and_then(|m| leader.survey_machine(now, id, m)) {
@@ -185,7 +185,7 @@
     }
 }
 
-impl Leader {
+impl Scheduler {
     /// All machines that may get tasks now, and what each could yield.
     fn survey_room(&self, now: MonotonicTime) -> RoomSurvey {
         self.cost.add_machines(self.machines.len());
--- a/src/core/leader/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -5,7 +5,7 @@
 use super::room_survey::RoomSearch;
 use super::*;
 
-impl Leader {
+impl Scheduler {
     /// Starts a round: each controller plans for the teams of its share, all on the same view.
     pub(super) fn round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.round_at = now;
@@ -28,11 +28,11 @@
         let mut missing = BTreeMap::new();
         for (node, part) in parts.into_keys().flatten().zip(inputs) {
             let part = Arc::new(part);
-            self.actions.push(Action::Plan { node: node.clone(), input: part.clone() });
+            self.effects.push(Effect::Plan { node: node.clone(), input: part.clone() });
             missing.insert(node, part);
         }
         let outputs = vec![miser::plan_metered(&own, &self.cost)];
-        let until = now + PATIENCE;
+        let until = now + PLAN_TIMEOUT;
         self.open_round = Some(Round { view, outputs, missing, until });
         self.close_round(now);
     }
@@ -82,7 +82,7 @@
         };
         out.placements.sort_by_key(|p| urgency(p.job));
         out.waiting.sort_by_key(|w| urgency(w.job));
-        self.carry_out(now, &round.view, &out);
+        self.commit_plan(now, &round.view, &out);
     }
 
     /// Whether a round waits for the plans of peers.
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Checks a plan against the ledger and commits what still holds.
-    pub(super) fn carry_out(&mut self, now: MonotonicTime, view: &PlannerView, out: &PlanOutput) {
+    /// Checks a plan against the cluster state and commits what still holds.
+    pub(super) fn commit_plan(&mut self, now: MonotonicTime, view: &PlannerView, out: &PlanOutput) {
         let mut search = RoomSearch::new(self.machines.len());
         let mut gangs: BTreeMap<u32, Vec<(MachineId, u32)>> = BTreeMap::new();
         for p in &out.placements {
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Enters a task in the ledger and queues its order; the ledger always comes first.
+    /// Enters a task in the cluster state and queues its order; the cluster state always comes first.
     pub(super) fn start(&mut self, now: MonotonicTime, job: &JobId, index: u32, machine: &MachineId, attempt: Attempt) {
         let (Some(j), Some(m)) = (self.jobs.get_mut(job), self.machines.get_mut(machine)) else { return };
         let t = &self.types[m.kind];
--- a/src/core/leader/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 struct Rig {
-    leader: Leader,
+    leader: Scheduler,
     now: u64,
     workers: BTreeMap<String, Heartbeat>,
     /// Where answers and orders don't arrive.
@@ -92,8 +92,11 @@
     /// A leader that has just been elected over machines that an earlier one has commissioned.
     fn new(machines: usize) -> Rig {
         let tuning = Tuning { gather_s: 30.0, idle_s: 600.0, ..Tuning::default() };
-        let mut leader = Leader::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
-        leader.load(MonotonicTime(0), Stored { fleet: (0..machines).map(record).collect(), ..Stored::default() });
+        let mut leader = Scheduler::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
+        leader.load(
+            MonotonicTime(0),
+            StoredState { fleet: (0..machines).map(record).collect(), ..StoredState::default() },
+        );
         let store = (0..machines).map(record).map(|r| (r.key, (r.value, r.revision))).collect();
         let workers = (0..machines).map(|i| (format!("w{i}"), Rig::fresh(i))).collect();
         Rig {
@@ -173,9 +176,9 @@
             let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
             of.map(|(k, v)| KeyValue { key: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
         };
-        let stored = Stored { live: rows(LIVE), bits: rows(BITS), fleet: rows(FLEET), shares: None };
+        let stored = StoredState { live: rows(LIVE), bits: rows(BITS), fleet: rows(FLEET), shares: None };
         self.leader =
-            Leader::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
+            Scheduler::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
         self.leader.load(MonotonicTime(self.now), stored);
     }
 
@@ -215,7 +218,7 @@
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
-            self.now += TICK.0;
+            self.now += TICK_INTERVAL.0;
             let before = self.leader.cost_counters();
             self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
             let work = self.leader.cost_counters().since(&before);
@@ -229,10 +232,10 @@
                     }
                 }
             }
-            for a in self.leader.take_actions() {
+            for a in self.leader.take_effects() {
                 let now = MonotonicTime(self.now);
                 match a {
-                    Action::Orders { ticket, endpoint, body } => {
+                    Effect::Orders { ticket, endpoint, body } => {
                         let result = match self.workers.get_mut(&endpoint) {
                             Some(r) if !self.deaf.contains(&endpoint) => {
                                 r.sequence.0 += 1;
@@ -248,7 +251,7 @@
                         };
                         self.leader.on_orders_result(now, ticket, result);
                     }
-                    Action::Commit { ticket, transaction } => match &mut self.unanswered {
+                    Effect::Commit { ticket, transaction } => match &mut self.unanswered {
                         Some(l) => {
                             l.push(transaction);
                             self.leader.on_committed(now, ticket, CommitOutcome::Unknown);
@@ -258,20 +261,20 @@
                             self.leader.on_committed(now, ticket, CommitOutcome::Committed);
                         }
                     },
-                    Action::RefreshFence(_) => {
+                    Effect::RefreshFence(_) => {
                         let next = self.unanswered.is_none().then(|| Revision(self.leader.fence_revision().0 + 1_000));
                         self.leader.on_fence_refreshed(now, next);
                     }
-                    Action::Rent(r) => self.leader.on_rented(now, &r.name, RentResult::NoCapacity),
-                    Action::Return(ids) => {
+                    Effect::Rent(r) => self.leader.on_rented(now, &r.name, RentResult::NoCapacity),
+                    Effect::Return(ids) => {
                         self.returned.extend(ids.iter().map(|i| i.to_string()));
                         self.leader.on_returned(now, &ids, !self.cloud_down);
                     }
-                    Action::LookUp(ids) => {
+                    Effect::LookUp(ids) => {
                         let endings: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.ending(id)?))).collect();
                         self.leader.on_looked_up(now, &endings);
                     }
-                    Action::Plan { .. } => {}
+                    Effect::Plan { .. } => {}
                 }
             }
         }
--- a/src/core/leader/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -2,7 +2,7 @@
 //! through: a change that is to keep the behaviour must keep both.
 
 use super::*;
-use crate::core::ledger_model::digest::Digest;
+use crate::core::simulation::digest::Digest;
 
 const MACHINES: usize = 300;
 /// Those that an earlier leader has recorded; the others are new.
@@ -111,7 +111,7 @@
 }
 
 struct FixedFleet {
-    leader: Leader,
+    leader: Scheduler,
     now: u64,
     revision: u64,
     /// None: returned, or gone after a notice.
@@ -127,10 +127,10 @@
         let tuning = Tuning { gather_s: 4.0, idle_s: 30.0, ..Tuning::default() };
         let mut types = kinds();
         types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
-        let mut leader = Leader::new(sample_settings(), tuning, types, TERM, holder(), MonotonicTime(0));
+        let mut leader = Scheduler::new(sample_settings(), tuning, types, TERM, holder(), MonotonicTime(0));
         let workers: Vec<SimulatedWorker> = (0..MACHINES).map(SimulatedWorker::of_first_fleet).collect();
         let fleet = workers.iter().take(RECORDED).map(SimulatedWorker::record).collect();
-        leader.load(MonotonicTime(0), Stored { fleet, ..Stored::default() });
+        leader.load(MonotonicTime(0), StoredState { fleet, ..StoredState::default() });
         FixedFleet {
             leader,
             now: 0,
@@ -279,42 +279,42 @@
 
     fn run(&mut self) {
         while self.now < SIMULATED_MS {
-            self.now += TICK.0;
+            self.now += TICK_INTERVAL.0;
             self.users();
             self.notices();
             self.peers();
             self.list();
             self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
             self.heartbeats();
-            let mut actions = self.leader.take_actions();
-            while !actions.is_empty() {
-                actions.into_iter().for_each(|action| self.perform(action));
-                actions = self.leader.take_actions();
+            let mut effects = self.leader.take_effects();
+            while !effects.is_empty() {
+                effects.into_iter().for_each(|effect| self.perform(effect));
+                effects = self.leader.take_effects();
             }
         }
     }
 
-    fn perform(&mut self, action: Action) {
-        self.digest.action(&action);
+    fn perform(&mut self, effect: Effect) {
+        self.digest.effect(&effect);
         let now = MonotonicTime(self.now);
-        match action {
-            Action::Orders { ticket, endpoint, body } => {
+        match effect {
+            Effect::Orders { ticket, endpoint, body } => {
                 let result = self.execute(&endpoint, &body);
                 self.leader.on_orders_result(now, ticket, result);
             }
-            Action::Commit { ticket, transaction } => {
+            Effect::Commit { ticket, transaction } => {
                 let result = self.commit(&transaction);
                 self.leader.on_committed(now, ticket, result);
             }
-            Action::RefreshFence(_) => {
+            Effect::RefreshFence(_) => {
                 self.revision += 1;
                 self.leader.on_fence_refreshed(now, Some(Revision(self.revision)));
             }
-            Action::Rent(request) => {
+            Effect::Rent(request) => {
                 let result = self.rent(&request);
                 self.leader.on_rented(now, &request.name, result);
             }
-            Action::Return(ids) => {
+            Effect::Return(ids) => {
                 let number = |id: &MachineId| id.0[2..].parse::<usize>().expect("a machine's number");
                 for id in &ids {
                     if let Some(worker) = self.workers.get_mut(number(id)) {
@@ -323,11 +323,11 @@
                 }
                 self.leader.on_returned(now, &ids, true);
             }
-            Action::LookUp(ids) => {
+            Effect::LookUp(ids) => {
                 let endings: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.endings.get(id)?))).collect();
                 self.leader.on_looked_up(now, &endings);
             }
-            Action::Plan { node, input } => self.plan(&node, &input),
+            Effect::Plan { node, input } => self.plan(&node, &input),
         }
     }
 
--- a/src/core/leader/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -43,7 +43,7 @@
     for _ in 0..8 {
         rig.now += 950;
         rig.mute = rig.workers.keys().cloned().collect();
-        rig.run(TICK.0);
+        rig.run(TICK_INTERVAL.0);
     }
     assert!(rig.leader.lag() >= Millis(250) && rig.returned.is_empty());
     // Heartbeats arrive again but for one machine's; ticks come in time.
@@ -123,7 +123,7 @@
     assert_eq!(job(&rig), 2, "the lease may still run");
     rig.run(1_500);
     assert_eq!(job(&rig), 1, "silent past its lease, whatever copies came");
-    // After the ledger has ended the agent epoch, a copy with a later sequence revives nothing either.
+    // After the cluster state has ended the agent epoch, a copy with a later sequence revives nothing either.
     let mut later = copy;
     later.sequence.0 += 100;
     assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &later), None);
@@ -191,9 +191,9 @@
     rig.submit(201, spec("req-000002", Kind::Array, 1, 1.0));
     let mut ordered = false;
     for _ in 0..40 {
-        rig.now += TICK.0;
+        rig.now += TICK_INTERVAL.0;
         rig.leader.tick(MonotonicTime(rig.now), WallTime(rig.now));
-        ordered |= rig.leader.take_actions().iter().any(|a| matches!(a, Action::Orders { .. }));
+        ordered |= rig.leader.take_effects().iter().any(|a| matches!(a, Effect::Orders { .. }));
     }
     assert!(ordered);
     rig.leader.on_over(&id, Ending::Cancelled);
--- a/src/core/leader/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -109,8 +109,8 @@
     }
     rig.leader.tick(MonotonicTime(rig.now + 1_000), WallTime(rig.now + 1_000));
     let mut asked = Vec::new();
-    for action in rig.leader.take_actions() {
-        if let Action::Plan { node, input } = action {
+    for effect in rig.leader.take_effects() {
+        if let Effect::Plan { node, input } = effect {
             asked.push((node, input));
         }
     }
@@ -119,7 +119,7 @@
     for (node, input) in asked {
         rig.leader.on_plan(MonotonicTime(rig.now + 1_100), &node, Some(miser::plan(&input)));
     }
-    assert_eq!(rig.leader.take_actions(), [], "the plan comes too late");
+    assert_eq!(rig.leader.take_effects(), [], "the plan comes too late");
     rig.now += 1_100;
     rig.run(2_000);
     assert_eq!(rig.runs(&job), 2, "the next round starts it");
@@ -136,14 +136,15 @@
             revision: 9,
         }
     };
-    let stored = || Stored { live: (1..8).map(job).collect(), fleet: rows(7), ..Stored::default() };
+    let stored = || StoredState { live: (1..8).map(job).collect(), fleet: rows(7), ..StoredState::default() };
     let parts = stored().into_parts(3);
     assert!(parts.iter().all(|p| p.live.len() + p.bits.len() + p.fleet.len() <= 3) && parts.len() == 6);
-    let load = |parts: Vec<Stored>| {
-        let mut leader = Leader::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
+    let load = |parts: Vec<StoredState>| {
+        let mut leader =
+            Scheduler::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
         parts.into_iter().for_each(|part| leader.load_part(MonotonicTime(0), part));
         leader.finish_load(MonotonicTime(5));
-        leader.load_figures()
+        leader.load_summary()
     };
     assert_eq!(load(parts), load(vec![stored()]));
 }
@@ -161,8 +162,8 @@
         row.value["zone"] = json!(zone_of(n));
         row
     });
-    rig.leader = Leader::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
-    rig.leader.load(MonotonicTime(0), Stored { fleet: rows.collect(), ..Stored::default() });
+    rig.leader = Scheduler::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
+    rig.leader.load(MonotonicTime(0), StoredState { fleet: rows.collect(), ..StoredState::default() });
     rig.run(2_000);
     let low = |n: u32, zone: &str| {
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 4, 8.0);
--- a/src/core/leader/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -93,14 +93,14 @@
 fn gpu_machines_are_lent_only_as_far_as_gpu_jobs_have_not_wanted_them() {
     // Plain work filled every GPU machine that came free and was cleared off it again: nearly half
     // of all starts were of tasks that had been stopped so.
-    let mut l = Leader::new(sample_settings(), Tuning::default(), kinds(), Term(1), holder(), MonotonicTime(0));
+    let mut l = Scheduler::new(sample_settings(), Tuning::default(), kinds(), Term(1), holder(), MonotonicTime(0));
     let gpu = l.types.iter().position(|t| t.gpus > 0.0).expect("there is a GPU kind");
     for i in 0..4 {
         let mut m = Machine::new(String::new(), gpu, 0, false, MonotonicTime(0));
         m.up = true;
         l.machines.insert(MachineId::parse(&format!("m-{i}")).unwrap(), m);
     }
-    let lent = |l: &mut Leader, at: MonotonicTime, waiting: &BTreeSet<JobId>| {
+    let lent = |l: &mut Scheduler, at: MonotonicTime, waiting: &BTreeSet<JobId>| {
         l.lend(at, waiting);
         l.lent.len()
     };
--- a/src/core/leader/workers.rs
+++ b/src/core/scheduler/workers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Leader {
+impl Scheduler {
     /// A worker's heartbeat that has come directly. None: not to be answered.
     pub fn on_heartbeat(&mut self, now: MonotonicTime, r: &Heartbeat) -> Option<HeartbeatResponse> {
         self.on_heartbeat_via(now, r, Route::DIRECT)
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Enters a listed task that the ledger doesn't have.
+    /// Enters a listed task that the cluster state doesn't have.
     pub(super) fn adopt(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskStatus) {
         let (task, attempt) = key;
         self.usage = None;
@@ -520,6 +520,6 @@
         m.in_flight = Some(self.tickets);
         self.orders.insert(self.tickets, (id.clone(), runs));
         let body = DirectOrders { token, agent_epoch: m.agent_epoch, orders };
-        self.actions.push(Action::Orders { ticket: self.tickets, endpoint: m.endpoint.clone(), body });
+        self.effects.push(Effect::Orders { ticket: self.tickets, endpoint: m.endpoint.clone(), body });
     }
 }
--- a/src/core/leader/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -5,7 +5,7 @@
 /// Most transactions under way at once.
 const MAX_COMMITS: usize = 6;
 
-impl Leader {
+impl Scheduler {
     pub(super) fn fence_precondition(&self) -> Precondition {
         Precondition { key: LEADER_KEY.into(), revision: self.fence_revision.0 }
     }
@@ -14,7 +14,7 @@
         self.tickets += 1;
         self.tokens -= transaction.mutations.len() as f64;
         self.commits.insert(self.tickets, (purpose, self.fence_revision));
-        self.actions.push(Action::Commit { ticket: self.tickets, transaction });
+        self.effects.push(Effect::Commit { ticket: self.tickets, transaction });
     }
 
     /// Writes what must be durable, most urgent first, within the share of writes.
@@ -46,7 +46,7 @@
         self.tokens -= 1.0;
         let value = serde_json::json!(self.record);
         let write = Mutation::Put { key: LEADER_KEY.into(), value, lease: Some(self.record.lease.0) };
-        self.actions.push(Action::RefreshFence(Transaction {
+        self.effects.push(Effect::RefreshFence(Transaction {
             preconditions: vec![self.fence_precondition()],
             mutations: vec![write],
         }));
--- a/src/core/ledger_model/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Model {
+impl Simulation {
     pub(super) fn check_over(&self, id: &JobId) {
         let record: OverRecord = serde_json::from_value(self.store[&over_key(id)].0.clone()).unwrap();
         if record.phase == JobPhase::Done {
--- a/src/core/ledger_model/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -46,36 +46,36 @@
         self.counts
     }
 
-    pub(in crate::core) fn action(&mut self, action: &Action) {
-        match action {
-            Action::Orders { ticket, endpoint, body } => {
+    pub(in crate::core) fn effect(&mut self, effect: &Effect) {
+        match effect {
+            Effect::Orders { ticket, endpoint, body } => {
                 self.tag(Tag::Orders);
                 self.number(*ticket);
                 self.part(endpoint.as_bytes());
                 self.json(body);
             }
-            Action::Commit { ticket, transaction } => {
+            Effect::Commit { ticket, transaction } => {
                 self.tag(Tag::Commit);
                 self.number(*ticket);
                 self.json(transaction);
             }
-            Action::RefreshFence(transaction) => {
+            Effect::RefreshFence(transaction) => {
                 self.tag(Tag::FenceRefresh);
                 self.json(transaction);
             }
-            Action::Rent(request) => {
+            Effect::Rent(request) => {
                 self.tag(Tag::Rent);
                 self.json(request);
             }
-            Action::Return(machines) => {
+            Effect::Return(machines) => {
                 self.tag(Tag::Return);
                 self.json(machines);
             }
-            Action::LookUp(jobs) => {
+            Effect::LookUp(jobs) => {
                 self.tag(Tag::LookUp);
                 self.json(jobs);
             }
-            Action::Plan { node, input } => {
+            Effect::Plan { node, input } => {
                 self.tag(Tag::Plan);
                 self.part(node.as_bytes());
                 self.part(&input.encode_to_vec());
@@ -154,7 +154,7 @@
 
 /// Histories with more cancellations, pipelines and late writes than usual, and fewer changes of leader.
 fn play(seed: u64) -> Digest {
-    let mut model = Model::new(seed);
+    let mut model = Simulation::new(seed);
     (model.ends, model.cancels, model.pipelines, model.late_writes) = (0.001, 0.02, 0.5, 0.05);
     model.run(100, 0);
     model.digest
--- a/src/core/ledger_model/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Model {
+impl Simulation {
     pub(super) fn chance(&mut self, p: f64) -> bool {
         self.rng.random::<f64>() < p
     }
--- a/src/core/ledger_model/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -11,10 +11,10 @@
 use self::digest::Digest;
 use super::done_sets::{Layout, parse_key};
 use super::fleet::FLEET;
-use super::leader::{Action, CommitOutcome, Leader, OrdersResult, RentResult, Stored};
 use super::leadership::{LEADER_KEY, LeaderRecord};
 use super::miser;
 use super::records::{BITS, Ending, LIVE, LiveRecord, OVER, OverRecord, live_key, over_key};
+use super::scheduler::{CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState};
 use crate::config::{Settings, Tuning, sample_settings};
 use crate::ids::{AgentEpoch, Attempt, FencingToken, JobId, LeaseId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::PlanOutput;
@@ -139,7 +139,7 @@
     },
 }
 
-pub struct Model {
+pub struct Simulation {
     rng: StdRng,
     now: u64,
     settings: Settings,
@@ -150,7 +150,7 @@
     mail: Vec<(u64, Mail)>,
     /// Heartbeats that wait at the controller which passes them on.
     gathered: Vec<(usize, u64, Heartbeat)>,
-    leader: Option<Leader>,
+    leader: Option<Scheduler>,
     leader_no: u64,
     next_leader_at: u64,
     requests_made: BTreeMap<String, Vec<String>>,
@@ -199,10 +199,10 @@
     vec![t("small", 8.0, 0.0, 0.5), t("large", 16.0, 2.0, 4.0)]
 }
 
-impl Model {
-    pub fn new(seed: u64) -> Model {
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
         let settings = sample_settings();
-        let mut m = Model {
+        let mut m = Simulation {
             rng: StdRng::seed_from_u64(seed),
             now: 0,
             settings,
@@ -247,7 +247,7 @@
     // ---- the store
 
     fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
-        let revision = |m: &Model, k: &str| m.store.get(k).map_or(0, |v| v.1);
+        let revision = |m: &Simulation, k: &str| m.store.get(k).map_or(0, |v| v.1);
         let failed: Vec<String> = transaction
             .preconditions
             .iter()
@@ -303,7 +303,7 @@
             LeaderRecord { node: "plinth-0".into(), incarnation: self.leader_no, lease: LeaseId(self.leader_no) };
         self.store.insert(LEADER_KEY.into(), (json!(record), self.epoch));
         self.check_done_bits();
-        let mut l = Leader::new(
+        let mut l = Scheduler::new(
             self.settings.clone(),
             Tuning { idle_s: 20.0, gather_s: 4.0, ..Tuning::default() },
             self.types.clone(),
@@ -311,18 +311,19 @@
             record,
             MonotonicTime(self.now),
         );
-        let stored = Stored { live: self.rows(LIVE), bits: self.rows(BITS), fleet: self.rows(FLEET), shares: None };
+        let stored =
+            StoredState { live: self.rows(LIVE), bits: self.rows(BITS), fleet: self.rows(FLEET), shares: None };
         l.load(MonotonicTime(self.now), stored);
         self.leader = Some(l);
     }
 
     fn act(&mut self) {
-        let Some(actions) = self.leader.as_mut().map(|l| l.take_actions()) else { return };
+        let Some(effects) = self.leader.as_mut().map(|l| l.take_effects()) else { return };
         let leader = self.leader_no;
-        for a in actions {
-            self.digest.action(&a);
+        for a in effects {
+            self.digest.effect(&a);
             match a {
-                Action::Orders { ticket, endpoint, body } => {
+                Effect::Orders { ticket, endpoint, body } => {
                     let worker: usize = endpoint.parse().expect("an endpoint that was reported");
                     let delay = self.delay();
                     if delay > 2_000 {
@@ -332,7 +333,7 @@
                     let (token, agent_epoch, orders) = (body.token, body.agent_epoch, body.orders);
                     self.post(delay, Mail::Orders { leader, ticket, worker, token, agent_epoch, orders });
                 }
-                Action::Commit { ticket, transaction } => {
+                Effect::Commit { ticket, transaction } => {
                     let delay = self.delay();
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { delay };
                     if delay > 1_200 {
@@ -340,7 +341,7 @@
                     }
                     self.post(delay, Mail::Commit { leader, ticket, transaction });
                 }
-                Action::RefreshFence(transaction) => {
+                Effect::RefreshFence(transaction) => {
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { self.delay() };
                     if delay > 1_200 {
                         // The read that follows an unanswered write.
@@ -348,7 +349,7 @@
                     }
                     self.post(delay, Mail::FenceRefresh { leader, transaction });
                 }
-                Action::Plan { node, input } => {
+                Effect::Plan { node, input } => {
                     // Peers plan on a view that is old by then, answer late, twice or not at all,
                     // and at times an answer is of another round, or plain wrong.
                     let mut plan = (!self.lost()).then(|| miser::plan(&input));
@@ -369,18 +370,18 @@
                     }
                     self.post(delay, Mail::Plan { leader, node, plan });
                 }
-                Action::LookUp(ids) => {
+                Effect::LookUp(ids) => {
                     let lost = self.lost();
                     let endings = ids.iter().filter_map(|id| Some((*id, self.ending(id)?))).filter(|_| !lost);
                     let endings = endings.collect();
                     let delay = self.rng.random_range(5..1_400);
                     self.post(delay, Mail::LookedUp { leader, endings });
                 }
-                Action::Rent(r) => {
+                Effect::Rent(r) => {
                     let result = if self.lost() { RentResult::Unknown } else { self.rent(&r) };
                     self.post(200, Mail::Rented { leader, name: r.name, result });
                 }
-                Action::Return(ids) => {
+                Effect::Return(ids) => {
                     let ok = !self.lost();
                     let names: Vec<String> = ids.iter().map(|i| i.to_string()).collect();
                     for n in &names {
--- a/src/core/ledger_model/tests.rs
+++ b/src/core/simulation/tests.rs
@@ -6,7 +6,7 @@
 fn the_rules_hold_in_random_histories() {
     let (mut starts, mut leaders) = (0, 0);
     for seed in 0..60 {
-        let mut m = Model::new(seed);
+        let mut m = Simulation::new(seed);
         m.run(120, 0);
         starts += m.starts;
         leaders += m.leaders;
@@ -16,10 +16,10 @@
 }
 
 /// Histories in which something happens more than usual; how many starts and leaders there were.
-fn play(seeds: std::ops::Range<u64>, set: impl Fn(&mut Model)) -> (u64, u64) {
+fn play(seeds: std::ops::Range<u64>, set: impl Fn(&mut Simulation)) -> (u64, u64) {
     let (mut starts, mut leaders) = (0, 0);
     for seed in seeds {
-        let mut m = Model::new(seed);
+        let mut m = Simulation::new(seed);
         set(&mut m);
         m.run(120, 0);
         starts += m.starts;
@@ -68,7 +68,7 @@
 #[test]
 fn pipelines_end_once_troubles_are_over() {
     for seed in 800..806 {
-        let mut m = Model::new(seed);
+        let mut m = Simulation::new(seed);
         (m.pipelines, m.cancels) = (0.8, 0.004);
         m.run(60, 400);
         assert!(m.unfinished().is_empty(), "seed {seed}: {:?}", m.unfinished());
@@ -78,7 +78,7 @@
 #[test]
 fn every_job_ends_once_troubles_are_over() {
     for seed in 100..106 {
-        let mut m = Model::new(seed);
+        let mut m = Simulation::new(seed);
         m.run(60, 400);
         assert!(m.unfinished().is_empty(), "seed {seed}: {:?}", m.unfinished());
     }
--- a/src/core/ledger_model/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Model {
+impl Simulation {
     pub(super) fn add_worker(&mut self, kind: usize, zone: usize, spot: bool, up_at: u64) -> String {
         self.workers.push(Worker {
             kind,
--- a/src/main.rs
+++ b/src/main.rs
@@ -66,11 +66,11 @@
     runtime.block_on(async {
         let node = net::node::Node::new(settings, tuning);
         log::info!("starting {} on {}", node.settings.name, node.settings.listen);
-        tokio::spawn(net::leading::learn_types(node.clone()));
+        tokio::spawn(net::leader_loop::learn_types(node.clone()));
         tokio::spawn(net::election::run(node.clone()));
         tokio::spawn(net::forwarding::run(node.clone()));
         tokio::spawn(net::detours::run(node.clone()));
-        tokio::spawn(net::step_times::run(node.clone()));
+        tokio::spawn(net::input_latency::run(node.clone()));
         let sockets = node.settings.sockets();
         let users = net::server::serve(node.settings.listen, net::server::public(&node), sockets.public);
         let peers = net::server::serve(node.settings.peer_listen, net::server::internal(&node), sockets.peers);
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -1,7 +1,7 @@
 //! Client of the cloud. Calls keep to the cloud's rate; rentals and returns go before lists.
 
 use super::http::Http;
-use crate::core::leader::RentResult;
+use crate::core::scheduler::RentResult;
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
 use hyper::Method;
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -1,7 +1,7 @@
 //! Runs for leader, keeps it, and gives it up in time.
 
 use super::kv::KvError;
-use super::leading;
+use super::leader_loop;
 use super::node::{Inner, Node};
 use super::peers;
 use crate::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_KEY, YIELD};
@@ -138,7 +138,7 @@
 /// Renews the lease until it is lost.
 async fn keep_leading(node: &Arc<Node>, leader_lease: LeaderLease, record: LeaderRecord) {
     info!("leading: term={}", leader_lease.term);
-    let work = tokio::spawn(leading::run(node.clone(), leader_lease.term, record));
+    let work = tokio::spawn(leader_loop::run(node.clone(), leader_lease.term, record));
     let ttl = node.settings.state_ttl();
     let mut acting = true;
     let mut promised = false;
@@ -179,7 +179,7 @@
     warn!("no longer leader: term={}", leader_lease.term);
     let mut inner = node.lock();
     inner.leadership.step_down();
-    inner.leader = None;
+    inner.scheduler = None;
     inner.leader_name = None;
     drop(inner);
     work.abort();
@@ -193,7 +193,7 @@
         inner.leadership.step_down();
         inner.leadership.yield_to_successor(now);
         inner.leader_name = None;
-        inner.leader.take().map_or(Revision(leader_lease.term.0), |l| l.fence_revision())
+        inner.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
     };
     let mut peer_heartbeat = peers::peer_heartbeat(node);
     peer_heartbeat.successor = successor;
@@ -227,8 +227,8 @@
 
 /// Starts wait while it isn't known what users have been told meanwhile.
 fn doubt(inner: &mut Inner, in_doubt: bool) {
-    if let Some(l) = &mut inner.leader {
-        l.set_in_doubt(in_doubt);
+    if let Some(scheduler) = &mut inner.scheduler {
+        scheduler.set_in_doubt(in_doubt);
     }
 }
 
@@ -250,9 +250,9 @@
     let promises: Vec<_> = answers.iter().map(promised).collect();
     let mut inner = node.lock();
     record_peer_answers(&mut inner, &answers);
-    let Some(l) = &mut inner.leader else { return false };
+    let Some(scheduler) = &mut inner.scheduler else { return false };
     for (_, cancelled) in promises.iter().flatten() {
-        cancelled.iter().for_each(|id| l.on_over(id, Ending::Cancelled));
+        cancelled.iter().for_each(|id| scheduler.on_over(id, Ending::Cancelled));
     }
     // Without peers there is nobody to promise.
     let shortest = promises.iter().map(|p| p.as_ref().map_or(Millis(0), |p| p.0)).min().unwrap_or_default();
@@ -261,6 +261,6 @@
         inner.leadership.all_promised(asked_at, shortest);
     }
     drop(inner);
-    leading::carry_out(node);
+    leader_loop::perform_pending(node);
     promised
 }
--- a/src/net/forwarding.rs
+++ b/src/net/forwarding.rs
@@ -1,6 +1,6 @@
 //! Passing workers' heartbeats on to the leader. A controller that does not lead gathers the heartbeats that
 //! reach it, sends them to the leader in batches, and gives each worker what the leader has decided on
-//! its heartbeat. It decides nothing itself: to the worker and to the leader's ledger a forwarded report is
+//! its heartbeat. It decides nothing itself: to the worker and to the leader's cluster state a forwarded report is
 //! one that took a longer way, which may be lost, late or delivered after a newer one like any other.
 
 use super::detours;
--- a/src/net/forwarding/tests.rs
+++ b/src/net/forwarding/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn destination(forwarding: &Forwarding) -> Option<&str> {
-    forwarding.destination(HEARD).map(|leader| leader.name.as_str())
+    forwarding.destination(HEARD).map(|scheduler| scheduler.name.as_str())
 }
 
 #[test]
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Workers' heartbeats: the leader decides on them, other controllers pass them on or name the leader.
 
 use super::forwarding::{self, Forwarded};
-use super::leading;
+use super::input_latency::InputKind;
+use super::leader_loop;
 use super::node::{Inner, Node};
-use super::step_times::Step;
 use crate::core::fleet::Route;
-use crate::core::leader::response_before_load;
+use crate::core::scheduler::response_before_load;
 use crate::ids::MachineId;
 use crate::peer::{HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, VERSION};
 use crate::time::MonotonicTime;
@@ -70,13 +70,13 @@
     let moves = {
         let mut inner = node.lock();
         let term = inner.leadership.acting(now)?;
-        if inner.leader.is_none() {
+        if inner.scheduler.is_none() {
             return Some(heartbeats.iter().map(|r| decided(Some(response_before_load(term, r)))).collect());
         }
         heartbeats.iter().map(|r| inner.moved_to(now, r, by)).collect::<Vec<_>>()
     };
     let route = route(node, by);
-    leading::feed(node, Step::Heartbeats, |leader| {
+    leader_loop::step(node, InputKind::Heartbeats, |leader| {
         let decide_one = |(heartbeat, moved): (&Heartbeat, Option<String>)| match moved {
             Some(peer) => redirect(Some(&peer)),
             None => decided(leader.on_heartbeat_via(now, heartbeat, route)),
@@ -97,7 +97,7 @@
         // First, as most workers are where they should be.
         let peer = self.offloading.better_peer(now, &heartbeat.zone, by)?.to_string();
         let id = MachineId::parse(&heartbeat.machine)?;
-        if !self.leader.as_ref()?.may_move(now, &id) {
+        if !self.scheduler.as_ref()?.may_move(now, &id) {
             return None;
         }
         self.offloading.moved(now);
--- a/src/net/step_times.rs
+++ b/src/net/input_latency.rs
@@ -13,17 +13,17 @@
 use std::time::Duration;
 
 /// The line of figures is written this often.
-const LINE_INTERVAL: Millis = Millis(10_000);
+const LOG_INTERVAL: Millis = Millis(10_000);
 /// A step that takes this long is worth a line of its own.
-const LONG_STEP: Duration = Duration::from_millis(250);
+const SLOW_INPUT: Duration = Duration::from_millis(250);
 /// At most one such line in this time.
-const LONG_STEP_INTERVAL: Millis = Millis(1_000);
+const SLOW_INPUT_LOG_INTERVAL: Millis = Millis(1_000);
 /// Longest step that the histograms tell apart, in microseconds.
-const LONGEST_MICROS: u64 = 600_000_000;
+const MAX_RECORDED_MICROS: u64 = 600_000_000;
 
 /// What the core was given to work on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum InputKind {
     Tick,
     Heartbeats,
     /// A peer's plan for a round of this leader.
@@ -36,53 +36,53 @@
     Load,
 }
 
-impl Step {
+impl InputKind {
     fn name(self) -> &'static str {
         match self {
-            Step::Tick => "tick",
-            Step::Heartbeats => "reports",
-            Step::Plan => "plan",
-            Step::PlanForPeer => "plan_for_peer",
-            Step::Result => "result",
-            Step::Load => "load",
+            InputKind::Tick => "tick",
+            InputKind::Heartbeats => "reports",
+            InputKind::Plan => "plan",
+            InputKind::PlanForPeer => "plan_for_peer",
+            InputKind::Result => "result",
+            InputKind::Load => "load",
         }
     }
 }
 
 /// The longest step since the last line.
 struct Longest {
-    step: Step,
+    input_kind: InputKind,
     took: Duration,
     cost: CostCounters,
 }
 
 /// Step times since the last line.
-pub struct StepTimes {
-    histograms: BTreeMap<Step, Histogram<u64>>,
+pub struct InputLatency {
+    histograms: BTreeMap<InputKind, Histogram<u64>>,
     longest: Option<Longest>,
     long_steps: RareLog,
 }
 
-impl Default for StepTimes {
-    fn default() -> StepTimes {
-        StepTimes { histograms: BTreeMap::new(), longest: None, long_steps: RareLog::new(LONG_STEP_INTERVAL) }
+impl Default for InputLatency {
+    fn default() -> InputLatency {
+        InputLatency { histograms: BTreeMap::new(), longest: None, long_steps: RareLog::new(SLOW_INPUT_LOG_INTERVAL) }
     }
 }
 
-impl StepTimes {
+impl InputLatency {
     /// Takes in a step that began at `now` and has just ended.
-    pub fn record(&mut self, now: MonotonicTime, step: Step, took: Duration, cost: CostCounters) {
-        let micros = (took.as_micros() as u64).clamp(1, LONGEST_MICROS);
-        let histogram = self.histograms.entry(step).or_insert_with(new_histogram);
+    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, took: Duration, cost: CostCounters) {
+        let micros = (took.as_micros() as u64).clamp(1, MAX_RECORDED_MICROS);
+        let histogram = self.histograms.entry(input_kind).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
-        if took >= LONG_STEP
+        if took >= SLOW_INPUT
             && let Some(count) = self.long_steps.note(now)
         {
-            let (name, unmentioned) = (step.name(), count - 1);
+            let (name, unmentioned) = (input_kind.name(), count - 1);
             warn!("long step: {name} took {} ms, {cost}, unmentioned={unmentioned}", took.as_millis());
         }
         if self.longest.as_ref().is_none_or(|longest| took > longest.took) {
-            self.longest = Some(Longest { step, took, cost });
+            self.longest = Some(Longest { input_kind, took, cost });
         }
     }
 
@@ -90,9 +90,9 @@
     fn take_line(&mut self) -> Option<String> {
         let longest = self.longest.take()?;
         let mut line = String::new();
-        for (step, histogram) in std::mem::take(&mut self.histograms) {
+        for (input_kind, histogram) in std::mem::take(&mut self.histograms) {
             let millis = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
-            let (name, count) = (step.name(), histogram.len());
+            let (name, count) = (input_kind.name(), histogram.len());
             // Writing to a string can't fail.
             let _ = write!(
                 line,
@@ -102,28 +102,28 @@
                 millis(1.0)
             );
         }
-        let _ = write!(line, "longest: {} {}", longest.step.name(), longest.cost);
+        let _ = write!(line, "longest: {} {}", longest.input_kind.name(), longest.cost);
         Some(line)
     }
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_MICROS, 2).expect("the bounds are constants that fit")
+    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 2).expect("the bounds are constants that fit")
 }
 
 /// Writes the figures of this controller while it runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(LINE_INTERVAL.to_std()).await;
+        tokio::time::sleep(LOG_INTERVAL.to_std()).await;
         let now = node.now();
         let mut inner = node.lock();
-        let Some(line) = inner.step_times.take_line() else { continue };
+        let Some(line) = inner.input_latency.take_line() else { continue };
         info!("steps: {line}");
         let term = inner.leadership.acting(now);
         let (heartbeats, requests) = (inner.forwarding.waiting(), inner.user_requests);
-        match (&inner.leader, term) {
+        match (&inner.scheduler, term) {
             (Some(leader), Some(term)) => {
-                info!("load: acting term={term} {} reports={heartbeats} requests={requests}", leader.load_figures());
+                info!("load: acting term={term} {} reports={heartbeats} requests={requests}", leader.load_summary());
             }
             _ => info!("load: not acting, leader={:?} reports={heartbeats} requests={requests}", inner.leader_name),
         }
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -1,7 +1,7 @@
 //! Client of the state service.
 
 use super::http::{Http, HttpError};
-use crate::core::leader::CommitOutcome;
+use crate::core::scheduler::CommitOutcome;
 use crate::ids::{LeaseId, Revision};
 use crate::time::Millis;
 use crate::wire::{KeyValue, RangeResponse, Transaction, WatchResponse};
--- a/src/net/leading.rs
+++ b/src/net/leader_loop.rs
@@ -1,13 +1,13 @@
-//! The leader's work: loads the ledger, feeds it, and carries out what it asks for.
+//! The leader's work: loads the cluster state, feeds it, and carries out what it asks for.
 
+use super::input_latency::InputKind;
 use super::kv::{KvError, commit_outcome};
 use super::lookups;
 use super::node::{Inner, Node};
 use super::peers;
-use super::step_times::Step;
 use crate::config::Peer;
 use crate::core::fleet::FLEET;
-use crate::core::leader::{Action, CommitOutcome, Leader, OrdersResult, RentResult, Stored, TICK};
+use crate::core::scheduler::{CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState, TICK_INTERVAL};
 
 use crate::core::cost::CostCounters;
 use crate::core::leadership::{LEADER_KEY, LeaderRecord, should_hand_over};
@@ -86,7 +86,7 @@
         }
         tokio::time::sleep(Millis(150).to_std()).await;
     };
-    let mut leader = Leader::new(node.settings.clone(), node.tuning.clone(), types, term, record, since);
+    let mut leader = Scheduler::new(node.settings.clone(), node.tuning.clone(), types, term, record, since);
     load_in_steps(&node, &mut leader, stored).await;
     {
         let now = node.now();
@@ -95,121 +95,127 @@
             return;
         }
         inner.leadership.read(asked_at, now, Revision(revision));
-        inner.leader = Some(leader);
+        inner.scheduler = Some(leader);
     }
     tokio::join!(tick(&node, term), follow(&node, term, revision), watch_cloud(&node, term), tell_peers(&node, term));
 }
 
 /// Gives a new leader what is stored, a part at a time: renewals, users and heartbeats are served in between.
-async fn load_in_steps(node: &Node, leader: &mut Leader, stored: Stored) {
+async fn load_in_steps(node: &Node, leader: &mut Scheduler, stored: StoredState) {
     for part in stored.into_parts(ROWS_PER_STEP) {
         let now = node.now();
-        let ((), took, cost) = measured(leader, |leader| leader.load_part(now, part));
-        node.lock().step_times.record(now, Step::Load, took, cost);
+        let ((), took, cost) = measured(leader, |scheduler| scheduler.load_part(now, part));
+        node.lock().input_latency.record(now, InputKind::Load, took, cost);
         tokio::task::yield_now().await;
     }
     leader.finish_load(node.now());
 }
 
-async fn load(node: &Node) -> Result<(Stored, u64), KvError> {
+async fn load(node: &Node) -> Result<(StoredState, u64), KvError> {
     let (live, revision) = node.kv.list(&node.http, LIVE).await?;
     let (bits, _) = node.kv.list(&node.http, BITS).await?;
     let (fleet, _) = node.kv.list(&node.http, FLEET).await?;
     let shares = node.kv.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
-    Ok((Stored { live, bits, fleet, shares }, revision))
+    Ok((StoredState { live, bits, fleet, shares }, revision))
 }
 
-/// Feeds the ledger something and carries out what follows. Outside the bound of the leader's lease
+/// Feeds the cluster state something and carries out what follows. Outside the bound of the leader's lease
 /// nothing is fed, so nothing goes out.
-pub fn feed<T>(node: &Arc<Node>, step: Step, input: impl FnOnce(&mut Leader) -> T) -> Option<T> {
+pub fn step<T>(node: &Arc<Node>, input_kind: InputKind, input: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
     let now = node.now();
-    let (answer, term, actions) = {
+    let (answer, term, effects) = {
         let mut inner = node.lock();
         let Some(term) = inner.leadership.acting(now) else {
-            if let Some(leader) = &mut inner.leader {
+            if let Some(leader) = &mut inner.scheduler {
                 leader.abandon_round();
             }
             return None;
         };
-        let (answer, actions) = timed(&mut inner, now, step, |leader| (input(leader), leader.take_actions()))?;
-        (answer, term, actions)
+        let (answer, effects) =
+            step_measured(&mut inner, now, input_kind, |scheduler| (input(scheduler), scheduler.take_effects()))?;
+        (answer, term, effects)
     };
-    for action in actions {
-        tokio::spawn(perform(node.clone(), term, action));
+    for effect in effects {
+        tokio::spawn(perform(node.clone(), term, effect));
     }
     Some(answer)
 }
 
 /// Carries out what the leader has left to do.
-pub fn carry_out(node: &Arc<Node>) {
-    feed(node, Step::Result, |_| ());
+pub fn perform_pending(node: &Arc<Node>) {
+    step(node, InputKind::Result, |_| ());
 }
 
-/// Has the ledger, if there is one, take an input, and notes how long that took.
-fn timed<T>(inner: &mut Inner, now: MonotonicTime, step: Step, input: impl FnOnce(&mut Leader) -> T) -> Option<T> {
-    let (answer, took, cost) = measured(inner.leader.as_mut()?, input);
-    inner.step_times.record(now, step, took, cost);
+/// Has the cluster state, if there is one, take an input, and notes how long that took.
+fn step_measured<T>(
+    inner: &mut Inner,
+    now: MonotonicTime,
+    input_kind: InputKind,
+    input: impl FnOnce(&mut Scheduler) -> T,
+) -> Option<T> {
+    let (answer, took, cost) = measured(inner.scheduler.as_mut()?, input);
+    inner.input_latency.record(now, input_kind, took, cost);
     Some(answer)
 }
 
-/// Gives a ledger an input. Returns its answer, how long that took and what it worked through.
-fn measured<T>(leader: &mut Leader, input: impl FnOnce(&mut Leader) -> T) -> (T, Duration, CostCounters) {
+/// Gives a cluster state an input. Returns its answer, how long that took and what it worked through.
+fn measured<T>(leader: &mut Scheduler, input: impl FnOnce(&mut Scheduler) -> T) -> (T, Duration, CostCounters) {
     let (started, before) = (Instant::now(), leader.cost_counters());
     let answer = input(leader);
     (answer, started.elapsed(), leader.cost_counters().since(&before))
 }
 
-/// Tells the ledger something, if there is one: also while not acting, as it is knowledge and no order.
-fn inform(node: &Node, tell: impl FnOnce(&mut Leader, MonotonicTime)) {
+/// Tells the cluster state something, if there is one: also while not acting, as it is knowledge and no order.
+fn notify_scheduler(node: &Node, tell: impl FnOnce(&mut Scheduler, MonotonicTime)) {
     let now = node.now();
-    timed(&mut node.lock(), now, Step::Result, |leader| tell(leader, now));
+    step_measured(&mut node.lock(), now, InputKind::Result, |scheduler| tell(scheduler, now));
 }
 
 /// Carries out an action of the leader of a term. This process may have been frozen since the action
 /// was decided: what is no longer this leader's to send isn't sent.
-pub(super) async fn perform(node: Arc<Node>, term: Term, action: Action) {
+pub(super) async fn perform(node: Arc<Node>, term: Term, effect: Effect) {
     let now = node.now();
     let acting = node.lock().leadership.acting(now) == Some(term);
-    match action {
-        Action::Orders { ticket, endpoint, body } => {
+    match effect {
+        Effect::Orders { ticket, endpoint, body } => {
             let result = if acting { send_orders(&node, &endpoint, &body).await } else { OrdersResult::Unknown };
-            inform(&node, |leader, now| leader.on_orders_result(now, ticket, result));
-            carry_out(&node);
+            notify_scheduler(&node, |scheduler, now| scheduler.on_orders_result(now, ticket, result));
+            perform_pending(&node);
         }
-        Action::Commit { ticket, transaction } => {
+        Effect::Commit { ticket, transaction } => {
             let result = match acting {
                 true => commit_outcome(&node.track_store(node.kv.commit(&node.http, &transaction)).await),
                 false => CommitOutcome::Rejected,
             };
-            inform(&node, |leader, now| leader.on_committed(now, ticket, result));
-            carry_out(&node);
+            notify_scheduler(&node, |scheduler, now| scheduler.on_committed(now, ticket, result));
+            perform_pending(&node);
         }
-        Action::RefreshFence(transaction) => {
+        Effect::RefreshFence(transaction) => {
             let revision = refresh_fence(&node, &transaction).await;
-            inform(&node, |leader, now| leader.on_fence_refreshed(now, revision));
-            carry_out(&node);
+            notify_scheduler(&node, |scheduler, now| scheduler.on_fence_refreshed(now, revision));
+            perform_pending(&node);
         }
-        Action::Plan { node: peer, input } => {
+        Effect::Plan { node: peer, input } => {
             let plan = peers::ask_plan(&node, &peer, &input).await;
             let now = node.now();
-            feed(&node, Step::Plan, |leader| leader.on_plan(now, &peer, plan));
+            step(&node, InputKind::Plan, |scheduler| scheduler.on_plan(now, &peer, plan));
         }
-        Action::LookUp(ids) => {
+        Effect::LookUp(ids) => {
             let endings = lookups::endings(&node, &ids).await;
-            inform(&node, |leader, now| leader.on_looked_up(now, &endings));
-            carry_out(&node);
+            notify_scheduler(&node, |scheduler, now| scheduler.on_looked_up(now, &endings));
+            perform_pending(&node);
         }
-        Action::Rent(request) => {
+        Effect::Rent(request) => {
             let result = match acting {
                 true => node.cloud.rent(&node.http, now, &request).await,
                 false => RentResult::Unknown,
             };
-            inform(&node, |leader, now| leader.on_rented(now, &request.name, result));
+            notify_scheduler(&node, |scheduler, now| scheduler.on_rented(now, &request.name, result));
         }
-        Action::Return(ids) => {
+        Effect::Return(ids) => {
             let names = ids.iter().map(MachineId::to_string).collect();
             let returned = acting && node.cloud.give_back(&node.http, now, names).await;
-            inform(&node, |leader, now| leader.on_returned(now, &ids, returned));
+            notify_scheduler(&node, |scheduler, now| scheduler.on_returned(now, &ids, returned));
         }
     }
 }
@@ -246,8 +252,8 @@
 async fn tick(node: &Arc<Node>, term: Term) {
     while still_leads(node, term) {
         let (now, wall) = (node.now(), node.wall_time());
-        feed(node, Step::Tick, |leader| leader.tick(now, wall));
-        tokio::time::sleep(TICK.to_std()).await;
+        step(node, InputKind::Tick, |scheduler| scheduler.tick(now, wall));
+        tokio::time::sleep(TICK_INTERVAL.to_std()).await;
     }
 }
 
@@ -268,7 +274,7 @@
                 let now = node.now();
                 let mut inner = node.lock();
                 inner.leadership.read(asked_at, now, Revision(since));
-                let Some(l) = &mut inner.leader else { continue };
+                let Some(scheduler) = &mut inner.scheduler else { continue };
                 for e in log.events {
                     let (key, value) = match e {
                         WatchEvent::Put { key: write, value, revision } => (write, Some((value, revision))),
@@ -276,8 +282,8 @@
                     };
                     let Some(id) = key.strip_prefix(LIVE).and_then(JobId::parse) else { continue };
                     match value {
-                        Some((value, revision)) => l.on_live(&id, &value, Revision(revision)),
-                        None => l.on_over(&id, Ending::Unknown),
+                        Some((value, revision)) => scheduler.on_live(&id, &value, Revision(revision)),
+                        None => scheduler.on_over(&id, Ending::Unknown),
                     }
                 }
             }
@@ -288,8 +294,8 @@
                         since = revision;
                         let now = node.now();
                         let mut inner = node.lock();
-                        if let Some(l) = &mut inner.leader {
-                            l.reload_live(rows, revision);
+                        if let Some(scheduler) = &mut inner.scheduler {
+                            scheduler.reload_live(rows, revision);
                             inner.leadership.read(asked_at, now, Revision(revision));
                         }
                     }
@@ -301,7 +307,7 @@
                 tokio::time::sleep(Millis(200).to_std()).await;
             }
         }
-        carry_out(node);
+        perform_pending(node);
     }
 }
 
@@ -312,14 +318,14 @@
     while still_leads(node, term) {
         if let Some(list) = node.cloud.list(&node.http, node.now()).await {
             let now = node.now();
-            feed(node, Step::Result, |leader| leader.on_list(now, &list));
+            step(node, InputKind::Result, |scheduler| scheduler.on_list(now, &list));
         }
         if rounds % 8 == 1
             && let Some(types) = node.cloud.types(&node.http, node.now()).await
         {
             let mut inner = node.lock();
-            if let Some(l) = &mut inner.leader {
-                l.set_types(types);
+            if let Some(scheduler) = &mut inner.scheduler {
+                scheduler.set_types(types);
             }
         }
         rounds += 1;
@@ -338,9 +344,9 @@
         {
             let mut inner = node.lock();
             let now = node.now();
-            if let Some(l) = &inner.leader {
-                peer_heartbeat.counts = l.counts();
-                (peer_heartbeat.silent, machines) = l.silent_machines(now);
+            if let Some(scheduler) = &inner.scheduler {
+                peer_heartbeat.counts = scheduler.counts();
+                (peer_heartbeat.silent, machines) = scheduler.silent_machines(now);
             }
             inner.take_counts(&peer_heartbeat.counts);
         }
@@ -358,7 +364,7 @@
 fn relieve(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
     let now = node.now();
     let mut inner = node.lock();
-    let Some(leader) = inner.leader.as_ref().filter(|leader| leader.settled(now)) else { return };
+    let Some(leader) = inner.scheduler.as_ref().filter(|scheduler| scheduler.settled(now)) else { return };
     let lag = leader.lag();
     let able = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.forwards);
     let able: Vec<&Peer> = able.map(|(peer, _)| peer).collect();
@@ -382,19 +388,19 @@
 fn judge(node: &Node, answers: &[Option<PeerHeartbeatResponse>], silent: usize, all: usize, before: u32) -> u32 {
     let now = node.now();
     let mut inner = node.lock();
-    let Some(l) = &mut inner.leader else { return 0 };
+    let Some(scheduler) = &mut inner.scheduler else { return 0 };
     // Workers go round the controllers, so no single peer hears all of them at once.
     let mut misdirected: BTreeSet<&str> = BTreeSet::new();
     let mut successor: Option<(usize, &str)> = None;
     for (peer, a) in peers::answered(node, answers) {
-        l.peer_answered(now, &peer.name);
+        scheduler.peer_answered(now, &peer.name);
         misdirected.extend(a.misdirected.iter().map(String::as_str));
         if a.store_ok {
             successor = successor.max(Some((a.misdirected.len(), &peer.name)));
         }
     }
     let Some((1.., name)) = successor else { return 0 };
-    if !l.settled(now) || !should_hand_over(silent, misdirected.len(), all) {
+    if !scheduler.settled(now) || !should_hand_over(silent, misdirected.len(), all) {
         return 0;
     }
     let name = name.to_string();
--- a/src/net/lookups.rs
+++ b/src/net/lookups.rs
@@ -55,8 +55,8 @@
     if record.phase == JobPhase::Aborted {
         inner.cancellations.tell(*id, revision);
     }
-    if let Some(l) = &mut inner.leader {
-        l.on_over(id, record.ending());
+    if let Some(scheduler) = &mut inner.scheduler {
+        scheduler.on_over(id, record.ending());
     }
 }
 
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -5,11 +5,11 @@
 
 use super::http::Http;
 use super::node::Node;
-use super::{detours, election, forwarding, leading, peers, server};
+use super::{detours, election, forwarding, leader_loop, peers, server};
 use crate::config::{Peer, Settings, Tuning, sample_settings};
 use crate::core::cancellations::Cancellations;
-use crate::core::leader::Action;
 use crate::core::leadership::{LEADER_KEY, SUCCESSOR_KEY};
+use crate::core::scheduler::Effect;
 use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, Revision, TaskId, Term};
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{DirectOrders, Mutation, Order, Transaction};
@@ -270,7 +270,7 @@
     let [(leader, at_leader), (other, at_other)] = pair(&world);
     tokio::time::sleep(Millis(200).to_std()).await;
     for node in [&leader, &other] {
-        tokio::spawn(leading::learn_types(node.clone()));
+        tokio::spawn(leader_loop::learn_types(node.clone()));
         tokio::spawn(election::run(node.clone()));
         until(async || world.lock().unwrap().store.contains_key(LEADER_KEY)).await;
     }
@@ -325,7 +325,7 @@
     tokio::spawn(server::serve(leader.settings.peer_listen, server::internal(&leader), 64));
     tokio::time::sleep(Millis(200).to_std()).await;
     for node in [&leader, &other] {
-        tokio::spawn(leading::learn_types(node.clone()));
+        tokio::spawn(leader_loop::learn_types(node.clone()));
         tokio::spawn(election::run(node.clone()));
         until(async || world.lock().unwrap().store.contains_key(LEADER_KEY)).await;
     }
@@ -383,7 +383,7 @@
     // Its peers are behind a cut.
     let (node, c) = controller(&world, true);
     tokio::time::sleep(Millis(200).to_std()).await;
-    tokio::spawn(leading::learn_types(node.clone()));
+    tokio::spawn(leader_loop::learn_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
     until(async || c.get("/healthz").await.0 == 200).await;
     let heartbeat = async || {
@@ -417,7 +417,7 @@
     // Before the machine types are known nothing can be decided, and that is said at once.
     assert_eq!(c.get("/healthz").await.0, 503);
     assert_eq!(c.post("/api/jobs", job("req-000001", 2)).await.0, 503);
-    tokio::spawn(leading::learn_types(node.clone()));
+    tokio::spawn(leader_loop::learn_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
     until(async || c.get("/healthz").await.0 == 200).await;
 
@@ -492,7 +492,7 @@
     let world = Arc::new(Mutex::new(World::default()));
     world.lock().unwrap().store.insert(SUCCESSOR_KEY.into(), (json!("plinth-1"), 1));
     let (node, c) = controller(&world, false);
-    tokio::spawn(leading::learn_types(node.clone()));
+    tokio::spawn(leader_loop::learn_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
     tokio::time::sleep(Millis(1_500).to_std()).await;
     assert!(!world.lock().unwrap().store.contains_key(LEADER_KEY));
@@ -535,12 +535,12 @@
     let endpoint = world.lock().unwrap().worker.clone();
     let run = Order::Run { task: TaskId::parse("req-000001/0").unwrap(), attempt: Attempt(1) };
     let body = DirectOrders { token: FencingToken::new(Term(5), 0), agent_epoch: AgentEpoch(1), orders: vec![run] };
-    let order = || Action::Orders { ticket: 1, endpoint: endpoint.clone(), body: body.clone() };
-    leading::perform(node.clone(), Term(5), order()).await;
+    let order = || Effect::Orders { ticket: 1, endpoint: endpoint.clone(), body: body.clone() };
+    leader_loop::perform(node.clone(), Term(5), order()).await;
     assert!(world.lock().unwrap().orders.is_empty(), "it is no longer the leader");
     node.lock().leadership.elected(Term(6), LeaseId(7), node.now());
-    leading::perform(node.clone(), Term(5), order()).await;
+    leader_loop::perform(node.clone(), Term(5), order()).await;
     assert!(world.lock().unwrap().orders.is_empty(), "leader again, but for another term");
-    leading::perform(node.clone(), Term(6), order()).await;
+    leader_loop::perform(node.clone(), Term(6), order()).await;
     assert_eq!(world.lock().unwrap().orders.len(), 1);
 }
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -1,28 +1,28 @@
 //! What happens past the bound of a leader's lease, and how long one message may hold everything else.
 
 use super::*;
-use crate::core::leader::{Leader, TICK};
 use crate::core::leadership::LeaderRecord;
 use crate::core::records::{Ending, LiveRecord};
+use crate::core::scheduler::{Scheduler, TICK_INTERVAL};
 use crate::core::submissions::{Submission, parse_submission};
 use crate::ids::JobId;
 use crate::net::heartbeats;
-use crate::net::step_times::Step;
+use crate::net::input_latency::InputKind;
 use crate::peer::{HeartbeatBatch, HeartbeatDecisions, VERSION};
 use crate::time::WallTime;
 use prost::Message;
 
 /// A leader in the middle of a round that a peer plans for.
-async fn leader_in_a_round(node: &Arc<Node>) -> Leader {
+async fn leader_in_a_round(node: &Arc<Node>) -> Scheduler {
     let types = node.cloud.types(&node.http, node.now()).await.expect("the stand-in names its types");
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: 1, lease: LeaseId(7) };
-    let mut leader = Leader::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
+    let mut leader = Scheduler::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
     let (id, submission) = parse_submission(job("req-000001", 1).to_string().as_bytes()).unwrap_or_else(|_| panic!());
     let Ok(Submission { spec, .. }) = submission else { panic!("the job is possible") };
     let live = json!(LiveRecord { at: WallTime(0), spec, awaits: Vec::new() });
     leader.on_live(&id, &live, Revision(1));
     node.settings.peers.iter().for_each(|peer| leader.peer_answered(MonotonicTime(0), &peer.name));
-    leader.tick(MonotonicTime(0) + TICK.mul_f64(40.0), WallTime(2_000));
+    leader.tick(MonotonicTime(0) + TICK_INTERVAL.mul_f64(40.0), WallTime(2_000));
     leader
 }
 
@@ -33,13 +33,13 @@
     tokio::time::sleep(Millis(200).to_std()).await;
     let leader = leader_in_a_round(&node).await;
     assert!(leader.has_open_round());
-    node.lock().leader = Some(leader);
+    node.lock().scheduler = Some(leader);
     // Not elected, or not any more: nothing is fed, and nothing of the round goes out.
-    let answer = leading::feed(&node, Step::Tick, |leader| {
+    let answer = leader_loop::step(&node, InputKind::Tick, |leader| {
         leader.on_over(&JobId::parse("req-000001").unwrap(), Ending::Unknown)
     });
     assert!(answer.is_none());
-    assert!(node.lock().leader.as_ref().is_some_and(|leader| !leader.has_open_round()));
+    assert!(node.lock().scheduler.as_ref().is_some_and(|leader| !leader.has_open_round()));
     world.lock().unwrap().down = true;
     assert_eq!(c.get("/api/jobs/req-000001").await.0, 503);
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,15 +7,15 @@
 pub mod forwarding;
 pub mod heartbeats;
 pub mod http;
+pub mod input_latency;
 pub mod kv;
-pub mod leading;
+pub mod leader_loop;
 pub mod lookups;
 pub mod node;
 pub mod offloading;
 pub mod peers;
 pub mod rare_log;
 pub mod server;
-pub mod step_times;
 pub mod users;
 
 #[cfg(test)]
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -5,16 +5,16 @@
 use super::detours::Detours;
 use super::forwarding::{Forwarding, RelayWakeup};
 use super::http::Http;
+use super::input_latency::InputLatency;
 use super::kv::{KvClient, KvError};
 use super::offloading::Offloading;
 use super::rare_log::RareLog;
-use super::step_times::StepTimes;
 use crate::config::{Settings, Tuning};
 use crate::core::cancellations::Cancellations;
-use crate::core::leader::Leader;
 use crate::core::leadership::Leadership;
 use crate::core::overload::Overload;
 use crate::core::records::OverRecord;
+use crate::core::scheduler::Scheduler;
 use crate::ids::JobId;
 use crate::peer::JobCount;
 use crate::time::{Millis, MonotonicTime, WallTime};
@@ -41,8 +41,8 @@
 
 pub struct Inner {
     pub leadership: Leadership,
-    /// The ledger, while leading and once it is loaded.
-    pub leader: Option<Leader>,
+    /// The cluster state, while leading and once it is loaded.
+    pub scheduler: Option<Scheduler>,
     /// Who leads, as last read from the state service.
     pub leader_name: Option<String>,
     pub types: Option<Vec<MachineType>>,
@@ -76,7 +76,7 @@
     pub offloading: Offloading,
     /// While leading: whether this controller is too slow for it.
     pub overload: Overload,
-    pub step_times: StepTimes,
+    pub input_latency: InputLatency,
 }
 
 /// Workers wait this long for an answer (PROTOCOL).
@@ -154,7 +154,7 @@
         let kv = KvClient::new(settings.services.state.to_string());
         let inner = Inner {
             leadership: Leadership::new(settings.state_ttl(), settings.read_ttl()),
-            leader: None,
+            scheduler: None,
             leader_name: None,
             types: None,
             finals: Finals { map: HashMap::new(), order: VecDeque::new() },
@@ -175,7 +175,7 @@
             detours: Detours::default(),
             offloading: Offloading::default(),
             overload: Overload::default(),
-            step_times: StepTimes::default(),
+            input_latency: InputLatency::default(),
         };
         Arc::new(Node {
             settings,
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,8 +1,8 @@
 //! Words between controllers.
 
-use super::leading;
+use super::input_latency::InputKind;
+use super::leader_loop;
 use super::node::Node;
-use super::step_times::Step;
 use crate::config::Peer;
 use crate::core::cost::CostMeter;
 use crate::core::miser;
@@ -76,7 +76,9 @@
     let peer_heartbeat = PeerHeartbeat::decode(body).ok().filter(|h| h.version == VERSION)?;
     let cancelled = jobs(&peer_heartbeat.cancelled)?;
     if !cancelled.is_empty() {
-        leading::feed(node, Step::Result, |l| cancelled.iter().for_each(|id| l.on_over(id, Ending::Cancelled)));
+        leader_loop::step(node, InputKind::Result, |scheduler| {
+            cancelled.iter().for_each(|id| scheduler.on_over(id, Ending::Cancelled))
+        });
     }
     let now = node.now();
     let mut guard = node.lock();
@@ -128,6 +130,6 @@
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
     let (now, started, meter) = (node.now(), Instant::now(), CostMeter::default());
     let output = miser::plan_metered(&input, &meter);
-    node.lock().step_times.record(now, Step::PlanForPeer, started.elapsed(), meter.read());
+    node.lock().input_latency.record(now, InputKind::PlanForPeer, started.elapsed(), meter.read());
     Some(output.encode_to_vec())
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,7 +1,7 @@
 //! The listening side: users, workers and health checks on one address, peers on the other.
 
 use super::heartbeats;
-use super::leading;
+use super::leader_loop;
 use super::node::Node;
 use super::peers;
 use super::users::{self, Reply};
@@ -60,7 +60,7 @@
             Route::Withdraw => {
                 let id = req.param::<String>("id").unwrap_or_default();
                 reply(res, users::withdraw(node, &id).await);
-                leading::carry_out(node);
+                leader_loop::perform_pending(node);
             }
             Route::Heartbeat => {
                 // Unreadable, it is answered like any other that is not a heartbeat.
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -164,8 +164,8 @@
         Transaction { preconditions: absent_preconditions(id), mutations: vec![Mutation::put(key, value.clone())] };
     match (commit(node, &transaction).await, accepted) {
         (Ok(Ok(revision)), Accepted::Live(_)) => {
-            if let Some(l) = &mut node.lock().leader {
-                l.on_live(id, &value, Revision(revision));
+            if let Some(scheduler) = &mut node.lock().scheduler {
+                scheduler.on_live(id, &value, Revision(revision));
             }
             Reply::job(201, id, JobPhase::Queued, None, None)
         }
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use wallstile::core::leader::RentResult;
+use wallstile::core::scheduler::RentResult;
 use wallstile::ids::{LeaseId, Revision};
 use wallstile::net::cloud::CloudClient;
 use wallstile::net::http::Http;
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -15,7 +15,7 @@
 };
 use wallstile::core::shares::{SHARES_KEY, Shares};
 use wallstile::ids::{LeaseId, MachineId, Revision};
-use wallstile::net::leading::KINDS_KEY;
+use wallstile::net::leader_loop::KINDS_KEY;
 use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobPhase, Transaction};
 
