--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 use wallstile::config::{Settings, Tuning};
 use wallstile::core::cost::CostCounters;
-use wallstile::core::fleet::{FLEET, FleetRecord};
 use wallstile::core::leadership::LeaderRecord;
+use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord};
 use wallstile::core::records::LiveRecord;
 use wallstile::core::scheduler::{
     CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState, TICK_INTERVAL,
@@ -63,11 +63,15 @@
         let row = |worker: &Worker| {
             let heartbeat = &worker.heartbeat;
             let (endpoint, kind, zone) = (heartbeat.endpoint.clone(), heartbeat.kind.clone(), heartbeat.zone.clone());
-            let record = FleetRecord { endpoint, kind, zone, spot: heartbeat.spot };
-            KeyValue { key: format!("{FLEET}{}", heartbeat.machine), value: serde_json::json!(record), revision: 1 }
+            let record = MachineRecord { endpoint, kind, zone, spot: heartbeat.spot };
+            KeyValue {
+                key: format!("{MACHINE_PREFIX}{}", heartbeat.machine),
+                value: serde_json::json!(record),
+                revision: 1,
+            }
         };
         let fleet = self.workers.iter().take(machines).map(row).collect();
-        self.leader.load(MonotonicTime(0), StoredState { fleet, ..StoredState::default() });
+        self.leader.load(MonotonicTime(0), StoredState { machines: fleet, ..StoredState::default() });
     }
 
     pub fn submit(&mut self, spec: JobSpec) {
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs in the leader's memory: their tasks and where these are, and how long classes of jobs run.
 
-use crate::core::fleet::AVOIDED_FOR;
+use crate::core::machine::QUARANTINE_PERIOD;
 use crate::core::pipelines::Inherited;
 use crate::core::records::LiveRecord;
 use crate::ids::{Attempt, JobId, MachineId, Revision, TaskId};
@@ -171,7 +171,7 @@
 
     /// Whether it keeps off a machine on which it has failed.
     pub fn avoids(&self, id: &MachineId, now: MonotonicTime) -> bool {
-        self.error_machines.get(id).is_some_and(|t| now - *t < AVOIDED_FOR)
+        self.error_machines.get(id).is_some_and(|t| now - *t < QUARANTINE_PERIOD)
     }
 
     pub fn saves(&self) -> bool {
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -27,8 +27,8 @@
 
 /// Whether a leader should hand over to a peer: many of its machines are silent, and about as many
 /// report to its peers in vain, so it is the leader that can't be reached.
-pub fn should_hand_over(silent: usize, misdirected: usize, machines: usize) -> bool {
-    silent >= 2 && silent * 12 >= machines && misdirected * 3 >= silent * 2
+pub fn should_hand_over(suspected: usize, misdirected: usize, machines: usize) -> bool {
+    suspected >= 2 && suspected * 12 >= machines && misdirected * 3 >= suspected * 2
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/src/core/fleet.rs
+++ b/src/core/machine.rs
@@ -12,17 +12,17 @@
 
 /// How long a machine is avoided that has failed, or is much slower than others. Nothing may wait for
 /// 90 s while there is room that fits.
-pub const AVOIDED_FOR: Millis = Millis(60_000);
+pub const QUARANTINE_PERIOD: Millis = Millis(60_000);
 
 /// `fleet/ID` is written before a machine gets its first order.
-pub const FLEET: &str = "fleet/";
+pub const MACHINE_PREFIX: &str = "fleet/";
 
-pub fn fleet_key(id: &MachineId) -> String {
-    format!("{FLEET}{id}")
+pub fn machine_key(id: &MachineId) -> String {
+    format!("{MACHINE_PREFIX}{id}")
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FleetRecord {
+pub struct MachineRecord {
     pub endpoint: String,
     pub kind: String,
     pub zone: String,
@@ -67,28 +67,28 @@
 
 /// A run order whose fate isn't proven yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent {
+pub struct PendingRun {
     pub token: FencingToken,
     /// The worker answered the order, so whatever it lists from then on tells the truth.
     pub answered: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Slot {
+pub struct Allocation {
     pub need: Amount,
     /// None: a task of a job that is over, known from a heartbeat only.
     pub team: Option<u32>,
     pub priority: Priority,
     /// None: not listed by the worker yet.
     pub phase: Option<TaskPhase>,
-    pub sent: Option<Sent>,
+    pub pending_run: Option<PendingRun>,
     /// Which of its machine's lists was the last to have it.
-    pub listed: u64,
+    pub last_listed: u64,
     pub placed_at: MonotonicTime,
     pub running_since: Option<MonotonicTime>,
     /// Its whole run was seen, so that its time tells something. Heartbeats that were missing in
     /// between would make it look longer.
-    pub timed: bool,
+    pub fully_observed: bool,
     /// A stop was ordered, with this leeway.
     pub stop: Option<f64>,
     pub image: u32,
@@ -96,35 +96,35 @@
     pub run_s: f64,
 }
 
-impl Slot {
-    pub fn exited(&self) -> bool {
+impl Allocation {
+    pub fn has_exited(&self) -> bool {
         self.phase == Some(TaskPhase::Exited)
     }
 
     /// Listed before in this phase, with nothing ordered since and nothing to do about it.
-    pub fn as_before(&self, phase: TaskPhase) -> bool {
-        self.phase == Some(phase) && phase != TaskPhase::Exited && self.sent.is_none() && self.stop.is_none()
+    pub fn is_unchanged(&self, phase: TaskPhase) -> bool {
+        self.phase == Some(phase) && phase != TaskPhase::Exited && self.pending_run.is_none() && self.stop.is_none()
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Commission {
-    No,
-    Writing,
-    Yes,
+pub enum Registration {
+    Unregistered,
+    InFlight,
+    Registered,
 }
 
-pub type SlotKey = (TaskId, Attempt);
+pub type TaskAttempt = (TaskId, Attempt);
 
 /// The way that a machine's reports take to the leader: directly, or by one of the peers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub struct Route(usize);
+pub struct HeartbeatRoute(usize);
 
-impl Route {
-    pub const DIRECT: Route = Route(0);
+impl HeartbeatRoute {
+    pub const DIRECT: HeartbeatRoute = HeartbeatRoute(0);
 
-    pub fn by_peer(index: usize) -> Route {
-        Route(index + 1)
+    pub fn via_peer(index: usize) -> HeartbeatRoute {
+        HeartbeatRoute(index + 1)
     }
 }
 
@@ -136,7 +136,7 @@
     /// It has reported to this leader.
     pub up: bool,
     pub since: MonotonicTime,
-    pub commission: Commission,
+    pub registration: Registration,
     pub agent_epoch: AgentEpoch,
     /// When the agent epoch was first heard of. Its lease counts from its beginning, which was before, even
     /// if no heartbeat of it has been answered.
@@ -147,38 +147,38 @@
     /// When the last heartbeat that was answered came in. A copy of an earlier one is no sign of life.
     pub last_heartbeat: MonotonicTime,
     /// The way that it took; none: this leader has not answered any.
-    pub route: Option<Route>,
+    pub route: Option<HeartbeatRoute>,
     /// Its agent epoch has ended by the cluster state's own count: what comes of it later is stale.
-    pub ended: bool,
+    pub lease_expired: bool,
     /// It has reported under this leader's token, so answers reach it.
-    pub confirmed: bool,
+    pub token_acknowledged: bool,
     /// Since when it has been answered without reporting the token that it was told. Its reports
     /// arrive, but nothing may reach it.
     pub unacknowledged_since: Option<MonotonicTime>,
-    /// Everything possibly on it is in `slots`: it has reported under this leader's token, or
+    /// Everything possibly on it is in `allocations`: it has reported under this leader's token, or
     /// never had an order, or is proven empty.
-    pub accounted: bool,
+    pub reconciled: bool,
     pub fence: u64,
     /// An order went unanswered: no more orders until the worker reports the raised fence.
     pub fencing: bool,
     pub in_flight: Option<u64>,
     pub outbox: Vec<Order>,
-    pub slots: BTreeMap<SlotKey, Slot>,
+    pub allocations: BTreeMap<TaskAttempt, Allocation>,
     /// Counts the lists taken in from its worker.
-    pub listing: u64,
-    pub notice: bool,
+    pub heartbeats_applied: u64,
+    pub spot_notice: bool,
     pub errors: u32,
-    pub sick_until: MonotonicTime,
+    pub quarantined_until: MonotonicTime,
     /// To be returned; never used again, as a return may be carried out at any time.
-    pub doomed: bool,
-    pub returning: bool,
-    pub return_after: MonotonicTime,
+    pub retiring: bool,
+    pub termination_in_flight: bool,
+    pub terminate_after: MonotonicTime,
     pub idle_since: Option<MonotonicTime>,
     /// Images that it is believed to hold, the latest used last.
     pub images: VecDeque<(u32, f64)>,
     /// How many times as long as their job's others its tasks run, and how many were seen.
     pub slowness: f64,
-    pub timed: u32,
+    pub runtime_samples: u32,
 }
 
 impl Machine {
@@ -190,33 +190,33 @@
             spot,
             up: false,
             since: now,
-            commission: Commission::No,
+            registration: Registration::Unregistered,
             agent_epoch: AgentEpoch(0),
             agent_epoch_first_heard: now,
             sequence: SequenceNumber(0),
             latest_heartbeat: (AgentEpoch(0), SequenceNumber(0)),
             last_heartbeat: now,
             route: None,
-            ended: false,
-            confirmed: false,
+            lease_expired: false,
+            token_acknowledged: false,
             unacknowledged_since: None,
-            accounted: true,
+            reconciled: true,
             fence: 0,
             fencing: false,
             in_flight: None,
             outbox: Vec::new(),
-            slots: BTreeMap::new(),
-            listing: 0,
-            notice: false,
+            allocations: BTreeMap::new(),
+            heartbeats_applied: 0,
+            spot_notice: false,
             errors: 0,
-            sick_until: MonotonicTime(0),
-            doomed: false,
-            returning: false,
-            return_after: MonotonicTime(0),
+            quarantined_until: MonotonicTime(0),
+            retiring: false,
+            termination_in_flight: false,
+            terminate_after: MonotonicTime(0),
             idle_since: None,
             images: VecDeque::new(),
             slowness: 1.0,
-            timed: 0,
+            runtime_samples: 0,
         }
     }
 
@@ -227,7 +227,7 @@
 
     pub fn used(&self) -> Amount {
         let mut a = Amount::default();
-        for s in self.slots.values().filter(|s| !s.exited()) {
+        for s in self.allocations.values().filter(|s| !s.has_exited()) {
             a.add(&s.need);
         }
         a
@@ -240,38 +240,38 @@
     }
 
     pub fn busy(&self) -> bool {
-        self.slots.values().any(|s| !s.exited())
+        self.allocations.values().any(|s| !s.has_exited())
     }
 
     /// A task of a job that is over is listed: what it uses isn't known.
-    pub fn has_unknown(&self) -> bool {
-        self.slots.values().any(|s| s.team.is_none() && !s.exited())
+    pub fn has_unknown_usage(&self) -> bool {
+        self.allocations.values().any(|s| s.team.is_none() && !s.has_exited())
     }
 
     /// May get new tasks now.
-    pub fn usable(&self, now: MonotonicTime, quiet: Millis) -> bool {
+    pub fn usable(&self, now: MonotonicTime, heartbeat_timeout: Millis) -> bool {
         self.up
-            && self.accounted
-            && self.confirmed
-            && self.commission == Commission::Yes
+            && self.reconciled
+            && self.token_acknowledged
+            && self.registration == Registration::Registered
             && !self.fencing
-            && !self.notice
-            && !self.doomed
-            && !self.has_unknown()
-            && self.sick_until <= now
-            && now - self.last_heartbeat <= quiet
+            && !self.spot_notice
+            && !self.retiring
+            && !self.has_unknown_usage()
+            && self.quarantined_until <= now
+            && now - self.last_heartbeat <= heartbeat_timeout
     }
 
     /// A task has run `ratio` times as long as its job's average. True: by now it is plain that
     /// the machine is much slower than others.
-    pub fn time(&mut self, ratio: f64) -> bool {
+    pub fn record_slowdown(&mut self, ratio: f64) -> bool {
         let log = self.slowness.ln() + 0.25 * (ratio.clamp(0.1, 10.0).ln() - self.slowness.ln());
         self.slowness = log.exp();
-        self.timed += 1;
-        self.timed >= 5 && self.slowness > 2.0
+        self.runtime_samples += 1;
+        self.runtime_samples >= 5 && self.slowness > 2.0
     }
 
-    pub fn touch_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
+    pub fn cache_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
         self.images.retain(|(i, _)| *i != image);
         self.images.push_back((image, gb));
         while self.images.len() > 1 && self.images.iter().map(|(_, g)| g).sum::<f64>() > cache_gb {
@@ -280,10 +280,10 @@
     }
 
     /// Seconds until the image is there, if it is there or on its way.
-    pub fn image_ready(&self, image: u32, now: MonotonicTime) -> Option<f64> {
+    pub fn image_ready_in_s(&self, image: u32, now: MonotonicTime) -> Option<f64> {
         self.images.iter().any(|(i, _)| *i == image).then(|| {
             let pulling = self
-                .slots
+                .allocations
                 .values()
                 .filter(|s| s.image == image && s.fetch_s > 0.0 && matches!(s.phase, None | Some(TaskPhase::Pulling)));
             pulling.map(|s| (s.fetch_s - (now - s.placed_at).as_secs_f64()).max(0.2)).fold(0.0, f64::max)
@@ -291,15 +291,15 @@
     }
 
     /// A stop for every task that has to go, as far as a stop does anything to it.
-    pub fn stops(&self) -> Vec<Order> {
-        let due = |((task, attempt), s): (&SlotKey, &Slot)| {
-            let leeway_s = s.stop.filter(|l| !s.exited() && (s.phase != Some(TaskPhase::Flushing) || *l == 0.0))?;
+    pub fn pending_stops(&self) -> Vec<Order> {
+        let due = |((task, attempt), s): (&TaskAttempt, &Allocation)| {
+            let leeway_s = s.stop.filter(|l| !s.has_exited() && (s.phase != Some(TaskPhase::Flushing) || *l == 0.0))?;
             Some(Order::Stop { task: *task, attempt: *attempt, leeway_s })
         };
-        self.slots.iter().filter_map(due).collect()
+        self.allocations.iter().filter_map(due).collect()
     }
 
-    pub fn order(&mut self, o: Order) {
+    pub fn queue_order(&mut self, o: Order) {
         if !self.outbox.contains(&o) {
             self.outbox.push(o);
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,9 +3,9 @@
 pub mod cancellations;
 pub mod cost;
 pub mod done_sets;
-pub mod fleet;
 pub mod jobs;
 pub mod leadership;
+pub mod machine;
 pub mod miser;
 pub mod overload;
 pub mod pipelines;
--- a/src/core/scheduler/awaited.rs
+++ b/src/core/scheduler/awaited.rs
@@ -57,8 +57,8 @@
             }
             for (index, machine, attempt) in job.places() {
                 let key = (TaskId { job: *id, index }, attempt);
-                if let Some(slot) = self.machines.get_mut(machine).and_then(|m| m.slots.get_mut(&key)) {
-                    slot.priority = priority;
+                if let Some(allocation) = self.machines.get_mut(machine).and_then(|m| m.allocations.get_mut(&key)) {
+                    allocation.priority = priority;
                 }
             }
         }
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -24,7 +24,7 @@
 struct Move {
     from: MachineId,
     to: MachineId,
-    slot: SlotKey,
+    allocation: TaskAttempt,
     need: Amount,
 }
 
@@ -38,16 +38,16 @@
         self.move_at = now + MOVE_INTERVAL;
         let (found, tried) = self.find_move(now);
         self.move_sources_tried = tried;
-        let Some(Move { from, to, slot, need }) = found else { return };
-        info!("moving {} from {from} to {to}", slot.0);
-        self.stop_task(&from, &slot);
-        self.reservations.add(now, to, slot.0.job, need);
+        let Some(Move { from, to, allocation, need }) = found else { return };
+        info!("moving {} from {from} to {to}", allocation.0);
+        self.stop_task(&from, &allocation);
+        self.reservations.add(now, to, allocation.0.job, need);
     }
 
     /// A replica to move, and how many machines have been tried in vain if the search isn't through.
     fn find_move(&self, now: MonotonicTime) -> (Option<Move>, usize) {
-        let quiet = self.quiet();
-        let usable = self.machines.iter().filter(|(_, m)| m.usable(now, quiet) && m.busy());
+        let heartbeat_timeout = self.heartbeat_timeout();
+        let usable = self.machines.iter().filter(|(_, m)| m.usable(now, heartbeat_timeout) && m.busy());
         let mut loaded: Vec<Loaded> = usable.map(|(id, m)| self.loaded(id, m)).collect();
         // The fullest first.
         loaded.sort_by(|a, b| b.share.total_cmp(&a.share).then(b.id.cmp(a.id)));
@@ -84,9 +84,9 @@
 
     /// Whether a machine does nothing but run a few replicas.
     fn may_be_emptied(&self, l: &Loaded) -> bool {
-        let is_service = |k: &SlotKey| self.jobs.get(&k.0.job).is_some_and(|j| j.spec.kind == Kind::Service);
-        let stays = |(k, s): (&SlotKey, &Slot)| !s.exited() && s.stop.is_none() && is_service(k);
-        l.share < LITTLE_USED && l.machine.in_flight.is_none() && l.machine.slots.iter().all(stays)
+        let is_service = |k: &TaskAttempt| self.jobs.get(&k.0.job).is_some_and(|j| j.spec.kind == Kind::Service);
+        let stays = |(k, s): (&TaskAttempt, &Allocation)| !s.has_exited() && s.stop.is_none() && is_service(k);
+        l.share < LITTLE_USED && l.machine.in_flight.is_none() && l.machine.allocations.iter().all(stays)
     }
 
     /// A replica of a machine that another one, of `loaded`, can take: the fullest that can.
@@ -98,22 +98,27 @@
         operations: &mut usize,
     ) -> Option<Move> {
         let from_gpus = self.types[source.machine.kind].gpus > 0.0;
-        for (key, slot) in &source.machine.slots {
+        for (key, allocation) in &source.machine.allocations {
             let Some(job) = self.jobs.get(&key.0.job) else { continue };
             let mut zones = zone_counts(job, &self.machines);
             zones.iter_mut().filter(|z| z.zone == source.machine.zone).for_each(|z| z.count -= 1);
             let spec = &job.spec;
             let fits = |l: &&Loaded| {
-                l.free.holds(&slot.need)
+                l.free.holds(&allocation.need)
                     && l.id != source.id
                     && self.types[l.machine.kind].gpus <= 0.0
-                    && l.machine.image_ready(slot.image, now) == Some(0.0)
+                    && l.machine.image_ready_in_s(allocation.image, now) == Some(0.0)
                     && self.permits(spec, l.machine)
                     && miser::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &zones, l.machine.zone)
             };
             let fuller = loaded.iter().take_while(|l| from_gpus || l.share > source.share);
             if let Some(to) = fuller.inspect(|_| *operations += 1).find(fits) {
-                return Some(Move { from: source.id.clone(), to: to.id.clone(), slot: *key, need: slot.need });
+                return Some(Move {
+                    from: source.id.clone(),
+                    to: to.id.clone(),
+                    allocation: *key,
+                    need: allocation.need,
+                });
             }
         }
         None
--- a/src/core/scheduler/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 /// Leases and silence are looked at this often; each look goes through all machines.
-const LOOK_EVERY: Millis = Millis(200);
-const MAX_ROUND_MS: f64 = 1_500.0;
+const REVIEW_INTERVAL: Millis = Millis(200);
+const MAX_ROUND_INTERVAL_MS: f64 = 1_500.0;
 /// With ticks this late on average reports wait unread, so that silence says little about machines.
 const STRAINED_LAG_MS: f64 = 250.0;
 
 /// Where many machines are silent at once.
-struct ManySilent {
+struct MassSuspicion {
     everywhere: bool,
     /// Of those whose heartbeats came this way.
-    routes: BTreeSet<Option<Route>>,
+    routes: BTreeSet<Option<HeartbeatRoute>>,
 }
 
 /// Whether so many of the machines that are up are in trouble that the machines themselves are hardly its cause.
@@ -23,16 +23,16 @@
 impl Scheduler {
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         self.note_lag(now);
-        if now - self.looked_at >= LOOK_EVERY {
-            self.looked_at = now;
-            self.expire(now);
-            self.look_after_machines(now);
+        if now - self.reviewed_at >= REVIEW_INTERVAL {
+            self.reviewed_at = now;
+            self.expire_leases(now);
+            self.review_machines(now);
         }
         self.look_up_awaited(now);
         self.write(now, wall);
         // Rounds are the bulk of the work: where ticks come late, rounds come seldom, and each
         // decides more.
-        let due = Millis((self.tuning.round_ms + 6.0 * self.lag_ms).min(MAX_ROUND_MS) as u64);
+        let due = Millis((self.tuning.round_ms + 6.0 * self.lag_ms).min(MAX_ROUND_INTERVAL_MS) as u64);
         self.move_shares(now);
         self.use_reservations(now);
         self.consolidate(now);
@@ -57,7 +57,7 @@
     }
 
     /// Past its lease a worker that nobody answered has killed everything.
-    pub(super) fn expire(&mut self, now: MonotonicTime) {
+    pub(super) fn expire_leases(&mut self, now: MonotonicTime) {
         let lease = self.p.lease.plus_clock_drift() + Millis(300);
         let mut dead = Vec::new();
         for (id, m) in &mut self.machines {
@@ -66,19 +66,19 @@
             if now - answered.max(m.agent_epoch_first_heard) <= lease {
                 continue;
             }
-            if !m.accounted {
-                m.accounted = true;
+            if !m.reconciled {
+                m.reconciled = true;
                 self.dirty = true;
             }
-            if !m.ended {
-                m.ended = true;
+            if !m.lease_expired {
+                m.lease_expired = true;
                 dead.push(id.clone());
             }
         }
         for id in dead {
             let Some(m) = self.machines.get_mut(&id) else { continue };
-            if !m.slots.is_empty() {
-                info!("machine {id} is silent past its lease, tasks={}", m.slots.len());
+            if !m.allocations.is_empty() {
+                info!("machine {id} is silent past its lease, tasks={}", m.allocations.len());
             }
             // Messages of the ended agent epoch that come late mean nothing any more.
             if m.agent_epoch.0 > 0 {
@@ -88,19 +88,19 @@
             }
             m.outbox.clear();
             let spot = m.spot;
-            let keys: Vec<SlotKey> = m.slots.keys().cloned().collect();
+            let keys: Vec<TaskAttempt> = m.allocations.keys().cloned().collect();
             for k in keys {
-                self.vanish(&id, &k, spot);
+                self.remove_lost_task(&id, &k, spot);
             }
         }
     }
 
-    pub(super) fn look_after_machines(&mut self, now: MonotonicTime) {
-        let up = self.machines.values().filter(|m| m.up && m.commission == Commission::Yes).count();
-        let many_silent = self.many_silent(now);
+    pub(super) fn review_machines(&mut self, now: MonotonicTime) {
+        let up = self.machines.values().filter(|m| m.up && m.registration == Registration::Registered).count();
+        let mass_suspicion = self.mass_suspicion(now);
         let strained = self.lag_ms >= STRAINED_LAG_MS;
-        let silent_after = |route: &Option<Route>| {
-            let excused = strained || many_silent.everywhere || many_silent.routes.contains(route);
+        let silent_after = |route: &Option<HeartbeatRoute>| {
+            let excused = strained || mass_suspicion.everywhere || mass_suspicion.routes.contains(route);
             self.p.lease.mul_f64(if excused { 3.0 } else { 0.55 })
         };
         // The same for machines that answers don't reach.
@@ -115,30 +115,34 @@
         for (id, m) in &mut self.machines {
             let busy = m.busy();
             let t_gpus = self.types[m.kind].gpus > 0.0;
-            if !m.doomed {
+            if !m.retiring {
                 let t = &self.types[m.kind];
                 let boot = Millis::from_secs_f64((t.boot_s * 3.5).max(60.0)) + self.p.list_lag;
                 let silent = now - m.last_heartbeat.max(self.since);
                 // A worker may need some seconds to find a new leader: one that hasn't yet is no
                 // more silent than its lease is long.
                 let silent_after = silent_after(&m.route);
-                let silent_after = if m.confirmed { silent_after } else { silent_after.max(lease) };
-                if !m.up && m.commission == Commission::No && now - m.since > boot {
+                let silent_after = if m.token_acknowledged { silent_after } else { silent_after.max(lease) };
+                if !m.up && m.registration == Registration::Unregistered && now - m.since > boot {
                     info!("machine {id} has not come up and goes back");
-                    m.doomed = true;
-                } else if m.commission == Commission::Yes && silent > silent_after {
+                    m.retiring = true;
+                } else if m.registration == Registration::Registered && silent > silent_after {
                     info!("machine {id} is silent for {:.1} s and goes back", silent.as_secs_f64());
-                    m.doomed = true;
+                    m.retiring = true;
                 } else if is_unacknowledged(m) && !many_unacknowledged {
                     info!("machine {id} doesn't confirm what it is told and goes back");
-                    m.doomed = true;
-                } else if m.up && !busy && m.accounted && (m.notice || (m.errors >= 2 && m.sick_until > now)) {
-                    m.doomed = true;
+                    m.retiring = true;
+                } else if m.up
+                    && !busy
+                    && m.reconciled
+                    && (m.spot_notice || (m.errors >= 2 && m.quarantined_until > now))
+                {
+                    m.retiring = true;
                 }
             }
-            if busy || !m.accounted {
+            if busy || !m.reconciled {
                 m.idle_since = None;
-            } else if m.up && !m.doomed {
+            } else if m.up && !m.retiring {
                 let since = *m.idle_since.get_or_insert(now);
                 // GPU machines boot slowly and are few, so they stay longer.
                 let factor = if t_gpus { self.tuning.gpu_idle_factor } else { 1.0 };
@@ -149,14 +153,14 @@
                     idle.push(id.clone());
                 }
             }
-            if m.doomed && !m.returning && m.return_after <= now {
+            if m.retiring && !m.termination_in_flight && m.terminate_after <= now {
                 returns.push(id.clone());
             }
         }
         for id in idle {
             if let Some(m) = self.machines.get_mut(&id) {
                 info!("machine {id} is idle and goes back");
-                m.doomed = true;
+                m.retiring = true;
                 returns.push(id);
             }
         }
@@ -164,7 +168,7 @@
         if !returns.is_empty() {
             for id in &returns {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.returning = true;
+                    m.termination_in_flight = true;
                 }
             }
             self.effects.push(Effect::Return(returns));
@@ -173,22 +177,22 @@
 
     /// Where many machines are silent at once: it is rather a cut, a peer that has ended or a leader just
     /// elected than dead machines.
-    fn many_silent(&self, now: MonotonicTime) -> ManySilent {
-        let quiet = self.quiet();
-        let mut counts: BTreeMap<Option<Route>, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.commission == Commission::Yes) {
+    fn mass_suspicion(&self, now: MonotonicTime) -> MassSuspicion {
+        let heartbeat_timeout = self.heartbeat_timeout();
+        let mut counts: BTreeMap<Option<HeartbeatRoute>, (usize, usize)> = BTreeMap::new();
+        for m in self.machines.values().filter(|m| m.registration == Registration::Registered) {
             let (up, silent) = counts.entry(m.route).or_default();
             *up += usize::from(m.up);
-            *silent += usize::from(now - m.last_heartbeat > quiet);
+            *silent += usize::from(now - m.last_heartbeat > heartbeat_timeout);
         }
         let up = counts.values().map(|(up, _)| up).sum();
         let silent = counts.values().map(|(_, silent)| silent).sum();
         // Machines that were never heard from tell nothing about a way.
-        let on_route = |(route, (up, silent)): (&Option<Route>, &(usize, usize))| {
+        let on_route = |(route, (up, silent)): (&Option<HeartbeatRoute>, &(usize, usize))| {
             (route.is_some() && many(*silent, *up)).then_some(*route)
         };
         let routes = counts.iter().filter_map(on_route).collect();
-        ManySilent { everywhere: many(silent, up), routes }
+        MassSuspicion { everywhere: many(silent, up), routes }
     }
 
     /// Leading for long enough that workers which can find this leader have done so. Before that,
@@ -198,18 +202,19 @@
     }
 
     /// Machines that should report but don't, and how many should.
-    pub fn silent_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
+    pub fn suspected_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
         // Less than what makes a machine unusable: a cut leaves little time to find another leader.
         let limit = self.p.heartbeat.mul_f64(1.25) + Millis(500);
-        let ours = || self.machines.iter().filter(|(_, m)| m.commission == Commission::Yes && !m.doomed);
+        let ours = || self.machines.iter().filter(|(_, m)| m.registration == Registration::Registered && !m.retiring);
         // Those on their way to a new leader must still be sent to it.
         let settled = self.settled(now);
-        let silent = ours().filter(|(_, m)| (settled || m.confirmed) && now - m.last_heartbeat.max(self.since) > limit);
+        let silent =
+            ours().filter(|(_, m)| (settled || m.token_acknowledged) && now - m.last_heartbeat.max(self.since) > limit);
         (silent.map(|(id, _)| id.to_string()).collect(), ours().count())
     }
 
     /// A worker that hasn't reported for longer gets no new tasks.
-    pub(super) fn quiet(&self) -> Millis {
+    pub(super) fn heartbeat_timeout(&self) -> Millis {
         self.p.heartbeat.mul_f64(2.0) + Millis(500)
     }
 
@@ -218,34 +223,34 @@
         for id in ids {
             if !ok {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.returning = false;
-                    m.return_after = now + Millis(1_000);
+                    m.termination_in_flight = false;
+                    m.terminate_after = now + Millis(1_000);
                 }
                 continue;
             }
             let Some(m) = self.machines.get(id) else { continue };
-            let keys: Vec<SlotKey> = m.slots.keys().cloned().collect();
-            let (spot, commissioned) = (m.spot, m.commission != Commission::No);
+            let keys: Vec<TaskAttempt> = m.allocations.keys().cloned().collect();
+            let (spot, registered) = (m.spot, m.registration != Registration::Unregistered);
             self.rentals.freed(Market { kind: m.kind, zone: m.zone, spot }, now);
             for k in keys {
-                self.vanish(id, &k, spot);
+                self.remove_lost_task(id, &k, spot);
             }
             self.machines.remove(id);
-            self.gone.insert(id.clone());
-            if commissioned {
+            self.terminated.insert(id.clone());
+            if registered {
                 self.forget.insert(id.clone());
             }
             self.dirty = true;
         }
-        while self.gone.len() > 4096 {
-            self.gone.pop_first();
+        while self.terminated.len() > 4096 {
+            self.terminated.pop_first();
         }
     }
 
     pub fn on_list(&mut self, now: MonotonicTime, list: &[ListedMachine]) {
         for l in list {
             let Some(id) = MachineId::parse(&l.id) else { continue };
-            if self.gone.contains(&id) {
+            if self.terminated.contains(&id) {
                 continue;
             }
             if l.phase == ListPhase::Failed {
@@ -256,12 +261,12 @@
                     self.machines.insert(id.clone(), m);
                 }
                 if let Some(m) = self.machines.get_mut(&id) {
-                    m.doomed = true;
+                    m.retiring = true;
                 }
                 continue;
             }
             if self.machines.contains_key(&id) {
-                self.unseen.remove(&id);
+                self.never_heard.remove(&id);
                 continue;
             }
             let Some((kind, zone)) = self.place_of(&l.kind, &l.zone) else { continue };
@@ -270,12 +275,12 @@
             m.since = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(l.age_s).0));
             if l.phase == ListPhase::Running {
                 // It may be gone already, as the list is late, or about to report.
-                let first = *self.unseen.entry(id.clone()).or_insert(now);
+                let first = *self.never_heard.entry(id.clone()).or_insert(now);
                 if now - first < Millis(60_000) + self.p.list_lag {
                     continue;
                 }
-                m.doomed = true;
-                self.unseen.remove(&id);
+                m.retiring = true;
+                self.never_heard.remove(&id);
             }
             info!("machine {id} is in the cloud's list: kind={} zone={}", l.kind, l.zone);
             self.machines.insert(id, m);
@@ -297,7 +302,7 @@
                     self.rentals.granted(market);
                 }
                 for id in names.iter().filter_map(|n| MachineId::parse(n)) {
-                    if !self.gone.contains(&id) {
+                    if !self.terminated.contains(&id) {
                         self.machines
                             .entry(id)
                             .or_insert_with(|| Machine::new(String::new(), market.kind, market.zone, market.spot, now));
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -22,11 +22,12 @@
 use crate::config::{Ages, Settings, Team, Tuning, next_goal};
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::done_sets::{self, Layout};
-use crate::core::fleet::{
-    AVOIDED_FOR, Amount, Commission, FLEET, FleetRecord, Machine, Route, Sent, Slot, SlotKey, fleet_key,
-};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::leadership::{LEADER_KEY, LeaderRecord};
+use crate::core::machine::{
+    Allocation, Amount, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD,
+    Registration, TaskAttempt, machine_key,
+};
 use crate::core::miser;
 use crate::core::pipelines::{Pipelines, Stage};
 use crate::core::records::{
@@ -109,7 +110,7 @@
 }
 
 enum Purpose {
-    Fleet { commission: Vec<MachineId>, forget: Vec<MachineId> },
+    Machines { registration: Vec<MachineId>, forget: Vec<MachineId> },
     DoneSets(Vec<(JobId, FixedBitSet)>),
     Finish(JobId, WallTime),
     Cancel(Vec<JobId>),
@@ -155,14 +156,14 @@
     over: VecDeque<JobId>,
     machines: BTreeMap<MachineId, Machine>,
     /// Returned for good; late heartbeats of theirs mean nothing.
-    gone: BTreeSet<MachineId>,
+    terminated: BTreeSet<MachineId>,
     /// Listed as running by the cloud, but never heard of: since when.
-    unseen: BTreeMap<MachineId, MonotonicTime>,
+    never_heard: BTreeMap<MachineId, MonotonicTime>,
     rentals: Rentals,
     times: ClassTimes,
     attempts: u64,
     tickets: u64,
-    orders: HashMap<u64, (MachineId, Vec<SlotKey>)>,
+    orders: HashMap<u64, (MachineId, Vec<TaskAttempt>)>,
     /// Writes under way, each with its guard.
     commits: HashMap<u64, (Purpose, Revision)>,
     forget: BTreeSet<MachineId>,
@@ -193,12 +194,12 @@
     /// The jobs within their team's guarantee, as of the last round.
     within_guarantee: BTreeSet<JobId>,
     /// Where machines may not be accounted for yet, as of the last round; none is added after the load.
-    unaccounted: BTreeSet<Market>,
+    unreconciled: BTreeSet<Market>,
     /// So many machines don't confirm what they are told that it is rather this controller that
     /// is slow or cut off.
     many_unacknowledged: bool,
     /// When the machines were last looked through.
-    looked_at: MonotonicTime,
+    reviewed_at: MonotonicTime,
     /// The last tick, and how far the ticks fall behind: a measure of the processor's load.
     ticked_at: MonotonicTime,
     lag_ms: f64,
@@ -222,7 +223,7 @@
 struct Usage {
     teams: Vec<Amount>,
     /// All of every machine whose tasks aren't known: it may hold any team's.
-    unaccounted: Amount,
+    unreconciled: Amount,
 }
 
 /// The log-normal of spot machines' lives: starts at the settings' median and shifts with what is
@@ -262,19 +263,19 @@
 pub struct StoredState {
     pub live: Vec<KeyValue>,
     pub bits: Vec<KeyValue>,
-    pub fleet: Vec<KeyValue>,
+    pub machines: Vec<KeyValue>,
     pub shares: Option<Value>,
 }
 
 impl StoredState {
     /// The same in parts of at most so many rows, done sets after all jobs.
     pub fn into_parts(self, rows: usize) -> Vec<StoredState> {
-        let StoredState { live, bits, fleet, shares } = self;
+        let StoredState { live, bits, machines, shares } = self;
         let live = in_chunks(live, rows).map(|live| StoredState { live, ..StoredState::default() });
         let bits = in_chunks(bits, rows).map(|bits| StoredState { bits, ..StoredState::default() });
-        let fleet = in_chunks(fleet, rows).map(|fleet| StoredState { fleet, ..StoredState::default() });
+        let machines = in_chunks(machines, rows).map(|machines| StoredState { machines, ..StoredState::default() });
         let shares = shares.map(|shares| StoredState { shares: Some(shares), ..StoredState::default() });
-        live.chain(bits).chain(fleet).chain(shares).collect()
+        live.chain(bits).chain(machines).chain(shares).collect()
     }
 }
 
@@ -337,8 +338,8 @@
             look_up_at: now,
             over: VecDeque::new(),
             machines: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            unseen: BTreeMap::new(),
+            terminated: BTreeSet::new(),
+            never_heard: BTreeMap::new(),
             rentals: Rentals::default(),
             times: ClassTimes::default(),
             attempts: 0,
@@ -365,9 +366,9 @@
             move_at: now,
             move_sources_tried: 0,
             within_guarantee: BTreeSet::new(),
-            unaccounted: BTreeSet::new(),
+            unreconciled: BTreeSet::new(),
             many_unacknowledged: false,
-            looked_at: now,
+            reviewed_at: now,
             ticked_at: now,
             lag_ms: 0.0,
             usage: None,
@@ -384,7 +385,7 @@
     /// Whether a worker may be sent to another controller now: answers reach it, and this leader is not
     /// just gathering its machines.
     pub fn may_move(&self, now: MonotonicTime, id: &MachineId) -> bool {
-        self.settled(now) && self.machines.get(id).is_some_and(|m| m.confirmed)
+        self.settled(now) && self.machines.get(id).is_some_and(|m| m.token_acknowledged)
     }
 
     /// In doubt nothing is started: what users have been told meanwhile isn't known.
@@ -401,10 +402,10 @@
     pub fn load_summary(&self) -> String {
         let ready: usize = self.jobs.values().map(Job::startable_tasks).sum();
         let (jobs, machines) = (self.jobs.len(), self.machines.len());
-        let unaccounted = self.machines.values().filter(|m| !m.accounted).count();
+        let unreconciled = self.machines.values().filter(|m| !m.reconciled).count();
         let (reservations, orders, writes) = (self.reservations.len(), self.orders.len(), self.commits.len());
         format!(
-            "round={} jobs={jobs} ready={ready} machines={machines} unaccounted={unaccounted} \
+            "round={} jobs={jobs} ready={ready} machines={machines} unaccounted={unreconciled} \
              reservations={reservations} orders={orders} writes={writes} lag={} ms in_doubt={}",
             self.rounds,
             self.lag().0,
@@ -420,7 +421,7 @@
     pub fn counts(&self) -> Vec<JobCount> {
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
         for m in self.machines.values() {
-            for ((task, _), s) in &m.slots {
+            for ((task, _), s) in &m.allocations {
                 if matches!(s.phase, Some(TaskPhase::Running | TaskPhase::Flushing)) {
                     *running.entry(&task.job).or_default() += 1;
                 }
@@ -459,10 +460,10 @@
     /// left alone.
     pub fn load_part(&mut self, now: MonotonicTime, stored: StoredState) {
         self.cost.add_jobs(stored.live.len() + stored.bits.len());
-        self.cost.add_machines(stored.fleet.len());
+        self.cost.add_machines(stored.machines.len());
         stored.live.into_iter().for_each(|row| self.load_job(row));
         stored.bits.into_iter().for_each(|row| self.load_done_set(row));
-        stored.fleet.into_iter().for_each(|row| self.load_machine(now, row));
+        stored.machines.into_iter().for_each(|row| self.load_machine(now, row));
         if let Some(kept) = stored.shares.and_then(|v| serde_json::from_value(v).ok()) {
             self.shares.restore(&kept, &self.team_names);
             self.shares_dirty = false;
@@ -499,8 +500,8 @@
     }
 
     fn load_machine(&mut self, now: MonotonicTime, row: KeyValue) {
-        let id = row.key.strip_prefix(FLEET).and_then(MachineId::parse);
-        let record = serde_json::from_value::<FleetRecord>(row.value);
+        let id = row.key.strip_prefix(MACHINE_PREFIX).and_then(MachineId::parse);
+        let record = serde_json::from_value::<MachineRecord>(row.value);
         let (Some(id), Ok(r)) = (id, record) else {
             return warn!("state: {} can't be read", row.key);
         };
@@ -508,10 +509,10 @@
             return warn!("state: machine {id} is of unknown kind {} or zone {}", r.kind, r.zone);
         };
         let mut m = Machine::new(r.endpoint, kind, zone, r.spot, now);
-        m.commission = Commission::Yes;
+        m.registration = Registration::Registered;
         // It may hold anything until it reports under this leader's token.
-        m.accounted = false;
-        self.unaccounted.insert(m.market());
+        m.reconciled = false;
+        self.unreconciled.insert(m.market());
         self.machines.insert(id, m);
     }
 
@@ -583,7 +584,7 @@
         self.orphaned_sets.extend(stored.map(|row| row.key(id)));
         for (index, machine, attempt) in job.places() {
             if let Some(m) = self.machines.get_mut(machine) {
-                stop_slot(m, &(TaskId { job: *id, index }, attempt), 0.0);
+                stop_allocation(m, &(TaskId { job: *id, index }, attempt), 0.0);
                 self.flush_machine(machine);
             }
         }
@@ -602,9 +603,9 @@
 const MAX_ORDERS: usize = 500;
 
 /// Tells a worker to stop a task; the cluster state keeps it until it is proven gone.
-fn stop_slot(m: &mut Machine, key: &SlotKey, leeway: f64) {
-    let Some(s) = m.slots.get_mut(key) else { return };
-    if s.exited() {
+fn stop_allocation(m: &mut Machine, key: &TaskAttempt, leeway: f64) {
+    let Some(s) = m.allocations.get_mut(key) else { return };
+    if s.has_exited() {
         return;
     }
     s.stop = Some(s.stop.map_or(leeway, |l| l.min(leeway)));
@@ -612,8 +613,8 @@
     if let Some(at) = m.outbox.iter().position(|o| *o == run) {
         // Not sent yet: the order is turned into nothing, and the next heartbeat shows it absent.
         m.outbox.remove(at);
-        s.sent = Some(Sent { token: FencingToken(0), answered: true });
+        s.pending_run = Some(PendingRun { token: FencingToken(0), answered: true });
         return;
     }
-    m.order(Order::Stop { task: key.0, attempt: key.1, leeway_s: leeway });
+    m.queue_order(Order::Stop { task: key.0, attempt: key.1, leeway_s: leeway });
 }
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -73,7 +73,7 @@
         self.cost.add_jobs(self.jobs.len());
         self.cost.add_machines(self.machines.len());
         self.usage = None;
-        self.note_unaccounted();
+        self.update_unreconciled();
         let waits = |j: &Job| j.startable_tasks() > 0 && j.pause_until <= now && !j.finishing && !self.held_back(j);
         let waiting: BTreeSet<JobId> = self.jobs.iter().filter(|(_, j)| waits(j)).map(|(id, _)| *id).collect();
         self.lend(now, &waiting);
@@ -115,10 +115,10 @@
     }
 
     /// Notes where machines are left whose tasks aren't known.
-    fn note_unaccounted(&mut self) {
-        if !self.unaccounted.is_empty() {
-            let machines = self.machines.values().filter(|m| !m.accounted);
-            self.unaccounted = machines.map(Machine::market).collect();
+    fn update_unreconciled(&mut self) {
+        if !self.unreconciled.is_empty() {
+            let machines = self.machines.values().filter(|m| !m.reconciled);
+            self.unreconciled = machines.map(Machine::market).collect();
         }
     }
 
@@ -134,13 +134,13 @@
 
     /// The machines that are up or coming, as far as they have room for the least that anyone needs.
     fn machine_views(&self, now: MonotonicTime, least: Option<Amount>) -> MachineViews {
-        let quiet = self.quiet();
+        let heartbeat_timeout = self.heartbeat_timeout();
         let mut all = MachineViews::default();
         for (id, m) in &self.machines {
             let t = &self.types[m.kind];
-            let usable = m.usable(now, quiet);
-            let booting = !m.up && !m.doomed && m.commission == Commission::No;
-            let settling = m.up && !m.doomed && m.accounted && m.commission != Commission::Yes;
+            let usable = m.usable(now, heartbeat_timeout);
+            let booting = !m.up && !m.retiring && m.registration == Registration::Unregistered;
+            let settling = m.up && !m.retiring && m.reconciled && m.registration != Registration::Registered;
             if !usable && !booting && !settling {
                 continue;
             }
@@ -167,8 +167,10 @@
         let spare = self.spare(m);
         let rest = self.rest(m, !m.up || self.lent.contains(id));
         let age_s = (now - m.since).as_secs_f64();
-        let image =
-            |(image, _): &(u32, f64)| ImageView { image: *image, ready_s: m.image_ready(*image, now).unwrap_or(0.0) };
+        let image = |(image, _): &(u32, f64)| ImageView {
+            image: *image,
+            ready_s: m.image_ready_in_s(*image, now).unwrap_or(0.0),
+        };
         MachineView {
             kind: m.kind as u32,
             zone: m.zone,
@@ -215,13 +217,13 @@
     fn teams_left(&mut self) -> Vec<TeamLeft> {
         self.count_usage();
         let Some(usage) = &self.usage else { return Vec::new() };
-        let left = |most: f64, used: f64, unaccounted: f64| {
-            if most > 0.0 { (most - used - unaccounted).max(0.0) } else { UNLIMITED }
+        let left = |most: f64, used: f64, unreconciled: f64| {
+            if most > 0.0 { (most - used - unreconciled).max(0.0) } else { UNLIMITED }
         };
         let team = |(i, (t, used)): (usize, (&Team, &Amount))| TeamLeft {
             team: i as u32,
-            cpus: left(t.cpus_max, used.cpus, usage.unaccounted.cpus),
-            gpus: left(t.gpus_max, used.gpus, usage.unaccounted.gpus),
+            cpus: left(t.cpus_max, used.cpus, usage.unreconciled.cpus),
+            gpus: left(t.gpus_max, used.gpus, usage.unreconciled.gpus),
         };
         self.settings.cluster.teams.iter().zip(&usage.teams).enumerate().map(team).collect()
     }
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -2,7 +2,7 @@
 //! has room for all of its tasks; without a reservation other work would take the room as soon as it is
 //! free, and be stopped again.
 
-use crate::core::fleet::Amount;
+use crate::core::machine::Amount;
 use crate::ids::{JobId, MachineId};
 use crate::time::{Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/core/scheduler/room.rs
+++ b/src/core/scheduler/room.rs
@@ -40,7 +40,7 @@
 /// Tasks to be stopped on a machine, and what is lost by that in seconds of a processor.
 #[derive(Default)]
 struct Eviction {
-    victims: Vec<SlotKey>,
+    victims: Vec<TaskAttempt>,
     loss: f64,
 }
 
@@ -155,8 +155,8 @@
     pub(super) fn spare(&self, m: &Machine) -> Amount {
         let mut spare = Amount::of_type(&self.types[m.kind]);
         spare.sub(&self.gpu_needs[m.kind]);
-        let fixed = |s: &&Slot| !s.exited() && s.need.gpus <= 0.0 && s.priority <= Priority::High;
-        m.slots.values().filter(fixed).for_each(|s| spare.sub(&s.need));
+        let fixed = |s: &&Allocation| !s.has_exited() && s.need.gpus <= 0.0 && s.priority <= Priority::High;
+        m.allocations.values().filter(fixed).for_each(|s| spare.sub(&s.need));
         spare
     }
 
@@ -167,7 +167,7 @@
         let mut there = vec![0.0; self.zones.len()];
         let mut in_use = vec![0.0; self.zones.len()];
         let mut idle: Vec<(f64, &MachineId, &Machine)> = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| m.up && !m.doomed && self.types[m.kind].gpus > 0.0) {
+        for (id, m) in self.machines.iter().filter(|(_, m)| m.up && !m.retiring && self.types[m.kind].gpus > 0.0) {
             there[m.zone as usize] += self.types[m.kind].gpus;
             let used = m.used();
             in_use[m.zone as usize] += used.gpus;
@@ -187,7 +187,7 @@
     /// What work without GPUs that can be stopped for GPU jobs may still take of a GPU machine.
     pub(super) fn rest(&self, m: &Machine, lent: bool) -> Amount {
         let mut rest = m.free(&self.types[m.kind]);
-        let gpu_work = m.slots.values().any(|s| !s.exited() && s.need.gpus > 0.0);
+        let gpu_work = m.allocations.values().any(|s| !s.has_exited() && s.need.gpus > 0.0);
         if !lent && !gpu_work {
             rest.sub(&self.gpu_needs[m.kind]);
         }
@@ -356,7 +356,7 @@
     }
 
     /// Stops tasks on a machine and keeps the room for a task of a job.
-    fn evict(&mut self, now: MonotonicTime, id: &JobId, machine: &MachineId, victims: Vec<SlotKey>) {
+    fn evict(&mut self, now: MonotonicTime, id: &JobId, machine: &MachineId, victims: Vec<TaskAttempt>) {
         let Some(need) = self.jobs.get(id).map(|j| Amount::of_task(&j.spec)) else { return };
         if !victims.is_empty() {
             debug!("making room for {id} on {machine}: tasks={}", victims.len());
@@ -380,7 +380,7 @@
         let need = Amount::of_task(spec);
         let service = spec.kind == Kind::Service;
         let image = self.images.get(&spec.image).copied().unwrap_or(u32::MAX);
-        let ready = m.image_ready(image, now);
+        let ready = m.image_ready_in_s(image, now);
         if wanted == Wanted::WhereImageIs && ready != Some(0.0) {
             return None;
         }
@@ -389,20 +389,20 @@
         if spared && !service {
             return None;
         }
-        self.cost.add_tasks(m.slots.len());
+        self.cost.add_tasks(m.allocations.len());
         let mut free = self.unreserved(mid, m, None);
         // What is already told to stop will be free soon.
-        for s in m.slots.values().filter(|s| !s.exited() && s.stop.is_some()) {
+        for s in m.allocations.values().filter(|s| !s.has_exited() && s.stop.is_some()) {
             free.add(&s.need);
         }
         let mut eviction = Eviction::default();
-        for (key, slot) in self.candidates((id, j), m, now, wanted) {
+        for (key, allocation) in self.candidates((id, j), m, now, wanted) {
             if free.holds(&need) {
                 break;
             }
-            free.add(&slot.need);
-            let ran_s = slot.running_since.map_or(0.0, |t| (now - t).as_secs_f64());
-            eviction.loss += self.gang_size(&key.0.job) * (1.0 + ran_s * slot.need.cpus.max(1.0));
+            free.add(&allocation.need);
+            let ran_s = allocation.running_since.map_or(0.0, |t| (now - t).as_secs_f64());
+            eviction.loss += self.gang_size(&key.0.job) * (1.0 + ran_s * allocation.need.cpus.max(1.0));
             eviction.victims.push(*key);
         }
         if !free.holds(&need) {
@@ -424,20 +424,21 @@
         m: &'a Machine,
         now: MonotonicTime,
         wanted: Wanted,
-    ) -> Vec<(&'a SlotKey, &'a Slot)> {
+    ) -> Vec<(&'a TaskAttempt, &'a Allocation)> {
         let guaranteed = self.within_guarantee.contains(id);
-        let may_be_stopped = |(key, slot): &(&SlotKey, &Slot)| {
+        let may_be_stopped = |(key, allocation): &(&TaskAttempt, &Allocation)| {
             // A team's guarantee goes before what other teams run beyond theirs.
-            let beyond = slot.team != Some(j.team) && !self.within_guarantee.contains(&key.0.job);
-            let lower = slot.priority > j.priority() || guaranteed && slot.priority == j.priority() && beyond;
+            let beyond = allocation.team != Some(j.team) && !self.within_guarantee.contains(&key.0.job);
+            let lower =
+                allocation.priority > j.priority() || guaranteed && allocation.priority == j.priority() && beyond;
             // Stopping one task of a gang stops it whole: too dear for an image.
             let cheap = wanted == Wanted::Anywhere || self.gang_size(&key.0.job) == 1.0;
-            !slot.exited() && slot.stop.is_none() && lower && cheap
+            !allocation.has_exited() && allocation.stop.is_none() && lower && cheap
         };
-        let mut candidates: Vec<_> = m.slots.iter().filter(may_be_stopped).collect();
-        candidates.sort_by_key(|(_, slot)| {
-            let ran = slot.running_since.map_or(0, |t| (now - t).0);
-            (std::cmp::Reverse(slot.priority), ran)
+        let mut candidates: Vec<_> = m.allocations.iter().filter(may_be_stopped).collect();
+        candidates.sort_by_key(|(_, allocation)| {
+            let ran = allocation.running_since.map_or(0, |t| (now - t).0);
+            (std::cmp::Reverse(allocation.priority), ran)
         });
         candidates
     }
@@ -449,7 +450,7 @@
 
     /// Whether a job's tasks may be on the machine, room and the job's other tasks aside.
     fn suits(&self, now: MonotonicTime, j: &Job, id: &MachineId, m: &Machine) -> bool {
-        m.usable(now, self.quiet()) && self.permits(&j.spec, m) && !j.avoids(id, now)
+        m.usable(now, self.heartbeat_timeout()) && self.permits(&j.spec, m) && !j.avoids(id, now)
     }
 
     /// Gathers room for gangs that have waited long: smaller work would take every machine that
--- a/src/core/scheduler/room_survey.rs
+++ b/src/core/scheduler/room_survey.rs
@@ -194,20 +194,20 @@
     }
 
     fn survey_machine(&self, now: MonotonicTime, id: &MachineId, m: &Machine) -> Option<SurveyedMachine> {
-        if !m.usable(now, self.quiet()) {
+        if !m.usable(now, self.heartbeat_timeout()) {
             return None;
         }
-        self.cost.add_tasks(m.slots.len());
+        self.cost.add_tasks(m.allocations.len());
         let free = self.unreserved(id, m, None);
         let mut yields = [free; PRIORITIES];
         let mut beyond = [Amount::default(); PRIORITIES];
-        for (key, slot) in m.slots.iter().filter(|(_, slot)| !slot.exited()) {
-            let priority = priority_number(slot.priority) as usize;
+        for (key, allocation) in m.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
+            let priority = priority_number(allocation.priority) as usize;
             // What is already told to stop will be free soon, for anyone.
-            let first_served = if slot.stop.is_some() { PRIORITIES } else { priority };
-            yields[..first_served].iter_mut().for_each(|room| room.add(&slot.need));
-            if slot.stop.is_none() && !self.within_guarantee.contains(&key.0.job) {
-                beyond[priority].add(&slot.need);
+            let first_served = if allocation.stop.is_some() { PRIORITIES } else { priority };
+            yields[..first_served].iter_mut().for_each(|room| room.add(&allocation.need));
+            if allocation.stop.is_none() && !self.within_guarantee.contains(&key.0.job) {
+                beyond[priority].add(&allocation.need);
             }
         }
         Some(SurveyedMachine { id: id.clone(), market: m.market(), free, yields, beyond })
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -175,7 +175,7 @@
         let (Some(j), Some(m), Some(v)) = (self.jobs.get(job), self.machines.get(machine), view) else { return false };
         let image = self.images.get(&j.spec.image).copied().unwrap_or(u32::MAX);
         let fetch_s =
-            m.image_ready(image, now).unwrap_or(j.spec.image_gb / self.types[m.kind].fetch_gb_per_s.max(0.01));
+            m.image_ready_in_s(image, now).unwrap_or(j.spec.image_gb / self.types[m.kind].fetch_gb_per_s.max(0.01));
         let aim = self.settings.start_aim(&j.spec.class, v.guaranteed);
         // A replica that is lost later is as urgent as a first one.
         let age_s = if j.spec.kind == Kind::Service { 0.0 } else { v.age_s };
@@ -191,7 +191,7 @@
     /// of it starts, whoever has planned it, until all those that could hold its tasks are.
     pub(super) fn held_back(&self, j: &Job) -> bool {
         let from_before = j.revision.0 <= self.term.0;
-        from_before && self.unaccounted.iter().any(|market| self.permits_market(&j.spec, *market))
+        from_before && self.unreconciled.iter().any(|market| self.permits_market(&j.spec, *market))
     }
 
     /// Whether a job permits a machine's type, zone and kind, whatever is on it.
@@ -224,7 +224,7 @@
         let team = j.team;
         !self.in_doubt
             && !j.is_waiting()
-            && m.usable(now, self.quiet())
+            && m.usable(now, self.heartbeat_timeout())
             && !self.held_back(j)
             && free.holds(&need)
             && self.permits(s, m)
@@ -237,16 +237,16 @@
         self.usage.get_or_insert_with(|| {
             let mut u = Usage {
                 teams: vec![Amount::default(); self.settings.cluster.teams.len()],
-                unaccounted: Amount::default(),
+                unreconciled: Amount::default(),
             };
             for m in self.machines.values() {
-                for s in m.slots.values().filter(|s| !s.exited()) {
+                for s in m.allocations.values().filter(|s| !s.has_exited()) {
                     if let Some(t) = s.team.and_then(|t| u.teams.get_mut(t as usize)) {
                         t.add(&s.need);
                     }
                 }
-                if !m.accounted || m.has_unknown() {
-                    u.unaccounted.add(&Amount::of_type(&self.types[m.kind]));
+                if !m.reconciled || m.has_unknown_usage() {
+                    u.unreconciled.add(&Amount::of_type(&self.types[m.kind]));
                 }
             }
             u
@@ -261,7 +261,7 @@
         }
         let u = self.count_usage();
         let mut used = u.teams[team as usize];
-        used.add(&u.unaccounted);
+        used.add(&u.unreconciled);
         let fits = |most: f64, used: f64, need: f64| most <= 0.0 || used + need * n <= most + 1e-9;
         fits(cpus_max, used.cpus, need.cpus) && fits(gpus_max, used.gpus, need.gpus)
     }
@@ -293,7 +293,7 @@
         for (index, machine, attempt) in places {
             let key = (TaskId { job: *job, index }, attempt);
             if let Some(m) = self.machines.get_mut(&machine) {
-                m.slots.remove(&key);
+                m.allocations.remove(&key);
                 let run = Order::Run { task: key.0, attempt };
                 m.outbox.retain(|o| *o != run);
             }
@@ -307,22 +307,22 @@
         let t = &self.types[m.kind];
         let s = &j.spec;
         let image = self.images.get(&s.image).copied().unwrap_or(u32::MAX);
-        let fetch_s = match m.image_ready(image, now) {
+        let fetch_s = match m.image_ready_in_s(image, now) {
             Some(left) => left,
             None => s.image_gb / t.fetch_gb_per_s.max(0.01),
         };
-        m.touch_image(image, s.image_gb, t.cache_gb);
+        m.cache_image(image, s.image_gb, t.cache_gb);
         let task = TaskId { job: *job, index };
-        let slot = Slot {
+        let allocation = Allocation {
             need: Amount::of_task(s),
             team: Some(j.team),
             priority: j.priority(),
             phase: None,
-            sent: None,
-            listed: 0,
+            pending_run: None,
+            last_listed: 0,
             placed_at: now,
             running_since: None,
-            timed: true,
+            fully_observed: true,
             stop: None,
             image,
             fetch_s,
@@ -330,11 +330,11 @@
         };
         j.place(index, machine, attempt);
         if let Some(u) = &mut self.usage {
-            u.teams[j.team as usize].add(&slot.need);
+            u.teams[j.team as usize].add(&allocation.need);
         }
         debug!("start {task} try {attempt} on {machine}");
-        m.order(Order::Run { task, attempt });
-        m.slots.insert((task, attempt), slot);
+        m.queue_order(Order::Run { task, attempt });
+        m.allocations.insert((task, attempt), allocation);
         m.idle_since = None;
     }
 }
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -84,7 +84,7 @@
 }
 
 fn record(i: usize) -> KeyValue {
-    let r = FleetRecord { endpoint: format!("w{i}"), kind: "plain".into(), zone: "a".into(), spot: false };
+    let r = MachineRecord { endpoint: format!("w{i}"), kind: "plain".into(), zone: "a".into(), spot: false };
     KeyValue { key: format!("fleet/m-{i:06}"), value: json!(r), revision: 1 }
 }
 
@@ -95,7 +95,7 @@
         let mut leader = Scheduler::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
         leader.load(
             MonotonicTime(0),
-            StoredState { fleet: (0..machines).map(record).collect(), ..StoredState::default() },
+            StoredState { machines: (0..machines).map(record).collect(), ..StoredState::default() },
         );
         let store = (0..machines).map(record).map(|r| (r.key, (r.value, r.revision))).collect();
         let workers = (0..machines).map(|i| (format!("w{i}"), Rig::fresh(i))).collect();
@@ -176,7 +176,7 @@
             let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
             of.map(|(k, v)| KeyValue { key: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
         };
-        let stored = StoredState { live: rows(LIVE), bits: rows(BITS), fleet: rows(FLEET), shares: None };
+        let stored = StoredState { live: rows(LIVE), bits: rows(BITS), machines: rows(MACHINE_PREFIX), shares: None };
         self.leader =
             Scheduler::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
         self.leader.load(MonotonicTime(self.now), stored);
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -22,7 +22,7 @@
     index: usize,
     heartbeat: Heartbeat,
     /// When each listed task goes on to its next phase.
-    next: BTreeMap<SlotKey, u64>,
+    next: BTreeMap<TaskAttempt, u64>,
     report_at: u64,
 }
 
@@ -46,8 +46,8 @@
 
     fn record(&self) -> KeyValue {
         let Heartbeat { endpoint, kind, zone, spot, .. } = self.heartbeat.clone();
-        let value = json!(FleetRecord { endpoint, kind, zone, spot });
-        KeyValue { key: format!("{FLEET}{}", self.heartbeat.machine), value, revision: 1 }
+        let value = json!(MachineRecord { endpoint, kind, zone, spot });
+        KeyValue { key: format!("{MACHINE_PREFIX}{}", self.heartbeat.machine), value, revision: 1 }
     }
 
     fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
@@ -129,8 +129,8 @@
         types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
         let mut leader = Scheduler::new(sample_settings(), tuning, types, TERM, holder(), MonotonicTime(0));
         let workers: Vec<SimulatedWorker> = (0..MACHINES).map(SimulatedWorker::of_first_fleet).collect();
-        let fleet = workers.iter().take(RECORDED).map(SimulatedWorker::record).collect();
-        leader.load(MonotonicTime(0), StoredState { fleet, ..StoredState::default() });
+        let machines = workers.iter().take(RECORDED).map(SimulatedWorker::record).collect();
+        leader.load(MonotonicTime(0), StoredState { machines, ..StoredState::default() });
         FixedFleet {
             leader,
             now: 0,
@@ -239,7 +239,7 @@
             worker.report_at = now + REPORT_MS;
             let heartbeat = worker.next_heartbeat();
             let answer = match index % 3 {
-                0 => self.leader.on_heartbeat_via(MonotonicTime(now), &heartbeat, Route::by_peer(0)),
+                0 => self.leader.on_heartbeat_via(MonotonicTime(now), &heartbeat, HeartbeatRoute::via_peer(0)),
                 _ => self.leader.on_heartbeat(MonotonicTime(now), &heartbeat),
             };
             self.digest.answer(answer.as_ref());
@@ -263,8 +263,8 @@
             phase: ListPhase::Running,
             age_s: 60.0,
         };
-        let unseen = SimulatedWorker::new(900_000, "plain", "a", false, 0);
-        let workers = self.workers.iter().flatten().chain([&unseen]);
+        let never_heard = SimulatedWorker::new(900_000, "plain", "a", false, 0);
+        let workers = self.workers.iter().flatten().chain([&never_heard]);
         let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.heartbeat)).collect();
         self.leader.on_list(MonotonicTime(self.now), &machines);
     }
@@ -395,14 +395,14 @@
 
 #[test]
 fn the_digest_and_the_work_of_a_fixed_fleet_are_unchanged() {
-    let mut fleet = FixedFleet::new();
-    fleet.run();
-    let (work, counts) = (fleet.leader.cost_counters(), fleet.digest.counts());
-    println!("digest={:#018x} counts={counts:?} {work}", fleet.digest.value());
-    println!("endings={} workers={}", fleet.endings.len(), fleet.workers.iter().flatten().count());
+    let mut machines = FixedFleet::new();
+    machines.run();
+    let (work, counts) = (machines.leader.cost_counters(), machines.digest.counts());
+    println!("digest={:#018x} counts={counts:?} {work}", machines.digest.value());
+    println!("endings={} workers={}", machines.endings.len(), machines.workers.iter().flatten().count());
     let expected = CostCounters { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, choices: 83_142 };
     // In the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
     assert_eq!(work, expected);
-    assert_eq!(fleet.digest.value(), 0x2274_5ee1_d7e3_b1b3);
+    assert_eq!(machines.digest.value(), 0x2274_5ee1_d7e3_b1b3);
 }
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -7,7 +7,7 @@
     // Peers let a machine that the leader calls silent go on to the next controller. Called so 3 s
     // after a restart, most workers were sent past it and lost all they had.
     let mut rig = Rig::new(3);
-    let names = |rig: &Rig| rig.leader.silent_machines(MonotonicTime(rig.now)).0;
+    let names = |rig: &Rig| rig.leader.suspected_machines(MonotonicTime(rig.now)).0;
     rig.workers.retain(|name, _| name == "w0");
     rig.run(5_000);
     assert_eq!(names(&rig), Vec::<String>::new());
@@ -102,7 +102,7 @@
     rig.run(3_000);
     assert_eq!(rig.runs(&id), 2, "nothing is started twice");
     let machine = MachineId::parse(&held.machine).unwrap();
-    assert!(!rig.leader.machines[&machine].accounted);
+    assert!(!rig.leader.machines[&machine].reconciled);
     // And after newer ones.
     rig.mute.clear();
     rig.run(2_000);
@@ -117,7 +117,7 @@
 fn a_job_bound_to_one_zone_does_not_follow_its_tasks_to_another() {
     // Four machines in zone a, one in zone b with all the room.
     let mut rig = Rig::new(5);
-    let far = FleetRecord { endpoint: "w4".into(), kind: "plain".into(), zone: "b".into(), spot: false };
+    let far = MachineRecord { endpoint: "w4".into(), kind: "plain".into(), zone: "b".into(), spot: false };
     rig.store.insert("fleet/m-000004".into(), (json!(far), 1));
     rig.workers.get_mut("w4").unwrap().zone = "b".into();
     rig.succeed();
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -58,25 +58,25 @@
     // Two zones parted, and 82 machines whose heartbeats had come by peers beyond the cut were returned.
     let mut rig = Rig::new(16);
     rig.run(2_000);
-    let by_peer: BTreeSet<String> = ["w0", "w1", "w2", "w3"].map(String::from).into();
-    for name in &by_peer {
+    let via_peer: BTreeSet<String> = ["w0", "w1", "w2", "w3"].map(String::from).into();
+    for name in &via_peer {
         let heartbeat = rig.workers.get_mut(name).unwrap();
         heartbeat.sequence.0 += 1;
-        assert!(rig.leader.on_heartbeat_via(MonotonicTime(rig.now), heartbeat, Route::by_peer(0)).is_some());
+        assert!(rig.leader.on_heartbeat_via(MonotonicTime(rig.now), heartbeat, HeartbeatRoute::via_peer(0)).is_some());
     }
-    rig.mute = by_peer.clone();
+    rig.mute = via_peer.clone();
     rig.run(9_000);
     assert!(rig.returned.is_empty(), "they look for another controller");
     rig.mute.clear();
     rig.run(1_000);
     // As many, each by a way that others report by as well, are rather dead.
-    rig.mute = by_peer.clone();
+    rig.mute = via_peer.clone();
     rig.run(9_000);
     assert_eq!(rig.returned.len(), 4);
 
     // Those that a new leader has never heard from tell nothing about a way: a lease is enough.
     let mut rig = Rig::new(16);
-    rig.mute = by_peer;
+    rig.mute = via_peer;
     rig.run(13_000);
     assert_eq!(rig.returned.len(), 4);
 }
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -136,9 +136,9 @@
             revision: 9,
         }
     };
-    let stored = || StoredState { live: (1..8).map(job).collect(), fleet: rows(7), ..StoredState::default() };
+    let stored = || StoredState { live: (1..8).map(job).collect(), machines: rows(7), ..StoredState::default() };
     let parts = stored().into_parts(3);
-    assert!(parts.iter().all(|p| p.live.len() + p.bits.len() + p.fleet.len() <= 3) && parts.len() == 6);
+    assert!(parts.iter().all(|p| p.live.len() + p.bits.len() + p.machines.len() <= 3) && parts.len() == 6);
     let load = |parts: Vec<StoredState>| {
         let mut leader =
             Scheduler::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
@@ -163,7 +163,7 @@
         row
     });
     rig.leader = Scheduler::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
-    rig.leader.load(MonotonicTime(0), StoredState { fleet: rows.collect(), ..StoredState::default() });
+    rig.leader.load(MonotonicTime(0), StoredState { machines: rows.collect(), ..StoredState::default() });
     rig.run(2_000);
     let low = |n: u32, zone: &str| {
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 4, 8.0);
--- a/src/core/scheduler/workers.rs
+++ b/src/core/scheduler/workers.rs
@@ -5,13 +5,18 @@
 impl Scheduler {
     /// A worker's heartbeat that has come directly. None: not to be answered.
     pub fn on_heartbeat(&mut self, now: MonotonicTime, r: &Heartbeat) -> Option<HeartbeatResponse> {
-        self.on_heartbeat_via(now, r, Route::DIRECT)
+        self.on_heartbeat_via(now, r, HeartbeatRoute::DIRECT)
     }
 
     /// A worker's heartbeat, and the way that it took.
-    pub fn on_heartbeat_via(&mut self, now: MonotonicTime, r: &Heartbeat, route: Route) -> Option<HeartbeatResponse> {
+    pub fn on_heartbeat_via(
+        &mut self,
+        now: MonotonicTime,
+        r: &Heartbeat,
+        route: HeartbeatRoute,
+    ) -> Option<HeartbeatResponse> {
         let id = MachineId::parse(&r.machine)?;
-        if self.gone.contains(&id) {
+        if self.terminated.contains(&id) {
             return None;
         }
         if !self.machines.contains_key(&id) {
@@ -28,7 +33,7 @@
             // Nobody has ordered anything here: orders come after the machine's record.
             self.machines.insert(id.clone(), Machine::new(r.endpoint.clone(), kind, zone, r.spot, now));
         }
-        let quiet = self.quiet();
+        let heartbeat_timeout = self.heartbeat_timeout();
         let unacknowledged_after = self.p.lease;
         let m = self.machines.get_mut(&id)?;
         if r.agent_epoch < m.agent_epoch || (r.agent_epoch, r.sequence) <= m.latest_heartbeat {
@@ -37,9 +42,9 @@
             return None;
         }
         m.latest_heartbeat = (r.agent_epoch, r.sequence);
-        m.ended = false;
-        if now - m.last_heartbeat > quiet {
-            m.slots.values_mut().for_each(|s| s.timed = false);
+        m.lease_expired = false;
+        if now - m.last_heartbeat > heartbeat_timeout {
+            m.allocations.values_mut().for_each(|s| s.fully_observed = false);
         }
         let newer = self.apply_heartbeat(now, &id, r);
         let m = self.machines.get_mut(&id)?;
@@ -55,7 +60,7 @@
         let token = FencingToken::new(self.term, m.fence);
         // The answer renews the lease, so it carries every stop, whatever else is under way: a worker
         // that lives on by it must not keep a cancelled task.
-        let mut orders = m.stops();
+        let mut orders = m.pending_stops();
         if orders.len() > MAX_ORDERS {
             warn!("machine {id} has stops={} due, too many for an answer", orders.len());
             self.flush_machine(&id);
@@ -84,7 +89,7 @@
         match result {
             OrdersResult::Executed(r) => {
                 for k in &sent {
-                    if let Some(s) = m.slots.get_mut(k).and_then(|s| s.sent.as_mut()) {
+                    if let Some(s) = m.allocations.get_mut(k).and_then(|s| s.pending_run.as_mut()) {
                         s.answered = true;
                     }
                 }
@@ -93,7 +98,7 @@
             OrdersResult::Rejected(r) => {
                 // Nothing of it was carried out, nor will it be.
                 for k in &sent {
-                    self.vanish(&id, k, false);
+                    self.remove_lost_task(&id, k, false);
                 }
                 self.apply_heartbeat(now, &id, &r);
             }
@@ -101,7 +106,7 @@
                 // The orders may be carried out at any time within the agent epoch, so the fence
                 // rises: once the worker has reported it, they are dead.
                 if m.fence >= MAX_FENCE {
-                    m.doomed = true;
+                    m.retiring = true;
                 } else {
                     m.fence += 1;
                 }
@@ -126,12 +131,12 @@
         }
         if r.agent_epoch > m.agent_epoch && m.agent_epoch.0 > 0 {
             // A new agent epoch: the worker has killed and forgotten all it had.
-            let keys: Vec<SlotKey> = m.slots.keys().cloned().collect();
+            let keys: Vec<TaskAttempt> = m.allocations.keys().cloned().collect();
             if !keys.is_empty() {
                 info!("machine {id}: new agent epoch, tasks={}", keys.len());
             }
             for k in keys {
-                self.vanish(id, &k, false);
+                self.remove_lost_task(id, &k, false);
             }
         }
         let own = FencingToken::new(self.term, 0);
@@ -147,19 +152,19 @@
             self.dirty = true;
         }
         if let Some(s) = r.notice_s
-            && !m.notice
+            && !m.spot_notice
         {
             info!("machine {id} will be taken in {s:.0} s");
-            m.notice = true;
+            m.spot_notice = true;
             if m.spot {
                 self.spot_lives.ended((now - m.since).as_secs_f64());
             }
             self.drain(now, id, s);
         }
         let Some(m) = self.machines.get_mut(id) else { return false };
-        m.listing += 1;
-        self.cost.add_tasks(m.slots.len() + r.tasks.len());
-        let mut news: Vec<(SlotKey, &TaskStatus)> = Vec::new();
+        m.heartbeats_applied += 1;
+        self.cost.add_tasks(m.allocations.len() + r.tasks.len());
+        let mut news: Vec<(TaskAttempt, &TaskStatus)> = Vec::new();
         for listed in &r.tasks {
             let Some(task) = listed.task else {
                 warn!("machine {id} lists a task of an unknown form");
@@ -168,11 +173,13 @@
             let key = (task, listed.attempt);
             // Most of what workers list, they have listed before.
             let job = self.jobs.get(&task.job);
-            match m.slots.get_mut(&key) {
-                Some(s) if s.as_before(listed.phase) && job.is_some_and(|j| j.goes_on(&key)) => s.listed = m.listing,
+            match m.allocations.get_mut(&key) {
+                Some(s) if s.is_unchanged(listed.phase) && job.is_some_and(|j| j.goes_on(&key)) => {
+                    s.last_listed = m.heartbeats_applied
+                }
                 // Done, and kept by the worker until that is durable.
-                Some(s) if s.exited() && listed.is_done() && job.is_some_and(|j| !j.is_durable(task.index)) => {
-                    s.listed = m.listing;
+                Some(s) if s.has_exited() && listed.is_done() && job.is_some_and(|j| !j.is_durable(task.index)) => {
+                    s.last_listed = m.heartbeats_applied;
                 }
                 _ => news.push((key, listed)),
             }
@@ -181,19 +188,19 @@
             self.apply_task_status(now, id, &key, listed);
         }
         let Some(m) = self.machines.get_mut(id) else { return false };
-        if r.token >= own && !(m.accounted && m.confirmed) {
-            m.accounted = true;
-            m.confirmed = true;
+        if r.token >= own && !(m.reconciled && m.token_acknowledged) {
+            m.reconciled = true;
+            m.token_acknowledged = true;
             self.dirty = true;
         }
         // What is not listed is gone, if the worker has listed it before, has answered its order,
         // or will refuse the order because it has seen a higher fence since.
-        let missing: Vec<SlotKey> = m
-            .slots
+        let missing: Vec<TaskAttempt> = m
+            .allocations
             .iter()
             .filter(|(_, s)| {
-                s.listed != m.listing
-                    && match s.sent {
+                s.last_listed != m.heartbeats_applied
+                    && match s.pending_run {
                         Some(sent) if s.phase.is_none() => sent.answered || r.token > sent.token,
                         // Its order hasn't left yet.
                         None if s.phase.is_none() => false,
@@ -203,51 +210,57 @@
             .map(|(k, _)| *k)
             .collect();
         for k in missing {
-            self.vanish(id, &k, false);
+            self.remove_lost_task(id, &k, false);
         }
         let Some(m) = self.machines.get_mut(id) else { return false };
-        if m.commission == Commission::No && !m.doomed {
+        if m.registration == Registration::Unregistered && !m.retiring {
             self.dirty = true;
         }
         true
     }
 
     /// One task that a worker lists.
-    pub(super) fn apply_task_status(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskStatus) {
+    pub(super) fn apply_task_status(
+        &mut self,
+        now: MonotonicTime,
+        id: &MachineId,
+        key: &TaskAttempt,
+        listed: &TaskStatus,
+    ) {
         let (task, attempt) = key;
-        let known = self.machines.get(id).is_some_and(|m| m.slots.contains_key(key));
+        let known = self.machines.get(id).is_some_and(|m| m.allocations.contains_key(key));
         if !known {
-            self.adopt(now, id, key, listed);
+            self.adopt_task(now, id, key, listed);
         }
         let over = !self.jobs.contains_key(&task.job);
         let Some(m) = self.machines.get_mut(id) else { return };
-        let Some(s) = m.slots.get_mut(key) else { return };
+        let Some(s) = m.allocations.get_mut(key) else { return };
         let before = s.phase;
-        s.listed = m.listing;
+        s.last_listed = m.heartbeats_applied;
         s.phase = Some(listed.phase);
-        s.sent = None;
+        s.pending_run = None;
         if listed.phase == TaskPhase::Running && before != Some(TaskPhase::Running) {
             s.running_since.get_or_insert(now);
             self.dirty |= before == Some(TaskPhase::Pulling);
         }
         if listed.phase != TaskPhase::Exited {
             if over {
-                stop_slot(m, key, 0.0);
+                stop_allocation(m, key, 0.0);
             } else if let Some(leeway) = s.stop {
                 // Told before; said again until it works.
                 if listed.phase != TaskPhase::Flushing || leeway == 0.0 {
-                    stop_slot(m, key, leeway);
+                    stop_allocation(m, key, leeway);
                 }
             } else if self.jobs.get(&task.job).is_some_and(|j| !j.goes_on(key)) {
-                stop_slot(m, key, 0.0);
+                stop_allocation(m, key, 0.0);
             }
             return;
         }
         if before != Some(TaskPhase::Exited) {
             self.dirty = true;
-            let ran = s.running_since.filter(|_| s.timed).map(|t| (now - t).as_secs_f64());
+            let ran = s.running_since.filter(|_| s.fully_observed).map(|t| (now - t).as_secs_f64());
             let stopped = s.stop.is_some();
-            self.exited(now, id, key, listed, ran, stopped);
+            self.on_task_exited(now, id, key, listed, ran, stopped);
         }
         // The worker may forget it once a done task is durably so; other ends need no keeping.
         let durable = match self.jobs.get(&task.job) {
@@ -255,25 +268,25 @@
             _ => true,
         };
         if durable && let Some(m) = self.machines.get_mut(id) {
-            m.order(Order::Clear { task: *task, attempt: *attempt });
+            m.queue_order(Order::Clear { task: *task, attempt: *attempt });
         }
     }
 
     /// Enters a listed task that the cluster state doesn't have.
-    pub(super) fn adopt(&mut self, now: MonotonicTime, id: &MachineId, key: &SlotKey, listed: &TaskStatus) {
+    pub(super) fn adopt_task(&mut self, now: MonotonicTime, id: &MachineId, key: &TaskAttempt, listed: &TaskStatus) {
         let (task, attempt) = key;
         self.usage = None;
         let Some(m) = self.machines.get_mut(id) else { return };
-        let mut slot = Slot {
+        let mut allocation = Allocation {
             need: Amount::default(),
             team: None,
             priority: Priority::Low,
             phase: None,
-            sent: None,
-            listed: 0,
+            pending_run: None,
+            last_listed: 0,
             placed_at: now,
             running_since: None,
-            timed: false,
+            fully_observed: false,
             stop: None,
             image: u32::MAX,
             fetch_s: 0.0,
@@ -288,13 +301,13 @@
                 info!("machine {id} lists {task} try {attempt}, and so do {places:?}");
             }
             let s = &job.spec;
-            slot.need = Amount::of_task(s);
-            slot.team = Some(job.team);
-            slot.priority = job.priority();
-            slot.run_s = self.times.expect(&s.class, s.estimate_s);
+            allocation.need = Amount::of_task(s);
+            allocation.team = Some(job.team);
+            allocation.priority = job.priority();
+            allocation.run_s = self.times.expect(&s.class, s.estimate_s);
             let next = self.images.len() as u32;
-            slot.image = *self.images.entry(s.image.clone()).or_insert(next);
-            m.touch_image(slot.image, s.image_gb, self.types[m.kind].cache_gb);
+            allocation.image = *self.images.entry(s.image.clone()).or_insert(next);
+            m.cache_image(allocation.image, s.image_gb, self.types[m.kind].cache_gb);
             if listed.phase != TaskPhase::Exited {
                 let gang = s.kind == Kind::Gang;
                 job.place(task.index, id, *attempt);
@@ -307,22 +320,22 @@
                 }
             }
         }
-        m.slots.insert(*key, slot);
+        m.allocations.insert(*key, allocation);
     }
 
     /// A task has ended, by its worker's word.
-    pub(super) fn exited(
+    pub(super) fn on_task_exited(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
-        key: &SlotKey,
+        key: &TaskAttempt,
         listed: &TaskStatus,
         ran: Option<f64>,
         stopped: bool,
     ) {
         let (task, attempt) = key;
         let cause = listed.cause.unwrap_or(Cause::Other);
-        let reclaimed = self.machines.get(id).is_some_and(|m| m.notice);
+        let reclaimed = self.machines.get(id).is_some_and(|m| m.spot_notice);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.unplace(task.index, id, *attempt);
         let alone = job.spec.kind != Kind::Gang;
@@ -346,15 +359,15 @@
                     (job.ran.0 > 4).then(|| s / (job.ran.1 / f64::from(job.ran.0)).max(0.1))
                 });
                 if let Some(m) = self.machines.get_mut(id)
-                    && ratio.is_some_and(|r| m.time(r))
-                    && m.sick_until <= now
+                    && ratio.is_some_and(|r| m.record_slowdown(r))
+                    && m.quarantined_until <= now
                 {
                     // Like one that fails: avoided, and returned once it is empty.
                     info!("machine {id} is slow and is avoided, slowness={:.1}", m.slowness);
-                    m.sick_until = now + AVOIDED_FOR;
+                    m.quarantined_until = now + QUARANTINE_PERIOD;
                     m.errors = 2;
                 } else if let Some(m) = self.machines.get_mut(id)
-                    && m.sick_until <= now
+                    && m.quarantined_until <= now
                 {
                     m.errors = 0;
                 }
@@ -371,11 +384,11 @@
                 debug!("task {task} failed on {id}, errors={}", job.errors);
                 if !fault && let Some(m) = self.machines.get_mut(id) {
                     m.errors += 1;
-                    if m.errors >= 2 && m.sick_until <= now {
-                        m.sick_until = now + AVOIDED_FOR;
+                    if m.errors >= 2 && m.quarantined_until <= now {
+                        m.quarantined_until = now + QUARANTINE_PERIOD;
                         info!("machine {id} fails tasks and is avoided, errors={}", m.errors);
-                    } else if m.sick_until <= now {
-                        m.sick_until = now + Millis(10_000);
+                    } else if m.quarantined_until <= now {
+                        m.quarantined_until = now + Millis(10_000);
                     }
                 }
             }
@@ -395,13 +408,13 @@
     }
 
     /// A task is proven to be gone without its worker's word on how it ended.
-    pub(super) fn vanish(&mut self, id: &MachineId, key: &SlotKey, reclaimed: bool) {
+    pub(super) fn remove_lost_task(&mut self, id: &MachineId, key: &TaskAttempt, reclaimed: bool) {
         let Some(m) = self.machines.get_mut(id) else { return };
-        let Some(slot) = m.slots.remove(key) else { return };
+        let Some(allocation) = m.allocations.remove(key) else { return };
         let run = Order::Run { task: key.0, attempt: key.1 };
         m.outbox.retain(|o| *o != run);
         self.dirty = true;
-        if slot.exited() {
+        if allocation.has_exited() {
             return;
         }
         let (task, attempt) = key;
@@ -426,14 +439,14 @@
         let placed: Vec<(u32, MachineId, Attempt)> = job.places().map(|(i, m, a)| (i, m.clone(), a)).collect();
         for (index, machine, attempt) in placed {
             if let Some(m) = self.machines.get_mut(&machine) {
-                stop_slot(m, &(TaskId { job: *id, index }, attempt), 0.0);
+                stop_allocation(m, &(TaskId { job: *id, index }, attempt), 0.0);
             }
             self.flush_machine(&machine);
         }
     }
 
     /// Stops a task, or the whole gang that it belongs to, leaving it time to save.
-    pub(super) fn stop_task(&mut self, id: &MachineId, key: &SlotKey) {
+    pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
         let Some(job) = self.jobs.get(&key.0.job) else { return };
         let leeway = if job.saves() { job.spec.save_s + 0.5 } else { 0.0 };
         let mut which = vec![(id.clone(), *key)];
@@ -442,7 +455,7 @@
         }
         for (id, k) in which {
             if let Some(m) = self.machines.get_mut(&id) {
-                stop_slot(m, &k, leeway);
+                stop_allocation(m, &k, leeway);
             }
         }
     }
@@ -450,10 +463,10 @@
     /// The cloud takes the machine soon: what can save does, what can't finish starts elsewhere.
     pub(super) fn drain(&mut self, now: MonotonicTime, id: &MachineId, left_s: f64) {
         let Some(m) = self.machines.get(id) else { return };
-        let go: Vec<SlotKey> = m
-            .slots
+        let go: Vec<TaskAttempt> = m
+            .allocations
             .iter()
-            .filter(|(_, s)| !s.exited() && s.stop.is_none())
+            .filter(|(_, s)| !s.has_exited() && s.stop.is_none())
             .filter(|((task, _), s)| {
                 let ran = s.running_since.map(|t| (now - t).as_secs_f64());
                 let left = ran.map_or(f64::INFINITY, |r| s.run_s - r);
@@ -483,14 +496,14 @@
         if m.outbox.is_empty() || m.in_flight.is_some() || m.fencing || !m.up {
             return;
         }
-        if m.doomed {
+        if m.retiring {
             // It gets no work any more, but what is on it is still told to go: its return may take long.
             let unsent = |o: &Order| match o {
                 Order::Run { task, attempt } => Some((*task, *attempt)),
                 _ => None,
             };
-            let unsent: Vec<SlotKey> = m.outbox.iter().filter_map(unsent).collect();
-            unsent.iter().for_each(|k| self.vanish(id, k, false));
+            let unsent: Vec<TaskAttempt> = m.outbox.iter().filter_map(unsent).collect();
+            unsent.iter().for_each(|k| self.remove_lost_task(id, k, false));
         }
         let Some(m) = self.machines.get_mut(id) else { return };
         // Clears can wait for the next heartbeat.
@@ -510,8 +523,8 @@
         for o in &orders {
             if let Order::Run { task, attempt } = o {
                 let key = (*task, *attempt);
-                if let Some(s) = m.slots.get_mut(&key) {
-                    s.sent = Some(Sent { token, answered: false });
+                if let Some(s) = m.allocations.get_mut(&key) {
+                    s.pending_run = Some(PendingRun { token, answered: false });
                 }
                 runs.push(key);
             }
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -54,31 +54,31 @@
 
     /// Records machines before their first order, and forgets those that are gone.
     fn write_machines(&mut self) {
-        let under_way = self.commits.values().any(|(p, _)| matches!(p, Purpose::Fleet { .. }));
+        let under_way = self.commits.values().any(|(p, _)| matches!(p, Purpose::Machines { .. }));
         if self.tokens < 1.0 || under_way {
             return;
         }
         let mut mutations = Vec::new();
-        let mut commission = Vec::new();
+        let mut registration = Vec::new();
         for (id, m) in &mut self.machines {
-            if mutations.len() < self.p.txn_ops && m.up && m.commission == Commission::No && !m.doomed {
-                m.commission = Commission::Writing;
-                let record = FleetRecord {
+            if mutations.len() < self.p.txn_ops && m.up && m.registration == Registration::Unregistered && !m.retiring {
+                m.registration = Registration::InFlight;
+                let record = MachineRecord {
                     endpoint: m.endpoint.clone(),
                     kind: self.types[m.kind].name.clone(),
                     zone: self.zones[m.zone as usize].clone(),
                     spot: m.spot,
                 };
-                mutations.push(Mutation::put(fleet_key(id), serde_json::json!(record)));
-                commission.push(id.clone());
+                mutations.push(Mutation::put(machine_key(id), serde_json::json!(record)));
+                registration.push(id.clone());
             }
         }
         let room = self.p.txn_ops - mutations.len();
         let forget: Vec<MachineId> = self.forget.iter().take(room).cloned().collect();
-        mutations.extend(forget.iter().map(|id| Mutation::delete(fleet_key(id))));
+        mutations.extend(forget.iter().map(|id| Mutation::delete(machine_key(id))));
         if !mutations.is_empty() {
             let transaction = Transaction { preconditions: vec![self.fence_precondition()], mutations };
-            self.commit(Purpose::Fleet { commission, forget }, transaction);
+            self.commit(Purpose::Machines { registration, forget }, transaction);
         }
     }
 
@@ -225,10 +225,10 @@
         }
         self.dirty = true;
         match purpose {
-            Purpose::Fleet { commission, forget } => {
-                for id in commission {
+            Purpose::Machines { registration, forget } => {
+                for id in registration {
                     if let Some(m) = self.machines.get_mut(&id) {
-                        m.commission = if ok { Commission::Yes } else { Commission::No };
+                        m.registration = if ok { Registration::Registered } else { Registration::Unregistered };
                     } else if result != CommitOutcome::Rejected {
                         self.forget.insert(id);
                     }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -10,8 +10,8 @@
 
 use self::digest::Digest;
 use super::done_sets::{Layout, parse_key};
-use super::fleet::FLEET;
 use super::leadership::{LEADER_KEY, LeaderRecord};
+use super::machine::MACHINE_PREFIX;
 use super::miser;
 use super::records::{BITS, Ending, LIVE, LiveRecord, OVER, OverRecord, live_key, over_key};
 use super::scheduler::{CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState};
@@ -311,8 +311,12 @@
             record,
             MonotonicTime(self.now),
         );
-        let stored =
-            StoredState { live: self.rows(LIVE), bits: self.rows(BITS), fleet: self.rows(FLEET), shares: None };
+        let stored = StoredState {
+            live: self.rows(LIVE),
+            bits: self.rows(BITS),
+            machines: self.rows(MACHINE_PREFIX),
+            shares: None,
+        };
         l.load(MonotonicTime(self.now), stored);
         self.leader = Some(l);
     }
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -4,7 +4,7 @@
 use super::input_latency::InputKind;
 use super::leader_loop;
 use super::node::{Inner, Node};
-use crate::core::fleet::Route;
+use crate::core::machine::HeartbeatRoute;
 use crate::core::scheduler::response_before_load;
 use crate::ids::MachineId;
 use crate::peer::{HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, VERSION};
@@ -86,9 +86,9 @@
 }
 
 /// The way that heartbeats take which a peer passes on.
-fn route(node: &Node, by: Option<&str>) -> Route {
+fn route(node: &Node, by: Option<&str>) -> HeartbeatRoute {
     let index = by.and_then(|name| node.settings.peers.iter().position(|peer| peer.name == name));
-    index.map_or(Route::DIRECT, Route::by_peer)
+    index.map_or(HeartbeatRoute::DIRECT, HeartbeatRoute::via_peer)
 }
 
 impl Inner {
@@ -115,7 +115,7 @@
     // A worker that the leader doesn't hear would only wait there in vain. And a name read before the
     // state service fell silent may send it round in circles; peers may know.
     let known = if inner.store_refused_since.is_some() { &inner.leader_per_peers } else { &inner.leader_name };
-    let known = if inner.silent.contains(&heartbeat.machine) { None } else { known.clone() };
+    let known = if inner.suspected.contains(&heartbeat.machine) { None } else { known.clone() };
     inner.note_misdirected(&heartbeat.machine, now, known).filter(|name| *name != node.settings.name)
 }
 
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -6,7 +6,7 @@
 use super::node::{Inner, Node};
 use super::peers;
 use crate::config::Peer;
-use crate::core::fleet::FLEET;
+use crate::core::machine::MACHINE_PREFIX;
 use crate::core::scheduler::{CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState, TICK_INTERVAL};
 
 use crate::core::cost::CostCounters;
@@ -114,9 +114,9 @@
 async fn load(node: &Node) -> Result<(StoredState, u64), KvError> {
     let (live, revision) = node.kv.list(&node.http, LIVE).await?;
     let (bits, _) = node.kv.list(&node.http, BITS).await?;
-    let (fleet, _) = node.kv.list(&node.http, FLEET).await?;
+    let (machines, _) = node.kv.list(&node.http, MACHINE_PREFIX).await?;
     let shares = node.kv.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
-    Ok((StoredState { live, bits, fleet, shares }, revision))
+    Ok((StoredState { live, bits, machines, shares }, revision))
 }
 
 /// Feeds the cluster state something and carries out what follows. Outside the bound of the leader's lease
@@ -346,13 +346,13 @@
             let now = node.now();
             if let Some(scheduler) = &inner.scheduler {
                 peer_heartbeat.counts = scheduler.counts();
-                (peer_heartbeat.silent, machines) = scheduler.silent_machines(now);
+                (peer_heartbeat.suspected, machines) = scheduler.suspected_machines(now);
             }
             inner.take_counts(&peer_heartbeat.counts);
         }
         let answers = peers::ask_all(node, &peer_heartbeat, Millis(800)).await;
         note_forwarding(node, &answers);
-        suspicion = judge(node, &answers, peer_heartbeat.silent.len(), machines, suspicion);
+        suspicion = judge(node, &answers, peer_heartbeat.suspected.len(), machines, suspicion);
         relieve(node, &answers);
         let pause = if suspicion > 0 { Millis(300) } else { Millis(1_000) };
         tokio::time::sleep(pause.to_std()).await;
@@ -385,7 +385,7 @@
 /// Takes in what the peers have said, and names an successor if it is this controller that the workers
 /// can't reach. Once may be chance, as workers that have just lost their leader stray for a moment:
 /// returns how often in a row it looked so.
-fn judge(node: &Node, answers: &[Option<PeerHeartbeatResponse>], silent: usize, all: usize, before: u32) -> u32 {
+fn judge(node: &Node, answers: &[Option<PeerHeartbeatResponse>], suspected: usize, all: usize, before: u32) -> u32 {
     let now = node.now();
     let mut inner = node.lock();
     let Some(scheduler) = &mut inner.scheduler else { return 0 };
@@ -400,12 +400,12 @@
         }
     }
     let Some((1.., name)) = successor else { return 0 };
-    if !scheduler.settled(now) || !should_hand_over(silent, misdirected.len(), all) {
+    if !scheduler.settled(now) || !should_hand_over(suspected, misdirected.len(), all) {
         return 0;
     }
     let name = name.to_string();
-    if before >= 1 || silent * 2 >= all {
-        warn!("handing over: silent={silent} machines={all} successor={name}");
+    if before >= 1 || suspected * 2 >= all {
+        warn!("handing over: silent={suspected} machines={all} successor={name}");
         inner.successor = Some(name);
     }
     before + 1
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -63,7 +63,7 @@
     /// Machines that have reported here while another led, and when.
     misdirected: HashMap<String, Misdirected>,
     /// Machines that the leader has said it doesn't hear from.
-    pub silent: HashSet<String>,
+    pub suspected: HashSet<String>,
     /// The peer that this controller should hand over to.
     pub successor: Option<String>,
     /// Workers' heartbeats on their way to the leader.
@@ -168,7 +168,7 @@
             no_peer_answers: false,
             leader_per_peers: None,
             misdirected: HashMap::new(),
-            silent: HashSet::new(),
+            suspected: HashSet::new(),
             successor: None,
             forwarding: Forwarding::default(),
             bad_messages: RareLog::new(BAD_MESSAGES_INTERVAL),
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -83,9 +83,9 @@
     let now = node.now();
     let mut guard = node.lock();
     let inner = &mut *guard;
-    let misdirected = inner.misdirected_among(&peer_heartbeat.silent, now);
+    let misdirected = inner.misdirected_among(&peer_heartbeat.suspected, now);
     if peer_heartbeat.leading && !peer_heartbeat.hold_on {
-        inner.silent = peer_heartbeat.silent.into_iter().collect();
+        inner.suspected = peer_heartbeat.suspected.into_iter().collect();
         inner.take_counts(&peer_heartbeat.counts);
         inner.forwarding.heard_leader(&peer_heartbeat.from, Term(peer_heartbeat.term), now);
         if !inner.forwarding.is_proven() && inner.leadership.acting(now).is_none() {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -29,7 +29,7 @@
     pub successor: String,
     /// Machines that the leader doesn't hear from: no use sending them to it.
     #[prost(string, repeated, tag = "8")]
-    pub silent: Vec<String>,
+    pub suspected: Vec<String>,
     /// With `hold_on`: the sender has read all changes of live jobs up to this revision.
     #[prost(uint64, tag = "9")]
     pub read_to: u64,
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -37,7 +37,7 @@
         counts: vec![job_count()],
         leading: true,
         successor: "plinth-1".into(),
-        silent: vec!["m-000231".into(), "m-000232".into()],
+        suspected: vec!["m-000231".into(), "m-000232".into()],
         read_to: 9002,
         cancelled: vec!["req-000007".into()],
     };
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use wallstile::config::{LaterLimits, StateLimits};
 use wallstile::core::done_sets::{Layout, parse_key};
-use wallstile::core::fleet::{FLEET, FleetRecord, fleet_key};
 use wallstile::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
+use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
 use wallstile::core::records::{
     BITS, LIVE, LiveRecord, OVER, OverRecord, absent_preconditions, awaits_others, ending_changes, live_key,
     live_precondition, over_key,
@@ -31,13 +31,13 @@
     let keys = json!({
         "live": live_key(&job_id()),
         "over": over_key(&job_id()),
-        "machine": fleet_key(&machine),
+        "machine": machine_key(&machine),
         "leader": LEADER_KEY,
         "founded": INITIALIZED_KEY,
         "heir": SUCCESSOR_KEY,
         "kinds": KINDS_KEY,
         "shares": SHARES_KEY,
-        "prefixes": [LIVE, OVER, BITS, FLEET],
+        "prefixes": [LIVE, OVER, BITS, MACHINE_PREFIX],
     });
     Samples::stored().assert_text("keys", &keys.to_string());
 }
@@ -83,7 +83,7 @@
 
 #[test]
 fn machine_records_are_kept_as_the_samples() {
-    let record = FleetRecord { endpoint: "10.1.0.7:9000".into(), kind: "g8".into(), zone: "a".into(), spot: true };
+    let record = MachineRecord { endpoint: "10.1.0.7:9000".into(), kind: "g8".into(), zone: "a".into(), spot: true };
     Samples::stored().assert_kept("machine", &record);
     Samples::stored().assert_kept("machine_types", &vec![machine_type()]);
 }
