--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -78,7 +78,7 @@
         self.revision += 1;
         let id = JobId::parse(&spec.id).expect("a legal id");
         let record = serde_json::json!(LiveRecord { at: WallTime(self.now), spec, awaits: Vec::new() });
-        self.leader.on_live(&id, &record, Revision(self.revision));
+        self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
     /// Plays one tick, the heartbeats that are due and all that follows. Returns what it took.
--- a/src/core/done_sets.rs
+++ b/src/core/done_sets.rs
@@ -4,7 +4,7 @@
 //! that fits one row is kept as row 0, which every version reads alike. Earlier versions cut larger sets by
 //! the limit that was in force when they ran; their rows are read, and never overwritten.
 
-use super::records::BITS;
+use super::records::BITMAP_PREFIX;
 use super::submissions::MAX_TASKS;
 use crate::config::StateLimits;
 use crate::ids::JobId;
@@ -80,7 +80,7 @@
 
 impl SetRow {
     pub fn key(&self, id: &JobId) -> String {
-        format!("{BITS}{id}/{}", self.number)
+        format!("{BITMAP_PREFIX}{id}/{}", self.number)
     }
 
     /// What is stored under the row's key.
@@ -106,7 +106,7 @@
 
 /// The job and the number of a row, by its key.
 pub fn parse_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, number) = key.strip_prefix(BITS)?.split_once('/')?;
+    let (job, number) = key.strip_prefix(BITMAP_PREFIX)?.split_once('/')?;
     Some((JobId::parse(job)?, number.parse().ok()?))
 }
 
--- a/src/core/pipelines.rs
+++ b/src/core/pipelines.rs
@@ -1,7 +1,7 @@
 //! Which live jobs await which others, as the leader keeps it: what the end of a job means to the jobs
 //! after it, and what a job inherits from them.
 
-use super::records::Ending;
+use super::records::JobOutcome;
 use crate::ids::JobId;
 use crate::wire::Priority;
 use std::collections::{BTreeMap, BTreeSet};
@@ -75,21 +75,21 @@
     }
 
     /// A job has ended. Returns the jobs that need not await it any more.
-    pub fn ended(&mut self, id: &JobId, ending: Ending) -> BTreeSet<JobId> {
+    pub fn ended(&mut self, id: &JobId, outcome: JobOutcome) -> BTreeSet<JobId> {
         let Some(successors) = self.successors.get(id) else { return BTreeSet::new() };
-        match ending {
-            Ending::Unknown => {
+        match outcome {
+            JobOutcome::Unknown => {
                 self.unresolved.insert(*id);
                 BTreeSet::new()
             }
-            Ending::Cancelled => {
+            JobOutcome::Cancelled => {
                 self.unresolved.remove(id);
                 for successor in successors.clone() {
                     self.doom(successor);
                 }
                 BTreeSet::new()
             }
-            Ending::Done(_) => {
+            JobOutcome::Done(_) => {
                 self.unresolved.remove(id);
                 self.successors.remove(id).unwrap_or_default()
             }
--- a/src/core/pipelines/tests.rs
+++ b/src/core/pipelines/tests.rs
@@ -13,22 +13,22 @@
 /// A slow plain model: every job with all it names, and how it ended. All else is worked out anew.
 #[derive(Default)]
 struct Model {
-    jobs: Vec<(BTreeSet<JobId>, Option<Ending>)>,
+    jobs: Vec<(BTreeSet<JobId>, Option<JobOutcome>)>,
 }
 
 impl Model {
-    fn ending(&self, id: &JobId) -> Option<Ending> {
+    fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
         (0..self.jobs.len()).find(|n| super::tests::id(*n as u32) == *id).and_then(|n| self.jobs[n].1)
     }
 
     fn is_doomed(&self, n: usize) -> bool {
-        let cancelled = |a: &JobId| self.ending(a) == Some(Ending::Cancelled);
+        let cancelled = |a: &JobId| self.outcome(a) == Some(JobOutcome::Cancelled);
         let doomed = |a: &JobId| (0..n).any(|m| id(m as u32) == *a && self.is_doomed(m));
         self.jobs[n].1.is_none() && self.jobs[n].0.iter().any(|a| cancelled(a) || doomed(a))
     }
 
     fn may_start(&self, n: usize) -> bool {
-        self.jobs[n].0.iter().all(|a| matches!(self.ending(a), Some(Ending::Done(_))))
+        self.jobs[n].0.iter().all(|a| matches!(self.outcome(a), Some(JobOutcome::Done(_))))
     }
 }
 
@@ -50,16 +50,16 @@
             let over = rng.random_range(0..=n);
             if awaits.contains_key(&id(over)) {
                 let done = model.may_start(over as usize) && rng.random_bool(0.7);
-                let ending = if done { Ending::Done(None) } else { Ending::Cancelled };
-                model.jobs[over as usize].1 = Some(ending);
+                let outcome = if done { JobOutcome::Done(None) } else { JobOutcome::Cancelled };
+                model.jobs[over as usize].1 = Some(outcome);
                 let left = awaits.remove(&id(over)).unwrap();
                 pipelines.remove(&id(over), &left);
-                let first = if rng.random_bool(0.5) { Ending::Unknown } else { ending };
+                let first = if rng.random_bool(0.5) { JobOutcome::Unknown } else { outcome };
                 end(&mut pipelines, &mut awaits, id(over), first);
             }
             for asked in pipelines.next_unresolved(40) {
-                let ending = model.ending(&asked).expect("only jobs that have ended are asked about");
-                end(&mut pipelines, &mut awaits, asked, ending);
+                let outcome = model.outcome(&asked).expect("only jobs that have ended are asked about");
+                end(&mut pipelines, &mut awaits, asked, outcome);
             }
             for n in 0..model.jobs.len() {
                 let Some(left) = awaits.get(&id(n as u32)) else { continue };
@@ -77,8 +77,8 @@
     assert!(started > 1_000 && doomed > 1_000, "started={started} doomed={doomed}");
 }
 
-fn end(pipelines: &mut Pipelines, awaits: &mut BTreeMap<JobId, BTreeSet<JobId>>, over: JobId, ending: Ending) {
-    for released in pipelines.ended(&over, ending) {
+fn end(pipelines: &mut Pipelines, awaits: &mut BTreeMap<JobId, BTreeSet<JobId>>, over: JobId, outcome: JobOutcome) {
+    for released in pipelines.ended(&over, outcome) {
         awaits.get_mut(&released).map(|left| left.remove(&over));
     }
 }
@@ -94,7 +94,7 @@
     pipelines.add(id(3), &ids(&[1, 2]), |_| true);
     pipelines.add(id(4), &ids(&[1, 3]), |_| true);
     pipelines.add(id(5), &ids(&[1, 9]), |_| true);
-    pipelines.ended(&id(9), Ending::Cancelled);
+    pipelines.ended(&id(9), JobOutcome::Cancelled);
     let stages = BTreeMap::from([
         (id(3), stage(Priority::Normal, None, 20.0)),
         (id(4), stage(Priority::High, Some(100.0), 8.0)),
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -7,21 +7,21 @@
 use serde_json::{Value, json};
 
 /// A job that is not over is kept under `live/ID`, one that is over under `over/ID`.
-pub const LIVE: &str = "live/";
-pub const OVER: &str = "over/";
+pub const LIVE_PREFIX: &str = "live/";
+pub const TERMINAL_PREFIX: &str = "over/";
 /// Sets of done tasks: `bits/ID/ROW`.
-pub const BITS: &str = "bits/";
+pub const BITMAP_PREFIX: &str = "bits/";
 
 pub fn live_key(id: &JobId) -> String {
-    format!("{LIVE}{id}")
+    format!("{LIVE_PREFIX}{id}")
 }
-pub fn over_key(id: &JobId) -> String {
-    format!("{OVER}{id}")
+pub fn terminal_key(id: &JobId) -> String {
+    format!("{TERMINAL_PREFIX}{id}")
 }
 
 /// Both keys must be absent for a job to be new.
 pub fn absent_preconditions(id: &JobId) -> Vec<Precondition> {
-    vec![Precondition { key: live_key(id), revision: 0 }, Precondition { key: over_key(id), revision: 0 }]
+    vec![Precondition { key: live_key(id), revision: 0 }, Precondition { key: terminal_key(id), revision: 0 }]
 }
 
 /// Nothing may have become of a live job since this revision of its record.
@@ -30,11 +30,11 @@
 }
 
 /// Changes that the end of a job takes.
-pub const CHANGES_OF_AN_ENDING: usize = 2;
+pub const MUTATIONS_PER_TERMINATION: usize = 2;
 
 /// Moves a job from those that are live to those that are over.
-pub fn ending_changes(id: &JobId, record: &OverRecord) -> [Mutation; CHANGES_OF_AN_ENDING] {
-    [Mutation::delete(live_key(id)), Mutation::put(over_key(id), json!(record))]
+pub fn termination_mutations(id: &JobId, record: &TerminalRecord) -> [Mutation; MUTATIONS_PER_TERMINATION] {
+    [Mutation::delete(live_key(id)), Mutation::put(terminal_key(id), json!(record))]
 }
 
 /// A job that is neither done nor cancelled.
@@ -89,7 +89,7 @@
 
 /// A job that is done or cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct TerminalRecord {
     pub phase: JobPhase,
     pub tasks: u32,
     /// When it was done: the times of jobs that await it count from then. Earlier versions don't say.
@@ -97,30 +97,30 @@
     pub at: Option<WallTime>,
 }
 
-impl OverRecord {
-    pub fn done(tasks: u32, at: WallTime) -> OverRecord {
-        OverRecord { phase: JobPhase::Done, tasks, at: Some(at) }
+impl TerminalRecord {
+    pub fn done(tasks: u32, at: WallTime) -> TerminalRecord {
+        TerminalRecord { phase: JobPhase::Done, tasks, at: Some(at) }
     }
 
-    pub fn cancelled(tasks: u32) -> OverRecord {
-        OverRecord { phase: JobPhase::Aborted, tasks, at: None }
+    pub fn cancelled(tasks: u32) -> TerminalRecord {
+        TerminalRecord { phase: JobPhase::Aborted, tasks, at: None }
     }
 
     pub fn is_done(&self) -> bool {
         self.phase == JobPhase::Done
     }
 
-    pub fn ending(&self) -> Ending {
+    pub fn outcome(&self) -> JobOutcome {
         match self.phase {
-            JobPhase::Done => Ending::Done(self.at),
-            _ => Ending::Cancelled,
+            JobPhase::Done => JobOutcome::Done(self.at),
+            _ => JobOutcome::Cancelled,
         }
     }
 }
 
 /// How a job has ended, as far as this is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
+pub enum JobOutcome {
     Done(Option<WallTime>),
     Cancelled,
     /// It is over, one way or the other.
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -10,7 +10,7 @@
     spec: JobSpec,
 }
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct EarlierOverRecord {
+struct EarlierTerminalRecord {
     phase: JobPhase,
     tasks: u32,
 }
@@ -46,10 +46,13 @@
 
 #[test]
 fn endings_are_read_by_all_versions() {
-    for record in [OverRecord::done(3, WallTime(9)), OverRecord::cancelled(3)] {
-        let earlier = EarlierOverRecord { phase: record.phase, tasks: 3 };
-        assert_eq!(read::<EarlierOverRecord>(&json!(record)).as_ref(), Some(&earlier));
-        assert_eq!(read::<OverRecord>(&json!(earlier)).map(|r| r.phase), Some(record.phase));
+    for record in [TerminalRecord::done(3, WallTime(9)), TerminalRecord::cancelled(3)] {
+        let earlier = EarlierTerminalRecord { phase: record.phase, tasks: 3 };
+        assert_eq!(read::<EarlierTerminalRecord>(&json!(record)).as_ref(), Some(&earlier));
+        assert_eq!(read::<TerminalRecord>(&json!(earlier)).map(|r| r.phase), Some(record.phase));
     }
-    assert_eq!(read::<OverRecord>(&json!({"phase": "done", "tasks": 1})).unwrap().ending(), Ending::Done(None));
+    assert_eq!(
+        read::<TerminalRecord>(&json!({"phase": "done", "tasks": 1})).unwrap().outcome(),
+        JobOutcome::Done(None)
+    );
 }
--- a/src/core/scheduler/awaited.rs
+++ b/src/core/scheduler/awaited.rs
@@ -11,11 +11,11 @@
 
 impl Scheduler {
     /// What the end of a job means to those that await it.
-    pub(super) fn settle_successors(&mut self, id: &JobId, ending: Ending) {
-        for successor in self.pipelines.ended(id, ending) {
+    pub(super) fn settle_successors(&mut self, id: &JobId, outcome: JobOutcome) {
+        for successor in self.pipelines.ended(id, outcome) {
             let Some(job) = self.jobs.get_mut(&successor) else { continue };
             job.awaits.remove(id);
-            if let Ending::Done(Some(at)) = ending {
+            if let JobOutcome::Done(Some(at)) = outcome {
                 job.startable_at = job.startable_at.max(at);
             }
             self.dirty = true;
@@ -35,13 +35,13 @@
     }
 
     /// What the state service holds of jobs that were to be looked up; those that aren't over are left out.
-    pub fn on_looked_up(&mut self, now: MonotonicTime, endings: &[(JobId, Ending)]) {
+    pub fn on_looked_up(&mut self, now: MonotonicTime, outcomes: &[(JobId, JobOutcome)]) {
         self.looking_up = false;
-        if endings.is_empty() {
+        if outcomes.is_empty() {
             self.look_up_at = now + LOOK_UP_AGAIN;
         }
-        for (id, ending) in endings {
-            self.on_over(id, *ending);
+        for (id, outcome) in outcomes {
+            self.on_job_terminated(id, *outcome);
         }
     }
 
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -31,7 +31,8 @@
 use crate::core::miser;
 use crate::core::pipelines::{Pipelines, Stage};
 use crate::core::records::{
-    CHANGES_OF_AN_ENDING, Ending, LIVE, LiveRecord, OverRecord, ending_changes, live_key, live_precondition,
+    JobOutcome, LIVE_PREFIX, LiveRecord, MUTATIONS_PER_TERMINATION, TerminalRecord, live_key, live_precondition,
+    termination_mutations,
 };
 use crate::core::rentals::{Market, Rentals, Request};
 use crate::core::shares::{SHARES_KEY, Shares};
@@ -52,7 +53,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-const MAX_OVER: usize = 1024;
+const MAX_RECENTLY_TERMINATED: usize = 1024;
 /// What the leader takes of the state service's rate of changes.
 const SHARE_OF_WRITES: f64 = 0.6;
 
@@ -153,7 +154,7 @@
     looking_up: bool,
     look_up_at: MonotonicTime,
     /// The latest jobs that are over.
-    over: VecDeque<JobId>,
+    recently_terminated: VecDeque<JobId>,
     machines: BTreeMap<MachineId, Machine>,
     /// Returned for good; late heartbeats of theirs mean nothing.
     terminated: BTreeSet<MachineId>,
@@ -336,7 +337,7 @@
             pipelines: Pipelines::default(),
             looking_up: false,
             look_up_at: now,
-            over: VecDeque::new(),
+            recently_terminated: VecDeque::new(),
             machines: BTreeMap::new(),
             terminated: BTreeSet::new(),
             never_heard: BTreeMap::new(),
@@ -478,8 +479,8 @@
     }
 
     fn load_job(&mut self, row: KeyValue) {
-        match row.key.strip_prefix(LIVE).and_then(JobId::parse) {
-            Some(id) => self.on_live(&id, &row.value, Revision(row.revision)),
+        match row.key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) {
+            Some(id) => self.on_job_accepted(&id, &row.value, Revision(row.revision)),
             None => warn!("state: key {} is no job", row.key),
         }
     }
@@ -525,9 +526,9 @@
     // ---- jobs
 
     /// A job was accepted (or seen again).
-    pub fn on_live(&mut self, id: &JobId, value: &Value, revision: Revision) {
+    pub fn on_job_accepted(&mut self, id: &JobId, value: &Value, revision: Revision) {
         // The watch may tell of a job's start after its end came by another way.
-        if self.jobs.contains_key(id) || self.over.contains(id) {
+        if self.jobs.contains_key(id) || self.recently_terminated.contains(id) {
             return;
         }
         let record = match serde_json::from_value::<LiveRecord>(value.clone()) {
@@ -552,30 +553,30 @@
     }
 
     /// The watch has missed changes: what is no longer listed is over.
-    pub fn reload_live(&mut self, rows: Vec<KeyValue>, revision: u64) {
+    pub fn resync_live_jobs(&mut self, rows: Vec<KeyValue>, revision: u64) {
         let mut listed = BTreeSet::new();
         for row in rows {
-            if let Some(id) = row.key.strip_prefix(LIVE).and_then(JobId::parse) {
-                self.on_live(&id, &row.value, Revision(row.revision));
+            if let Some(id) = row.key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) {
+                self.on_job_accepted(&id, &row.value, Revision(row.revision));
                 listed.insert(id);
             }
         }
         let gone = |(id, j): &(&JobId, &Job)| !listed.contains(*id) && j.revision.0 <= revision;
         let over: Vec<JobId> = self.jobs.iter().filter(gone).map(|(id, _)| *id).collect();
         for id in over {
-            self.on_over(&id, Ending::Unknown);
+            self.on_job_terminated(&id, JobOutcome::Unknown);
         }
     }
 
     /// The job is over: done, or cancelled by its user. Whatever of it is on machines must go.
-    pub fn on_over(&mut self, id: &JobId, ending: Ending) {
-        if !self.over.contains(id) {
-            self.over.push_back(*id);
-            if self.over.len() > MAX_OVER {
-                self.over.pop_front();
+    pub fn on_job_terminated(&mut self, id: &JobId, outcome: JobOutcome) {
+        if !self.recently_terminated.contains(id) {
+            self.recently_terminated.push_back(*id);
+            if self.recently_terminated.len() > MAX_RECENTLY_TERMINATED {
+                self.recently_terminated.pop_front();
             }
         }
-        self.settle_successors(id, ending);
+        self.settle_successors(id, outcome);
         let Some(job) = self.jobs.remove(id) else { return };
         self.dirty = true;
         self.pipelines.remove(id, &job.awaits);
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -10,7 +10,7 @@
 use super::planner_view::deal;
 use super::*;
 use crate::config::sample_settings;
-use crate::core::records::{BITS, OVER, over_key};
+use crate::core::records::{BITMAP_PREFIX, TERMINAL_PREFIX, terminal_key};
 use crate::ids::{AgentEpoch, LeaseId, SequenceNumber};
 use crate::wire::JobSpec;
 use serde_json::json;
@@ -139,7 +139,7 @@
         let awaits = awaits.to_vec();
         let id = JobId::parse(&s.id).unwrap();
         let record = json!(LiveRecord { at: WallTime(self.now), spec: s, awaits });
-        self.leader.on_live(&id, &record, Revision(revision));
+        self.leader.on_job_accepted(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
     }
@@ -150,9 +150,9 @@
     }
 
     /// How the state service says that a job has ended.
-    fn ending(&self, id: &JobId) -> Option<Ending> {
-        let (record, _) = self.store.get(&over_key(id))?;
-        Some(serde_json::from_value::<OverRecord>(record.clone()).unwrap().ending())
+    fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
+        let (record, _) = self.store.get(&terminal_key(id))?;
+        Some(serde_json::from_value::<TerminalRecord>(record.clone()).unwrap().outcome())
     }
 
     fn commit(&mut self, transaction: Transaction) {
@@ -176,7 +176,12 @@
             let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
             of.map(|(k, v)| KeyValue { key: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
         };
-        let stored = StoredState { live: rows(LIVE), bits: rows(BITS), machines: rows(MACHINE_PREFIX), shares: None };
+        let stored = StoredState {
+            live: rows(LIVE_PREFIX),
+            bits: rows(BITMAP_PREFIX),
+            machines: rows(MACHINE_PREFIX),
+            shares: None,
+        };
         self.leader =
             Scheduler::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
         self.leader.load(MonotonicTime(self.now), stored);
@@ -271,8 +276,8 @@
                         self.leader.on_returned(now, &ids, !self.cloud_down);
                     }
                     Effect::LookUp(ids) => {
-                        let endings: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.ending(id)?))).collect();
-                        self.leader.on_looked_up(now, &endings);
+                        let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
+                        self.leader.on_looked_up(now, &outcomes);
                     }
                     Effect::Plan { .. } => {}
                 }
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -117,7 +117,7 @@
     /// None: returned, or gone after a notice.
     workers: Vec<Option<SimulatedWorker>>,
     services: BTreeSet<JobId>,
-    endings: BTreeMap<JobId, Ending>,
+    outcomes: BTreeMap<JobId, JobOutcome>,
     given: Given,
     digest: Digest,
 }
@@ -137,7 +137,7 @@
             revision: TERM.0,
             workers: workers.into_iter().map(Some).collect(),
             services: BTreeSet::new(),
-            endings: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             given: Given::default(),
             digest: Digest::new(),
         }
@@ -187,20 +187,20 @@
             self.services.insert(id);
         }
         self.revision += 1;
-        let awaits = FixedFleet::awaited(number).into_iter().filter(|id| !self.endings.contains_key(id)).collect();
+        let awaits = FixedFleet::awaited(number).into_iter().filter(|id| !self.outcomes.contains_key(id)).collect();
         let record = json!(LiveRecord { at: WallTime(self.now), spec, awaits });
-        self.leader.on_live(&id, &record, Revision(self.revision));
+        self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
     /// The watch tells of a cancellation; of each second one it doesn't say how the job has ended.
     fn cancel(&mut self, number: u64) {
         let id = JobId::parse(&format!("req-{number:06}")).unwrap();
-        if self.endings.contains_key(&id) {
+        if self.outcomes.contains_key(&id) {
             return;
         }
-        self.endings.insert(id, Ending::Cancelled);
+        self.outcomes.insert(id, JobOutcome::Cancelled);
         let known = number.is_multiple_of(2);
-        self.leader.on_over(&id, if known { Ending::Cancelled } else { Ending::Unknown });
+        self.leader.on_job_terminated(&id, if known { JobOutcome::Cancelled } else { JobOutcome::Unknown });
     }
 
     fn users(&mut self) {
@@ -324,8 +324,8 @@
                 self.leader.on_returned(now, &ids, true);
             }
             Effect::LookUp(ids) => {
-                let endings: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.endings.get(id)?))).collect();
-                self.leader.on_looked_up(now, &endings);
+                let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.outcomes.get(id)?))).collect();
+                self.leader.on_looked_up(now, &outcomes);
             }
             Effect::Plan { node, input } => self.plan(&node, &input),
         }
@@ -357,10 +357,10 @@
         };
         for change in &transaction.mutations {
             if let Mutation::Put { key: write, value, .. } = change
-                && let Some(id) = write.strip_prefix(OVER).and_then(JobId::parse)
+                && let Some(id) = write.strip_prefix(TERMINAL_PREFIX).and_then(JobId::parse)
             {
-                let record: OverRecord = serde_json::from_value(value.clone()).expect("a record of an ending");
-                self.endings.entry(id).or_insert(record.ending());
+                let record: TerminalRecord = serde_json::from_value(value.clone()).expect("a record of an ending");
+                self.outcomes.entry(id).or_insert(record.outcome());
             }
         }
         answer
@@ -399,7 +399,7 @@
     machines.run();
     let (work, counts) = (machines.leader.cost_counters(), machines.digest.counts());
     println!("digest={:#018x} counts={counts:?} {work}", machines.digest.value());
-    println!("endings={} workers={}", machines.endings.len(), machines.workers.iter().flatten().count());
+    println!("endings={} workers={}", machines.outcomes.len(), machines.workers.iter().flatten().count());
     let expected = CostCounters { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, choices: 83_142 };
     // In the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -27,8 +27,7 @@
     rig.run(4_000);
     let lost = rig.unanswered.take().unwrap();
     assert_eq!(lost.len(), 1, "nothing more is written while an older write may come late");
-    let is_bits =
-        |t: &Transaction| matches!(&t.mutations[0], Mutation::Put { key: write, .. } if write.starts_with(BITS));
+    let is_bits = |t: &Transaction| matches!(&t.mutations[0], Mutation::Put { key: write, .. } if write.starts_with(BITMAP_PREFIX));
     assert!(is_bits(&lost[0]));
     assert!(rig.workers["w0"].tasks.iter().any(TaskStatus::is_done), "kept until it is durable");
     rig.committed.clear();
@@ -69,7 +68,7 @@
     rig.succeed();
     // Cancelled in that spell: what it held on the silent machine counts on.
     rig.cancel(&full);
-    rig.leader.on_over(&full, Ending::Cancelled);
+    rig.leader.on_job_terminated(&full, JobOutcome::Cancelled);
     let term = rig.term.0;
     let next = rig.submit(term + 1, team_a(spec("req-000002", Kind::Array, 5, 8.0)));
     rig.run(8_000);
@@ -180,7 +179,7 @@
     let guard = end.preconditions.iter().find(|g| g.key == live_key(&id)).unwrap();
     assert_eq!(guard.revision, 200);
     rig.cancel(&id);
-    rig.leader.on_over(&id, Ending::Cancelled);
+    rig.leader.on_job_terminated(&id, JobOutcome::Cancelled);
     rig.unanswered = None;
     rig.run(3_000);
     assert!(rig.workers["w0"].tasks.is_empty(), "nothing is kept of it");
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -175,7 +175,7 @@
     rig.mute.clear();
     rig.run(1_000);
     assert!(rig.returned.contains("m-000000"), "given up, but the cloud doesn't say that it is gone");
-    rig.leader.on_over(&id, Ending::Cancelled);
+    rig.leader.on_job_terminated(&id, JobOutcome::Cancelled);
     rig.run(1_000);
     assert_eq!(rig.runs(&id), 0);
 }
@@ -196,7 +196,7 @@
         ordered |= rig.leader.take_effects().iter().any(|a| matches!(a, Effect::Orders { .. }));
     }
     assert!(ordered);
-    rig.leader.on_over(&id, Ending::Cancelled);
+    rig.leader.on_job_terminated(&id, JobOutcome::Cancelled);
     rig.heartbeat("w0");
     assert_eq!(rig.runs(&id), 0);
     // Lost with its answer, the stop is said again in the next.
--- a/src/core/scheduler/tests/pipelines.rs
+++ b/src/core/scheduler/tests/pipelines.rs
@@ -28,8 +28,8 @@
 /// A user cancels a job, durably. The leader is told by the watch, which says no more than that it is over.
 fn cancel_and_watch(rig: &mut Rig, id: &JobId) {
     rig.cancel(id);
-    rig.store.insert(over_key(id), (json!(OverRecord::cancelled(1)), 300));
-    rig.leader.on_over(id, Ending::Unknown);
+    rig.store.insert(terminal_key(id), (json!(TerminalRecord::cancelled(1)), 300));
+    rig.leader.on_job_terminated(id, JobOutcome::Unknown);
 }
 
 #[test]
@@ -47,7 +47,7 @@
     assert_eq!(rig.runs(&last), 0);
     rig.unanswered = None;
     rig.run(3_000);
-    assert!(matches!(rig.ending(&first), Some(Ending::Done(Some(_)))));
+    assert!(matches!(rig.outcome(&first), Some(JobOutcome::Done(Some(_)))));
     assert_eq!(rig.runs(&last), 2);
 }
 
@@ -64,7 +64,7 @@
     rig.run(3_000);
     assert_eq!(rig.runs(&last), 2);
     finish_all(&mut rig);
-    assert!(matches!(rig.ending(&last), Some(Ending::Done(_))));
+    assert!(matches!(rig.outcome(&last), Some(JobOutcome::Done(_))));
 }
 
 #[test]
@@ -79,13 +79,13 @@
     let late = rig.submit_after(211, array(10, 1), &[after[0]]);
     rig.run(5_000);
     for id in [last, late].iter().chain(&after) {
-        assert_eq!((rig.ending(id), rig.runs(id)), (Some(Ending::Cancelled), 0), "{id}");
+        assert_eq!((rig.outcome(id), rig.runs(id)), (Some(JobOutcome::Cancelled), 0), "{id}");
     }
     assert!(
         rig.committed.iter().all(|transaction| transaction.mutations.len() <= sample_settings().cluster.state.txn_ops)
     );
     finish_all(&mut rig);
-    assert_eq!((rig.ending(&unhurt), rig.runs(&unhurt)), (None, 1));
+    assert_eq!((rig.outcome(&unhurt), rig.runs(&unhurt)), (None, 1));
 }
 
 #[test]
@@ -94,10 +94,10 @@
     let [first, second, last] = chain(&mut rig);
     // Another leader's end of the job, of which the watch says only that it is over.
     rig.cancel(&first);
-    rig.store.insert(over_key(&first), (json!({"phase": "done", "tasks": 1}), 300));
-    rig.leader.on_over(&first, Ending::Unknown);
+    rig.store.insert(terminal_key(&first), (json!({"phase": "done", "tasks": 1}), 300));
+    rig.leader.on_job_terminated(&first, JobOutcome::Unknown);
     rig.run(1_000);
-    assert_eq!((rig.ending(&last), rig.runs(&second)), (None, 1));
+    assert_eq!((rig.outcome(&last), rig.runs(&second)), (None, 1));
     finish_all(&mut rig);
     assert_eq!(rig.runs(&last), 2);
 }
@@ -154,10 +154,10 @@
     let mut rig = Rig::new(2);
     let [first, second, last] = chain(&mut rig);
     rig.cancel(&first);
-    rig.store.insert(over_key(&first), (json!(OverRecord::cancelled(1)), 300));
-    let rows = rig.store.iter().filter(|(key, _)| key.starts_with(LIVE));
+    rig.store.insert(terminal_key(&first), (json!(TerminalRecord::cancelled(1)), 300));
+    let rows = rig.store.iter().filter(|(key, _)| key.starts_with(LIVE_PREFIX));
     let rows = rows.map(|(key, v)| KeyValue { key: key.clone(), value: v.0.clone(), revision: v.1 }).collect();
-    rig.leader.reload_live(rows, 400);
+    rig.leader.resync_live_jobs(rows, 400);
     rig.run(2_000);
-    assert_eq!((rig.ending(&last), rig.ending(&second)), (Some(Ending::Cancelled), None));
+    assert_eq!((rig.outcome(&last), rig.outcome(&second)), (Some(JobOutcome::Cancelled), None));
 }
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -88,14 +88,14 @@
         if self.tokens < 1.0 || under_way {
             return;
         }
-        let most = (self.p.txn_ops / CHANGES_OF_AN_ENDING).max(1);
+        let most = (self.p.txn_ops / MUTATIONS_PER_TERMINATION).max(1);
         let doomed = self.pipelines.doomed().filter_map(|id| Some((*id, self.jobs.get(id)?)));
         let mut preconditions = vec![self.fence_precondition()];
         let mut mutations = Vec::new();
         let mut ids = Vec::new();
         for (id, job) in doomed.take(most) {
             preconditions.push(live_precondition(&id, job.revision));
-            mutations.extend(ending_changes(&id, &OverRecord::cancelled(job.spec.tasks)));
+            mutations.extend(termination_mutations(&id, &TerminalRecord::cancelled(job.spec.tasks)));
             ids.push(id);
         }
         if !ids.is_empty() {
@@ -116,7 +116,7 @@
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.finishing = true;
             let preconditions = vec![guard, live_precondition(&id, job.revision)];
-            let mutations = ending_changes(&id, &OverRecord::done(job.spec.tasks, wall)).into();
+            let mutations = termination_mutations(&id, &TerminalRecord::done(job.spec.tasks, wall)).into();
             self.commit(Purpose::Finish(id, wall), Transaction { preconditions, mutations });
         }
     }
@@ -252,7 +252,7 @@
             Purpose::Finish(id, at) => match result {
                 CommitOutcome::Committed => {
                     info!("job {id} is done");
-                    self.on_over(&id, Ending::Done(Some(at)));
+                    self.on_job_terminated(&id, JobOutcome::Done(Some(at)));
                 }
                 // The job's key has changed: cancelled, or an earlier try was carried out. The
                 // watch says which; until then nothing of it is started, as all is done.
@@ -267,13 +267,13 @@
                 CommitOutcome::Committed => {
                     for id in ids {
                         info!("job {id} is cancelled with one that it needs");
-                        self.on_over(&id, Ending::Cancelled);
+                        self.on_job_terminated(&id, JobOutcome::Cancelled);
                     }
                 }
                 // It is over already: the watch says so, late perhaps, and says no more than that.
                 CommitOutcome::Conflict(failed) => {
                     let over = ids.iter().filter(|id| failed.contains(&live_key(id)));
-                    over.for_each(|id| self.on_over(id, Ending::Unknown));
+                    over.for_each(|id| self.on_job_terminated(id, JobOutcome::Unknown));
                 }
                 _ => {}
             },
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -4,7 +4,7 @@
 
 impl Simulation {
     pub(super) fn check_over(&self, id: &JobId) {
-        let record: OverRecord = serde_json::from_value(self.store[&over_key(id)].0.clone()).unwrap();
+        let record: TerminalRecord = serde_json::from_value(self.store[&terminal_key(id)].0.clone()).unwrap();
         if record.phase == JobPhase::Done {
             for index in 0..self.specs[id].tasks {
                 let t = TaskId { job: *id, index };
@@ -29,7 +29,7 @@
                 continue;
             }
             let mut set = FixedBitSet::with_capacity(self.specs[&task.job].tasks as usize);
-            for row in self.rows(&format!("{BITS}{}/", task.job)) {
+            for row in self.rows(&format!("{BITMAP_PREFIX}{}/", task.job)) {
                 let (_, number) = parse_key(&row.key).expect("a key of a done set");
                 assert!(layout.read(&mut set, number, &row.value));
             }
@@ -49,7 +49,7 @@
             assert!(now - at < 30_000, "ran_cancelled: {task} starts");
         }
         for awaited in &self.awaits[&task.job] {
-            let done = matches!(self.ending(awaited), Some(Ending::Done(_)));
+            let done = matches!(self.outcome(awaited), Some(JobOutcome::Done(_)));
             assert!(done, "too_early: {task} starts before {awaited} is done at {now}");
         }
         let team = self.settings.cluster.teams.iter().find(|x| x.name == spec.team).unwrap();
@@ -93,7 +93,7 @@
 
     /// Arrays and gangs that are neither done nor cancelled.
     pub fn unfinished(&self) -> Vec<String> {
-        let live = self.store.keys().filter_map(|k| k.strip_prefix(LIVE).and_then(JobId::parse));
+        let live = self.store.keys().filter_map(|k| k.strip_prefix(LIVE_PREFIX).and_then(JobId::parse));
         live.filter(|id| self.specs[id].kind != Kind::Service).map(|id| id.to_string()).collect()
     }
 }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -13,7 +13,9 @@
 use super::leadership::{LEADER_KEY, LeaderRecord};
 use super::machine::MACHINE_PREFIX;
 use super::miser;
-use super::records::{BITS, Ending, LIVE, LiveRecord, OVER, OverRecord, live_key, over_key};
+use super::records::{
+    BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
+};
 use super::scheduler::{CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState};
 use crate::config::{Settings, Tuning, sample_settings};
 use crate::ids::{AgentEpoch, Attempt, FencingToken, JobId, LeaseId, Revision, SequenceNumber, TaskId, Term};
@@ -130,7 +132,7 @@
     },
     LookedUp {
         leader: u64,
-        endings: Vec<(JobId, Ending)>,
+        outcomes: Vec<(JobId, JobOutcome)>,
     },
     Watch {
         leader: u64,
@@ -276,10 +278,10 @@
                     self.store.remove(key);
                 }
             }
-            if let Some(id) = key.strip_prefix(OVER).and_then(JobId::parse) {
+            if let Some(id) = key.strip_prefix(TERMINAL_PREFIX).and_then(JobId::parse) {
                 self.check_over(&id);
             }
-            if key.starts_with(LIVE) {
+            if key.starts_with(LIVE_PREFIX) {
                 let (leader, value) = (self.leader_no, value.map(|v| (v, self.epoch)));
                 let delay = self.rng.random_range(1..200);
                 self.post(delay, Mail::Watch { leader, key: key.clone(), value });
@@ -312,8 +314,8 @@
             MonotonicTime(self.now),
         );
         let stored = StoredState {
-            live: self.rows(LIVE),
-            bits: self.rows(BITS),
+            live: self.rows(LIVE_PREFIX),
+            bits: self.rows(BITMAP_PREFIX),
             machines: self.rows(MACHINE_PREFIX),
             shares: None,
         };
@@ -376,10 +378,10 @@
                 }
                 Effect::LookUp(ids) => {
                     let lost = self.lost();
-                    let endings = ids.iter().filter_map(|id| Some((*id, self.ending(id)?))).filter(|_| !lost);
-                    let endings = endings.collect();
+                    let outcomes = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).filter(|_| !lost);
+                    let outcomes = outcomes.collect();
                     let delay = self.rng.random_range(5..1_400);
-                    self.post(delay, Mail::LookedUp { leader, endings });
+                    self.post(delay, Mail::LookedUp { leader, outcomes });
                 }
                 Effect::Rent(r) => {
                     let result = if self.lost() { RentResult::Unknown } else { self.rent(&r) };
@@ -454,12 +456,12 @@
         self.specs.insert(id, spec.clone());
         let named = if self.chance(self.pipelines) { self.named_by_new_job(id) } else { Vec::new() };
         self.awaits.insert(id, named.clone());
-        if named.iter().any(|named| self.ending(named) == Some(Ending::Cancelled)) {
+        if named.iter().any(|named| self.outcome(named) == Some(JobOutcome::Cancelled)) {
             self.epoch += 1;
-            self.store.insert(over_key(&id), (json!(OverRecord::cancelled(spec.tasks)), self.epoch));
+            self.store.insert(terminal_key(&id), (json!(TerminalRecord::cancelled(spec.tasks)), self.epoch));
             return;
         }
-        let awaits = named.into_iter().filter(|named| self.ending(named).is_none()).collect();
+        let awaits = named.into_iter().filter(|named| self.outcome(named).is_none()).collect();
         let record = json!(LiveRecord { at: WallTime(self.now), spec, awaits });
         self.epoch += 1;
         self.store.insert(live_key(&id), (record.clone(), self.epoch));
@@ -470,10 +472,10 @@
 
     fn cancel(&mut self, id: &JobId) {
         let Some((_, _)) = self.store.get(&live_key(id)) else { return };
-        let over = OverRecord::cancelled(self.specs[id].tasks);
+        let over = TerminalRecord::cancelled(self.specs[id].tasks);
         let revision = self.store[&live_key(id)].1;
         let preconditions = vec![crate::wire::Precondition { key: live_key(id), revision }];
-        let mutations = vec![Mutation::delete(live_key(id)), Mutation::put(over_key(id), json!(over))];
+        let mutations = vec![Mutation::delete(live_key(id)), Mutation::put(terminal_key(id), json!(over))];
         let cancelled_before = self.cancelled.insert(*id, self.now);
         if self.commit(&Transaction { preconditions, mutations }) != CommitOutcome::Committed {
             match cancelled_before {
@@ -492,9 +494,9 @@
     }
 
     /// How a job has ended; none: it hasn't.
-    fn ending(&self, id: &JobId) -> Option<Ending> {
-        let (value, _) = self.store.get(&over_key(id))?;
-        serde_json::from_value::<OverRecord>(value.clone()).ok().map(|record| record.ending())
+    fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
+        let (value, _) = self.store.get(&terminal_key(id))?;
+        serde_json::from_value::<TerminalRecord>(value.clone()).ok().map(|record| record.outcome())
     }
 
     // ---- the world
@@ -638,18 +640,19 @@
                     l.on_plan(now, &node, plan);
                 }
             }
-            Mail::LookedUp { leader, endings } if leader == current => {
+            Mail::LookedUp { leader, outcomes } if leader == current => {
                 if let Some(l) = &mut self.leader {
-                    l.on_looked_up(now, &endings);
+                    l.on_looked_up(now, &outcomes);
                 }
             }
             Mail::Watch { leader, key, value } if leader == current => {
-                let (Some(l), Some(id)) = (&mut self.leader, key.strip_prefix(LIVE).and_then(JobId::parse)) else {
+                let (Some(l), Some(id)) = (&mut self.leader, key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse))
+                else {
                     return;
                 };
                 match value {
-                    Some((v, revision)) => l.on_live(&id, &v, Revision(revision)),
-                    None => l.on_over(&id, Ending::Unknown),
+                    Some((v, revision)) => l.on_job_accepted(&id, &v, Revision(revision)),
+                    None => l.on_job_terminated(&id, JobOutcome::Unknown),
                 }
             }
             _ => {}
--- a/src/net/ancestors.rs
+++ b/src/net/ancestors.rs
@@ -74,8 +74,8 @@
     Box::pin(async move {
         let at = node.now();
         Ok(match read(node, &id).await? {
-            Found::Over(record) if record.is_done() => Checked { standing: Standing::Done, at },
-            Found::Over(_) => Checked { standing: Standing::Cancelled, at },
+            Found::Terminal(record) if record.is_done() => Checked { standing: Standing::Done, at },
+            Found::Terminal(_) => Checked { standing: Standing::Cancelled, at },
             Found::Absent => Checked { standing: Standing::Absent, at },
             Found::Live(row) => check_live(node, id, &row, steps).await?,
         })
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -5,7 +5,7 @@
 use super::node::{Inner, Node};
 use super::peers;
 use crate::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_KEY, YIELD};
-use crate::core::records::Ending;
+use crate::core::records::JobOutcome;
 use crate::ids::{Revision, Term};
 use crate::peer::PeerHeartbeatResponse;
 use crate::time::Millis;
@@ -252,7 +252,7 @@
     record_peer_answers(&mut inner, &answers);
     let Some(scheduler) = &mut inner.scheduler else { return false };
     for (_, cancelled) in promises.iter().flatten() {
-        cancelled.iter().for_each(|id| scheduler.on_over(id, Ending::Cancelled));
+        cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
     }
     // Without peers there is nobody to promise.
     let shortest = promises.iter().map(|p| p.as_ref().map_or(Millis(0), |p| p.0)).min().unwrap_or_default();
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -11,7 +11,7 @@
 
 use crate::core::cost::CostCounters;
 use crate::core::leadership::{LEADER_KEY, LeaderRecord, should_hand_over};
-use crate::core::records::{BITS, Ending, LIVE};
+use crate::core::records::{BITMAP_PREFIX, JobOutcome, LIVE_PREFIX};
 use crate::core::shares::SHARES_KEY;
 use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::peer::PeerHeartbeatResponse;
@@ -112,8 +112,8 @@
 }
 
 async fn load(node: &Node) -> Result<(StoredState, u64), KvError> {
-    let (live, revision) = node.kv.list(&node.http, LIVE).await?;
-    let (bits, _) = node.kv.list(&node.http, BITS).await?;
+    let (live, revision) = node.kv.list(&node.http, LIVE_PREFIX).await?;
+    let (bits, _) = node.kv.list(&node.http, BITMAP_PREFIX).await?;
     let (machines, _) = node.kv.list(&node.http, MACHINE_PREFIX).await?;
     let shares = node.kv.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
     Ok((StoredState { live, bits, machines, shares }, revision))
@@ -201,8 +201,8 @@
             step(&node, InputKind::Plan, |scheduler| scheduler.on_plan(now, &peer, plan));
         }
         Effect::LookUp(ids) => {
-            let endings = lookups::endings(&node, &ids).await;
-            notify_scheduler(&node, |scheduler, now| scheduler.on_looked_up(now, &endings));
+            let outcomes = lookups::outcomes(&node, &ids).await;
+            notify_scheduler(&node, |scheduler, now| scheduler.on_looked_up(now, &outcomes));
             perform_pending(&node);
         }
         Effect::Rent(request) => {
@@ -263,7 +263,7 @@
     let block = Millis(3_000).min(node.settings.read_ttl().mul_f64(0.25));
     while still_leads(node, term) {
         let asked_at = node.now();
-        let log = node.kv.follow(&node.http, LIVE, since, block).await;
+        let log = node.kv.follow(&node.http, LIVE_PREFIX, since, block).await;
         // A watch that stays open says nothing.
         if !matches!(log, Err(KvError::Unknown(_))) {
             node.record_store_result(&log);
@@ -280,22 +280,22 @@
                         WatchEvent::Put { key: write, value, revision } => (write, Some((value, revision))),
                         WatchEvent::Delete { key: drop } => (drop, None),
                     };
-                    let Some(id) = key.strip_prefix(LIVE).and_then(JobId::parse) else { continue };
+                    let Some(id) = key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) else { continue };
                     match value {
-                        Some((value, revision)) => scheduler.on_live(&id, &value, Revision(revision)),
-                        None => scheduler.on_over(&id, Ending::Unknown),
+                        Some((value, revision)) => scheduler.on_job_accepted(&id, &value, Revision(revision)),
+                        None => scheduler.on_job_terminated(&id, JobOutcome::Unknown),
                     }
                 }
             }
             Ok(None) => {
                 let asked_at = node.now();
-                match node.track_store(node.kv.list(&node.http, LIVE)).await {
+                match node.track_store(node.kv.list(&node.http, LIVE_PREFIX)).await {
                     Ok((rows, revision)) => {
                         since = revision;
                         let now = node.now();
                         let mut inner = node.lock();
                         if let Some(scheduler) = &mut inner.scheduler {
-                            scheduler.reload_live(rows, revision);
+                            scheduler.resync_live_jobs(rows, revision);
                             inner.leadership.read(asked_at, now, Revision(revision));
                         }
                     }
--- a/src/net/lookups.rs
+++ b/src/net/lookups.rs
@@ -2,7 +2,7 @@
 
 use super::kv::KvError;
 use super::node::Node;
-use crate::core::records::{Ending, OverRecord, live_key, over_key};
+use crate::core::records::{JobOutcome, TerminalRecord, live_key, terminal_key};
 use crate::ids::{JobId, Revision};
 use crate::time::Millis;
 use crate::wire::{JobPhase, KeyValue};
@@ -10,7 +10,7 @@
 pub enum Found {
     Absent,
     Live(KeyValue),
-    Over(OverRecord),
+    Terminal(TerminalRecord),
 }
 
 /// Users wait 2 s for the answer to a poll.
@@ -32,43 +32,43 @@
 }
 
 pub(super) async fn read(node: &Node, id: &JobId) -> Result<Found, KvError> {
-    let known = node.lock().finals.get(id);
+    let known = node.lock().outcomes.get(id);
     if let Some(record) = known {
-        return Ok(Found::Over(record));
+        return Ok(Found::Terminal(record));
     }
     let live = node.track_store(node.kv.get(&node.http, &live_key(id))).await;
     if let Some(row) = live? {
         return Ok(Found::Live(row));
     }
-    let over = node.track_store(node.kv.get(&node.http, &over_key(id))).await;
+    let over = node.track_store(node.kv.get(&node.http, &terminal_key(id))).await;
     let Some(row) = over? else { return Ok(Found::Absent) };
-    let record: OverRecord = serde_json::from_value(row.value).map_err(|e| KvError::Unknown(e.to_string()))?;
-    note_over(node, id, record, Revision(row.revision));
-    Ok(Found::Over(record))
+    let record: TerminalRecord = serde_json::from_value(row.value).map_err(|e| KvError::Unknown(e.to_string()))?;
+    record_outcome(node, id, record, Revision(row.revision));
+    Ok(Found::Terminal(record))
 }
 
 /// A user is about to be told how a job has ended. A leader must act on what it tells, even where its
 /// watch is late, and a leader that can't read it is told by promise.
-pub fn note_over(node: &Node, id: &JobId, record: OverRecord, revision: Revision) {
+pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut inner = node.lock();
-    inner.finals.put(id, record);
+    inner.outcomes.put(id, record);
     if record.phase == JobPhase::Aborted {
         inner.cancellations.tell(*id, revision);
     }
     if let Some(scheduler) = &mut inner.scheduler {
-        scheduler.on_over(id, record.ending());
+        scheduler.on_job_terminated(id, record.outcome());
     }
 }
 
 /// Those of the jobs that are over, and how they have ended.
-pub async fn endings(node: &Node, ids: &[JobId]) -> Vec<(JobId, Ending)> {
-    let mut endings = Vec::new();
+pub async fn outcomes(node: &Node, ids: &[JobId]) -> Vec<(JobId, JobOutcome)> {
+    let mut outcomes = Vec::new();
     for id in ids {
         match look_up(node, id).await {
-            Ok(Found::Over(record)) => endings.push((*id, record.ending())),
+            Ok(Found::Terminal(record)) => outcomes.push((*id, record.outcome())),
             Ok(Found::Live(_) | Found::Absent) => {}
             Err(_) => break,
         }
     }
-    endings
+    outcomes
 }
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::core::leadership::LeaderRecord;
-use crate::core::records::{Ending, LiveRecord};
+use crate::core::records::{JobOutcome, LiveRecord};
 use crate::core::scheduler::{Scheduler, TICK_INTERVAL};
 use crate::core::submissions::{Submission, parse_submission};
 use crate::ids::JobId;
@@ -20,7 +20,7 @@
     let (id, submission) = parse_submission(job("req-000001", 1).to_string().as_bytes()).unwrap_or_else(|_| panic!());
     let Ok(Submission { spec, .. }) = submission else { panic!("the job is possible") };
     let live = json!(LiveRecord { at: WallTime(0), spec, awaits: Vec::new() });
-    leader.on_live(&id, &live, Revision(1));
+    leader.on_job_accepted(&id, &live, Revision(1));
     node.settings.peers.iter().for_each(|peer| leader.peer_answered(MonotonicTime(0), &peer.name));
     leader.tick(MonotonicTime(0) + TICK_INTERVAL.mul_f64(40.0), WallTime(2_000));
     leader
@@ -36,7 +36,7 @@
     node.lock().scheduler = Some(leader);
     // Not elected, or not any more: nothing is fed, and nothing of the round goes out.
     let answer = leader_loop::step(&node, InputKind::Tick, |leader| {
-        leader.on_over(&JobId::parse("req-000001").unwrap(), Ending::Unknown)
+        leader.on_job_terminated(&JobId::parse("req-000001").unwrap(), JobOutcome::Unknown)
     });
     assert!(answer.is_none());
     assert!(node.lock().scheduler.as_ref().is_some_and(|leader| !leader.has_open_round()));
--- a/src/net/loopback/pipelines.rs
+++ b/src/net/loopback/pipelines.rs
@@ -1,7 +1,7 @@
 //! What users are told of jobs that await others, while no controller leads.
 
 use super::*;
-use crate::core::records::{OverRecord, live_key, over_key};
+use crate::core::records::{TerminalRecord, live_key, terminal_key};
 use crate::ids::JobId;
 use crate::time::WallTime;
 
@@ -37,7 +37,7 @@
     let mut service = job("req-000002", 1);
     service["shape"] = json!("service");
     assert_eq!(submit(service).await.0, 201);
-    let done = OverRecord::done(1, WallTime(5));
+    let done = TerminalRecord::done(1, WallTime(5));
     world.lock().unwrap().store.insert("over/req-000003".into(), (json!(done), 1));
 
     assert_eq!(submit(after("req-000010", json!(["req-000001", "req-999999"]))).await.0, 422);
@@ -83,7 +83,7 @@
     // No leader cancels the jobs after it, so the controllers do as they are asked.
     let (status, answer) = other.get("/api/jobs/req-000004").await;
     assert_eq!((status, &answer["phase"]), (200, &json!("aborted")));
-    assert_eq!(stored(&world, over_key, "req-000004").unwrap()["phase"], "aborted");
+    assert_eq!(stored(&world, terminal_key, "req-000004").unwrap()["phase"], "aborted");
     assert!(stored(&world, live_key, "req-000004").is_none());
     let (status, answer) = other.post("/api/jobs", after("req-000003", json!(["req-000002"]))).await;
     assert_eq!((status, &answer["phase"]), (200, &json!("aborted")));
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -13,7 +13,7 @@
 use crate::core::cancellations::Cancellations;
 use crate::core::leadership::Leadership;
 use crate::core::overload::Overload;
-use crate::core::records::OverRecord;
+use crate::core::records::TerminalRecord;
 use crate::core::scheduler::Scheduler;
 use crate::ids::JobId;
 use crate::peer::JobCount;
@@ -46,7 +46,7 @@
     /// Who leads, as last read from the state service.
     pub leader_name: Option<String>,
     pub types: Option<Vec<MachineType>>,
-    pub finals: Finals,
+    pub outcomes: OutcomeCache,
     pub cancellations: Cancellations,
     /// Waiting jobs, none of whose awaited jobs was cancelled at that time.
     pub checked_pipelines: CheckedPipelines,
@@ -119,21 +119,21 @@
 }
 
 /// Jobs known to be over. What isn't here is read from the state service.
-pub struct Finals {
-    map: HashMap<JobId, OverRecord>,
+pub struct OutcomeCache {
+    map: HashMap<JobId, TerminalRecord>,
     order: VecDeque<JobId>,
 }
 
-const MAX_FINALS: usize = 20_000;
+const MAX_CACHED_OUTCOMES: usize = 20_000;
 
-impl Finals {
-    pub fn get(&self, id: &JobId) -> Option<OverRecord> {
+impl OutcomeCache {
+    pub fn get(&self, id: &JobId) -> Option<TerminalRecord> {
         self.map.get(id).copied()
     }
-    pub fn put(&mut self, id: &JobId, record: OverRecord) {
+    pub fn put(&mut self, id: &JobId, record: TerminalRecord) {
         if self.map.insert(*id, record).is_none() {
             self.order.push_back(*id);
-            if self.order.len() > MAX_FINALS
+            if self.order.len() > MAX_CACHED_OUTCOMES
                 && let Some(old) = self.order.pop_front()
             {
                 self.map.remove(&old);
@@ -157,7 +157,7 @@
             scheduler: None,
             leader_name: None,
             types: None,
-            finals: Finals { map: HashMap::new(), order: VecDeque::new() },
+            outcomes: OutcomeCache { map: HashMap::new(), order: VecDeque::new() },
             cancellations: Cancellations::default(),
             checked_pipelines: CheckedPipelines::default(),
             counts: HashMap::new(),
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -6,7 +6,7 @@
 use crate::config::Peer;
 use crate::core::cost::CostMeter;
 use crate::core::miser;
-use crate::core::records::Ending;
+use crate::core::records::JobOutcome;
 use crate::ids::{JobId, Revision, Term};
 use crate::peer::{PeerHeartbeat, PeerHeartbeatResponse, PlanInput, PlanOutput, VERSION};
 use crate::time::Millis;
@@ -77,7 +77,7 @@
     let cancelled = jobs(&peer_heartbeat.cancelled)?;
     if !cancelled.is_empty() {
         leader_loop::step(node, InputKind::Result, |scheduler| {
-            cancelled.iter().for_each(|id| scheduler.on_over(id, Ending::Cancelled))
+            cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled))
         });
     }
     let now = node.now();
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -3,16 +3,16 @@
 
 use super::ancestors::{self, Standing};
 use super::kv::KvError;
-use super::lookups::{Found, look_up, note_over};
+use super::lookups::{Found, look_up, record_outcome};
 use super::node::Node;
 use super::peers;
 use crate::core::records::{
-    LiveRecord, OverRecord, absent_preconditions, ending_changes, live_key, live_precondition, over_key,
+    LiveRecord, TerminalRecord, absent_preconditions, live_key, live_precondition, terminal_key, termination_mutations,
 };
 use crate::core::submissions::{Refusal, Submission, check_possible, never_accepted, parse_submission};
 use crate::ids::{JobId, Revision};
 use crate::time::Millis;
-use crate::wire::{JobAnswer, JobPhase, KeyValue, Mutation, Transaction};
+use crate::wire::{JobPhase, JobStatus, KeyValue, Mutation, Transaction};
 use serde_json::json;
 use std::sync::Arc;
 
@@ -25,11 +25,11 @@
 
 impl Reply {
     fn job(status: u16, id: &JobId, phase: JobPhase, done: Option<u32>, running: Option<u32>) -> Reply {
-        let body = json!(JobAnswer { id: &id.to_string(), phase, done, running }).to_string();
+        let body = json!(JobStatus { id: &id.to_string(), phase, done, running }).to_string();
         Reply { status, body, retry_after: None }
     }
 
-    fn over(id: &JobId, r: OverRecord) -> Reply {
+    fn terminal(id: &JobId, r: TerminalRecord) -> Reply {
         let done = (r.phase == JobPhase::Done).then_some(r.tasks);
         Reply::job(200, id, r.phase, done, Some(0))
     }
@@ -98,7 +98,7 @@
 enum Accepted {
     Live(Box<LiveRecord>),
     /// It names a job that is cancelled, and is cancelled with it.
-    Cancelled(OverRecord),
+    Cancelled(TerminalRecord),
 }
 
 pub async fn submit(node: &Arc<Node>, body: &[u8]) -> Reply {
@@ -107,9 +107,9 @@
         Ok(x) => x,
         Err(r) => return Reply::refusal(r),
     };
-    let known = node.lock().finals.get(&id);
+    let known = node.lock().outcomes.get(&id);
     if let Some(r) = known {
-        return Reply::over(&id, r);
+        return Reply::terminal(&id, r);
     }
     let accepted = match submission {
         Ok(submission) => accept(node, submission).await,
@@ -148,7 +148,7 @@
         }
     }
     if is_cancelled {
-        return Ok(Accepted::Cancelled(OverRecord::cancelled(record.spec.tasks)));
+        return Ok(Accepted::Cancelled(TerminalRecord::cancelled(record.spec.tasks)));
     }
     record.awaits = live;
     Ok(Accepted::Live(Box::new(record)))
@@ -158,19 +158,19 @@
 async fn store(node: &Arc<Node>, id: &JobId, accepted: Accepted) -> Reply {
     let (key, value) = match &accepted {
         Accepted::Live(record) => (live_key(id), json!(record)),
-        Accepted::Cancelled(record) => (over_key(id), json!(record)),
+        Accepted::Cancelled(record) => (terminal_key(id), json!(record)),
     };
     let transaction =
         Transaction { preconditions: absent_preconditions(id), mutations: vec![Mutation::put(key, value.clone())] };
     match (commit(node, &transaction).await, accepted) {
         (Ok(Ok(revision)), Accepted::Live(_)) => {
             if let Some(scheduler) = &mut node.lock().scheduler {
-                scheduler.on_live(id, &value, Revision(revision));
+                scheduler.on_job_accepted(id, &value, Revision(revision));
             }
             Reply::job(201, id, JobPhase::Queued, None, None)
         }
         (Ok(Ok(revision)), Accepted::Cancelled(record)) => {
-            note_over(node, id, record, Revision(revision));
+            record_outcome(node, id, record, Revision(revision));
             Reply::job(201, id, record.phase, None, None)
         }
         (Ok(Err(_)), _) => describe(node, id, Reply::later(STORE_UNREACHABLE)).await,
@@ -181,7 +181,7 @@
 /// What the state service says of a job now, or this answer if there is none.
 async fn describe(node: &Arc<Node>, id: &JobId, absent: Reply) -> Reply {
     match look_up(node, id).await {
-        Ok(Found::Over(r)) => Reply::over(id, r),
+        Ok(Found::Terminal(r)) => Reply::terminal(id, r),
         Ok(Found::Live(row)) => describe_live(node, id, row).await,
         Ok(Found::Absent) => absent,
         Err(_) => Reply::later(STORE_UNREACHABLE),
@@ -216,9 +216,9 @@
 
 pub async fn poll(node: &Arc<Node>, id: &str) -> Reply {
     let Some(id) = JobId::parse(id) else { return Reply::error(404, "no such job") };
-    let known = node.lock().finals.get(&id);
+    let known = node.lock().outcomes.get(&id);
     if let Some(r) = known {
-        return Reply::over(&id, r);
+        return Reply::terminal(&id, r);
     }
     let Some(_admission) = Admission::new(node) else { return Reply::later("too many requests under way") };
     describe(node, &id, Reply::error(404, "no such job")).await
@@ -226,14 +226,14 @@
 
 pub async fn withdraw(node: &Arc<Node>, id: &str) -> Reply {
     let Some(id) = JobId::parse(id) else { return Reply::error(404, "no such job") };
-    let known = node.lock().finals.get(&id);
+    let known = node.lock().outcomes.get(&id);
     if let Some(r) = known {
-        return Reply::over(&id, r);
+        return Reply::terminal(&id, r);
     }
     let Some(_admission) = Admission::new(node) else { return Reply::later("too many requests under way") };
     match look_up(node, &id).await {
         Ok(Found::Live(row)) => cancel(node, &id, row).await,
-        Ok(Found::Over(r)) => Reply::over(&id, r),
+        Ok(Found::Terminal(r)) => Reply::terminal(&id, r),
         Ok(Found::Absent) => Reply::error(404, "no such job"),
         Err(_) => Reply::later(STORE_UNREACHABLE),
     }
@@ -250,16 +250,16 @@
         let Ok(live) = serde_json::from_value::<LiveRecord>(row.value) else {
             return Reply::later("the job's record can't be read");
         };
-        let over = OverRecord::cancelled(live.spec.tasks);
+        let over = TerminalRecord::cancelled(live.spec.tasks);
         let transaction = Transaction {
             preconditions: vec![live_precondition(id, Revision(row.revision))],
-            mutations: ending_changes(id, &over).into(),
+            mutations: termination_mutations(id, &over).into(),
         };
         match commit(node, &transaction).await {
             Ok(Ok(revision)) => {
-                note_over(node, id, over, Revision(revision));
+                record_outcome(node, id, over, Revision(revision));
                 peers::tell_leader(node, id);
-                return Reply::over(id, over);
+                return Reply::terminal(id, over);
             }
             // It changed meanwhile: done, or cancelled by another.
             Ok(Err(_)) => {}
@@ -267,7 +267,7 @@
         }
         match look_up(node, id).await {
             Ok(Found::Live(changed)) => row = changed,
-            Ok(Found::Over(r)) => return Reply::over(id, r),
+            Ok(Found::Terminal(r)) => return Reply::terminal(id, r),
             Ok(Found::Absent) => return Reply::error(404, "no such job"),
             Err(_) => break,
         }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -77,7 +77,7 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct JobAnswer<'a> {
+pub struct JobStatus<'a> {
     pub id: &'a str,
     pub phase: JobPhase,
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -10,8 +10,8 @@
 use wallstile::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
 use wallstile::core::records::{
-    BITS, LIVE, LiveRecord, OVER, OverRecord, absent_preconditions, awaits_others, ending_changes, live_key,
-    live_precondition, over_key,
+    BITMAP_PREFIX, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, absent_preconditions, awaits_others,
+    live_key, live_precondition, terminal_key, termination_mutations,
 };
 use wallstile::core::shares::{SHARES_KEY, Shares};
 use wallstile::ids::{LeaseId, MachineId, Revision};
@@ -30,14 +30,14 @@
     let machine = MachineId::parse("m-000231").expect("it is the name of a machine");
     let keys = json!({
         "live": live_key(&job_id()),
-        "over": over_key(&job_id()),
+        "over": terminal_key(&job_id()),
         "machine": machine_key(&machine),
         "leader": LEADER_KEY,
         "founded": INITIALIZED_KEY,
         "heir": SUCCESSOR_KEY,
         "kinds": KINDS_KEY,
         "shares": SHARES_KEY,
-        "prefixes": [LIVE, OVER, BITS, MACHINE_PREFIX],
+        "prefixes": [LIVE_PREFIX, TERMINAL_PREFIX, BITMAP_PREFIX, MACHINE_PREFIX],
     });
     Samples::stored().assert_text("keys", &keys.to_string());
 }
@@ -60,9 +60,9 @@
 fn over_records_are_kept_as_the_samples() {
     let samples = Samples::stored();
     for (name, record) in [
-        ("over_done", OverRecord::done(17, AT)),
-        ("over_cancelled", OverRecord::cancelled(17)),
-        ("over_done_by_an_earlier_version", OverRecord { phase: JobPhase::Done, tasks: 17, at: None }),
+        ("over_done", TerminalRecord::done(17, AT)),
+        ("over_cancelled", TerminalRecord::cancelled(17)),
+        ("over_done_by_an_earlier_version", TerminalRecord { phase: JobPhase::Done, tasks: 17, at: None }),
     ] {
         samples.assert_kept(name, &record);
     }
@@ -73,10 +73,10 @@
     let samples = Samples::stored();
     let begun = Transaction { preconditions: absent_preconditions(&job_id()), mutations: Vec::new() };
     samples.assert_both_ways("guards_of_a_new_job", &begun);
-    let record = OverRecord::done(17, AT);
+    let record = TerminalRecord::done(17, AT);
     let ended = Transaction {
         preconditions: vec![live_precondition(&job_id(), Revision(9001))],
-        mutations: ending_changes(&job_id(), &record).into(),
+        mutations: termination_mutations(&job_id(), &record).into(),
     };
     samples.assert_both_ways("ending_of_a_job", &ended);
 }
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -7,7 +7,7 @@
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber};
 use wallstile::net::users::Reply;
 use wallstile::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobAnswer, JobPhase, KeyValue, Kind, ListPhase, ListedMachine,
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobPhase, JobStatus, KeyValue, Kind, ListPhase, ListedMachine,
     MachineList, MachineNames, MachineType, MachineTypes, Mutation, Order, Precondition, Priority, RangeResponse,
     RentRequest, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
 };
@@ -64,7 +64,7 @@
 
 #[test]
 fn answers_to_users_are_the_samples() {
-    let answer = |done, running| json!(JobAnswer { id: "req-000412", phase: JobPhase::Running, done, running });
+    let answer = |done, running| json!(JobStatus { id: "req-000412", phase: JobPhase::Running, done, running });
     let samples = Samples::wire();
     samples.assert_text("job_answer", &answer(Some(5), Some(9)).to_string());
     samples.assert_text("job_answer_sparse", &answer(None, None).to_string());
