--- a/src/core/done_sets.rs
+++ b/src/core/completion_bitmap.rs
@@ -16,12 +16,12 @@
 
 /// Rows from this number on begin with the task whose index is the row's number less this. Rows of earlier
 /// versions have smaller numbers: each job has at most `MAX_TASKS` tasks, and so fewer rows.
-const FIRST_OF_LARGE_SETS: u32 = MAX_TASKS;
-const LEAST_TASKS: u32 = 64;
+const LARGE_BITMAP_OFFSET: u32 = MAX_TASKS;
+const MIN_TASKS_PER_CHUNK: u32 = 64;
 
 /// How sets are cut into rows.
 #[derive(Clone, Copy, Debug)]
-pub struct Layout {
+pub struct BitmapLayout {
     /// Tasks in a row.
     size: u32,
     /// Tasks in a row of an earlier version.
@@ -30,28 +30,28 @@
 
 /// One row of a job's set.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SetRow {
+pub struct BitmapChunk {
     number: u32,
     tasks: Range<usize>,
 }
 
 /// Tasks in a row, so that its base64 stays well below a value's limit.
-fn tasks_per_row(value_kb: f64) -> u32 {
-    ((value_kb * 1024.0 * 0.5) as u32 * 6).clamp(LEAST_TASKS, MAX_TASKS)
+fn tasks_per_chunk(value_kb: f64) -> u32 {
+    ((value_kb * 1024.0 * 0.5) as u32 * 6).clamp(MIN_TASKS_PER_CHUNK, MAX_TASKS)
 }
 
-impl Layout {
-    pub fn new(limits: &StateLimits) -> Layout {
-        Layout { size: tasks_per_row(limits.lowest().value_kb), earlier_size: tasks_per_row(limits.value_kb) }
+impl BitmapLayout {
+    pub fn new(limits: &StateLimits) -> BitmapLayout {
+        BitmapLayout { size: tasks_per_chunk(limits.lowest().value_kb), earlier_size: tasks_per_chunk(limits.value_kb) }
     }
 
     /// The rows of a job with so many tasks.
-    pub fn rows(&self, tasks: u32) -> Vec<SetRow> {
+    pub fn chunks(&self, tasks: u32) -> Vec<BitmapChunk> {
         if tasks <= self.size {
-            return vec![SetRow { number: 0, tasks: 0..tasks as usize }];
+            return vec![BitmapChunk { number: 0, tasks: 0..tasks as usize }];
         }
-        let row = |first: u32| SetRow {
-            number: FIRST_OF_LARGE_SETS + first,
+        let row = |first: u32| BitmapChunk {
+            number: LARGE_BITMAP_OFFSET + first,
             tasks: first as usize..tasks.min(first + self.size) as usize,
         };
         (0..tasks).step_by(self.size as usize).map(row).collect()
@@ -62,7 +62,7 @@
         let Some(bytes) = value.as_str().and_then(|s| STANDARD.decode(s).ok()) else {
             return false;
         };
-        let first = match number.checked_sub(FIRST_OF_LARGE_SETS) {
+        let first = match number.checked_sub(LARGE_BITMAP_OFFSET) {
             Some(first) => first as usize,
             None => number as usize * self.earlier_size as usize,
         };
@@ -78,7 +78,7 @@
     }
 }
 
-impl SetRow {
+impl BitmapChunk {
     pub fn key(&self, id: &JobId) -> String {
         format!("{BITMAP_PREFIX}{id}/{}", self.number)
     }
--- a/src/core/done_sets/tests.rs
+++ b/src/core/completion_bitmap/tests.rs
@@ -31,10 +31,10 @@
     let set = large_set();
     // Now and once the limit has fallen: what is written fits from the beginning.
     for (layout, most_bytes) in
-        [(Layout::new(&limits(8.0, None)), 8 * 1024), (Layout::new(&limits(8.0, Some(2.0))), 2 * 1024)]
+        [(BitmapLayout::new(&limits(8.0, None)), 8 * 1024), (BitmapLayout::new(&limits(8.0, Some(2.0))), 2 * 1024)]
     {
         let mut back = FixedBitSet::with_capacity(MAX_TASKS as usize);
-        for row in layout.rows(MAX_TASKS) {
+        for row in layout.chunks(MAX_TASKS) {
             let value = row.encode(&set);
             assert!(value.to_string().len() < most_bytes);
             let (_, number) = parse_key(&row.key(&JobId::parse("req-000001").unwrap())).unwrap();
@@ -49,20 +49,20 @@
 fn rows_of_an_earlier_version_are_read_and_not_overwritten() {
     let set = large_set();
     for value_kb in [8.0, 32.0] {
-        let layout = Layout::new(&limits(value_kb, Some(2.0)));
+        let layout = BitmapLayout::new(&limits(value_kb, Some(2.0)));
         let mut back = FixedBitSet::with_capacity(MAX_TASKS as usize);
         let earlier = rows_of_earlier_version(&set, value_kb);
         for (number, value) in earlier.iter().enumerate() {
             assert!(layout.read(&mut back, number as u32, value));
-            assert!(layout.rows(MAX_TASKS).iter().all(|row| row.number != number as u32));
+            assert!(layout.chunks(MAX_TASKS).iter().all(|row| row.number != number as u32));
         }
         assert_eq!(back, set);
     }
     // A set that fits one row is the same in all versions.
     let mut small = FixedBitSet::with_capacity(2_000);
     small.extend([3, 1_999]);
-    let layout = Layout::new(&limits(32.0, Some(2.0)));
-    let rows: Vec<Value> = layout.rows(2_000).iter().map(|row| row.encode(&small)).collect();
+    let layout = BitmapLayout::new(&limits(32.0, Some(2.0)));
+    let rows: Vec<Value> = layout.chunks(2_000).iter().map(|row| row.encode(&small)).collect();
     assert_eq!(rows, rows_of_earlier_version(&small, 32.0));
-    assert!(layout.rows(2_000)[0].key(&JobId::parse("req-000001").unwrap()).ends_with("/0"));
+    assert!(layout.chunks(2_000)[0].key(&JobId::parse("req-000001").unwrap()).ends_with("/0"));
 }
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -32,7 +32,7 @@
     pub inherited: Option<Inherited>,
     pub team: u32,
     pub done: FixedBitSet,
-    pub durable: FixedBitSet,
+    pub durably_done: FixedBitSet,
     pub done_count: u32,
     /// Tasks that are neither done nor possibly on a machine.
     pub ready: BTreeSet<u32>,
@@ -43,7 +43,7 @@
     pub placed: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     pub gang: Option<GangRun>,
     pub finishing: bool,
-    pub bits_in_flight: bool,
+    pub bitmap_write_in_flight: bool,
     pub overspent: f64,
     /// How many tasks have run how long in all.
     pub ran: (u32, f64),
@@ -69,14 +69,14 @@
             inherited: None,
             team,
             done: FixedBitSet::with_capacity(n as usize),
-            durable: FixedBitSet::with_capacity(n as usize),
+            durably_done: FixedBitSet::with_capacity(n as usize),
             done_count: 0,
             ready: (0..n).collect(),
             reclaimed: BTreeSet::new(),
             placed: BTreeMap::new(),
             gang: None,
             finishing: false,
-            bits_in_flight: false,
+            bitmap_write_in_flight: false,
             overspent: 0.0,
             ran: (0, 0.0),
             errors: 0,
@@ -159,8 +159,8 @@
     }
 
     /// Whether the state service holds that the task is done.
-    pub fn is_durable(&self, index: u32) -> bool {
-        self.durable.contains(index as usize)
+    pub fn is_durably_done(&self, index: u32) -> bool {
+        self.durably_done.contains(index as usize)
     }
 
     /// A job that fails on several machines is itself at fault; one that hasn't failed for long may just
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The core: no sockets, no files, no clocks. Inputs in; sends, writes and answers out.
 
 pub mod cancellations;
+pub mod completion_bitmap;
 pub mod cost;
-pub mod done_sets;
 pub mod jobs;
 pub mod leadership;
 pub mod machine;
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -20,8 +20,8 @@
 use self::planner_view::PlannerView;
 use self::reservations::Reservations;
 use crate::config::{Ages, Settings, Team, Tuning, next_goal};
+use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
-use crate::core::done_sets::{self, Layout};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::leadership::{LEADER_KEY, LeaderRecord};
 use crate::core::machine::{
@@ -112,7 +112,7 @@
 
 enum Purpose {
     Machines { registration: Vec<MachineId>, forget: Vec<MachineId> },
-    DoneSets(Vec<(JobId, FixedBitSet)>),
+    CompletionBitmaps(Vec<(JobId, FixedBitSet)>),
     Finish(JobId, WallTime),
     Cancel(Vec<JobId>),
     Shares,
@@ -125,7 +125,7 @@
     txn_ops: usize,
     value_bytes: usize,
     write_rps: f64,
-    layout: Layout,
+    layout: BitmapLayout,
     list_lag: Millis,
 }
 
@@ -168,10 +168,10 @@
     /// Writes under way, each with its guard.
     commits: HashMap<u64, (Purpose, Revision)>,
     forget: BTreeSet<MachineId>,
-    orphaned_sets: Vec<String>,
+    orphaned_bitmaps: Vec<String>,
     tokens: f64,
     tokens_at: MonotonicTime,
-    bits_at: MonotonicTime,
+    bitmaps_written_at: MonotonicTime,
     commit_pause: MonotonicTime,
     dirty: bool,
     round_at: MonotonicTime,
@@ -263,7 +263,7 @@
 #[derive(Default)]
 pub struct StoredState {
     pub live: Vec<KeyValue>,
-    pub bits: Vec<KeyValue>,
+    pub bitmaps: Vec<KeyValue>,
     pub machines: Vec<KeyValue>,
     pub shares: Option<Value>,
 }
@@ -271,12 +271,12 @@
 impl StoredState {
     /// The same in parts of at most so many rows, done sets after all jobs.
     pub fn into_parts(self, rows: usize) -> Vec<StoredState> {
-        let StoredState { live, bits, machines, shares } = self;
+        let StoredState { live, bitmaps, machines, shares } = self;
         let live = in_chunks(live, rows).map(|live| StoredState { live, ..StoredState::default() });
-        let bits = in_chunks(bits, rows).map(|bits| StoredState { bits, ..StoredState::default() });
+        let bitmaps = in_chunks(bitmaps, rows).map(|bitmaps| StoredState { bitmaps, ..StoredState::default() });
         let machines = in_chunks(machines, rows).map(|machines| StoredState { machines, ..StoredState::default() });
         let shares = shares.map(|shares| StoredState { shares: Some(shares), ..StoredState::default() });
-        live.chain(bits).chain(machines).chain(shares).collect()
+        live.chain(bitmaps).chain(machines).chain(shares).collect()
     }
 }
 
@@ -311,7 +311,7 @@
             value_bytes: c.state.value_bytes(),
             // The rest is for submissions and cancellations on all controllers.
             write_rps: limits.write_rps * SHARE_OF_WRITES,
-            layout: Layout::new(&c.state),
+            layout: BitmapLayout::new(&c.state),
             list_lag: Millis::from_secs_f64(c.cloud.list_lag_s),
         };
         let team_names: Vec<String> = c.teams.iter().map(|t| t.name.clone()).collect();
@@ -348,9 +348,9 @@
             orders: HashMap::new(),
             commits: HashMap::new(),
             forget: BTreeSet::new(),
-            orphaned_sets: Vec::new(),
+            orphaned_bitmaps: Vec::new(),
             tokens_at: now,
-            bits_at: now,
+            bitmaps_written_at: now,
             commit_pause: now,
             dirty: true,
             round_at: now,
@@ -460,10 +460,10 @@
     /// Some of what the state service holds; done sets come after their jobs. A row that can't be read is
     /// left alone.
     pub fn load_part(&mut self, now: MonotonicTime, stored: StoredState) {
-        self.cost.add_jobs(stored.live.len() + stored.bits.len());
+        self.cost.add_jobs(stored.live.len() + stored.bitmaps.len());
         self.cost.add_machines(stored.machines.len());
         stored.live.into_iter().for_each(|row| self.load_job(row));
-        stored.bits.into_iter().for_each(|row| self.load_done_set(row));
+        stored.bitmaps.into_iter().for_each(|row| self.load_completion_bitmap(row));
         stored.machines.into_iter().for_each(|row| self.load_machine(now, row));
         if let Some(kept) = stored.shares.and_then(|v| serde_json::from_value(v).ok()) {
             self.shares.restore(&kept, &self.team_names);
@@ -485,16 +485,16 @@
         }
     }
 
-    fn load_done_set(&mut self, row: KeyValue) {
-        let parsed = done_sets::parse_key(&row.key);
+    fn load_completion_bitmap(&mut self, row: KeyValue) {
+        let parsed = completion_bitmap::parse_key(&row.key);
         let Some((job, number)) = parsed.and_then(|(id, number)| Some((self.jobs.get_mut(&id)?, number))) else {
-            self.orphaned_sets.push(row.key);
+            self.orphaned_bitmaps.push(row.key);
             return;
         };
-        if !self.p.layout.read(&mut job.durable, number, &row.value) {
+        if !self.p.layout.read(&mut job.durably_done, number, &row.value) {
             warn!("state: {} can't be read", row.key);
         }
-        let done: Vec<usize> = job.durable.ones().collect();
+        let done: Vec<usize> = job.durably_done.ones().collect();
         for i in done {
             job.set_done(i as u32);
         }
@@ -580,9 +580,9 @@
         let Some(job) = self.jobs.remove(id) else { return };
         self.dirty = true;
         self.pipelines.remove(id, &job.awaits);
-        let rows = self.p.layout.rows(job.spec.tasks);
-        let stored = rows.iter().filter(|row| row.members(&job.durable).next().is_some());
-        self.orphaned_sets.extend(stored.map(|row| row.key(id)));
+        let rows = self.p.layout.chunks(job.spec.tasks);
+        let stored = rows.iter().filter(|row| row.members(&job.durably_done).next().is_some());
+        self.orphaned_bitmaps.extend(stored.map(|row| row.key(id)));
         for (index, machine, attempt) in job.places() {
             if let Some(m) = self.machines.get_mut(machine) {
                 stop_allocation(m, &(TaskId { job: *id, index }, attempt), 0.0);
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -178,7 +178,7 @@
         };
         let stored = StoredState {
             live: rows(LIVE_PREFIX),
-            bits: rows(BITMAP_PREFIX),
+            bitmaps: rows(BITMAP_PREFIX),
             machines: rows(MACHINE_PREFIX),
             shares: None,
         };
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -138,7 +138,7 @@
     };
     let stored = || StoredState { live: (1..8).map(job).collect(), machines: rows(7), ..StoredState::default() };
     let parts = stored().into_parts(3);
-    assert!(parts.iter().all(|p| p.live.len() + p.bits.len() + p.machines.len() <= 3) && parts.len() == 6);
+    assert!(parts.iter().all(|p| p.live.len() + p.bitmaps.len() + p.machines.len() <= 3) && parts.len() == 6);
     let load = |parts: Vec<StoredState>| {
         let mut leader =
             Scheduler::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
--- a/src/core/scheduler/workers.rs
+++ b/src/core/scheduler/workers.rs
@@ -178,7 +178,9 @@
                     s.last_listed = m.heartbeats_applied
                 }
                 // Done, and kept by the worker until that is durable.
-                Some(s) if s.has_exited() && listed.is_done() && job.is_some_and(|j| !j.is_durable(task.index)) => {
+                Some(s)
+                    if s.has_exited() && listed.is_done() && job.is_some_and(|j| !j.is_durably_done(task.index)) =>
+                {
                     s.last_listed = m.heartbeats_applied;
                 }
                 _ => news.push((key, listed)),
@@ -263,11 +265,11 @@
             self.on_task_exited(now, id, key, listed, ran, stopped);
         }
         // The worker may forget it once a done task is durably so; other ends need no keeping.
-        let durable = match self.jobs.get(&task.job) {
-            Some(j) if listed.is_done() => j.is_durable(task.index),
+        let durably_done = match self.jobs.get(&task.job) {
+            Some(j) if listed.is_done() => j.is_durably_done(task.index),
             _ => true,
         };
-        if durable && let Some(m) = self.machines.get_mut(id) {
+        if durably_done && let Some(m) = self.machines.get_mut(id) {
             m.queue_order(Order::Clear { task: *task, attempt: *attempt });
         }
     }
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -33,8 +33,8 @@
         self.write_cancelled_successors();
         self.write_finished(wall);
         // What can wait takes turns.
-        if !self.write_done_sets(now) && !self.write_shares() {
-            self.drop_orphaned_sets();
+        if !self.write_completion_bitmaps(now) && !self.write_shares() {
+            self.delete_orphaned_bitmaps();
         }
     }
 
@@ -123,38 +123,39 @@
 
     /// Keeps which tasks are done, so that workers may forget them: the more jobs, the more seldom. False:
     /// nothing was due.
-    fn write_done_sets(&mut self, now: MonotonicTime) -> bool {
-        let changed = |j: &Job| j.done_count > 0 && !j.all_done() && !j.bits_in_flight && j.durable != j.done;
+    fn write_completion_bitmaps(&mut self, now: MonotonicTime) -> bool {
+        let changed =
+            |j: &Job| j.done_count > 0 && !j.all_done() && !j.bitmap_write_in_flight && j.durably_done != j.done;
         let dirty: Vec<JobId> = self.jobs.iter().filter(|(_, j)| changed(j)).map(|(id, _)| *id).collect();
         let every = Millis::from_secs_f64((dirty.len() as f64 / (self.p.write_rps * 0.4)).max(1.5));
-        if dirty.is_empty() || now - self.bits_at < every || self.tokens < 2.0 {
+        if dirty.is_empty() || now - self.bitmaps_written_at < every || self.tokens < 2.0 {
             return false;
         }
-        self.bits_at = now;
+        self.bitmaps_written_at = now;
         let room = self.p.txn_ops.min(self.tokens as usize);
         let mut mutations = Vec::new();
         let mut which = Vec::new();
         for id in dirty {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let mut rows = self.p.layout.rows(job.spec.tasks);
-            rows.retain(|row| row.differs(&job.done, &job.durable));
+            let mut rows = self.p.layout.chunks(job.spec.tasks);
+            rows.retain(|row| row.differs(&job.done, &job.durably_done));
             if mutations.len() + rows.len() > room && !mutations.is_empty() {
                 break;
             }
             rows.truncate(room);
-            let mut durable = job.durable.clone();
+            let mut durably_done = job.durably_done.clone();
             for row in rows {
-                durable.extend(row.members(&job.done));
+                durably_done.extend(row.members(&job.done));
                 mutations.push(Mutation::put(row.key(&id), row.encode(&job.done)));
             }
-            job.bits_in_flight = true;
-            which.push((id, durable));
+            job.bitmap_write_in_flight = true;
+            which.push((id, durably_done));
             if mutations.len() >= room {
                 break;
             }
         }
         let transaction = Transaction { preconditions: vec![self.fence_precondition()], mutations };
-        self.commit(Purpose::DoneSets(which), transaction);
+        self.commit(Purpose::CompletionBitmaps(which), transaction);
         true
     }
 
@@ -179,12 +180,12 @@
     }
 
     /// Drops what is left of jobs that are over.
-    fn drop_orphaned_sets(&mut self) {
-        if self.orphaned_sets.is_empty() || !self.has_writes_to_spare() {
+    fn delete_orphaned_bitmaps(&mut self) {
+        if self.orphaned_bitmaps.is_empty() || !self.has_writes_to_spare() {
             return;
         }
-        let n = self.orphaned_sets.len().min(self.p.txn_ops).min(4);
-        let keys: Vec<String> = self.orphaned_sets.drain(..n).collect();
+        let n = self.orphaned_bitmaps.len().min(self.p.txn_ops).min(4);
+        let keys: Vec<String> = self.orphaned_bitmaps.drain(..n).collect();
         let mutations = keys.iter().map(Mutation::delete).collect();
         let transaction = Transaction { preconditions: vec![self.fence_precondition()], mutations };
         self.commit(Purpose::Tidy(keys), transaction);
@@ -239,13 +240,13 @@
                     }
                 }
             }
-            Purpose::DoneSets(jobs) => {
+            Purpose::CompletionBitmaps(jobs) => {
                 // Workers are told to forget what is kept now as they list it again.
-                for (id, durable) in jobs {
+                for (id, durably_done) in jobs {
                     let Some(job) = self.jobs.get_mut(&id) else { continue };
-                    job.bits_in_flight = false;
+                    job.bitmap_write_in_flight = false;
                     if ok {
-                        job.durable = durable;
+                        job.durably_done = durably_done;
                     }
                 }
             }
@@ -278,7 +279,7 @@
                 _ => {}
             },
             Purpose::Shares => self.shares_dirty |= !ok,
-            Purpose::Tidy(keys) if !ok => self.orphaned_sets.extend(keys),
+            Purpose::Tidy(keys) if !ok => self.orphaned_bitmaps.extend(keys),
             Purpose::Tidy(_) => {}
         }
     }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -9,7 +9,7 @@
 mod workers;
 
 use self::digest::Digest;
-use super::done_sets::{Layout, parse_key};
+use super::completion_bitmap::{BitmapLayout, parse_key};
 use super::leadership::{LEADER_KEY, LeaderRecord};
 use super::machine::MACHINE_PREFIX;
 use super::miser;
@@ -315,7 +315,7 @@
         );
         let stored = StoredState {
             live: self.rows(LIVE_PREFIX),
-            bits: self.rows(BITMAP_PREFIX),
+            bitmaps: self.rows(BITMAP_PREFIX),
             machines: self.rows(MACHINE_PREFIX),
             shares: None,
         };
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -113,10 +113,10 @@
 
 async fn load(node: &Node) -> Result<(StoredState, u64), KvError> {
     let (live, revision) = node.kv.list(&node.http, LIVE_PREFIX).await?;
-    let (bits, _) = node.kv.list(&node.http, BITMAP_PREFIX).await?;
+    let (bitmaps, _) = node.kv.list(&node.http, BITMAP_PREFIX).await?;
     let (machines, _) = node.kv.list(&node.http, MACHINE_PREFIX).await?;
     let shares = node.kv.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
-    Ok((StoredState { live, bits, machines, shares }, revision))
+    Ok((StoredState { live, bitmaps, machines, shares }, revision))
 }
 
 /// Feeds the cluster state something and carries out what follows. Outside the bound of the leader's lease
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use wallstile::config::{LaterLimits, StateLimits};
-use wallstile::core::done_sets::{Layout, parse_key};
+use wallstile::core::completion_bitmap::{BitmapLayout, parse_key};
 use wallstile::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
 use wallstile::core::records::{
@@ -109,9 +109,9 @@
 }
 
 /// Rows of 150 tasks, which become the limit later; today's rows hold 306.
-fn layout() -> Layout {
+fn layout() -> BitmapLayout {
     let next = LaterLimits { value_kb: Some(0.05), ..LaterLimits::default() };
-    Layout::new(&StateLimits { rps: 100.0, write_rps: 20.0, value_kb: 0.1, txn_ops: 12, next })
+    BitmapLayout::new(&StateLimits { rps: 100.0, write_rps: 20.0, value_kb: 0.1, txn_ops: 12, next })
 }
 
 fn set_of(tasks: usize, done: &[usize]) -> FixedBitSet {
@@ -127,7 +127,7 @@
         [("done_set_small", 20, vec![0, 3, 19]), ("done_set_large", 200, vec![1, 8, 149, 150, 153, 199])]
     {
         let set = set_of(tasks as usize, &done);
-        let rows = layout().rows(tasks);
+        let rows = layout().chunks(tasks);
         let written: BTreeMap<String, Value> = rows.iter().map(|row| (row.key(&job_id()), row.encode(&set))).collect();
         samples.assert_text(name, &json!(written).to_string());
         assert_eq!(read_set(name, tasks as usize), set, "{name}");
