--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -77,7 +77,7 @@
     pub fn submit(&mut self, spec: JobSpec) {
         self.revision += 1;
         let id = JobId::parse(&spec.id).expect("a legal id");
-        let record = serde_json::json!(LiveRecord { at: WallTime(self.now), spec, awaits: Vec::new() });
+        let record = serde_json::json!(LiveRecord { at: WallTime(self.now), spec, depends_on: Vec::new() });
         self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -218,7 +218,7 @@
     }
 
     /// Most seconds until a task of the class should have started, if an aim says so.
-    pub fn start_aim(&self, class: &str, guaranteed: bool) -> Option<f64> {
+    pub fn start_slo_s(&self, class: &str, guaranteed: bool) -> Option<f64> {
         let of = |o: &&Objective| o.kind == "wait" && o.class == class || guaranteed && o.kind == "guarantee";
         self.cluster.objectives.iter().filter(of).map(|o| o.within_s).reduce(f64::min)
     }
@@ -227,16 +227,16 @@
 impl Settings {
     /// In how many seconds a job should end by each of its class's aims. Deadlines count from the
     /// submission, all else from when the job could start.
-    pub fn goals(&self, class: &str, deadline_s: Option<f64>, ages: Ages, run_s: f64) -> Vec<f64> {
+    pub fn slo_deadlines(&self, class: &str, deadline_s: Option<f64>, ages: JobAges, run_s: f64) -> Vec<f64> {
         let of = |o: &Objective| match o.kind.as_str() {
             "finished" => Some(o.within_s - ages.startable_s),
             // An aim on starting is one on finishing, a run later.
             "wait" => Some(o.within_s + run_s - ages.startable_s),
             _ => None,
         };
-        let mut goals: Vec<f64> = self.objectives_of(class).filter_map(of).collect();
-        goals.extend(self.deadlines(class, deadline_s, ages.submitted_s));
-        goals
+        let mut slo_deadlines: Vec<f64> = self.objectives_of(class).filter_map(of).collect();
+        slo_deadlines.extend(self.deadlines(class, deadline_s, ages.submitted_s));
+        slo_deadlines
     }
 
     /// Seconds left until the deadline of a job, and until each multiple of it that its class has an aim for.
@@ -252,16 +252,16 @@
 }
 
 /// The first of several goals, in seconds from now, that a job can still meet, and how many it has missed.
-pub fn next_goal(mut goals: Vec<f64>, run_s: f64) -> (Option<f64>, u32) {
-    goals.sort_by(f64::total_cmp);
-    goals.dedup();
-    let missed = goals.iter().filter(|goal| **goal < run_s).count();
-    (goals.get(missed).copied(), missed as u32)
+pub fn next_slo_deadline(mut slo_deadlines: Vec<f64>, run_s: f64) -> (Option<f64>, u32) {
+    slo_deadlines.sort_by(f64::total_cmp);
+    slo_deadlines.dedup();
+    let missed = slo_deadlines.iter().filter(|goal| **goal < run_s).count();
+    (slo_deadlines.get(missed).copied(), missed as u32)
 }
 
 /// Seconds since a job was submitted, and since no job that it awaits was left.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ages {
+pub struct JobAges {
     pub submitted_s: f64,
     pub startable_s: f64,
 }
--- a/src/core/pipelines.rs
+++ b/src/core/dependencies.rs
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most goals that a job inherits: those of all jobs after it in an ordinary pipeline are far fewer.
-const MOST_GOALS: usize = 64;
+const MAX_SLO_DEADLINES: usize = 64;
 
 #[derive(Default)]
-pub struct Pipelines {
+pub struct DependencyGraph {
     /// For each awaited job, the live jobs that await it.
     successors: BTreeMap<JobId, BTreeSet<JobId>>,
     /// Awaited jobs that aren't known to be live, nor how they have ended: the state service is asked.
@@ -18,17 +18,17 @@
     /// The last job that the state service was asked about.
     asked_last: Option<JobId>,
     /// Live jobs that a cancelled one must take with it.
-    doomed: BTreeSet<JobId>,
+    cascade_cancelled: BTreeSet<JobId>,
 }
 
 /// What a job brings into the deadlines and ranks of the jobs before it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stage {
+pub struct JobTiming {
     pub priority: Priority,
     /// Seconds left until its deadline.
     pub due_s: Option<f64>,
     /// Seconds left until each of its aims on finishing.
-    pub goals: Vec<f64>,
+    pub slo_deadlines: Vec<f64>,
     /// The least time that its tasks run.
     pub run_s: f64,
     /// The time from the end of an awaited job to its start: the paper's communication time.
@@ -37,39 +37,39 @@
 
 /// What a job takes over from the jobs that need it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Inherited {
+pub struct InheritedConstraints {
     pub priority: Priority,
     /// Sub-deadline of the paper's eq. 3, in seconds from now.
     pub due_s: Option<f64>,
-    pub goals: Vec<f64>,
+    pub slo_deadlines: Vec<f64>,
     /// The successors' part of the paper's rank (eq. 1).
     pub rank_s: f64,
 }
 
-impl Pipelines {
+impl DependencyGraph {
     /// A job has come to be known as live; `is_live` tells of others.
-    pub fn add(&mut self, id: JobId, awaits: &BTreeSet<JobId>, is_live: impl Fn(&JobId) -> bool) {
+    pub fn add(&mut self, id: JobId, depends_on: &BTreeSet<JobId>, is_live: impl Fn(&JobId) -> bool) {
         self.unresolved.remove(&id);
-        for awaited in awaits {
-            self.successors.entry(*awaited).or_default().insert(id);
-            if !is_live(awaited) {
-                self.unresolved.insert(*awaited);
+        for dependency in depends_on {
+            self.successors.entry(*dependency).or_default().insert(id);
+            if !is_live(dependency) {
+                self.unresolved.insert(*dependency);
             }
         }
-        if awaits.iter().any(|awaited| self.doomed.contains(awaited)) {
-            self.doom(id);
+        if depends_on.iter().any(|dependency| self.cascade_cancelled.contains(dependency)) {
+            self.cascade_cancel(id);
         }
     }
 
     /// A job is not live any more; it was still awaiting these.
-    pub fn remove(&mut self, id: &JobId, awaits: &BTreeSet<JobId>) {
-        self.doomed.remove(id);
-        for awaited in awaits {
-            let Some(successors) = self.successors.get_mut(awaited) else { continue };
+    pub fn remove(&mut self, id: &JobId, depends_on: &BTreeSet<JobId>) {
+        self.cascade_cancelled.remove(id);
+        for dependency in depends_on {
+            let Some(successors) = self.successors.get_mut(dependency) else { continue };
             successors.remove(id);
             if successors.is_empty() {
-                self.successors.remove(awaited);
-                self.unresolved.remove(awaited);
+                self.successors.remove(dependency);
+                self.unresolved.remove(dependency);
             }
         }
     }
@@ -85,7 +85,7 @@
             JobOutcome::Cancelled => {
                 self.unresolved.remove(id);
                 for successor in successors.clone() {
-                    self.doom(successor);
+                    self.cascade_cancel(successor);
                 }
                 BTreeSet::new()
             }
@@ -97,22 +97,22 @@
     }
 
     /// Marks a job and all that need it, directly or through others, as to be cancelled.
-    fn doom(&mut self, id: JobId) {
+    fn cascade_cancel(&mut self, id: JobId) {
         let mut next = vec![id];
         while let Some(id) = next.pop() {
-            if self.doomed.insert(id) {
+            if self.cascade_cancelled.insert(id) {
                 next.extend(self.successors.get(&id).into_iter().flatten());
             }
         }
     }
 
     /// Live jobs that have to be cancelled as one that they need was.
-    pub fn doomed(&self) -> impl Iterator<Item = &JobId> {
-        self.doomed.iter()
+    pub fn cascade_cancelled(&self) -> impl Iterator<Item = &JobId> {
+        self.cascade_cancelled.iter()
     }
 
     /// Whether some live job awaits this one.
-    pub fn is_awaited(&self, id: &JobId) -> bool {
+    pub fn has_dependents(&self, id: &JobId) -> bool {
         self.successors.contains_key(id)
     }
 
@@ -126,14 +126,14 @@
     }
 
     /// What each awaited job takes over from the jobs that need it, given what is known of each live job.
-    pub fn inherit(&self, stage: impl Fn(&JobId) -> Option<Stage>) -> BTreeMap<JobId, Inherited> {
-        let mut known: BTreeMap<JobId, Inherited> = BTreeMap::new();
+    pub fn inherit(&self, job_timing: impl Fn(&JobId) -> Option<JobTiming>) -> BTreeMap<JobId, InheritedConstraints> {
+        let mut known: BTreeMap<JobId, InheritedConstraints> = BTreeMap::new();
         for id in self.last_jobs_first() {
             let of = |successor: JobId| {
-                let after = known.get(&successor).cloned().unwrap_or_else(Inherited::nothing);
-                Some(after.before(&stage(&successor)?))
+                let after = known.get(&successor).cloned().unwrap_or_else(InheritedConstraints::nothing);
+                Some(after.before(&job_timing(&successor)?))
             };
-            if let Some(inherited) = self.wanting(&id).filter_map(of).reduce(Inherited::joined) {
+            if let Some(inherited) = self.wanting(&id).filter_map(of).reduce(InheritedConstraints::joined) {
                 known.insert(id, inherited);
             }
         }
@@ -159,44 +159,46 @@
 
     /// The jobs that still want this one done.
     fn wanting(&self, id: &JobId) -> impl Iterator<Item = JobId> {
-        self.successors.get(id).into_iter().flatten().copied().filter(|s| !self.doomed.contains(s))
+        self.successors.get(id).into_iter().flatten().copied().filter(|s| !self.cascade_cancelled.contains(s))
     }
 }
 
 /// The goals that come first, each once. Without a limit a ladder of jobs, each awaiting both of the rung
 /// before, would double them at every rung.
-fn tightest(mut goals: Vec<f64>) -> Vec<f64> {
-    goals.sort_by(f64::total_cmp);
-    goals.dedup();
-    goals.truncate(MOST_GOALS);
-    goals
+fn tightest(mut slo_deadlines: Vec<f64>) -> Vec<f64> {
+    slo_deadlines.sort_by(f64::total_cmp);
+    slo_deadlines.dedup();
+    slo_deadlines.truncate(MAX_SLO_DEADLINES);
+    slo_deadlines
 }
 
-impl Inherited {
+impl InheritedConstraints {
     /// What a job inherits that no other needs.
-    fn nothing() -> Inherited {
-        Inherited { priority: Priority::Low, due_s: None, goals: Vec::new(), rank_s: 0.0 }
+    fn nothing() -> InheritedConstraints {
+        InheritedConstraints { priority: Priority::Low, due_s: None, slo_deadlines: Vec::new(), rank_s: 0.0 }
     }
 
     /// What the jobs before a stage inherit, given what the stage itself does.
-    fn before(self, stage: &Stage) -> Inherited {
-        let least_s = stage.run_s + stage.transfer_s;
-        let due_s = self.due_s.into_iter().chain(stage.due_s).reduce(f64::min);
-        Inherited {
-            priority: self.priority.min(stage.priority),
+    fn before(self, job_timing: &JobTiming) -> InheritedConstraints {
+        let least_s = job_timing.run_s + job_timing.transfer_s;
+        let due_s = self.due_s.into_iter().chain(job_timing.due_s).reduce(f64::min);
+        InheritedConstraints {
+            priority: self.priority.min(job_timing.priority),
             due_s: due_s.map(|due_s| due_s - least_s),
-            goals: tightest(self.goals.iter().chain(&stage.goals).map(|goal| goal - least_s).collect()),
+            slo_deadlines: tightest(
+                self.slo_deadlines.iter().chain(&job_timing.slo_deadlines).map(|goal| goal - least_s).collect(),
+            ),
             rank_s: self.rank_s + least_s,
         }
     }
 
     /// What a job inherits from two successors.
-    fn joined(self, other: Inherited) -> Inherited {
-        let goals = tightest([self.goals, other.goals].concat());
-        Inherited {
+    fn joined(self, other: InheritedConstraints) -> InheritedConstraints {
+        let slo_deadlines = tightest([self.slo_deadlines, other.slo_deadlines].concat());
+        InheritedConstraints {
             priority: self.priority.min(other.priority),
             due_s: self.due_s.into_iter().chain(other.due_s).reduce(f64::min),
-            goals,
+            slo_deadlines,
             rank_s: self.rank_s.max(other.rank_s),
         }
     }
--- a/src/core/pipelines/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -21,10 +21,10 @@
         (0..self.jobs.len()).find(|n| super::tests::id(*n as u32) == *id).and_then(|n| self.jobs[n].1)
     }
 
-    fn is_doomed(&self, n: usize) -> bool {
+    fn is_cascade_cancelled(&self, n: usize) -> bool {
         let cancelled = |a: &JobId| self.outcome(a) == Some(JobOutcome::Cancelled);
-        let doomed = |a: &JobId| (0..n).any(|m| id(m as u32) == *a && self.is_doomed(m));
-        self.jobs[n].1.is_none() && self.jobs[n].0.iter().any(|a| cancelled(a) || doomed(a))
+        let cascade_cancelled = |a: &JobId| (0..n).any(|m| id(m as u32) == *a && self.is_cascade_cancelled(m));
+        self.jobs[n].1.is_none() && self.jobs[n].0.iter().any(|a| cancelled(a) || cascade_cancelled(a))
     }
 
     fn may_start(&self, n: usize) -> bool {
@@ -34,73 +34,78 @@
 
 #[test]
 fn jobs_start_and_are_cancelled_as_in_the_model() {
-    let (mut started, mut doomed) = (0, 0);
+    let (mut started, mut cascade_cancelled) = (0, 0);
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut model = Model::default();
-        let mut pipelines = Pipelines::default();
+        let mut dependencies = DependencyGraph::default();
         // What the leader keeps for each live job.
-        let mut awaits: BTreeMap<JobId, BTreeSet<JobId>> = BTreeMap::new();
+        let mut depends_on: BTreeMap<JobId, BTreeSet<JobId>> = BTreeMap::new();
         for n in 0..30u32 {
             let named: BTreeSet<JobId> = (0..n).filter(|_| rng.random_bool(0.15)).map(id).collect();
             model.jobs.push((named.clone(), None));
-            pipelines.add(id(n), &named, |a| awaits.contains_key(a));
-            awaits.insert(id(n), named);
+            dependencies.add(id(n), &named, |a| depends_on.contains_key(a));
+            depends_on.insert(id(n), named);
             // Some job ends; its ending may be learned of later, or twice.
             let over = rng.random_range(0..=n);
-            if awaits.contains_key(&id(over)) {
+            if depends_on.contains_key(&id(over)) {
                 let done = model.may_start(over as usize) && rng.random_bool(0.7);
                 let outcome = if done { JobOutcome::Done(None) } else { JobOutcome::Cancelled };
                 model.jobs[over as usize].1 = Some(outcome);
-                let left = awaits.remove(&id(over)).unwrap();
-                pipelines.remove(&id(over), &left);
+                let left = depends_on.remove(&id(over)).unwrap();
+                dependencies.remove(&id(over), &left);
                 let first = if rng.random_bool(0.5) { JobOutcome::Unknown } else { outcome };
-                end(&mut pipelines, &mut awaits, id(over), first);
+                end(&mut dependencies, &mut depends_on, id(over), first);
             }
-            for asked in pipelines.next_unresolved(40) {
+            for asked in dependencies.next_unresolved(40) {
                 let outcome = model.outcome(&asked).expect("only jobs that have ended are asked about");
-                end(&mut pipelines, &mut awaits, asked, outcome);
+                end(&mut dependencies, &mut depends_on, asked, outcome);
             }
             for n in 0..model.jobs.len() {
-                let Some(left) = awaits.get(&id(n as u32)) else { continue };
+                let Some(left) = depends_on.get(&id(n as u32)) else { continue };
                 assert_eq!(left.is_empty(), model.may_start(n), "seed {seed}: start of {n}");
                 assert_eq!(
-                    pipelines.doomed().any(|d| *d == id(n as u32)),
-                    model.is_doomed(n),
+                    dependencies.cascade_cancelled().any(|d| *d == id(n as u32)),
+                    model.is_cascade_cancelled(n),
                     "seed {seed}: cancelling {n}"
                 );
                 started += u32::from(left.is_empty());
-                doomed += u32::from(model.is_doomed(n));
+                cascade_cancelled += u32::from(model.is_cascade_cancelled(n));
             }
         }
     }
-    assert!(started > 1_000 && doomed > 1_000, "started={started} doomed={doomed}");
+    assert!(started > 1_000 && cascade_cancelled > 1_000, "started={started} doomed={cascade_cancelled}");
 }
 
-fn end(pipelines: &mut Pipelines, awaits: &mut BTreeMap<JobId, BTreeSet<JobId>>, over: JobId, outcome: JobOutcome) {
-    for released in pipelines.ended(&over, outcome) {
-        awaits.get_mut(&released).map(|left| left.remove(&over));
+fn end(
+    dependencies: &mut DependencyGraph,
+    depends_on: &mut BTreeMap<JobId, BTreeSet<JobId>>,
+    over: JobId,
+    outcome: JobOutcome,
+) {
+    for released in dependencies.ended(&over, outcome) {
+        depends_on.get_mut(&released).map(|left| left.remove(&over));
     }
 }
 
-fn stage(priority: Priority, due_s: Option<f64>, run_s: f64) -> Stage {
-    Stage { priority, due_s, goals: due_s.into_iter().collect(), run_s, transfer_s: 1.0 }
+fn job_timing(priority: Priority, due_s: Option<f64>, run_s: f64) -> JobTiming {
+    JobTiming { priority, due_s, slo_deadlines: due_s.into_iter().collect(), run_s, transfer_s: 1.0 }
 }
 
 #[test]
 fn a_pipeline_hands_its_priority_and_deadline_to_the_jobs_before() {
     // 1 and 2 before 3, 3 and 1 before 4; 5 needs 1 as well, and is cancelled with 9.
-    let mut pipelines = Pipelines::default();
-    pipelines.add(id(3), &ids(&[1, 2]), |_| true);
-    pipelines.add(id(4), &ids(&[1, 3]), |_| true);
-    pipelines.add(id(5), &ids(&[1, 9]), |_| true);
-    pipelines.ended(&id(9), JobOutcome::Cancelled);
+    let mut dependencies = DependencyGraph::default();
+    dependencies.add(id(3), &ids(&[1, 2]), |_| true);
+    dependencies.add(id(4), &ids(&[1, 3]), |_| true);
+    dependencies.add(id(5), &ids(&[1, 9]), |_| true);
+    dependencies.ended(&id(9), JobOutcome::Cancelled);
     let stages = BTreeMap::from([
-        (id(3), stage(Priority::Normal, None, 20.0)),
-        (id(4), stage(Priority::High, Some(100.0), 8.0)),
-        (id(5), stage(Priority::Prod, Some(1.0), 8.0)),
+        (id(3), job_timing(Priority::Normal, None, 20.0)),
+        (id(4), job_timing(Priority::High, Some(100.0), 8.0)),
+        (id(5), job_timing(Priority::Prod, Some(1.0), 8.0)),
     ]);
-    let inherited = pipelines.inherit(|id| stages.get(id).cloned());
+    let inherited = dependencies.inherit(|id| stages.get(id).cloned());
     let of = |n: u32| {
         let i = &inherited[&id(n)];
         (i.priority, i.due_s, i.rank_s)
@@ -110,30 +115,30 @@
     assert_eq!(of(1), (Priority::High, Some(70.0), 30.0), "the longer way counts");
     assert!(!inherited.contains_key(&id(4)) && !inherited.contains_key(&id(9)));
     // A long chain is no trouble.
-    let mut chain = Pipelines::default();
+    let mut chain = DependencyGraph::default();
     (1..20_000).for_each(|n| chain.add(id(n), &ids(&[n - 1]), |_| true));
-    let inherited = chain.inherit(|_| Some(stage(Priority::Low, Some(0.0), 1.0)));
+    let inherited = chain.inherit(|_| Some(job_timing(Priority::Low, Some(0.0), 1.0)));
     assert_eq!(inherited[&id(0)].rank_s, 2.0 * 19_999.0);
 }
 
 #[test]
 fn all_jobs_get_their_turn_to_be_asked_about() {
-    let mut pipelines = Pipelines::default();
-    pipelines.add(id(9), &ids(&[1, 2, 3]), |_| false);
-    assert_eq!(pipelines.next_unresolved(2), [id(1), id(2)]);
-    assert_eq!(pipelines.next_unresolved(2), [id(3), id(1)]);
+    let mut dependencies = DependencyGraph::default();
+    dependencies.add(id(9), &ids(&[1, 2, 3]), |_| false);
+    assert_eq!(dependencies.next_unresolved(2), [id(1), id(2)]);
+    assert_eq!(dependencies.next_unresolved(2), [id(3), id(1)]);
     // One comes to be known as live after all, the others are of no use to anybody any more.
-    pipelines.add(id(2), &ids(&[]), |_| false);
-    assert_eq!(pipelines.next_unresolved(9).len(), 2);
-    pipelines.remove(&id(9), &ids(&[1, 2, 3]));
-    assert!(pipelines.next_unresolved(9).is_empty());
+    dependencies.add(id(2), &ids(&[]), |_| false);
+    assert_eq!(dependencies.next_unresolved(9).len(), 2);
+    dependencies.remove(&id(9), &ids(&[1, 2, 3]));
+    assert!(dependencies.next_unresolved(9).is_empty());
 }
 
 #[test]
 fn a_ladder_of_jobs_hands_on_a_bounded_number_of_goals() {
     // Rungs of two jobs that both await both of the rung before: twice the paths at every rung, each of
     // another length.
-    let mut ladder = Pipelines::default();
+    let mut ladder = DependencyGraph::default();
     let rungs = 40;
     for rung in 1..rungs {
         for side in 0..2 {
@@ -141,8 +146,8 @@
         }
     }
     let run_s = |job: &JobId| (0..2 * rungs).find(|n| id(*n) == *job).map_or(1.0, |n| 1.0 + 0.01 * f64::from(n * n));
-    let inherited = ladder.inherit(|job| Some(stage(Priority::Low, Some(1_000.0), run_s(job))));
-    assert!(inherited.values().all(|i| i.goals.len() <= MOST_GOALS));
+    let inherited = ladder.inherit(|job| Some(job_timing(Priority::Low, Some(1_000.0), run_s(job))));
+    assert!(inherited.values().all(|i| i.slo_deadlines.len() <= MAX_SLO_DEADLINES));
     let first = &inherited[&id(0)];
-    assert_eq!(first.due_s, first.goals.first().copied(), "the tightest goal is kept");
+    assert_eq!(first.due_s, first.slo_deadlines.first().copied(), "the tightest goal is kept");
 }
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs in the leader's memory: their tasks and where these are, and how long classes of jobs run.
 
+use crate::core::dependencies::InheritedConstraints;
 use crate::core::machine::QUARANTINE_PERIOD;
-use crate::core::pipelines::Inherited;
 use crate::core::records::LiveRecord;
 use crate::ids::{Attempt, JobId, MachineId, Revision, TaskId};
 use crate::time::{Millis, MonotonicTime, WallTime};
@@ -25,11 +25,11 @@
     pub revision: Revision,
     pub submitted: WallTime,
     /// The jobs that have to be done, and aren't known to be, before a task of this one starts.
-    pub awaits: BTreeSet<JobId>,
+    pub depends_on: BTreeSet<JobId>,
     /// When it was submitted or, if that is later, the last job that it awaited was done.
     pub startable_at: WallTime,
     /// What it takes over from the jobs that need it, as of the last round.
-    pub inherited: Option<Inherited>,
+    pub inherited: Option<InheritedConstraints>,
     pub team: u32,
     pub done: FixedBitSet,
     pub durably_done: FixedBitSet,
@@ -64,7 +64,7 @@
         Job {
             revision,
             submitted: record.at,
-            awaits: record.awaits.into_iter().collect(),
+            depends_on: record.depends_on.into_iter().collect(),
             startable_at: record.at,
             inherited: None,
             team,
@@ -91,7 +91,7 @@
 
     /// Whether it awaits other jobs: none of its tasks may start.
     pub fn is_waiting(&self) -> bool {
-        !self.awaits.is_empty()
+        !self.depends_on.is_empty()
     }
 
     /// How many of its tasks could be started now.
--- a/src/core/miser.rs
+++ b/src/core/miser.rs
@@ -90,7 +90,7 @@
     if jobs.len() <= most {
         return jobs;
     }
-    let left_s = |j: &JobView| j.goal_s.or(j.due_s).unwrap_or(-j.age_s);
+    let left_s = |j: &JobView| j.slo_deadline_s.or(j.due_s).unwrap_or(-j.age_s);
     jobs.sort_by(|a, b| class_of(a).cmp(&class_of(b)).then(left_s(a).total_cmp(&left_s(b))));
     let in_turn = most / 4;
     let mut others = jobs.split_off(most - in_turn);
--- a/src/core/miser/planner.rs
+++ b/src/core/miser/planner.rs
@@ -51,7 +51,7 @@
 impl Active<'_> {
     /// Lowest goes first.
     pub(super) fn turn(&self) -> (bool, f64, f64, u32) {
-        let left = self.job.goal_s.unwrap_or(self.due_s);
+        let left = self.job.slo_deadline_s.unwrap_or(self.due_s);
         let late = left < self.job.run_s;
         (late, if late { -self.job.age_s } else { left }, -self.rank, self.job.key)
     }
--- a/src/core/miser/tests.rs
+++ b/src/core/miser/tests.rs
@@ -129,10 +129,10 @@
 #[test]
 fn of_jobs_with_the_same_time_left_the_one_with_the_longest_way_to_go_begins() {
     // Room for one task. Both are due at the same time, but one has more after it (eq. 1).
-    let stage = |key: u32, successors_s: f64| JobView { goal_s: Some(80.0), successors_s, ..job(key, 1) };
+    let job_timing = |key: u32, successors_s: f64| JobView { slo_deadline_s: Some(80.0), successors_s, ..job(key, 1) };
     let first = |jobs: Vec<JobView>| put(&plan(&input(vec![machine(0, 2.0)], jobs)));
-    assert_eq!(first(vec![stage(0, 5.0), stage(1, 30.0)]), [(1, 0, 1)]);
-    assert_eq!(first(vec![stage(0, 30.0), stage(1, 5.0)]), [(0, 0, 1)]);
+    assert_eq!(first(vec![job_timing(0, 5.0), job_timing(1, 30.0)]), [(1, 0, 1)]);
+    assert_eq!(first(vec![job_timing(0, 30.0), job_timing(1, 5.0)]), [(0, 0, 1)]);
 }
 
 #[test]
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,12 +3,12 @@
 pub mod cancellations;
 pub mod completion_bitmap;
 pub mod cost;
+pub mod dependencies;
 pub mod jobs;
 pub mod leadership;
 pub mod machine;
 pub mod miser;
 pub mod overload;
-pub mod pipelines;
 pub mod records;
 pub mod rentals;
 pub mod scheduler;
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -45,7 +45,7 @@
     pub at: WallTime,
     pub spec: JobSpec,
     /// The jobs that must be done before any task of this one starts.
-    pub awaits: Vec<JobId>,
+    pub depends_on: Vec<JobId>,
 }
 
 /// The form in which a [`LiveRecord`] is stored. Versions that know nothing of awaited jobs can't read
@@ -54,35 +54,38 @@
 #[serde(untagged)]
 enum StoredLive {
     Plain { at: WallTime, spec: JobSpec },
-    Waiting { at: WallTime, waiting: WaitingSpec },
+    Waiting { at: WallTime, waiting: DependentSpec },
 }
 
 #[derive(Clone, Serialize, Deserialize)]
-struct WaitingSpec {
+struct DependentSpec {
     spec: JobSpec,
-    awaits: Vec<JobId>,
+    #[serde(rename = "awaits")]
+    depends_on: Vec<JobId>,
 }
 
 /// Whether a stored live job awaits others, without reading all of it.
-pub fn awaits_others(stored: &Value) -> bool {
+pub fn has_dependencies(stored: &Value) -> bool {
     stored.get("waiting").is_some()
 }
 
 impl From<StoredLive> for LiveRecord {
     fn from(stored: StoredLive) -> LiveRecord {
         match stored {
-            StoredLive::Plain { at, spec } => LiveRecord { at, spec, awaits: Vec::new() },
-            StoredLive::Waiting { at, waiting } => LiveRecord { at, spec: waiting.spec, awaits: waiting.awaits },
+            StoredLive::Plain { at, spec } => LiveRecord { at, spec, depends_on: Vec::new() },
+            StoredLive::Waiting { at, waiting } => {
+                LiveRecord { at, spec: waiting.spec, depends_on: waiting.depends_on }
+            }
         }
     }
 }
 
 impl From<LiveRecord> for StoredLive {
     fn from(record: LiveRecord) -> StoredLive {
-        let LiveRecord { at, spec, awaits } = record;
-        match awaits.is_empty() {
+        let LiveRecord { at, spec, depends_on } = record;
+        match depends_on.is_empty() {
             true => StoredLive::Plain { at, spec },
-            false => StoredLive::Waiting { at, waiting: WaitingSpec { spec, awaits } },
+            false => StoredLive::Waiting { at, waiting: DependentSpec { spec, depends_on } },
         }
     }
 }
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -28,19 +28,19 @@
 
 #[test]
 fn plain_jobs_are_the_same_in_all_versions() {
-    let record = LiveRecord { at: WallTime(7), spec: spec(), awaits: Vec::new() };
+    let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on: Vec::new() };
     let earlier = EarlierLiveRecord { at: WallTime(7), spec: spec() };
     assert_eq!(json!(record), json!(earlier));
-    assert!(!awaits_others(&json!(record)));
+    assert!(!has_dependencies(&json!(record)));
     assert_eq!(read::<LiveRecord>(&json!(earlier)), Some(record));
 }
 
 #[test]
 fn an_earlier_version_does_not_take_a_waiting_job_for_one_that_may_start() {
-    let awaits = vec![JobId::parse("req-000398").unwrap(), JobId::parse("req-0000405").unwrap()];
-    let record = LiveRecord { at: WallTime(7), spec: spec(), awaits };
+    let depends_on = vec![JobId::parse("req-000398").unwrap(), JobId::parse("req-0000405").unwrap()];
+    let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on };
     assert_eq!(read::<EarlierLiveRecord>(&json!(record)), None);
-    assert!(awaits_others(&json!(record)));
+    assert!(has_dependencies(&json!(record)));
     assert_eq!(read::<LiveRecord>(&json!(record)), Some(record));
 }
 
--- a/src/core/scheduler/awaited.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -5,16 +5,16 @@
 use super::*;
 
 /// Most jobs that the state service is asked about at once.
-const MOST_LOOKED_UP: usize = 16;
+const MAX_LOOKUPS: usize = 16;
 /// Jobs whose ending is still not known are asked about again after this long.
-const LOOK_UP_AGAIN: Millis = Millis(500);
+const LOOKUP_RETRY_INTERVAL: Millis = Millis(500);
 
 impl Scheduler {
     /// What the end of a job means to those that await it.
-    pub(super) fn settle_successors(&mut self, id: &JobId, outcome: JobOutcome) {
-        for successor in self.pipelines.ended(id, outcome) {
+    pub(super) fn settle_dependents(&mut self, id: &JobId, outcome: JobOutcome) {
+        for successor in self.dependencies.ended(id, outcome) {
             let Some(job) = self.jobs.get_mut(&successor) else { continue };
-            job.awaits.remove(id);
+            job.depends_on.remove(id);
             if let JobOutcome::Done(Some(at)) = outcome {
                 job.startable_at = job.startable_at.max(at);
             }
@@ -23,11 +23,11 @@
     }
 
     /// Has the state service asked how awaited jobs have ended.
-    pub(super) fn look_up_awaited(&mut self, now: MonotonicTime) {
+    pub(super) fn look_up_dependencies(&mut self, now: MonotonicTime) {
         if self.looking_up || now < self.look_up_at {
             return;
         }
-        let ids = self.pipelines.next_unresolved(MOST_LOOKED_UP);
+        let ids = self.dependencies.next_unresolved(MAX_LOOKUPS);
         if !ids.is_empty() {
             self.looking_up = true;
             self.effects.push(Effect::LookUp(ids));
@@ -38,7 +38,7 @@
     pub fn on_looked_up(&mut self, now: MonotonicTime, outcomes: &[(JobId, JobOutcome)]) {
         self.looking_up = false;
         if outcomes.is_empty() {
-            self.look_up_at = now + LOOK_UP_AGAIN;
+            self.look_up_at = now + LOOKUP_RETRY_INTERVAL;
         }
         for (id, outcome) in outcomes {
             self.on_job_terminated(id, *outcome);
@@ -47,7 +47,7 @@
 
     /// Takes over priorities, deadlines and ranks from the jobs that need a job.
     pub(super) fn inherit(&mut self, wall: WallTime) {
-        let mut inherited = self.pipelines.inherit(|id| self.stage(wall, id));
+        let mut inherited = self.dependencies.inherit(|id| self.job_timing(wall, id));
         for (id, job) in &mut self.jobs {
             let before = job.priority();
             job.inherited = inherited.remove(id);
@@ -64,15 +64,15 @@
         }
     }
 
-    fn stage(&self, wall: WallTime, id: &JobId) -> Option<Stage> {
+    fn job_timing(&self, wall: WallTime, id: &JobId) -> Option<JobTiming> {
         let job = self.jobs.get(id)?;
         let spec = &job.spec;
         let run_s = self.times.expect(&spec.class, spec.estimate_s);
         let ages = job_ages(wall, job);
-        Some(Stage {
+        Some(JobTiming {
             priority: spec.priority,
             due_s: spec.deadline_s.map(|due_s| due_s - ages.submitted_s),
-            goals: self.settings.deadlines(&spec.class, spec.deadline_s, ages.submitted_s),
+            slo_deadlines: self.settings.deadlines(&spec.class, spec.deadline_s, ages.submitted_s),
             run_s,
             transfer_s: spec.image_gb / self.mean_fetch_rate(spec),
         })
@@ -87,7 +87,7 @@
 }
 
 /// How old a job is, for its deadline and for its other aims, which count from when it could start.
-pub(super) fn job_ages(wall: WallTime, job: &Job) -> Ages {
+pub(super) fn job_ages(wall: WallTime, job: &Job) -> JobAges {
     let startable_s = if job.is_waiting() { 0.0 } else { elapsed_s(wall, job.startable_at) };
-    Ages { submitted_s: elapsed_s(wall, job.submitted), startable_s }
+    JobAges { submitted_s: elapsed_s(wall, job.submitted), startable_s }
 }
--- a/src/core/scheduler/gpu_demand.rs
+++ b/src/core/scheduler/gpu_demand.rs
@@ -20,7 +20,7 @@
 /// The most GPUs that jobs have had in each zone and waited for in all, fading to what it is now.
 pub(super) struct GpuDemand {
     in_use: Vec<FadingMaximum>,
-    awaited: FadingMaximum,
+    dependency: FadingMaximum,
     updated_at: MonotonicTime,
 }
 
@@ -32,19 +32,23 @@
 
 impl GpuDemand {
     pub fn new(zones: usize, now: MonotonicTime) -> GpuDemand {
-        GpuDemand { in_use: vec![FadingMaximum::default(); zones], awaited: FadingMaximum::default(), updated_at: now }
+        GpuDemand {
+            in_use: vec![FadingMaximum::default(); zones],
+            dependency: FadingMaximum::default(),
+            updated_at: now,
+        }
     }
 
     /// Takes in how many GPUs there are and are in use by zone, and how many are waited for; the latter may be
     /// in any zone.
-    pub fn update(&mut self, now: MonotonicTime, there: Vec<f64>, in_use: &[f64], awaited: f64) -> UnwantedGpus {
+    pub fn update(&mut self, now: MonotonicTime, there: Vec<f64>, in_use: &[f64], dependency: f64) -> UnwantedGpus {
         let fade = ((now - self.updated_at).as_secs_f64() / MEMORY_S).min(1.0);
         self.updated_at = now;
         let mut by_zone = there;
         for ((maximum, used), left) in self.in_use.iter_mut().zip(in_use).zip(&mut by_zone) {
             *left -= maximum.update(*used, fade);
         }
-        let in_all = by_zone.iter().sum::<f64>() - self.awaited.update(awaited, fade);
+        let in_all = by_zone.iter().sum::<f64>() - self.dependency.update(dependency, fade);
         UnwantedGpus { by_zone, in_all }
     }
 }
--- a/src/core/scheduler/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -28,7 +28,7 @@
             self.expire_leases(now);
             self.review_machines(now);
         }
-        self.look_up_awaited(now);
+        self.look_up_dependencies(now);
         self.write(now, wall);
         // Rounds are the bulk of the work: where ticks come late, rounds come seldom, and each
         // decides more.
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -2,8 +2,8 @@
 //! to send to workers, cloud and state service. A state machine: the edges feed it inputs and
 //! carry out the actions it leaves behind.
 
-mod awaited;
 mod consolidation;
+mod dependencies;
 mod gpu_demand;
 mod machines;
 mod planner_view;
@@ -19,9 +19,10 @@
 use self::gpu_demand::GpuDemand;
 use self::planner_view::PlannerView;
 use self::reservations::Reservations;
-use crate::config::{Ages, Settings, Team, Tuning, next_goal};
+use crate::config::{JobAges, Settings, Team, Tuning, next_slo_deadline};
 use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
+use crate::core::dependencies::{DependencyGraph, JobTiming};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::leadership::{LEADER_KEY, LeaderRecord};
 use crate::core::machine::{
@@ -29,7 +30,6 @@
     Registration, TaskAttempt, machine_key,
 };
 use crate::core::miser;
-use crate::core::pipelines::{Pipelines, Stage};
 use crate::core::records::{
     JobOutcome, LIVE_PREFIX, LiveRecord, MUTATIONS_PER_TERMINATION, TerminalRecord, live_key, live_precondition,
     termination_mutations,
@@ -149,7 +149,7 @@
     zones: Vec<String>,
     images: HashMap<String, u32>,
     jobs: BTreeMap<JobId, Job>,
-    pipelines: Pipelines,
+    dependencies: DependencyGraph,
     /// The state service is being asked how awaited jobs have ended; otherwise it isn't before then.
     looking_up: bool,
     look_up_at: MonotonicTime,
@@ -334,7 +334,7 @@
             zones,
             images: HashMap::new(),
             jobs: BTreeMap::new(),
-            pipelines: Pipelines::default(),
+            dependencies: DependencyGraph::default(),
             looking_up: false,
             look_up_at: now,
             recently_terminated: VecDeque::new(),
@@ -547,7 +547,7 @@
             }
         }
         let job = Job::new(record, revision, team as u32);
-        self.pipelines.add(*id, &job.awaits, |awaited| self.jobs.contains_key(awaited));
+        self.dependencies.add(*id, &job.depends_on, |dependency| self.jobs.contains_key(dependency));
         self.jobs.insert(*id, job);
         self.dirty = true;
     }
@@ -576,10 +576,10 @@
                 self.recently_terminated.pop_front();
             }
         }
-        self.settle_successors(id, outcome);
+        self.settle_dependents(id, outcome);
         let Some(job) = self.jobs.remove(id) else { return };
         self.dirty = true;
-        self.pipelines.remove(id, &job.awaits);
+        self.dependencies.remove(id, &job.depends_on);
         let rows = self.p.layout.chunks(job.spec.tasks);
         let stored = rows.iter().filter(|row| row.members(&job.durably_done).next().is_some());
         self.orphaned_bitmaps.extend(stored.map(|row| row.key(id)));
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -1,7 +1,7 @@
 //! What planners are told of a round: the machines with room, the jobs that wait and what may be rented, and
 //! how this is dealt out among several planners.
 
-use super::awaited::job_ages;
+use super::dependencies::job_ages;
 use super::*;
 
 /// Planners are told the ages of machines in steps of this.
@@ -288,11 +288,11 @@
             false => self.times.expect(&spec.class, spec.estimate_s).max(0.1),
         };
         // An aim on starting that can still be met is a deadline too.
-        let aim = self.settings.start_aim(&spec.class, guaranteed);
+        let aim = self.settings.start_slo_s(&spec.class, guaranteed);
         let aim = aim.filter(|aim| *aim > age_s).map(|aim| aim - age_s + run_s);
-        let mut goals = self.settings.goals(&spec.class, spec.deadline_s, ages, run_s);
-        goals.extend(job.inherited.iter().flat_map(|inherited| &inherited.goals));
-        let (goal_s, missed) = next_goal(goals, run_s);
+        let mut slo_deadlines = self.settings.slo_deadlines(&spec.class, spec.deadline_s, ages, run_s);
+        slo_deadlines.extend(job.inherited.iter().flat_map(|inherited| &inherited.slo_deadlines));
+        let (slo_deadline_s, missed) = next_slo_deadline(slo_deadlines, run_s);
         let due_s = spec.deadline_s.map(|due_s| due_s - ages.submitted_s);
         let inherited_due_s = job.inherited.as_ref().and_then(|inherited| inherited.due_s);
         let at_fault = job.at_fault(context.now);
@@ -313,7 +313,7 @@
             new_spot: spec.spot && !job.no_new_spot,
             run_s,
             due_s: due_s.into_iter().chain(aim).chain(inherited_due_s).reduce(f64::min),
-            goal_s,
+            slo_deadline_s,
             successors_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
             missed: if service { 0 } else { missed },
             service,
--- a/src/core/scheduler/room.rs
+++ b/src/core/scheduler/room.rs
@@ -136,7 +136,7 @@
     fn seeks_room(&self, id: &JobId, view: &JobView, w: &Waiting) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
         // Work is only stopped for a job that would start too late otherwise.
-        let aim = self.jobs.get(id).and_then(|j| self.settings.start_aim(&j.spec.class, view.guaranteed));
+        let aim = self.jobs.get(id).and_then(|j| self.settings.start_slo_s(&j.spec.class, view.guaranteed));
         urgent && !aim.is_some_and(|aim| w.ready_s > 0.0 && view.age_s + w.ready_s <= aim)
     }
 
@@ -176,8 +176,8 @@
             }
         }
         let jobs = waiting.iter().filter_map(|id| self.jobs.get(id));
-        let awaited: f64 = jobs.map(|j| j.startable_tasks() as f64 * j.spec.gpus).sum();
-        let mut unwanted = self.gpu_demand.update(now, there, &in_use, awaited);
+        let dependency: f64 = jobs.map(|j| j.startable_tasks() as f64 * j.spec.gpus).sum();
+        let mut unwanted = self.gpu_demand.update(now, there, &in_use, dependency);
         idle.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
         let lent = idle.into_iter().filter(|(_, _, m)| unwanted.take(m.zone, self.types[m.kind].gpus));
         let lent = lent.map(|(_, id, _)| id.clone()).collect();
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -176,7 +176,7 @@
         let image = self.images.get(&j.spec.image).copied().unwrap_or(u32::MAX);
         let fetch_s =
             m.image_ready_in_s(image, now).unwrap_or(j.spec.image_gb / self.types[m.kind].fetch_gb_per_s.max(0.01));
-        let aim = self.settings.start_aim(&j.spec.class, v.guaranteed);
+        let aim = self.settings.start_slo_s(&j.spec.class, v.guaranteed);
         // A replica that is lost later is as urgent as a first one.
         let age_s = if j.spec.kind == Kind::Service { 0.0 } else { v.age_s };
         j.priority() <= Priority::High && aim.is_some_and(|aim| age_s < aim && age_s + fetch_s > aim)
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -1,10 +1,10 @@
 //! Single situations, played against a leader with workers that answer at once.
 
+mod dependencies;
 mod digest;
 mod leaders;
 mod machines;
 mod operation_bounds;
-mod pipelines;
 mod planning;
 
 use super::planner_view::deal;
@@ -135,10 +135,10 @@
     }
 
     /// A job that awaits others.
-    fn submit_after(&mut self, revision: u64, s: JobSpec, awaits: &[JobId]) -> JobId {
-        let awaits = awaits.to_vec();
+    fn submit_after(&mut self, revision: u64, s: JobSpec, depends_on: &[JobId]) -> JobId {
+        let depends_on = depends_on.to_vec();
         let id = JobId::parse(&s.id).unwrap();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec: s, awaits });
+        let record = json!(LiveRecord { at: WallTime(self.now), spec: s, depends_on });
         self.leader.on_job_accepted(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -170,7 +170,7 @@
     }
 
     /// Jobs await one or two of their turn, which end by themselves.
-    fn awaited(number: u64) -> Vec<JobId> {
+    fn dependency(number: u64) -> Vec<JobId> {
         let before = |distance: u64| JobId::parse(&format!("req-{:06}", number - distance)).unwrap();
         match number % 10 {
             4 => vec![before(3)],
@@ -187,8 +187,9 @@
             self.services.insert(id);
         }
         self.revision += 1;
-        let awaits = FixedFleet::awaited(number).into_iter().filter(|id| !self.outcomes.contains_key(id)).collect();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec, awaits });
+        let depends_on =
+            FixedFleet::dependency(number).into_iter().filter(|id| !self.outcomes.contains_key(id)).collect();
+        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
         self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -108,7 +108,7 @@
     let mut s = spec("req-000001", Kind::Gang, 3, 1.0);
     s.gpus = l.types[gpu].gpus;
     let id = JobId::parse(&s.id).unwrap();
-    l.on_job_accepted(&id, &json!(LiveRecord { at: WallTime(0), spec: s, awaits: Vec::new() }), Revision(1));
+    l.on_job_accepted(&id, &json!(LiveRecord { at: WallTime(0), spec: s, depends_on: Vec::new() }), Revision(1));
     let waiting = BTreeSet::from([id]);
     assert_eq!(lent(&mut l, MonotonicTime(100), &waiting), 1);
     assert_eq!(lent(&mut l, MonotonicTime(1_000), &BTreeSet::new()), 1, "not forgotten at once");
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -30,7 +30,7 @@
             return;
         }
         self.write_machines();
-        self.write_cancelled_successors();
+        self.write_cascaded_cancellations();
         self.write_finished(wall);
         // What can wait takes turns.
         if !self.write_completion_bitmaps(now) && !self.write_shares() {
@@ -83,17 +83,17 @@
     }
 
     /// Cancels jobs one of whose awaited jobs was cancelled.
-    fn write_cancelled_successors(&mut self) {
+    fn write_cascaded_cancellations(&mut self) {
         let under_way = self.commits.values().any(|(p, _)| matches!(p, Purpose::Cancel(_)));
         if self.tokens < 1.0 || under_way {
             return;
         }
         let most = (self.p.txn_ops / MUTATIONS_PER_TERMINATION).max(1);
-        let doomed = self.pipelines.doomed().filter_map(|id| Some((*id, self.jobs.get(id)?)));
+        let cascade_cancelled = self.dependencies.cascade_cancelled().filter_map(|id| Some((*id, self.jobs.get(id)?)));
         let mut preconditions = vec![self.fence_precondition()];
         let mut mutations = Vec::new();
         let mut ids = Vec::new();
-        for (id, job) in doomed.take(most) {
+        for (id, job) in cascade_cancelled.take(most) {
             preconditions.push(live_precondition(&id, job.revision));
             mutations.extend(termination_mutations(&id, &TerminalRecord::cancelled(job.spec.tasks)));
             ids.push(id);
@@ -107,7 +107,7 @@
     fn write_finished(&mut self, wall: WallTime) {
         let finished = self.jobs.iter().filter(|(_, j)| j.all_done() && !j.finishing);
         let mut finished: Vec<JobId> = finished.map(|(id, _)| *id).collect();
-        finished.sort_by_key(|id| !self.pipelines.is_awaited(id));
+        finished.sort_by_key(|id| !self.dependencies.has_dependents(id));
         for id in finished {
             if self.tokens < 1.0 || self.commits.len() >= MAX_COMMITS {
                 break;
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -12,13 +12,13 @@
             }
             assert!(!self.cancelled.contains_key(id), "went_back: {id}");
         } else {
-            let needed = self.awaits[id].iter().any(|awaited| self.is_cancelled_or_follows_one(awaited));
+            let needed = self.depends_on[id].iter().any(|dependency| self.is_cancelled_or_follows_one(dependency));
             assert!(self.cancelled.contains_key(id) || needed, "{id} is cancelled for no reason at {}", self.now);
         }
     }
 
     fn is_cancelled_or_follows_one(&self, id: &JobId) -> bool {
-        self.cancelled.contains_key(id) || self.awaits[id].iter().any(|id| self.is_cancelled_or_follows_one(id))
+        self.cancelled.contains_key(id) || self.depends_on[id].iter().any(|id| self.is_cancelled_or_follows_one(id))
     }
 
     /// What workers were told to forget stays durably done while its job is live.
@@ -48,9 +48,9 @@
         if let Some(at) = self.cancelled.get(&task.job) {
             assert!(now - at < 30_000, "ran_cancelled: {task} starts");
         }
-        for awaited in &self.awaits[&task.job] {
-            let done = matches!(self.outcome(awaited), Some(JobOutcome::Done(_)));
-            assert!(done, "too_early: {task} starts before {awaited} is done at {now}");
+        for dependency in &self.depends_on[&task.job] {
+            let done = matches!(self.outcome(dependency), Some(JobOutcome::Done(_)));
+            assert!(done, "too_early: {task} starts before {dependency} is done at {now}");
         }
         let team = self.settings.cluster.teams.iter().find(|x| x.name == spec.team).unwrap();
         let mut used = spec.cpus;
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -158,7 +158,7 @@
     requests_made: BTreeMap<String, Vec<String>>,
     specs: BTreeMap<JobId, JobSpec>,
     /// The jobs that each job awaits, as its user named them.
-    awaits: BTreeMap<JobId, Vec<JobId>>,
+    depends_on: BTreeMap<JobId, Vec<JobId>>,
     /// What its user has been told is cancelled, and when.
     cancelled: BTreeMap<JobId, u64>,
     really_done: BTreeSet<TaskId>,
@@ -219,7 +219,7 @@
             next_leader_at: 0,
             requests_made: BTreeMap::new(),
             specs: BTreeMap::new(),
-            awaits: BTreeMap::new(),
+            depends_on: BTreeMap::new(),
             cancelled: BTreeMap::new(),
             really_done: BTreeSet::new(),
             cleared: BTreeSet::new(),
@@ -455,14 +455,14 @@
         };
         self.specs.insert(id, spec.clone());
         let named = if self.chance(self.pipelines) { self.named_by_new_job(id) } else { Vec::new() };
-        self.awaits.insert(id, named.clone());
+        self.depends_on.insert(id, named.clone());
         if named.iter().any(|named| self.outcome(named) == Some(JobOutcome::Cancelled)) {
             self.epoch += 1;
             self.store.insert(terminal_key(&id), (json!(TerminalRecord::cancelled(spec.tasks)), self.epoch));
             return;
         }
-        let awaits = named.into_iter().filter(|named| self.outcome(named).is_none()).collect();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec, awaits });
+        let depends_on = named.into_iter().filter(|named| self.outcome(named).is_none()).collect();
+        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
         self.epoch += 1;
         self.store.insert(live_key(&id), (record.clone(), self.epoch));
         let (leader, epoch) = (self.leader_no, self.epoch);
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -24,7 +24,7 @@
 pub struct Submission {
     pub spec: JobSpec,
     /// The jobs that have to be done before any task of this one starts, each once.
-    pub awaits: Vec<JobId>,
+    pub depends_on: Vec<JobId>,
 }
 
 /// Reads a submission. The id comes first, as a known id is answered whatever else the body says.
@@ -38,22 +38,22 @@
 }
 
 fn read_submission(value: Value) -> Result<Submission, Refusal> {
-    let awaits = value.get("awaits").cloned().unwrap_or_default();
+    let depends_on = value.get("awaits").cloned().unwrap_or_default();
     let spec: JobSpec = serde_json::from_value(value).map_err(|e| Refusal::Malformed(e.to_string()))?;
     check_fields(&spec).map_err(Refusal::Malformed)?;
-    Ok(Submission { spec, awaits: read_awaits(awaits)? })
+    Ok(Submission { spec, depends_on: read_awaits(depends_on)? })
 }
 
 fn read_awaits(value: Value) -> Result<Vec<JobId>, Refusal> {
     let names: Option<Vec<String>> =
         serde_json::from_value(value).map_err(|e| Refusal::Malformed(format!("awaits: {e}")))?;
-    let mut awaits = BTreeSet::new();
+    let mut depends_on = BTreeSet::new();
     for name in names.unwrap_or_default() {
         // What isn't the name of a job was never accepted as one.
         let id = JobId::parse(&name).ok_or_else(|| never_accepted(&name))?;
-        awaits.insert(id);
+        depends_on.insert(id);
     }
-    Ok(awaits.into_iter().collect())
+    Ok(depends_on.into_iter().collect())
 }
 
 /// The answer to a submission that names a job which doesn't exist.
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -16,8 +16,8 @@
 #[test]
 fn a_submission_is_read_and_kept_as_it_came() {
     let (id, spec) = parse(&body()).unwrap();
-    let Submission { spec, awaits } = spec.unwrap();
-    assert!(awaits.is_empty());
+    let Submission { spec, depends_on } = spec.unwrap();
+    assert!(depends_on.is_empty());
     assert_eq!((&*id.to_string(), spec.tasks, spec.zone.is_none()), ("req-000412", 4, true));
     let again: JobSpec = serde_json::from_value(json!(spec)).unwrap();
     assert_eq!(again, spec);
@@ -87,17 +87,17 @@
 
 #[test]
 fn awaited_jobs_are_read_once_each() {
-    let awaits = |value: Value| {
+    let depends_on = |value: Value| {
         let mut v = body();
         v["awaits"] = value;
-        parse(&v).unwrap().1.map(|s| s.awaits.iter().map(JobId::to_string).collect::<Vec<_>>())
+        parse(&v).unwrap().1.map(|s| s.depends_on.iter().map(JobId::to_string).collect::<Vec<_>>())
     };
-    assert_eq!(awaits(json!(null)), Ok(vec![]));
-    assert_eq!(awaits(json!([])), Ok(vec![]));
+    assert_eq!(depends_on(json!(null)), Ok(vec![]));
+    assert_eq!(depends_on(json!([])), Ok(vec![]));
     let named = json!(["req-000405", "req-000398", "req-000405"]);
-    assert_eq!(awaits(named), Ok(vec!["req-000398".into(), "req-000405".into()]));
+    assert_eq!(depends_on(named), Ok(vec!["req-000398".into(), "req-000405".into()]));
     for bad in [json!("req-000398"), json!([398]), json!([null]), json!({"req-000398": 1})] {
-        assert!(matches!(awaits(bad.clone()), Err(Refusal::Malformed(_))), "{bad}");
+        assert!(matches!(depends_on(bad.clone()), Err(Refusal::Malformed(_))), "{bad}");
     }
-    assert!(matches!(awaits(json!(["job-1"])), Err(Refusal::Impossible(_))));
+    assert!(matches!(depends_on(json!(["job-1"])), Err(Refusal::Impossible(_))));
 }
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -1,7 +1,7 @@
 //! One controller on loopback against stand-ins of the state service, the cloud and a worker.
 
 mod bounds;
-mod pipelines;
+mod dependencies;
 
 use super::http::Http;
 use super::node::Node;
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -19,7 +19,7 @@
     let mut leader = Scheduler::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
     let (id, submission) = parse_submission(job("req-000001", 1).to_string().as_bytes()).unwrap_or_else(|_| panic!());
     let Ok(Submission { spec, .. }) = submission else { panic!("the job is possible") };
-    let live = json!(LiveRecord { at: WallTime(0), spec, awaits: Vec::new() });
+    let live = json!(LiveRecord { at: WallTime(0), spec, depends_on: Vec::new() });
     leader.on_job_accepted(&id, &live, Revision(1));
     node.settings.peers.iter().for_each(|peer| leader.peer_answered(MonotonicTime(0), &peer.name));
     leader.tick(MonotonicTime(0) + TICK_INTERVAL.mul_f64(40.0), WallTime(2_000));
--- a/src/net/loopback/pipelines.rs
+++ b/src/net/loopback/dependencies.rs
@@ -5,9 +5,9 @@
 use crate::ids::JobId;
 use crate::time::WallTime;
 
-fn after(id: &str, awaits: Value) -> Value {
+fn after(id: &str, depends_on: Value) -> Value {
     let mut job = job(id, 1);
-    job["awaits"] = awaits;
+    job["awaits"] = depends_on;
     job
 }
 
@@ -73,8 +73,8 @@
     let world = Arc::new(Mutex::new(World::default()));
     let [(_, client), (_, other)] = without_leader(&world).await;
     assert_eq!(client.post("/api/jobs", job("req-000001", 1)).await.0, 201);
-    for (id, awaits) in [("req-000002", "req-000001"), ("req-000003", "req-000002"), ("req-000004", "req-000003")] {
-        assert_eq!(client.post("/api/jobs", after(id, json!([awaits]))).await.0, 201);
+    for (id, depends_on) in [("req-000002", "req-000001"), ("req-000003", "req-000002"), ("req-000004", "req-000003")] {
+        assert_eq!(client.post("/api/jobs", after(id, json!([depends_on]))).await.0, 201);
     }
     assert_eq!(client.post("/api/jobs", job("req-000005", 1)).await.0, 201);
     assert_eq!(client.post("/api/jobs", after("req-000006", json!(["req-000005"]))).await.0, 201);
@@ -88,8 +88,8 @@
     let (status, answer) = other.post("/api/jobs", after("req-000003", json!(["req-000002"]))).await;
     assert_eq!((status, &answer["phase"]), (200, &json!("aborted")));
     // New jobs that need it, directly or through others, are accepted, and cancelled with it.
-    for (id, awaits) in [("req-000007", "req-000001"), ("req-000008", "req-000002")] {
-        let (status, answer) = other.post("/api/jobs", after(id, json!([awaits, "req-000005"]))).await;
+    for (id, depends_on) in [("req-000007", "req-000001"), ("req-000008", "req-000002")] {
+        let (status, answer) = other.post("/api/jobs", after(id, json!([depends_on, "req-000005"]))).await;
         assert_eq!((status, &answer["phase"]), (201, &json!("aborted")));
         assert_eq!(client.get(&format!("/api/jobs/{id}")).await.1["phase"], "aborted");
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The edges: sockets and timers round the core.
 
-pub mod ancestors;
 pub mod cloud;
+pub mod dependency_check;
 pub mod detours;
 pub mod election;
 pub mod forwarding;
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -1,7 +1,7 @@
 //! What the tasks of one controller share.
 
-use super::ancestors::CheckedPipelines;
 use super::cloud::CloudClient;
+use super::dependency_check::DependencyCheckCache;
 use super::detours::Detours;
 use super::forwarding::{Forwarding, RelayWakeup};
 use super::http::Http;
@@ -49,7 +49,7 @@
     pub outcomes: OutcomeCache,
     pub cancellations: Cancellations,
     /// Waiting jobs, none of whose awaited jobs was cancelled at that time.
-    pub checked_pipelines: CheckedPipelines,
+    pub dependency_check_cache: DependencyCheckCache,
     pub counts: HashMap<JobId, JobCount>,
     pub user_requests: usize,
     pub store_refused_since: Option<MonotonicTime>,
@@ -159,7 +159,7 @@
             types: None,
             outcomes: OutcomeCache { map: HashMap::new(), order: VecDeque::new() },
             cancellations: Cancellations::default(),
-            checked_pipelines: CheckedPipelines::default(),
+            dependency_check_cache: DependencyCheckCache::default(),
             counts: HashMap::new(),
             user_requests: 0,
             store_refused_since: None,
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -1,7 +1,7 @@
 //! Submissions, polls and cancellations. Any controller takes them; what it says comes from a
 //! committed write or a linearizable read, so no controller gives an older answer than another.
 
-use super::ancestors::{self, Standing};
+use super::dependency_check::{self, DependencyStatus};
 use super::kv::KvError;
 use super::lookups::{Found, look_up, record_outcome};
 use super::node::Node;
@@ -124,10 +124,10 @@
 
 /// Checks a submission whose job isn't known to be over.
 async fn accept(node: &Node, submission: Submission) -> Result<Accepted, Rejection> {
-    let Submission { spec, awaits } = submission;
+    let Submission { spec, depends_on } = submission;
     let types = node.lock().types.clone().ok_or(Rejection::Later("machine types are not known yet"))?;
     check_possible(&spec, &node.settings.cluster.teams, &types).map_err(Rejection::Refused)?;
-    let mut record = LiveRecord { at: node.wall_time(), spec, awaits };
+    let mut record = LiveRecord { at: node.wall_time(), spec, depends_on };
     if json!(record).to_string().len() > node.settings.cluster.state.value_bytes() {
         let too_large = "the job takes more than the state service holds in a value".to_string();
         return Err(Rejection::Refused(Refusal::Impossible(too_large)));
@@ -135,14 +135,14 @@
     let mut live = Vec::new();
     let mut is_cancelled = false;
     // All of them are looked at, as one that was never accepted outweighs one that is cancelled.
-    for awaited in std::mem::take(&mut record.awaits) {
-        match ancestors::standing(node, &awaited).await? {
-            Standing::Done => {}
-            Standing::Live => live.push(awaited),
-            Standing::Cancelled => is_cancelled = true,
-            Standing::Absent => return Err(Rejection::Refused(never_accepted(&awaited))),
-            Standing::Service => {
-                let endless = format!("awaits {awaited}, a service, which is never done");
+    for dependency in std::mem::take(&mut record.depends_on) {
+        match dependency_check::dependency_status(node, &dependency).await? {
+            DependencyStatus::Done => {}
+            DependencyStatus::Live => live.push(dependency),
+            DependencyStatus::Cancelled => is_cancelled = true,
+            DependencyStatus::Absent => return Err(Rejection::Refused(never_accepted(&dependency))),
+            DependencyStatus::Service => {
+                let endless = format!("awaits {dependency}, a service, which is never done");
                 return Err(Rejection::Refused(Refusal::Impossible(endless)));
             }
         }
@@ -150,7 +150,7 @@
     if is_cancelled {
         return Ok(Accepted::Cancelled(TerminalRecord::cancelled(record.spec.tasks)));
     }
-    record.awaits = live;
+    record.depends_on = live;
     Ok(Accepted::Live(Box::new(record)))
 }
 
@@ -190,7 +190,7 @@
 
 /// The answer about a job that is live by a reading just made.
 async fn describe_live(node: &Arc<Node>, id: &JobId, row: KeyValue) -> Reply {
-    match ancestors::needs_cancelled(node, id, &row).await {
+    match dependency_check::depends_on_cancelled(node, id, &row).await {
         Ok(false) => live_reply(node, id),
         Ok(true) => cancel(node, id, row).await,
         Err(_) => Reply::later(STORE_UNREACHABLE),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -244,7 +244,7 @@
     pub service: bool,
     /// Seconds left to what the users want of it (deadline, or an aim on finishing), or none.
     #[prost(double, optional, tag = "26")]
-    pub goal_s: Option<f64>,
+    pub slo_deadline_s: Option<f64>,
     /// May cause rentals in this round.
     #[prost(bool, tag = "25")]
     pub may_rent: bool,
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -148,7 +148,7 @@
         avoid: vec![42, 43],
         guaranteed: true,
         service: true,
-        goal_s: Some(9.5),
+        slo_deadline_s: Some(9.5),
         may_rent: true,
         missed: 44,
         successors_s: 10.5,
@@ -159,10 +159,10 @@
 fn views_of_jobs_are_the_samples() {
     assert_samples(&[
         ("job_view", job_view()),
-        ("job_view_sparse", JobView { zone: None, due_s: None, goal_s: None, ..job_view() }),
+        ("job_view_sparse", JobView { zone: None, due_s: None, slo_deadline_s: None, ..job_view() }),
         ("job_view_zone_0", JobView { zone: Some(0), ..JobView::default() }),
         ("job_view_due_0", JobView { due_s: Some(0.0), ..JobView::default() }),
-        ("job_view_goal_0", JobView { goal_s: Some(0.0), ..JobView::default() }),
+        ("job_view_goal_0", JobView { slo_deadline_s: Some(0.0), ..JobView::default() }),
     ]);
     assert_samples(&[("zone_count", ZoneCount { zone: 40, count: 41 })]);
 }
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -10,7 +10,7 @@
 use wallstile::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
 use wallstile::core::records::{
-    BITMAP_PREFIX, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, absent_preconditions, awaits_others,
+    BITMAP_PREFIX, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, absent_preconditions, has_dependencies,
     live_key, live_precondition, terminal_key, termination_mutations,
 };
 use wallstile::core::shares::{SHARES_KEY, Shares};
@@ -21,8 +21,8 @@
 
 const AT: WallTime = WallTime(1_700_000_000_123);
 
-fn live(awaits: &[&str]) -> LiveRecord {
-    LiveRecord { at: AT, spec: full_job(), awaits: awaits.iter().map(|name| job_named(name)).collect() }
+fn live(depends_on: &[&str]) -> LiveRecord {
+    LiveRecord { at: AT, spec: full_job(), depends_on: depends_on.iter().map(|name| job_named(name)).collect() }
 }
 
 #[test]
@@ -46,13 +46,13 @@
 fn live_records_are_kept_as_the_samples() {
     let sparse = LiveRecord { spec: sparse_job(), ..live(&[]) };
     let samples = Samples::stored();
-    for (name, record, awaits) in [
+    for (name, record, depends_on) in [
         ("live_plain", live(&[]), false),
         ("live_plain_sparse", sparse, false),
         ("live_waiting", live(&["req-000007", "req-0000000008"]), true),
     ] {
         samples.assert_kept(name, &record);
-        assert_eq!(awaits_others(&samples.read(name)), awaits, "{name}");
+        assert_eq!(has_dependencies(&samples.read(name)), depends_on, "{name}");
     }
 }
 
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -54,11 +54,11 @@
 fn submissions_are_read() {
     let first = job_named("req-000007");
     let second = job_named("req-000008");
-    for (name, spec, awaits) in
+    for (name, spec, depends_on) in
         [("submission", full_job(), vec![first, second]), ("submission_sparse", sparse_job(), vec![])]
     {
         let read = parse_submission(Samples::wire().text(name).as_bytes());
-        assert_eq!(read, Ok((job_id(), Ok(Submission { spec, awaits }))), "{name}");
+        assert_eq!(read, Ok((job_id(), Ok(Submission { spec, depends_on }))), "{name}");
     }
 }
 
