--- a/src/config.rs
+++ b/src/config.rs
@@ -317,7 +317,7 @@
     /// Requests of users under way at once; more get 503.
     pub user_requests: f64,
     /// A gang that has waited this long has room gathered for it.
-    pub gather_s: f64,
+    pub gang_reservation_wait_s: f64,
 }
 
 impl Default for Tuning {
@@ -334,7 +334,7 @@
             batch_max: 1024.0,
             round_ms: 150.0,
             user_requests: 64.0,
-            gather_s: 120.0,
+            gang_reservation_wait_s: 120.0,
         }
     }
 }
@@ -354,7 +354,7 @@
             "batch-max" => (&mut self.batch_max, 1.0, 100_000.0),
             "round-ms" => (&mut self.round_ms, 10.0, 60_000.0),
             "user-requests" => (&mut self.user_requests, 1.0, 10_000.0),
-            "gather-s" => (&mut self.gather_s, 0.0, 86_400.0),
+            "gather-s" => (&mut self.gang_reservation_wait_s, 0.0, 86_400.0),
             _ => return None,
         })
     }
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -55,7 +55,7 @@
     pub spot_wait_since: Option<MonotonicTime>,
     pub no_new_spot: bool,
     /// The leader's last round in which work was to be stopped for it.
-    pub room_sought_in: u64,
+    pub last_preemption_round: u64,
 }
 
 impl Job {
@@ -84,7 +84,7 @@
             pause_until: MonotonicTime(0),
             spot_wait_since: None,
             no_new_spot: false,
-            room_sought_in: 0,
+            last_preemption_round: 0,
             spec: record.spec,
         }
     }
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -4,9 +4,9 @@
 use super::*;
 
 /// At most one replica moves in this time.
-const MOVE_INTERVAL: Millis = Millis(1_000);
+const REPLICA_MOVE_INTERVAL: Millis = Millis(1_000);
 /// A machine with less than this in use may be emptied.
-const LITTLE_USED: f64 = 0.5;
+const MAX_SOURCE_UTILIZATION: f64 = 0.5;
 /// Looks that one search may take, for each machine and at the least; the next one goes on from there.
 const OPERATIONS_PER_MACHINE: usize = 64;
 const MIN_OPERATIONS: usize = 16_384;
@@ -31,11 +31,11 @@
 impl Scheduler {
     /// Moves a replica off a machine that does nothing else, onto one that is busy anyway, so that the
     /// former can go back. One at a time, and only while nothing waits.
-    pub(super) fn consolidate(&mut self, now: MonotonicTime) {
+    pub(super) fn consolidate_replicas(&mut self, now: MonotonicTime) {
         if now < self.move_at || !self.reservations.is_empty() || self.jobs.values().any(|j| j.startable_tasks() > 0) {
             return;
         }
-        self.move_at = now + MOVE_INTERVAL;
+        self.move_at = now + REPLICA_MOVE_INTERVAL;
         let (found, tried) = self.find_move(now);
         self.move_sources_tried = tried;
         let Some(Move { from, to, allocation, need }) = found else { return };
@@ -86,7 +86,7 @@
     fn may_be_emptied(&self, l: &Loaded) -> bool {
         let is_service = |k: &TaskAttempt| self.jobs.get(&k.0.job).is_some_and(|j| j.spec.kind == Kind::Service);
         let stays = |(k, s): (&TaskAttempt, &Allocation)| !s.has_exited() && s.stop.is_none() && is_service(k);
-        l.share < LITTLE_USED && l.machine.in_flight.is_none() && l.machine.allocations.iter().all(stays)
+        l.share < MAX_SOURCE_UTILIZATION && l.machine.in_flight.is_none() && l.machine.allocations.iter().all(stays)
     }
 
     /// A replica of a machine that another one, of `loaded`, can take: the fullest that can.
--- a/src/core/scheduler/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -35,7 +35,7 @@
         let due = Millis((self.tuning.round_ms + 6.0 * self.lag_ms).min(MAX_ROUND_INTERVAL_MS) as u64);
         self.move_shares(now);
         self.use_reservations(now);
-        self.consolidate(now);
+        self.consolidate_replicas(now);
         self.close_round(now);
         let news = self.dirty || now - self.round_at >= Millis(1_000);
         if self.open_round.is_none() && now - self.round_at >= due && news && !self.in_doubt {
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -7,9 +7,9 @@
 mod gpu_demand;
 mod machines;
 mod planner_view;
+mod preemption;
+mod preemption_index;
 mod reservations;
-mod room;
-mod room_survey;
 mod rounds;
 #[cfg(test)]
 mod tests;
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -147,7 +147,7 @@
             if usable {
                 all.cpus_up += t.cpus;
             }
-            let free = self.unreserved(id, m, None);
+            let free = self.unreserved_capacity(id, m, None);
             if least.is_none_or(|least| !free.holds(&least)) {
                 continue;
             }
--- a/src/core/scheduler/room.rs
+++ b/src/core/scheduler/preemption.rs
@@ -1,28 +1,28 @@
 //! Room for urgent work: preemption and the room it makes.
 
 use super::planner_view::{PlannedJob, PlannerView, elapsed_s, zone_counts};
-use super::room_survey::{Candidates, RoomSearch, Urgency};
+use super::preemption_index::{Candidates, PreemptionSearch, Urgency};
 use super::*;
 
 /// Where room for a task is wanted.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Wanted {
+pub(super) enum PlacementTarget {
     Anywhere,
-    WhereImageIs,
+    ImageHolders,
 }
 
 /// Room that is to be made for tasks of a job.
-pub(super) struct RoomRequest {
+pub(super) struct PreemptionRequest {
     pub job: JobId,
-    pub wanted: Wanted,
+    pub target: PlacementTarget,
     pub tasks: u32,
     /// In this zone only; none: in any.
     pub zone: Option<u32>,
 }
 
-impl RoomRequest {
-    fn anywhere(job: JobId, tasks: u32) -> RoomRequest {
-        RoomRequest { job, wanted: Wanted::Anywhere, tasks, zone: None }
+impl PreemptionRequest {
+    fn anywhere(job: JobId, tasks: u32) -> PreemptionRequest {
+        PreemptionRequest { job, target: PlacementTarget::Anywhere, tasks, zone: None }
     }
 }
 
@@ -31,10 +31,10 @@
 
 /// What to do with room for a gang that doesn't suffice yet.
 #[derive(Clone, Copy, PartialEq)]
-enum Insufficient {
-    Leave,
+enum PartialCapacity {
+    Release,
     /// Keep it, so that more can be gathered.
-    Hold,
+    Reserve,
 }
 
 /// Tasks to be stopped on a machine, and what is lost by that in seconds of a processor.
@@ -45,72 +45,72 @@
 }
 
 /// A job for which work may be stopped.
-struct Seeker {
+struct Preemptor {
     id: JobId,
     /// Priority and whether it is beyond its team's guarantee: the lowest is the most urgent.
     urgency: (u32, bool),
     /// The round in which room was last sought for it.
-    sought_in: u64,
+    last_searched_round: u64,
     tasks: u32,
 }
 
 /// Tasks of a job for which room is sought in one round.
-const MOST_ROOM_AT_ONCE: u32 = 64;
+const MAX_TASKS_PER_PREEMPTOR: u32 = 64;
 /// Machines whose tasks one search passes over; a larger fleet has its turn part by part.
-const MOST_CANDIDATES: usize = 256;
+const MAX_CANDIDATES: usize = 256;
 /// Reservations that there may be for each machine, and at the least: each is looked at when its turn comes.
 const RESERVATIONS_PER_MACHINE: usize = 2;
-const LEAST_RESERVATIONS: usize = 1_024;
+const MIN_RESERVATIONS: usize = 1_024;
 /// Reservations that one tick tries to use.
 const RESERVATIONS_PER_TICK: usize = 2_048;
 
 /// What a second of fetching an image counts as.
-const LOSS_OF_FETCH_SECOND: f64 = 20.0;
+const IMAGE_FETCH_LOSS_PER_SECOND: f64 = 20.0;
 /// What counts against plain replicas on a machine with GPUs, by whether GPU jobs need the room: more than
 /// anything that may be lost elsewhere.
-const LOSS_OF_GPU_MACHINE: f64 = 1e6;
-const LOSS_OF_GPU_ROOM: f64 = 1e9;
+const GPU_MACHINE_LOSS: f64 = 1e6;
+const GPU_CAPACITY_LOSS: f64 = 1e9;
 
 impl Scheduler {
     /// Tasks that found no machine that is up: preemption, and the paper's second fall-back.
-    pub(super) fn heed_waiting(
+    pub(super) fn preempt_for_waiting(
         &mut self,
         now: MonotonicTime,
         view: &PlannerView,
         out: &PlanOutput,
-        search: &mut RoomSearch,
+        search: &mut PreemptionSearch,
     ) {
-        let mut seekers = Vec::new();
+        let mut preemptors = Vec::new();
         for w in &out.waiting {
             let Some(PlannedJob { id, .. }) = view.jobs.get(w.job as usize) else { continue };
             let Some(view) = view.input.jobs.get(w.job as usize) else { continue };
             self.review_spot_wait(now, id, view, w);
-            if self.seeks_room(id, view, w) {
-                let sought_in = self.jobs.get(id).map_or(0, |j| j.room_sought_in);
-                seekers.push(Seeker {
+            if self.may_preempt(id, view, w) {
+                let last_searched_round = self.jobs.get(id).map_or(0, |j| j.last_preemption_round);
+                preemptors.push(Preemptor {
                     id: *id,
                     urgency: (view.priority, !view.guaranteed),
-                    sought_in,
-                    tasks: w.count.min(MOST_ROOM_AT_ONCE),
+                    last_searched_round,
+                    tasks: w.count.min(MAX_TASKS_PER_PREEMPTOR),
                 });
             }
         }
         self.cost.add_jobs(out.waiting.len());
         // The most urgent first, and of those whoever has waited longest for a search: what the budget
         // doesn't reach goes on in the next round.
-        seekers.sort_by_key(|s| (s.urgency, s.sought_in));
-        let mut seekers: VecDeque<Seeker> = seekers.into();
+        preemptors.sort_by_key(|s| (s.urgency, s.last_searched_round));
+        let mut preemptors: VecDeque<Preemptor> = preemptors.into();
         while !search.budget.is_mostly_spent()
-            && let Some(seeker) = seekers.pop_front()
+            && let Some(preemptor) = preemptors.pop_front()
         {
-            self.seek_room(now, &seeker, search);
+            self.preempt_for(now, &preemptor, search);
         }
         // The rest of the budget goes round among all: urgent work that finds nothing starves nobody.
-        seekers.make_contiguous().sort_by_key(|s| s.sought_in);
+        preemptors.make_contiguous().sort_by_key(|s| s.last_searched_round);
         while !search.budget.is_spent()
-            && let Some(seeker) = seekers.pop_front()
+            && let Some(preemptor) = preemptors.pop_front()
         {
-            self.seek_room(now, &seeker, search);
+            self.preempt_for(now, &preemptor, search);
         }
     }
 
@@ -133,21 +133,21 @@
     }
 
     /// Whether other work may be stopped for a waiting job.
-    fn seeks_room(&self, id: &JobId, view: &JobView, w: &Waiting) -> bool {
+    fn may_preempt(&self, id: &JobId, view: &JobView, w: &Waiting) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
         // Work is only stopped for a job that would start too late otherwise.
         let aim = self.jobs.get(id).and_then(|j| self.settings.start_slo_s(&j.spec.class, view.guaranteed));
         urgent && !aim.is_some_and(|aim| w.ready_s > 0.0 && view.age_s + w.ready_s <= aim)
     }
 
-    fn seek_room(&mut self, now: MonotonicTime, seeker: &Seeker, search: &mut RoomSearch) {
-        let Some(j) = self.jobs.get_mut(&seeker.id) else { return };
-        j.room_sought_in = self.rounds;
+    fn preempt_for(&mut self, now: MonotonicTime, preemptor: &Preemptor, search: &mut PreemptionSearch) {
+        let Some(j) = self.jobs.get_mut(&preemptor.id) else { return };
+        j.last_preemption_round = self.rounds;
         if j.spec.kind == Kind::Gang {
             // All of it or nothing: work is stopped only where that is enough.
-            self.gather_for(now, search, &seeker.id, Insufficient::Leave);
+            self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
         } else {
-            self.make_room(now, search, &RoomRequest::anywhere(seeker.id, seeker.tasks));
+            self.preempt_tasks(now, search, &PreemptionRequest::anywhere(preemptor.id, preemptor.tasks));
         }
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// What of a machine is neither used nor reserved, but for one job's reservations if that is named.
-    pub(super) fn unreserved(&self, id: &MachineId, m: &Machine, but_for: Option<&JobId>) -> Amount {
+    pub(super) fn unreserved_capacity(&self, id: &MachineId, m: &Machine, but_for: Option<&JobId>) -> Amount {
         let mut free = m.free(&self.types[m.kind]);
         let reservations = self.reservations.on(id).filter(|r| but_for != Some(&r.job));
         reservations.for_each(|r| free.sub(&r.need));
@@ -257,18 +257,23 @@
     }
 
     /// Stops work of lower priority where that makes room for tasks of a job. Returns for how many.
-    pub(super) fn make_room(&mut self, now: MonotonicTime, search: &mut RoomSearch, request: &RoomRequest) -> u32 {
+    pub(super) fn preempt_tasks(
+        &mut self,
+        now: MonotonicTime,
+        search: &mut PreemptionSearch,
+        request: &PreemptionRequest,
+    ) -> u32 {
         let before = self.cost.read();
-        let RoomRequest { job: id, wanted, tasks, .. } = request;
+        let PreemptionRequest { job: id, target, tasks, .. } = request;
         let mut zones = self.zones_of(id);
         let mut candidates = self.candidates_for(now, search, request, &zones);
         let mut made = 0;
-        while made < *tasks && !self.has_most_reservations() {
+        while made < *tasks && !self.reservations_exhausted() {
             let Some(at) = candidates.pop() else { break };
-            let surveyed = &search.survey(self, now).machines[at];
-            let (machine, zone) = (surveyed.id.clone(), surveyed.market.zone);
+            let indexed = &search.index(self, now).machines[at];
+            let (machine, zone) = (indexed.id.clone(), indexed.market.zone);
             let Some(j) = self.jobs.get(id) else { break };
-            let Some(eviction) = self.eviction_for(now, (id, j), &machine, *wanted, &zones) else { continue };
+            let Some(eviction) = self.eviction_for(now, (id, j), &machine, *target, &zones) else { continue };
             if candidates.has_better_than(eviction.loss) {
                 // Something else has been stopped or reserved there since.
                 candidates.push(eviction.loss, at);
@@ -279,7 +284,7 @@
             made += 1;
             search.refresh(self, now, &machine);
             let Some(j) = self.jobs.get(id) else { break };
-            if let Some(next) = self.eviction_for(now, (id, j), &machine, *wanted, &zones) {
+            if let Some(next) = self.eviction_for(now, (id, j), &machine, *target, &zones) {
                 candidates.push(next.loss, at);
             }
         }
@@ -287,8 +292,8 @@
         made
     }
 
-    fn has_most_reservations(&self) -> bool {
-        self.reservations.len() >= LEAST_RESERVATIONS + RESERVATIONS_PER_MACHINE * self.machines.len()
+    fn reservations_exhausted(&self) -> bool {
+        self.reservations.len() >= MIN_RESERVATIONS + RESERVATIONS_PER_MACHINE * self.machines.len()
     }
 
     /// The machines where stopping work makes room for a task of a job: all of them in small fleets, in large
@@ -296,34 +301,34 @@
     fn candidates_for(
         &self,
         now: MonotonicTime,
-        search: &mut RoomSearch,
-        request: &RoomRequest,
+        search: &mut PreemptionSearch,
+        request: &PreemptionRequest,
         zones: &[ZoneCount],
     ) -> Candidates {
         let mut candidates = Candidates::default();
-        let RoomRequest { job: id, wanted, zone, .. } = request;
+        let PreemptionRequest { job: id, target, zone, .. } = request;
         let Some(j) = self.jobs.get(id) else { return candidates };
         let (need, urgency) = (Amount::of_task(&j.spec), self.urgency(id, j));
         let mut permitted = self.permitted_markets(&j.spec);
         permitted.retain(|market| zone.is_none_or(|zone| market.zone == zone));
         self.cost.add_jobs(1);
-        let survey = search.survey(self, now);
-        let promising = survey.promising(&permitted, urgency, &need);
+        let index = search.index(self, now);
+        let promising = index.promising(&permitted, urgency, &need);
         if promising.is_empty() {
             return candidates;
         }
-        self.cost.add_machines(survey.machines.len());
+        self.cost.add_machines(index.machines.len());
         let suited = |at: &usize| {
-            let machine = &survey.machines[*at];
-            machine.yields_to(urgency).holds(&need) && promising.contains(&machine.market)
+            let machine = &index.machines[*at];
+            machine.reclaimable_by(urgency).holds(&need) && promising.contains(&machine.market)
         };
-        let count = survey.machines.len();
-        let first = (self.rounds as usize).wrapping_mul(MOST_CANDIDATES) % count.max(1);
+        let count = index.machines.len();
+        let first = (self.rounds as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
         // A gang was found to have room on all of them together.
-        let most = if j.spec.kind == Kind::Gang { count } else { MOST_CANDIDATES };
+        let most = if j.spec.kind == Kind::Gang { count } else { MAX_CANDIDATES };
         for at in (first..count).chain(0..first).filter(suited).take(most) {
-            let machine = &survey.machines[at];
-            if let Some(eviction) = self.eviction_for(now, (id, j), &machine.id, *wanted, zones) {
+            let machine = &index.machines[at];
+            if let Some(eviction) = self.eviction_for(now, (id, j), &machine.id, *target, zones) {
                 candidates.push(eviction.loss, at);
             }
         }
@@ -346,13 +351,13 @@
         now: MonotonicTime,
         (id, j): (&JobId, &Job),
         machine: &MachineId,
-        wanted: Wanted,
+        target: PlacementTarget,
         zones: &[ZoneCount],
     ) -> Option<Eviction> {
         let m = self.machines.get(machine)?;
         let spec = &j.spec;
         let allowed = miser::zone_allowed(spec.spread, spec.one_zone, spec.tasks, zones, m.zone);
-        (allowed && self.suits(now, j, machine, m)).then(|| self.eviction(now, (id, j), (machine, m), wanted))?
+        (allowed && self.is_eligible(now, j, machine, m)).then(|| self.eviction(now, (id, j), (machine, m), target))?
     }
 
     /// Stops tasks on a machine and keeps the room for a task of a job.
@@ -373,7 +378,7 @@
         now: MonotonicTime,
         (id, j): (&JobId, &Job),
         (mid, m): (&MachineId, &Machine),
-        wanted: Wanted,
+        target: PlacementTarget,
     ) -> Option<Eviction> {
         let spec = &j.spec;
         let t = &self.types[m.kind];
@@ -381,7 +386,7 @@
         let service = spec.kind == Kind::Service;
         let image = self.images.get(&spec.image).copied().unwrap_or(u32::MAX);
         let ready = m.image_ready_in_s(image, now);
-        if wanted == Wanted::WhereImageIs && ready != Some(0.0) {
+        if target == PlacementTarget::ImageHolders && ready != Some(0.0) {
             return None;
         }
         let plain_on_gpus = t.gpus > 0.0 && need.gpus <= 0.0;
@@ -390,13 +395,13 @@
             return None;
         }
         self.cost.add_tasks(m.allocations.len());
-        let mut free = self.unreserved(mid, m, None);
+        let mut free = self.unreserved_capacity(mid, m, None);
         // What is already told to stop will be free soon.
         for s in m.allocations.values().filter(|s| !s.has_exited() && s.stop.is_some()) {
             free.add(&s.need);
         }
         let mut eviction = Eviction::default();
-        for (key, allocation) in self.candidates((id, j), m, now, wanted) {
+        for (key, allocation) in self.candidates((id, j), m, now, target) {
             if free.holds(&need) {
                 break;
             }
@@ -409,10 +414,10 @@
             return None;
         }
         if ready.is_none() {
-            eviction.loss += LOSS_OF_FETCH_SECOND * spec.image_gb / t.fetch_gb_per_s.max(0.01);
+            eviction.loss += IMAGE_FETCH_LOSS_PER_SECOND * spec.image_gb / t.fetch_gb_per_s.max(0.01);
         }
         if service && plain_on_gpus {
-            eviction.loss += if spared { LOSS_OF_GPU_ROOM } else { LOSS_OF_GPU_MACHINE };
+            eviction.loss += if spared { GPU_CAPACITY_LOSS } else { GPU_MACHINE_LOSS };
         }
         Some(eviction)
     }
@@ -423,7 +428,7 @@
         (id, j): (&JobId, &Job),
         m: &'a Machine,
         now: MonotonicTime,
-        wanted: Wanted,
+        target: PlacementTarget,
     ) -> Vec<(&'a TaskAttempt, &'a Allocation)> {
         let guaranteed = self.within_guarantee.contains(id);
         let may_be_stopped = |(key, allocation): &(&TaskAttempt, &Allocation)| {
@@ -432,7 +437,7 @@
             let lower =
                 allocation.priority > j.priority() || guaranteed && allocation.priority == j.priority() && beyond;
             // Stopping one task of a gang stops it whole: too dear for an image.
-            let cheap = wanted == Wanted::Anywhere || self.gang_size(&key.0.job) == 1.0;
+            let cheap = target == PlacementTarget::Anywhere || self.gang_size(&key.0.job) == 1.0;
             !allocation.has_exited() && allocation.stop.is_none() && lower && cheap
         };
         let mut candidates: Vec<_> = m.allocations.iter().filter(may_be_stopped).collect();
@@ -449,7 +454,7 @@
     }
 
     /// Whether a job's tasks may be on the machine, room and the job's other tasks aside.
-    fn suits(&self, now: MonotonicTime, j: &Job, id: &MachineId, m: &Machine) -> bool {
+    fn is_eligible(&self, now: MonotonicTime, j: &Job, id: &MachineId, m: &Machine) -> bool {
         m.usable(now, self.heartbeat_timeout()) && self.permits(&j.spec, m) && !j.avoids(id, now)
     }
 
@@ -457,7 +462,7 @@
     /// becomes free, and the largest gangs would never begin. Free machines are held, for one gang
     /// at a time and the largest first, as holding costs what fresh work could have had; once they
     /// suffice together with what can be had by stopping work of lower priority, it is stopped.
-    pub(super) fn gather(&mut self, now: MonotonicTime, wall: WallTime) {
+    pub(super) fn reserve_for_large_gangs(&mut self, now: MonotonicTime, wall: WallTime) {
         let waits = |j: &Job| {
             j.spec.kind == Kind::Gang
                 && j.spec.tasks as usize == j.startable_tasks()
@@ -466,7 +471,7 @@
                 && j.pause_until <= now
                 && !j.at_fault(now)
                 && !self.held_back(j)
-                && elapsed_s(wall, j.startable_at) >= self.tuning.gather_s
+                && elapsed_s(wall, j.startable_at) >= self.tuning.gang_reservation_wait_s
         };
         // Of a class only the largest, down to half of the most: smaller ones find room anyway.
         let mut most: BTreeMap<&str, u32> = BTreeMap::new();
@@ -479,21 +484,21 @@
         let mut waiting: Vec<_> =
             self.jobs.iter().filter(|(_, j)| waits(j) && large(j)).map(|(id, j)| (size(j), *id)).collect();
         waiting.sort();
-        let mut search = RoomSearch::new(self.machines.len());
+        let mut search = PreemptionSearch::new(self.machines.len());
         for (_, id) in waiting {
-            if search.budget.is_spent() || self.gather_for(now, &mut search, &id, Insufficient::Hold) {
+            if search.budget.is_spent() || self.reserve_for_gang(now, &mut search, &id, PartialCapacity::Reserve) {
                 break;
             }
         }
     }
 
     /// Finds room for a gang. False: nowhere, or its team has no quota left.
-    fn gather_for(
+    fn reserve_for_gang(
         &mut self,
         now: MonotonicTime,
-        search: &mut RoomSearch,
+        search: &mut PreemptionSearch,
         id: &JobId,
-        insufficient: Insufficient,
+        partial: PartialCapacity,
     ) -> bool {
         let Some(j) = self.jobs.get(id) else { return false };
         let (team, tasks, need) = (j.team, j.spec.tasks, Amount::of_task(&j.spec));
@@ -503,28 +508,34 @@
         let before = self.cost.read();
         let held_in = self.reservations.of(id).next().and_then(|r| self.machines.get(&r.machine)).map(|m| m.zone);
         let best = self
-            .gang_room(now, search, id)
+            .gang_capacity(now, search, id)
             .into_iter()
             .filter(|(_, room)| room.most >= tasks)
             .max_by_key(|(zone, room)| (held_in == Some(*zone), room.soon.min(tasks), room.free_tasks()));
         search.budget.spend(self.cost.read().since(&before).total());
-        let Some((zone, room)) = best.filter(|(_, room)| insufficient == Insufficient::Hold || room.soon >= tasks)
+        let Some((zone, room)) = best.filter(|(_, room)| partial == PartialCapacity::Reserve || room.soon >= tasks)
         else {
             return false;
         };
-        let mut left = tasks - self.hold_free_room(now, search, id, &room);
+        let mut left = tasks - self.reserve_free_capacity(now, search, id, &room);
         if left > 0 && room.soon >= tasks {
             debug!("room gathered for {id}: tasks={tasks} free={}", tasks - left);
             let zone = (zone != ANY_ZONE).then_some(zone);
-            left -= self.make_room(now, search, &RoomRequest { zone, ..RoomRequest::anywhere(*id, left) });
+            left -=
+                self.preempt_tasks(now, search, &PreemptionRequest { zone, ..PreemptionRequest::anywhere(*id, left) });
         }
         self.cost.add_tasks((tasks - left) as usize);
         true
     }
 
     /// The room that a gang could have in each zone; one that may be anywhere counts all zones as one.
-    fn gang_room(&self, now: MonotonicTime, search: &mut RoomSearch, id: &JobId) -> BTreeMap<u32, GangRoom> {
-        let mut zones: BTreeMap<u32, GangRoom> = BTreeMap::new();
+    fn gang_capacity(
+        &self,
+        now: MonotonicTime,
+        search: &mut PreemptionSearch,
+        id: &JobId,
+    ) -> BTreeMap<u32, GangCapacity> {
+        let mut zones: BTreeMap<u32, GangCapacity> = BTreeMap::new();
         let Some(j) = self.jobs.get(id) else { return zones };
         let need = Amount::of_task(&j.spec);
         let urgency = Urgency { guaranteed: false, ..self.urgency(id, j) };
@@ -533,28 +544,34 @@
         for reservation in self.reservations.of(id) {
             held.entry(&reservation.machine).or_default().add(&reservation.need);
         }
-        let survey = search.survey(self, now);
-        self.cost.add_machines(survey.machines.len());
-        for machine in survey.machines.iter().filter(|m| permitted.contains(&m.market) && !j.avoids(&m.id, now)) {
-            let (mut free, mut soon) = (machine.free, machine.yields_to(urgency));
+        let index = search.index(self, now);
+        self.cost.add_machines(index.machines.len());
+        for machine in index.machines.iter().filter(|m| permitted.contains(&m.market) && !j.avoids(&m.id, now)) {
+            let (mut free, mut soon) = (machine.free, machine.reclaimable_by(urgency));
             if let Some(held) = held.get(&machine.id) {
                 free.add(held);
                 soon.add(held);
             }
             let zone = if j.spec.one_zone { machine.market.zone } else { ANY_ZONE };
             let room = zones.entry(zone).or_default();
-            let free = times_in(&free, &need);
+            let free = tasks_that_fit(&free, &need);
             if free > 0 {
                 room.free.push((machine.id.clone(), free));
             }
-            room.soon += times_in(&soon, &need);
-            room.most += times_in(&Amount::of_type(&self.types[machine.market.kind]), &need);
+            room.soon += tasks_that_fit(&soon, &need);
+            room.most += tasks_that_fit(&Amount::of_type(&self.types[machine.market.kind]), &need);
         }
         zones
     }
 
     /// Reserves free room for a gang in place of what was held for it. Returns for how many tasks.
-    fn hold_free_room(&mut self, now: MonotonicTime, search: &mut RoomSearch, id: &JobId, room: &GangRoom) -> u32 {
+    fn reserve_free_capacity(
+        &mut self,
+        now: MonotonicTime,
+        search: &mut PreemptionSearch,
+        id: &JobId,
+        room: &GangCapacity,
+    ) -> u32 {
         let Some(j) = self.jobs.get(id) else { return 0 };
         let (tasks, need) = (j.spec.tasks, Amount::of_task(&j.spec));
         let mut changed: BTreeSet<MachineId> = self.reservations.of(id).map(|r| r.machine.clone()).collect();
@@ -574,7 +591,7 @@
 
 /// Room for a gang on machines of one zone, in tasks of the gang.
 #[derive(Default)]
-struct GangRoom {
+struct GangCapacity {
     /// What is free for it now.
     free: Vec<(MachineId, u32)>,
     /// What is free, or would be if work of lower priority were stopped.
@@ -583,14 +600,14 @@
     most: u32,
 }
 
-impl GangRoom {
+impl GangCapacity {
     fn free_tasks(&self) -> u32 {
         self.free.iter().map(|(_, tasks)| tasks).sum()
     }
 }
 
 /// How many times a need fits into room.
-fn times_in(room: &Amount, need: &Amount) -> u32 {
+fn tasks_that_fit(room: &Amount, need: &Amount) -> u32 {
     let part = |room: f64, need: f64| if need > 0.0 { (room + 1e-6) / need } else { f64::INFINITY };
     let n = part(room.cpus, need.cpus).min(part(room.gpus, need.gpus)).min(part(room.memory_gb, need.memory_gb));
     n.clamp(0.0, 1e6) as u32
--- a/src/core/scheduler/room_survey.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -21,23 +21,23 @@
 }
 
 /// A machine that may get tasks now.
-pub(super) struct SurveyedMachine {
+pub(super) struct IndexedMachine {
     pub id: MachineId,
     pub market: Market,
     /// Neither used nor reserved.
     pub free: Amount,
     /// By priority, what would be free without the tasks of lower priority and those that stop already.
-    yields: [Amount; PRIORITIES],
+    reclaimable: [Amount; PRIORITIES],
     /// By priority, what its tasks beyond any guarantee use.
-    beyond: [Amount; PRIORITIES],
+    over_guarantee: [Amount; PRIORITIES],
 }
 
-impl SurveyedMachine {
+impl IndexedMachine {
     /// The most that could become free for such work.
-    pub fn yields_to(&self, urgency: Urgency) -> Amount {
-        let mut room = self.yields[urgency.priority];
+    pub fn reclaimable_by(&self, urgency: Urgency) -> Amount {
+        let mut room = self.reclaimable[urgency.priority];
         if urgency.guaranteed {
-            room.add(&self.beyond[urgency.priority]);
+            room.add(&self.over_guarantee[urgency.priority]);
         }
         room
     }
@@ -45,45 +45,45 @@
 
 /// By priority, more than any machine of a market yields.
 #[derive(Default)]
-struct MarketYields {
+struct ReclaimableByPool {
     to_any: [Amount; PRIORITIES],
     to_guaranteed: [Amount; PRIORITIES],
 }
 
-impl MarketYields {
-    fn include(&mut self, machine: &SurveyedMachine) {
+impl ReclaimableByPool {
+    fn include(&mut self, machine: &IndexedMachine) {
         for priority in 0..PRIORITIES {
-            let yields = |guaranteed| machine.yields_to(Urgency { priority, guaranteed });
-            self.to_any[priority].raise_to(&yields(false));
-            self.to_guaranteed[priority].raise_to(&yields(true));
+            let reclaimable = |guaranteed| machine.reclaimable_by(Urgency { priority, guaranteed });
+            self.to_any[priority].raise_to(&reclaimable(false));
+            self.to_guaranteed[priority].raise_to(&reclaimable(true));
         }
     }
 
-    fn may_yield(&self, urgency: Urgency, need: &Amount) -> bool {
-        let yields = if urgency.guaranteed { &self.to_guaranteed } else { &self.to_any };
-        yields[urgency.priority].holds(need)
+    fn may_reclaim(&self, urgency: Urgency, need: &Amount) -> bool {
+        let reclaimable = if urgency.guaranteed { &self.to_guaranteed } else { &self.to_any };
+        reclaimable[urgency.priority].holds(need)
     }
 }
 
 /// The machines that may get tasks, in the order of their names.
-pub(super) struct RoomSurvey {
-    pub machines: Vec<SurveyedMachine>,
-    markets: BTreeMap<Market, MarketYields>,
+pub(super) struct PreemptionIndex {
+    pub machines: Vec<IndexedMachine>,
+    markets: BTreeMap<Market, ReclaimableByPool>,
 }
 
-impl RoomSurvey {
-    fn new(machines: Vec<SurveyedMachine>) -> RoomSurvey {
-        let mut markets: BTreeMap<Market, MarketYields> = BTreeMap::new();
+impl PreemptionIndex {
+    fn new(machines: Vec<IndexedMachine>) -> PreemptionIndex {
+        let mut markets: BTreeMap<Market, ReclaimableByPool> = BTreeMap::new();
         for machine in &machines {
             markets.entry(machine.market).or_default().include(machine);
         }
-        RoomSurvey { machines, markets }
+        PreemptionIndex { machines, markets }
     }
 
     /// Those of the markets in which some machine may have had room for such work when it was surveyed.
     pub fn promising(&self, permitted: &BTreeSet<Market>, urgency: Urgency, need: &Amount) -> BTreeSet<Market> {
-        let may_yield = |market: &&Market| self.markets.get(market).is_some_and(|m| m.may_yield(urgency, need));
-        permitted.iter().filter(may_yield).copied().collect()
+        let may_reclaim = |market: &&Market| self.markets.get(market).is_some_and(|m| m.may_reclaim(urgency, need));
+        permitted.iter().filter(may_reclaim).copied().collect()
     }
 
     fn position(&self, id: &MachineId) -> Option<usize> {
@@ -119,26 +119,26 @@
 
 /// A search for room for many jobs: its survey, made when it is first needed, and its budget. No tasks are
 /// placed meanwhile.
-pub(super) struct RoomSearch {
-    survey: Option<RoomSurvey>,
+pub(super) struct PreemptionSearch {
+    index: Option<PreemptionIndex>,
     pub budget: OperationBudget,
 }
 
-impl RoomSearch {
-    pub fn new(machines: usize) -> RoomSearch {
-        RoomSearch { survey: None, budget: OperationBudget::new(machines) }
+impl PreemptionSearch {
+    pub fn new(machines: usize) -> PreemptionSearch {
+        PreemptionSearch { index: None, budget: OperationBudget::new(machines) }
     }
 
-    pub fn survey(&mut self, leader: &Scheduler, now: MonotonicTime) -> &RoomSurvey {
-        self.survey.get_or_insert_with(|| leader.survey_room(now))
+    pub fn index(&mut self, leader: &Scheduler, now: MonotonicTime) -> &PreemptionIndex {
+        self.index.get_or_insert_with(|| leader.build_preemption_index(now))
     }
 
     /// Looks at a machine again, whose tasks or reservations have changed.
     pub fn refresh(&mut self, leader: &Scheduler, now: MonotonicTime, id: &MachineId) {
-        let Some(survey) = &mut self.survey else { return };
-        let Some(at) = survey.position(id) else { return };
-        if let Some(machine) = leader.machines.get(id).and_then(|m| leader.survey_machine(now, id, m)) {
-            survey.machines[at] = machine;
+        let Some(index) = &mut self.index else { return };
+        let Some(at) = index.position(id) else { return };
+        if let Some(machine) = leader.machines.get(id).and_then(|m| leader.index_machine(now, id, m)) {
+            index.machines[at] = machine;
         }
     }
 }
@@ -187,30 +187,30 @@
 
 impl Scheduler {
     /// All machines that may get tasks now, and what each could yield.
-    fn survey_room(&self, now: MonotonicTime) -> RoomSurvey {
+    fn build_preemption_index(&self, now: MonotonicTime) -> PreemptionIndex {
         self.cost.add_machines(self.machines.len());
-        let surveyed = self.machines.iter().filter_map(|(id, m)| self.survey_machine(now, id, m));
-        RoomSurvey::new(surveyed.collect())
+        let indexed = self.machines.iter().filter_map(|(id, m)| self.index_machine(now, id, m));
+        PreemptionIndex::new(indexed.collect())
     }
 
-    fn survey_machine(&self, now: MonotonicTime, id: &MachineId, m: &Machine) -> Option<SurveyedMachine> {
+    fn index_machine(&self, now: MonotonicTime, id: &MachineId, m: &Machine) -> Option<IndexedMachine> {
         if !m.usable(now, self.heartbeat_timeout()) {
             return None;
         }
         self.cost.add_tasks(m.allocations.len());
-        let free = self.unreserved(id, m, None);
-        let mut yields = [free; PRIORITIES];
-        let mut beyond = [Amount::default(); PRIORITIES];
+        let free = self.unreserved_capacity(id, m, None);
+        let mut reclaimable = [free; PRIORITIES];
+        let mut over_guarantee = [Amount::default(); PRIORITIES];
         for (key, allocation) in m.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
             let priority = priority_number(allocation.priority) as usize;
             // What is already told to stop will be free soon, for anyone.
             let first_served = if allocation.stop.is_some() { PRIORITIES } else { priority };
-            yields[..first_served].iter_mut().for_each(|room| room.add(&allocation.need));
+            reclaimable[..first_served].iter_mut().for_each(|room| room.add(&allocation.need));
             if allocation.stop.is_none() && !self.within_guarantee.contains(&key.0.job) {
-                beyond[priority].add(&allocation.need);
+                over_guarantee[priority].add(&allocation.need);
             }
         }
-        Some(SurveyedMachine { id: id.clone(), market: m.market(), free, yields, beyond })
+        Some(IndexedMachine { id: id.clone(), market: m.market(), free, reclaimable, over_guarantee })
     }
 
     /// How urgent a job's work is that seeks room.
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -9,7 +9,7 @@
 use std::ops::Bound;
 
 /// Kept for this long unless it is used or renewed.
-const RESERVED_FOR: Millis = Millis(4_000);
+const RESERVATION_TTL: Millis = Millis(4_000);
 
 /// Numbers reservations in the order in which they were made, which is also that in which they expire.
 type Number = u64;
@@ -75,7 +75,7 @@
         self.last += 1;
         self.by_machine.entry(machine.clone()).or_default().insert(self.last);
         self.by_job.entry(job).or_default().insert(self.last);
-        self.by_number.insert(self.last, Reservation { machine, job, need, until: now + RESERVED_FOR });
+        self.by_number.insert(self.last, Reservation { machine, job, need, until: now + RESERVATION_TTL });
     }
 
     pub fn expire(&mut self, now: MonotonicTime) {
--- a/src/core/scheduler/reservations/tests.rs
+++ b/src/core/scheduler/reservations/tests.rs
@@ -22,7 +22,7 @@
     assert_eq!(reservations.count_of(&job(1)), 2);
     reservations.release(&job(1));
     assert_eq!(reservations.jobs_after(None, 10), [job(2)]);
-    reservations.expire(MonotonicTime(0) + RESERVED_FOR);
+    reservations.expire(MonotonicTime(0) + RESERVATION_TTL);
     assert!(reservations.is_empty());
     assert!(reservations.by_machine.is_empty() && reservations.by_job.is_empty(), "the indexes keep nothing");
 }
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -1,8 +1,8 @@
 //! Rounds of decisions: the view, the parts of the plan, and what of it is committed.
 
 use super::planner_view::{PlannedJob, PlannerView, deal, zone_counts};
-use super::room::{RoomRequest, Wanted};
-use super::room_survey::RoomSearch;
+use super::preemption::{PlacementTarget, PreemptionRequest};
+use super::preemption_index::PreemptionSearch;
 use super::*;
 
 impl Scheduler {
@@ -12,7 +12,7 @@
         self.dirty = false;
         self.rounds += 1;
         // First, or the round would give away what has just become free.
-        self.gather(now, wall);
+        self.reserve_for_large_gangs(now, wall);
         self.inherit(wall);
         let view = self.planner_view(now, wall);
         // The leader's own part has no name.
@@ -112,7 +112,7 @@
 
     /// Checks a plan against the cluster state and commits what still holds.
     pub(super) fn commit_plan(&mut self, now: MonotonicTime, view: &PlannerView, out: &PlanOutput) {
-        let mut search = RoomSearch::new(self.machines.len());
+        let mut search = PreemptionSearch::new(self.machines.len());
         let mut gangs: BTreeMap<u32, Vec<(MachineId, u32)>> = BTreeMap::new();
         for p in &out.placements {
             // Keys beyond the view are a peer's mistake, and dropped.
@@ -129,8 +129,9 @@
             }
             let mut count = p.count;
             if !search.budget.is_spent() && self.starts_late(now, job, machine, view.input.jobs.get(p.job as usize)) {
-                let request = RoomRequest { job: *job, wanted: Wanted::WhereImageIs, tasks: count, zone: None };
-                count -= self.make_room(now, &mut search, &request);
+                let request =
+                    PreemptionRequest { job: *job, target: PlacementTarget::ImageHolders, tasks: count, zone: None };
+                count -= self.preempt_tasks(now, &mut search, &request);
             }
             let Some(j) = self.jobs.get(job) else { continue };
             let from = if *reclaimed { &j.reclaimed } else { &j.ready };
@@ -159,7 +160,7 @@
         }
         self.rent(now, &out.wishes);
         // Tasks have been placed since the last survey.
-        self.heed_waiting(now, view, out, &mut RoomSearch::new(self.machines.len()));
+        self.preempt_for_waiting(now, view, out, &mut PreemptionSearch::new(self.machines.len()));
         self.flush_orders();
     }
 
@@ -219,7 +220,7 @@
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         let s = &j.spec;
         let need = Amount::of_task(s);
-        let free = self.unreserved(machine, m, Some(job));
+        let free = self.unreserved_capacity(machine, m, Some(job));
         let placed = zone_counts(j, &self.machines);
         let team = j.team;
         !self.in_doubt
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -91,7 +91,7 @@
 impl Rig {
     /// A leader that has just been elected over machines that an earlier one has commissioned.
     fn new(machines: usize) -> Rig {
-        let tuning = Tuning { gather_s: 30.0, idle_s: 600.0, ..Tuning::default() };
+        let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_s: 600.0, ..Tuning::default() };
         let mut leader = Scheduler::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
         leader.load(
             MonotonicTime(0),
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -124,7 +124,7 @@
 
 impl FixedFleet {
     fn new() -> FixedFleet {
-        let tuning = Tuning { gather_s: 4.0, idle_s: 30.0, ..Tuning::default() };
+        let tuning = Tuning { gang_reservation_wait_s: 4.0, idle_s: 30.0, ..Tuning::default() };
         let mut types = kinds();
         types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
         let mut leader = Scheduler::new(sample_settings(), tuning, types, TERM, holder(), MonotonicTime(0));
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -307,7 +307,7 @@
         self.check_done_bits();
         let mut l = Scheduler::new(
             self.settings.clone(),
-            Tuning { idle_s: 20.0, gather_s: 4.0, ..Tuning::default() },
+            Tuning { idle_s: 20.0, gang_reservation_wait_s: 4.0, ..Tuning::default() },
             self.types.clone(),
             Term(self.epoch),
             record,
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -63,7 +63,7 @@
         batch_max: 1025.0,
         round_ms: 151.0,
         user_requests: 66.0,
-        gather_s: 121.0,
+        gang_reservation_wait_s: 121.0,
     };
     assert_eq!(Tuning::parse(include_str!("operators.xml")), Ok(expected));
 }
