--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -8,7 +8,7 @@
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord};
 use wallstile::core::records::LiveRecord;
 use wallstile::core::scheduler::{
-    CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState, TICK_INTERVAL,
+    CommitOutcome, Effect, OrdersResult, ProvisionOutcome, Scheduler, StoredState, TICK_INTERVAL,
 };
 use wallstile::ids::{JobId, LeaseId, Revision, Term};
 use wallstile::time::{MonotonicTime, WallTime};
@@ -119,10 +119,12 @@
                 self.commits += 1;
                 self.observe(Input::Answer, |leader| leader.on_committed(now, ticket, CommitOutcome::Committed));
             }
-            Effect::Rent(request) => {
-                self.observe(Input::Answer, |leader| leader.on_rented(now, &request.name, RentResult::NoCapacity));
+            Effect::Provision(request) => {
+                self.observe(Input::Answer, |leader| {
+                    leader.on_provisioned(now, &request.name, ProvisionOutcome::NoCapacity)
+                });
             }
-            Effect::Return(_) | Effect::Plan { .. } | Effect::RefreshFence(_) | Effect::LookUp(_) => {}
+            Effect::Terminate(_) | Effect::Plan { .. } | Effect::RefreshFence(_) | Effect::LookUp(_) => {}
         }
     }
 
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -3,7 +3,7 @@
 //! A task counts as on a machine from before its order is sent until there is proof that it is
 //! gone. What counts as proof is decided here and in [`super::leader`], nowhere else.
 
-use crate::core::rentals::Market;
+use crate::core::provisioning::InstancePool;
 use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, SequenceNumber, TaskId};
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{JobSpec, MachineType, Order, Priority, TaskPhase};
@@ -221,8 +221,8 @@
     }
 
     /// What the cloud tells its capacity apart by.
-    pub fn market(&self) -> Market {
-        Market { kind: self.kind, zone: self.zone, spot: self.spot }
+    pub fn pool(&self) -> InstancePool {
+        InstancePool { kind: self.kind, zone: self.zone, spot: self.spot }
     }
 
     pub fn used(&self) -> Amount {
--- a/src/core/miser.rs
+++ b/src/core/miser.rs
@@ -7,7 +7,7 @@
 
 use self::planner::{Active, Planner};
 use crate::core::cost::CostMeter;
-use crate::peer::{JobView, Placement, PlanInput, PlanOutput, VERSION, Waiting, Wish, ZoneCount};
+use crate::peer::{JobView, Placement, PlanInput, PlanOutput, ScaleOutRequest, VERSION, Waiting, ZoneCount};
 
 const EPS: f64 = 1e-6;
 /// Most comparisons of jobs with places that a round begins with, and the fewest and most jobs that it plans
@@ -159,7 +159,7 @@
         }
     }
     for pl in p.places.iter().filter(|pl| pl.opened) {
-        out.wishes.push(Wish {
+        out.scale_out.push(ScaleOutRequest {
             kind: pl.kind as u32,
             zone: pl.zone,
             spot: pl.spot,
--- a/src/core/miser/planner.rs
+++ b/src/core/miser/planner.rs
@@ -168,13 +168,13 @@
             || (!j.types.is_empty() && !j.types.contains(&(pl.kind as u32)))
             || j.zone.is_some_and(|z| z != pl.zone)
             || (pl.spot && !j.spot)
-            || (pl.offer.is_some() && (!j.may_rent || (pl.spot && !j.new_spot)))
+            || (pl.offer.is_some() && (!j.may_scale_out || (pl.spot && !j.new_spot)))
             || m.is_some_and(|m| j.avoid.contains(&m.key))
         {
             return None;
         }
         // GPU machines are not rented for work without, while others are to be had for it (ours).
-        let plain = |o: &crate::peer::Offer| {
+        let plain = |o: &crate::peer::ProvisionOffer| {
             let k = &self.input.types[o.kind as usize];
             let room = Room { cpus: k.cpus, gpus: k.gpus, memory_gb: k.memory_gb };
             let allowed = j.types.is_empty() || j.types.contains(&o.kind);
--- a/src/core/miser/tests.rs
+++ b/src/core/miser/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::peer::{ImageView, MachineView, Offer, TeamLeft, TypeView};
+use crate::peer::{ImageView, MachineView, ProvisionOffer, TeamLeft, TypeView};
 
 fn kind(cpus: f64, gpus: f64, price: f64) -> TypeView {
     let spot_price = price / 3.0;
@@ -21,7 +21,7 @@
         run_s: 36.0,
         spot: true,
         new_spot: true,
-        may_rent: true,
+        may_scale_out: true,
         priority: 2,
         ..Default::default()
     }
@@ -59,7 +59,7 @@
     let mut booting = machine(1, 8.0);
     (booting.up, booting.ready_s, booting.spot) = (false, 12.0, true);
     let mut i = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
-    i.offers = vec![Offer { kind: 0, zone: 0, spot: false, most: 1 }];
+    i.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 1 }];
     let meter = CostMeter::default();
     let p = Planner::new(&i, &meter);
     // Running: 1 GB at 0.5 GB/s, then 36 s, on a quarter of a machine at 1.0 an hour.
@@ -147,13 +147,13 @@
     // One machine is up; of 40 tasks, four to a machine, a batch of 4 starts.
     let mut i = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
     i.batch = 4;
-    i.offers = vec![Offer { kind: 0, zone: 0, spot: false, most: 50 }];
+    i.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 50 }];
     let out = plan(&i);
     assert_eq!(put(&out), [(0, 0, 4)]);
     // Those that wait say how many machines they want: within the batch's outlook, all.
     i.jobs[0].ready = 36;
     i.machines.clear();
-    assert_eq!(plan(&i).wishes.len(), 8, "32 tasks at 8 CPUs a machine");
+    assert_eq!(plan(&i).scale_out.len(), 8, "32 tasks at 8 CPUs a machine");
 }
 
 #[test]
--- a/src/core/scheduler/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -171,7 +171,7 @@
                     m.termination_in_flight = true;
                 }
             }
-            self.effects.push(Effect::Return(returns));
+            self.effects.push(Effect::Terminate(returns));
         }
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// The cloud has carried out a return, or it isn't known.
-    pub fn on_returned(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) {
+    pub fn on_terminated(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) {
         for id in ids {
             if !ok {
                 if let Some(m) = self.machines.get_mut(id) {
@@ -231,7 +231,7 @@
             let Some(m) = self.machines.get(id) else { continue };
             let keys: Vec<TaskAttempt> = m.allocations.keys().cloned().collect();
             let (spot, registered) = (m.spot, m.registration != Registration::Unregistered);
-            self.rentals.freed(Market { kind: m.kind, zone: m.zone, spot }, now);
+            self.provisioner.on_capacity_freed(InstancePool { kind: m.kind, zone: m.zone, spot }, now);
             for k in keys {
                 self.remove_lost_task(id, &k, spot);
             }
@@ -288,38 +288,38 @@
         }
     }
 
-    pub fn on_rented(&mut self, now: MonotonicTime, name: &str, result: RentResult) {
-        let Some(r) = self.rentals.requests.get_mut(name) else { return };
-        let market = r.market;
+    pub fn on_provisioned(&mut self, now: MonotonicTime, name: &str, result: ProvisionOutcome) {
+        let Some(r) = self.provisioner.requests.get_mut(name) else { return };
+        let pool = r.pool;
         match result {
-            RentResult::Rented(names) => {
+            ProvisionOutcome::Provisioned(names) => {
                 let asked = r.number as usize;
-                self.rentals.requests.remove(name);
-                info!("rented {} of {asked}: {}", names.len(), self.describe(market));
+                self.provisioner.requests.remove(name);
+                info!("rented {} of {asked}: {}", names.len(), self.describe(pool));
                 if names.len() < asked {
-                    self.rentals.refused(market, now);
+                    self.provisioner.on_refused(pool, now);
                 } else {
-                    self.rentals.granted(market);
+                    self.provisioner.on_granted(pool);
                 }
                 for id in names.iter().filter_map(|n| MachineId::parse(n)) {
                     if !self.terminated.contains(&id) {
                         self.machines
                             .entry(id)
-                            .or_insert_with(|| Machine::new(String::new(), market.kind, market.zone, market.spot, now));
+                            .or_insert_with(|| Machine::new(String::new(), pool.kind, pool.zone, pool.spot, now));
                     }
                 }
             }
-            RentResult::NoCapacity => {
-                info!("no capacity: {}", self.describe(market));
-                self.rentals.requests.remove(name);
-                self.rentals.refused(market, now);
+            ProvisionOutcome::NoCapacity => {
+                info!("no capacity: {}", self.describe(pool));
+                self.provisioner.requests.remove(name);
+                self.provisioner.on_refused(pool, now);
             }
-            RentResult::Malformed => {
-                warn!("the cloud finds a request malformed: {}", self.describe(market));
-                self.rentals.requests.remove(name);
-                self.rentals.refused(market, now);
+            ProvisionOutcome::Malformed => {
+                warn!("the cloud finds a request malformed: {}", self.describe(pool));
+                self.provisioner.requests.remove(name);
+                self.provisioner.on_refused(pool, now);
             }
-            RentResult::Unknown => {
+            ProvisionOutcome::Unknown => {
                 // The same name again rents nothing twice.
                 r.in_flight = false;
                 r.again_at = now + Millis(2_000);
@@ -328,41 +328,41 @@
         self.dirty = true;
     }
 
-    pub(super) fn describe(&self, m: Market) -> String {
+    pub(super) fn describe(&self, m: InstancePool) -> String {
         format!("kind={} zone={} spot={}", self.types[m.kind].name, self.zones[m.zone as usize], m.spot)
     }
 
-    pub(super) fn rent(&mut self, now: MonotonicTime, wishes: &[Wish]) {
-        let mut loads: BTreeMap<Market, f64> = BTreeMap::new();
-        for w in wishes {
-            let m = Market { kind: w.kind as usize, zone: w.zone, spot: w.spot };
+    pub(super) fn scale_out(&mut self, now: MonotonicTime, scale_out: &[ScaleOutRequest]) {
+        let mut loads: BTreeMap<InstancePool, f64> = BTreeMap::new();
+        for w in scale_out {
+            let m = InstancePool { kind: w.kind as usize, zone: w.zone, spot: w.spot };
             if m.kind < self.types.len() && (m.zone as usize) < self.zones.len() {
                 *loads.entry(m).or_default() += w.load.clamp(0.0, 1.0);
             }
         }
-        for (market, load) in loads {
+        for (pool, load) in loads {
             let number = ((load - 1e-6).ceil().max(1.0) as u32).min(50);
-            if !self.rentals.has_room() || !self.rentals.open(market, now) {
+            if !self.provisioner.has_capacity() || !self.provisioner.open(pool, now) {
                 continue;
             }
-            self.requests_made += 1;
-            let name = format!("w{}-{}", self.term, self.requests_made);
-            let request = Request { market, number, in_flight: false, again_at: now };
-            self.rentals.requests.insert(name, request);
+            self.provision_requests += 1;
+            let name = format!("w{}-{}", self.term, self.provision_requests);
+            let request = PendingProvision { pool, number, in_flight: false, again_at: now };
+            self.provisioner.requests.insert(name, request);
         }
         let mut send = Vec::new();
-        for (name, r) in &mut self.rentals.requests {
+        for (name, r) in &mut self.provisioner.requests {
             if !r.in_flight && r.again_at <= now {
                 r.in_flight = true;
-                send.push(RentRequest {
+                send.push(ProvisionRequest {
                     name: name.clone(),
-                    kind: self.types[r.market.kind].name.clone(),
-                    zone: self.zones[r.market.zone as usize].clone(),
-                    spot: r.market.spot,
+                    kind: self.types[r.pool.kind].name.clone(),
+                    zone: self.zones[r.pool.zone as usize].clone(),
+                    spot: r.pool.spot,
                     number: r.number,
                 });
             }
         }
-        self.effects.extend(send.into_iter().map(Effect::Rent));
+        self.effects.extend(send.into_iter().map(Effect::Provision));
     }
 }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -30,22 +30,22 @@
     Registration, TaskAttempt, machine_key,
 };
 use crate::core::miser;
+use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
 use crate::core::records::{
     JobOutcome, LIVE_PREFIX, LiveRecord, MUTATIONS_PER_TERMINATION, TerminalRecord, live_key, live_precondition,
     termination_mutations,
 };
-use crate::core::rentals::{Market, Rentals, Request};
 use crate::core::shares::{SHARES_KEY, Shares};
 use crate::core::submissions;
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, Offer, PlanInput, PlanOutput, TeamLeft, TypeView, VERSION, Waiting,
-    Wish, ZoneCount,
+    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamLeft,
+    TypeView, VERSION, Waiting, ZoneCount,
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
     Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType,
-    Mutation, Order, Precondition, Priority, RentRequest, TaskPhase, TaskStatus, Transaction,
+    Mutation, Order, Precondition, Priority, ProvisionRequest, TaskPhase, TaskStatus, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use log::{debug, info, warn};
@@ -71,8 +71,8 @@
     },
     /// Writes the leader's key anew and says which revision it has then.
     RefreshFence(Transaction),
-    Rent(RentRequest),
-    Return(Vec<MachineId>),
+    Provision(ProvisionRequest),
+    Terminate(Vec<MachineId>),
     /// Reads how these jobs have ended.
     LookUp(Vec<JobId>),
     /// Has a peer plan for its share.
@@ -101,8 +101,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum RentResult {
-    Rented(Vec<String>),
+pub enum ProvisionOutcome {
+    Provisioned(Vec<String>),
     NoCapacity,
     /// Refused for good: the request itself was wrong.
     Malformed,
@@ -160,7 +160,7 @@
     terminated: BTreeSet<MachineId>,
     /// Listed as running by the cloud, but never heard of: since when.
     never_heard: BTreeMap<MachineId, MonotonicTime>,
-    rentals: Rentals,
+    provisioner: Provisioner,
     times: ClassTimes,
     attempts: u64,
     tickets: u64,
@@ -176,7 +176,7 @@
     dirty: bool,
     round_at: MonotonicTime,
     rounds: u64,
-    requests_made: u64,
+    provision_requests: u64,
     shares: Shares,
     shares_dirty: bool,
     team_names: Vec<String>,
@@ -195,7 +195,7 @@
     /// The jobs within their team's guarantee, as of the last round.
     within_guarantee: BTreeSet<JobId>,
     /// Where machines may not be accounted for yet, as of the last round; none is added after the load.
-    unreconciled: BTreeSet<Market>,
+    unreconciled: BTreeSet<InstancePool>,
     /// So many machines don't confirm what they are told that it is rather this controller that
     /// is slow or cut off.
     many_unacknowledged: bool,
@@ -341,7 +341,7 @@
             machines: BTreeMap::new(),
             terminated: BTreeSet::new(),
             never_heard: BTreeMap::new(),
-            rentals: Rentals::default(),
+            provisioner: Provisioner::default(),
             times: ClassTimes::default(),
             attempts: 0,
             tickets: 0,
@@ -355,7 +355,7 @@
             dirty: true,
             round_at: now,
             rounds: 0,
-            requests_made: 0,
+            provision_requests: 0,
             shares,
             shares_dirty: true,
             team_names,
@@ -513,7 +513,7 @@
         m.registration = Registration::Registered;
         // It may hold anything until it reports under this leader's token.
         m.reconciled = false;
-        self.unreconciled.insert(m.market());
+        self.unreconciled.insert(m.pool());
         self.machines.insert(id, m);
     }
 
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -11,7 +11,7 @@
 /// A machine that should be up by now may take this many seconds more.
 const LEAST_BOOT_S: f64 = 3.0;
 /// Work that is not urgent causes rentals only if the fleet needs longer than this for all that waits.
-const RENT_BEYOND_S: f64 = 8.0;
+const SCALE_OUT_BACKLOG_S: f64 = 8.0;
 /// Stands for "no limit" in messages.
 const UNLIMITED: f64 = 1e12;
 /// Most machines that one offer stands for.
@@ -118,7 +118,7 @@
     fn update_unreconciled(&mut self) {
         if !self.unreconciled.is_empty() {
             let machines = self.machines.values().filter(|m| !m.reconciled);
-            self.unreconciled = machines.map(Machine::market).collect();
+            self.unreconciled = machines.map(Machine::pool).collect();
         }
     }
 
@@ -192,12 +192,12 @@
 
     /// Machines that the cloud has been asked for.
     fn add_requested(&self, all: &mut MachineViews) {
-        for r in self.rentals.requests.values() {
-            let t = &self.types[r.market.kind];
+        for r in self.provisioner.requests.values() {
+            let t = &self.types[r.pool.kind];
             let view = MachineView {
-                kind: r.market.kind as u32,
-                zone: r.market.zone,
-                spot: r.market.spot,
+                kind: r.pool.kind as u32,
+                zone: r.pool.zone,
+                spot: r.pool.spot,
                 ready_s: t.boot_s,
                 free_cpus: t.cpus,
                 free_gpus: t.gpus,
@@ -322,7 +322,7 @@
             placed: zone_counts(job, &self.machines),
             avoid: if at_fault { Vec::new() } else { avoided(job, context) },
             guaranteed,
-            may_rent: !at_fault && (job.priority() <= Priority::High || context.drain_s > RENT_BEYOND_S),
+            may_scale_out: !at_fault && (job.priority() <= Priority::High || context.drain_s > SCALE_OUT_BACKLOG_S),
             ..Default::default()
         }
     }
@@ -340,15 +340,15 @@
         self.zones.iter().position(|known| known == zone).map_or(u32::MAX, |i| i as u32)
     }
 
-    fn offers(&self, now: MonotonicTime) -> Vec<Offer> {
+    fn offers(&self, now: MonotonicTime) -> Vec<ProvisionOffer> {
         let mut offers = Vec::new();
         for (kind, t) in self.types.iter().enumerate() {
             for zone in t.zones.iter().filter_map(|z| self.zones.iter().position(|o| o == z)) {
                 for spot in [false, true] {
-                    let market = Market { kind, zone: zone as u32, spot };
-                    let asked = self.rentals.requests.values().any(|r| r.market == market);
-                    if self.rentals.open(market, now) && !asked && self.rentals.has_room() {
-                        offers.push(Offer { kind: kind as u32, zone: zone as u32, spot, most: OFFERED });
+                    let pool = InstancePool { kind, zone: zone as u32, spot };
+                    let asked = self.provisioner.requests.values().any(|r| r.pool == pool);
+                    if self.provisioner.open(pool, now) && !asked && self.provisioner.has_capacity() {
+                        offers.push(ProvisionOffer { kind: kind as u32, zone: zone as u32, spot, most: OFFERED });
                     }
                 }
             }
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -271,7 +271,7 @@
         while made < *tasks && !self.reservations_exhausted() {
             let Some(at) = candidates.pop() else { break };
             let indexed = &search.index(self, now).machines[at];
-            let (machine, zone) = (indexed.id.clone(), indexed.market.zone);
+            let (machine, zone) = (indexed.id.clone(), indexed.pool.zone);
             let Some(j) = self.jobs.get(id) else { break };
             let Some(eviction) = self.eviction_for(now, (id, j), &machine, *target, &zones) else { continue };
             if candidates.has_better_than(eviction.loss) {
@@ -309,8 +309,8 @@
         let PreemptionRequest { job: id, target, zone, .. } = request;
         let Some(j) = self.jobs.get(id) else { return candidates };
         let (need, urgency) = (Amount::of_task(&j.spec), self.urgency(id, j));
-        let mut permitted = self.permitted_markets(&j.spec);
-        permitted.retain(|market| zone.is_none_or(|zone| market.zone == zone));
+        let mut permitted = self.permitted_pools(&j.spec);
+        permitted.retain(|pool| zone.is_none_or(|zone| pool.zone == zone));
         self.cost.add_jobs(1);
         let index = search.index(self, now);
         let promising = index.promising(&permitted, urgency, &need);
@@ -320,7 +320,7 @@
         self.cost.add_machines(index.machines.len());
         let suited = |at: &usize| {
             let machine = &index.machines[*at];
-            machine.reclaimable_by(urgency).holds(&need) && promising.contains(&machine.market)
+            machine.reclaimable_by(urgency).holds(&need) && promising.contains(&machine.pool)
         };
         let count = index.machines.len();
         let first = (self.rounds as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
@@ -539,27 +539,27 @@
         let Some(j) = self.jobs.get(id) else { return zones };
         let need = Amount::of_task(&j.spec);
         let urgency = Urgency { guaranteed: false, ..self.urgency(id, j) };
-        let permitted = self.permitted_markets(&j.spec);
+        let permitted = self.permitted_pools(&j.spec);
         let mut held: BTreeMap<&MachineId, Amount> = BTreeMap::new();
         for reservation in self.reservations.of(id) {
             held.entry(&reservation.machine).or_default().add(&reservation.need);
         }
         let index = search.index(self, now);
         self.cost.add_machines(index.machines.len());
-        for machine in index.machines.iter().filter(|m| permitted.contains(&m.market) && !j.avoids(&m.id, now)) {
+        for machine in index.machines.iter().filter(|m| permitted.contains(&m.pool) && !j.avoids(&m.id, now)) {
             let (mut free, mut soon) = (machine.free, machine.reclaimable_by(urgency));
             if let Some(held) = held.get(&machine.id) {
                 free.add(held);
                 soon.add(held);
             }
-            let zone = if j.spec.one_zone { machine.market.zone } else { ANY_ZONE };
+            let zone = if j.spec.one_zone { machine.pool.zone } else { ANY_ZONE };
             let room = zones.entry(zone).or_default();
             let free = tasks_that_fit(&free, &need);
             if free > 0 {
                 room.free.push((machine.id.clone(), free));
             }
             room.soon += tasks_that_fit(&soon, &need);
-            room.most += tasks_that_fit(&Amount::of_type(&self.types[machine.market.kind]), &need);
+            room.most += tasks_that_fit(&Amount::of_type(&self.types[machine.pool.kind]), &need);
         }
         zones
     }
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -2,7 +2,7 @@
 //! job is then a few comparisons; its tasks are passed over only where the answer may be yes.
 
 use super::*;
-use crate::core::rentals::Market;
+use crate::core::provisioning::InstancePool;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -23,7 +23,7 @@
 /// A machine that may get tasks now.
 pub(super) struct IndexedMachine {
     pub id: MachineId,
-    pub market: Market,
+    pub pool: InstancePool,
     /// Neither used nor reserved.
     pub free: Amount,
     /// By priority, what would be free without the tasks of lower priority and those that stop already.
@@ -68,21 +68,26 @@
 /// The machines that may get tasks, in the order of their names.
 pub(super) struct PreemptionIndex {
     pub machines: Vec<IndexedMachine>,
-    markets: BTreeMap<Market, ReclaimableByPool>,
+    pools: BTreeMap<InstancePool, ReclaimableByPool>,
 }
 
 impl PreemptionIndex {
     fn new(machines: Vec<IndexedMachine>) -> PreemptionIndex {
-        let mut markets: BTreeMap<Market, ReclaimableByPool> = BTreeMap::new();
+        let mut pools: BTreeMap<InstancePool, ReclaimableByPool> = BTreeMap::new();
         for machine in &machines {
-            markets.entry(machine.market).or_default().include(machine);
+            pools.entry(machine.pool).or_default().include(machine);
         }
-        PreemptionIndex { machines, markets }
+        PreemptionIndex { machines, pools }
     }
 
     /// Those of the markets in which some machine may have had room for such work when it was surveyed.
-    pub fn promising(&self, permitted: &BTreeSet<Market>, urgency: Urgency, need: &Amount) -> BTreeSet<Market> {
-        let may_reclaim = |market: &&Market| self.markets.get(market).is_some_and(|m| m.may_reclaim(urgency, need));
+    pub fn promising(
+        &self,
+        permitted: &BTreeSet<InstancePool>,
+        urgency: Urgency,
+        need: &Amount,
+    ) -> BTreeSet<InstancePool> {
+        let may_reclaim = |pool: &&InstancePool| self.pools.get(pool).is_some_and(|m| m.may_reclaim(urgency, need));
         permitted.iter().filter(may_reclaim).copied().collect()
     }
 
@@ -210,7 +215,7 @@
                 over_guarantee[priority].add(&allocation.need);
             }
         }
-        Some(IndexedMachine { id: id.clone(), market: m.market(), free, reclaimable, over_guarantee })
+        Some(IndexedMachine { id: id.clone(), pool: m.pool(), free, reclaimable, over_guarantee })
     }
 
     /// How urgent a job's work is that seeks room.
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -72,7 +72,7 @@
         let mut out = PlanOutput::default();
         for o in round.outputs {
             out.placements.extend(o.placements);
-            out.wishes.extend(o.wishes);
+            out.scale_out.extend(o.scale_out);
             out.waiting.extend(o.waiting);
         }
         // The parts were planned apart: where they clash, the more urgent job goes first.
@@ -158,7 +158,7 @@
                 self.start_gang(now, job, &parts);
             }
         }
-        self.rent(now, &out.wishes);
+        self.scale_out(now, &out.scale_out);
         // Tasks have been placed since the last survey.
         self.preempt_for_waiting(now, view, out, &mut PreemptionSearch::new(self.machines.len()));
         self.flush_orders();
@@ -192,27 +192,28 @@
     /// of it starts, whoever has planned it, until all those that could hold its tasks are.
     pub(super) fn held_back(&self, j: &Job) -> bool {
         let from_before = j.revision.0 <= self.term.0;
-        from_before && self.unreconciled.iter().any(|market| self.permits_market(&j.spec, *market))
+        from_before && self.unreconciled.iter().any(|pool| self.permits_pool(&j.spec, *pool))
     }
 
     /// Whether a job permits a machine's type, zone and kind, whatever is on it.
     pub(super) fn permits(&self, s: &JobSpec, m: &Machine) -> bool {
-        self.permits_market(s, m.market())
+        self.permits_pool(s, m.pool())
     }
 
-    fn permits_market(&self, s: &JobSpec, market: Market) -> bool {
-        submissions::type_allows(s, &self.types[market.kind])
-            && s.zone.as_ref().is_none_or(|zone| *zone == self.zones[market.zone as usize])
-            && (s.spot || !market.spot)
+    fn permits_pool(&self, s: &JobSpec, pool: InstancePool) -> bool {
+        submissions::type_allows(s, &self.types[pool.kind])
+            && s.zone.as_ref().is_none_or(|zone| *zone == self.zones[pool.zone as usize])
+            && (s.spot || !pool.spot)
     }
 
     /// The markets whose machines a job permits.
-    pub(super) fn permitted_markets(&self, s: &JobSpec) -> BTreeSet<Market> {
+    pub(super) fn permitted_pools(&self, s: &JobSpec) -> BTreeSet<InstancePool> {
         let kinds = 0..self.types.len();
         let zones = 0..self.zones.len() as u32;
-        let markets = kinds
-            .flat_map(|kind| zones.clone().flat_map(move |zone| [false, true].map(|spot| Market { kind, zone, spot })));
-        markets.filter(|market| self.permits_market(s, *market)).collect()
+        let pools = kinds.flat_map(|kind| {
+            zones.clone().flat_map(move |zone| [false, true].map(|spot| InstancePool { kind, zone, spot }))
+        });
+        pools.filter(|pool| self.permits_pool(s, *pool)).collect()
     }
 
     /// The leader's own check of one start, whoever planned it.
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -270,10 +270,10 @@
                         let next = self.unanswered.is_none().then(|| Revision(self.leader.fence_revision().0 + 1_000));
                         self.leader.on_fence_refreshed(now, next);
                     }
-                    Effect::Rent(r) => self.leader.on_rented(now, &r.name, RentResult::NoCapacity),
-                    Effect::Return(ids) => {
+                    Effect::Provision(r) => self.leader.on_provisioned(now, &r.name, ProvisionOutcome::NoCapacity),
+                    Effect::Terminate(ids) => {
                         self.returned.extend(ids.iter().map(|i| i.to_string()));
-                        self.leader.on_returned(now, &ids, !self.cloud_down);
+                        self.leader.on_terminated(now, &ids, !self.cloud_down);
                     }
                     Effect::LookUp(ids) => {
                         let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -311,18 +311,18 @@
                 self.revision += 1;
                 self.leader.on_fence_refreshed(now, Some(Revision(self.revision)));
             }
-            Effect::Rent(request) => {
+            Effect::Provision(request) => {
                 let result = self.rent(&request);
-                self.leader.on_rented(now, &request.name, result);
+                self.leader.on_provisioned(now, &request.name, result);
             }
-            Effect::Return(ids) => {
+            Effect::Terminate(ids) => {
                 let number = |id: &MachineId| id.0[2..].parse::<usize>().expect("a machine's number");
                 for id in &ids {
                     if let Some(worker) = self.workers.get_mut(number(id)) {
                         *worker = None;
                     }
                 }
-                self.leader.on_returned(now, &ids, true);
+                self.leader.on_terminated(now, &ids, true);
             }
             Effect::LookUp(ids) => {
                 let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.outcomes.get(id)?))).collect();
@@ -368,16 +368,16 @@
     }
 
     /// The cloud has no capacity left at first, and rents at times.
-    fn rent(&mut self, request: &RentRequest) -> RentResult {
+    fn rent(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
         self.given.rents += 1;
         match self.given.rents % 4 {
-            1 => RentResult::NoCapacity,
-            3 => RentResult::Unknown,
-            _ => RentResult::Rented((0..request.number.min(3)).map(|_| self.add_worker(request)).collect()),
+            1 => ProvisionOutcome::NoCapacity,
+            3 => ProvisionOutcome::Unknown,
+            _ => ProvisionOutcome::Provisioned((0..request.number.min(3)).map(|_| self.add_worker(request)).collect()),
         }
     }
 
-    fn add_worker(&mut self, request: &RentRequest) -> String {
+    fn add_worker(&mut self, request: &ProvisionRequest) -> String {
         let (index, up_at) = (self.workers.len(), self.now + BOOT_MS);
         let worker = SimulatedWorker::new(index, &request.kind, &request.zone, request.spot, up_at);
         let name = worker.heartbeat.machine.clone();
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -63,11 +63,11 @@
                 self.tag(Tag::FenceRefresh);
                 self.json(transaction);
             }
-            Effect::Rent(request) => {
+            Effect::Provision(request) => {
                 self.tag(Tag::Rent);
                 self.json(request);
             }
-            Effect::Return(machines) => {
+            Effect::Terminate(machines) => {
                 self.tag(Tag::Return);
                 self.json(machines);
             }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -16,14 +16,14 @@
 use super::records::{
     BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
 };
-use super::scheduler::{CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState};
+use super::scheduler::{CommitOutcome, Effect, OrdersResult, ProvisionOutcome, Scheduler, StoredState};
 use crate::config::{Settings, Tuning, sample_settings};
 use crate::ids::{AgentEpoch, Attempt, FencingToken, JobId, LeaseId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::PlanOutput;
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
     Cause, Heartbeat, HeartbeatResponse, JobPhase, JobSpec, KeyValue, Kind, MachineType, Mutation, Order, Priority,
-    RentRequest, TaskPhase, TaskStatus, Transaction,
+    ProvisionRequest, TaskPhase, TaskStatus, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use rand::rngs::StdRng;
@@ -118,7 +118,7 @@
     Rented {
         leader: u64,
         name: String,
-        result: RentResult,
+        result: ProvisionOutcome,
     },
     Returned {
         leader: u64,
@@ -155,7 +155,7 @@
     leader: Option<Scheduler>,
     leader_no: u64,
     next_leader_at: u64,
-    requests_made: BTreeMap<String, Vec<String>>,
+    provision_requests: BTreeMap<String, Vec<String>>,
     specs: BTreeMap<JobId, JobSpec>,
     /// The jobs that each job awaits, as its user named them.
     depends_on: BTreeMap<JobId, Vec<JobId>>,
@@ -217,7 +217,7 @@
             leader: None,
             leader_no: 0,
             next_leader_at: 0,
-            requests_made: BTreeMap::new(),
+            provision_requests: BTreeMap::new(),
             specs: BTreeMap::new(),
             depends_on: BTreeMap::new(),
             cancelled: BTreeMap::new(),
@@ -383,11 +383,11 @@
                     let delay = self.rng.random_range(5..1_400);
                     self.post(delay, Mail::LookedUp { leader, outcomes });
                 }
-                Effect::Rent(r) => {
-                    let result = if self.lost() { RentResult::Unknown } else { self.rent(&r) };
+                Effect::Provision(r) => {
+                    let result = if self.lost() { ProvisionOutcome::Unknown } else { self.rent(&r) };
                     self.post(200, Mail::Rented { leader, name: r.name, result });
                 }
-                Effect::Return(ids) => {
+                Effect::Terminate(ids) => {
                     let ok = !self.lost();
                     let names: Vec<String> = ids.iter().map(|i| i.to_string()).collect();
                     for n in &names {
@@ -401,12 +401,12 @@
         }
     }
 
-    fn rent(&mut self, r: &RentRequest) -> RentResult {
-        if let Some(names) = self.requests_made.get(&r.name) {
-            return RentResult::Rented(names.clone());
+    fn rent(&mut self, r: &ProvisionRequest) -> ProvisionOutcome {
+        if let Some(names) = self.provision_requests.get(&r.name) {
+            return ProvisionOutcome::Provisioned(names.clone());
         }
         if self.workers.iter().filter(|w| !w.dead).count() >= 12 {
-            return RentResult::NoCapacity;
+            return ProvisionOutcome::NoCapacity;
         }
         let kind = self.types.iter().position(|t| t.name == r.kind).unwrap();
         let zone = self.types[kind].zones.iter().position(|z| *z == r.zone).unwrap();
@@ -416,8 +416,8 @@
                 self.add_worker(kind, zone, r.spot, up)
             })
             .collect();
-        self.requests_made.insert(r.name.clone(), names.clone());
-        RentResult::Rented(names)
+        self.provision_requests.insert(r.name.clone(), names.clone());
+        ProvisionOutcome::Provisioned(names)
     }
 
     // ---- users
@@ -626,13 +626,13 @@
             }
             Mail::Rented { leader, name, result } if leader == current => {
                 if let Some(l) = &mut self.leader {
-                    l.on_rented(now, &name, result);
+                    l.on_provisioned(now, &name, result);
                 }
             }
             Mail::Returned { leader, names, ok } if leader == current => {
                 let ids: Vec<_> = names.iter().filter_map(|n| crate::ids::MachineId::parse(n)).collect();
                 if let Some(l) = &mut self.leader {
-                    l.on_returned(now, &ids, ok);
+                    l.on_terminated(now, &ids, ok);
                 }
             }
             Mail::Plan { leader, node, plan } if leader == current => {
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -1,9 +1,9 @@
 //! Client of the cloud. Calls keep to the cloud's rate; rentals and returns go before lists.
 
 use super::http::Http;
-use crate::core::scheduler::RentResult;
+use crate::core::scheduler::ProvisionOutcome;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
+use crate::wire::{ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ProvisionRequest};
 use hyper::Method;
 use std::sync::Mutex;
 
@@ -49,23 +49,23 @@
         }
     }
 
-    pub async fn rent(&self, http: &Http, now: MonotonicTime, r: &RentRequest) -> RentResult {
-        let Ok(body) = serde_json::to_vec(r) else { return RentResult::Malformed };
+    pub async fn provision(&self, http: &Http, now: MonotonicTime, r: &ProvisionRequest) -> ProvisionOutcome {
+        let Ok(body) = serde_json::to_vec(r) else { return ProvisionOutcome::Malformed };
         if !self.turn(now, true).await {
-            return RentResult::Unknown;
+            return ProvisionOutcome::Unknown;
         }
         match http.call(Method::POST, &self.addr, "/machines", body, LIMIT).await {
             Ok((200, body)) => match serde_json::from_slice::<MachineNames>(&body) {
-                Ok(n) => RentResult::Rented(n.plinths),
-                Err(_) => RentResult::Unknown,
+                Ok(n) => ProvisionOutcome::Provisioned(n.plinths),
+                Err(_) => ProvisionOutcome::Unknown,
             },
-            Ok((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => RentResult::NoCapacity,
-            Ok((400, _)) => RentResult::Malformed,
-            _ => RentResult::Unknown,
+            Ok((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => ProvisionOutcome::NoCapacity,
+            Ok((400, _)) => ProvisionOutcome::Malformed,
+            _ => ProvisionOutcome::Unknown,
         }
     }
 
-    pub async fn give_back(&self, http: &Http, now: MonotonicTime, names: Vec<String>) -> bool {
+    pub async fn terminate(&self, http: &Http, now: MonotonicTime, names: Vec<String>) -> bool {
         let Ok(body) = serde_json::to_vec(&MachineNames { plinths: names }) else { return false };
         if !self.turn(now, true).await {
             return false;
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -7,7 +7,9 @@
 use super::peers;
 use crate::config::Peer;
 use crate::core::machine::MACHINE_PREFIX;
-use crate::core::scheduler::{CommitOutcome, Effect, OrdersResult, RentResult, Scheduler, StoredState, TICK_INTERVAL};
+use crate::core::scheduler::{
+    CommitOutcome, Effect, OrdersResult, ProvisionOutcome, Scheduler, StoredState, TICK_INTERVAL,
+};
 
 use crate::core::cost::CostCounters;
 use crate::core::leadership::{LEADER_KEY, LeaderRecord, should_hand_over};
@@ -205,17 +207,17 @@
             notify_scheduler(&node, |scheduler, now| scheduler.on_looked_up(now, &outcomes));
             perform_pending(&node);
         }
-        Effect::Rent(request) => {
+        Effect::Provision(request) => {
             let result = match acting {
-                true => node.cloud.rent(&node.http, now, &request).await,
-                false => RentResult::Unknown,
+                true => node.cloud.provision(&node.http, now, &request).await,
+                false => ProvisionOutcome::Unknown,
             };
-            notify_scheduler(&node, |scheduler, now| scheduler.on_rented(now, &request.name, result));
+            notify_scheduler(&node, |scheduler, now| scheduler.on_provisioned(now, &request.name, result));
         }
-        Effect::Return(ids) => {
+        Effect::Terminate(ids) => {
             let names = ids.iter().map(MachineId::to_string).collect();
-            let returned = acting && node.cloud.give_back(&node.http, now, names).await;
-            notify_scheduler(&node, |scheduler, now| scheduler.on_returned(now, &ids, returned));
+            let returned = acting && node.cloud.terminate(&node.http, now, names).await;
+            notify_scheduler(&node, |scheduler, now| scheduler.on_terminated(now, &ids, returned));
         }
     }
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -247,7 +247,7 @@
     pub slo_deadline_s: Option<f64>,
     /// May cause rentals in this round.
     #[prost(bool, tag = "25")]
-    pub may_rent: bool,
+    pub may_scale_out: bool,
     /// How many of its class's aims it can't meet any more.
     #[prost(uint32, tag = "28")]
     pub missed: u32,
@@ -268,7 +268,7 @@
 
 /// A machine that could be rented.
 #[derive(Clone, PartialEq, Message)]
-pub struct Offer {
+pub struct ProvisionOffer {
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     #[prost(uint32, tag = "2")]
@@ -296,7 +296,7 @@
     #[prost(message, repeated, tag = "7")]
     pub teams: Vec<TeamLeft>,
     #[prost(message, repeated, tag = "8")]
-    pub offers: Vec<Offer>,
+    pub offers: Vec<ProvisionOffer>,
     /// The most tasks to place in this round.
     #[prost(uint32, tag = "9")]
     pub batch: u32,
@@ -323,7 +323,7 @@
 
 /// Room wanted on new machines; one machine serves loads that add up to 1.
 #[derive(Clone, PartialEq, Message)]
-pub struct Wish {
+pub struct ScaleOutRequest {
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     #[prost(uint32, tag = "2")]
@@ -365,7 +365,7 @@
     #[prost(message, repeated, tag = "4")]
     pub placements: Vec<Placement>,
     #[prost(message, repeated, tag = "5")]
-    pub wishes: Vec<Wish>,
+    pub scale_out: Vec<ScaleOutRequest>,
     #[prost(message, repeated, tag = "6")]
     pub waiting: Vec<Waiting>,
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -239,7 +239,7 @@
 }
 
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct ProvisionRequest {
     /// The same name again rents nothing more.
     #[serde(rename = "hire")]
     pub name: String,
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -7,13 +7,13 @@
 use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use wallstile::core::scheduler::RentResult;
+use wallstile::core::scheduler::ProvisionOutcome;
 use wallstile::ids::{LeaseId, Revision};
 use wallstile::net::cloud::CloudClient;
 use wallstile::net::http::Http;
 use wallstile::net::kv::KvClient;
 use wallstile::time::{Millis, MonotonicTime};
-use wallstile::wire::{RentRequest, Transaction};
+use wallstile::wire::{ProvisionRequest, Transaction};
 
 /// Answers one request after the other, each on a connection of its own, and keeps what was asked.
 struct StandIn {
@@ -152,19 +152,19 @@
     // Far enough apart that each call has its turn at once.
     let now = |call: u64| MonotonicTime(10_000 * call);
     assert_eq!(cloud.types(&http, now(1)).await, Some(vec![machine_type()]));
-    let request: RentRequest = samples.read("rent_request");
+    let request: ProvisionRequest = samples.read("rent_request");
     let rented = vec!["m-000231".to_string(), "m-000232".to_string()];
-    assert_eq!(cloud.rent(&http, now(2), &request).await, RentResult::Rented(rented.clone()));
-    assert_eq!(cloud.rent(&http, now(3), &request).await, RentResult::NoCapacity);
-    assert!(cloud.give_back(&http, now(4), rented).await);
+    assert_eq!(cloud.provision(&http, now(2), &request).await, ProvisionOutcome::Provisioned(rented.clone()));
+    assert_eq!(cloud.provision(&http, now(3), &request).await, ProvisionOutcome::NoCapacity);
+    assert!(cloud.terminate(&http, now(4), rented).await);
     assert_eq!(cloud.list(&http, now(5)).await.expect("it answers").len(), 2);
     let rent = format!("POST /machines {}", samples.text("rent_request"));
-    let give_back = format!("POST /machines/return {names}");
+    let terminate = format!("POST /machines/return {names}");
     service.assert_asked(&[
         "GET /machine_types",
         &rent,
         &rent,
-        &give_back,
+        &terminate,
         "GET /machines?limit=500",
         "GET /machines?limit=500&since=m-000232",
     ]);
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -5,9 +5,9 @@
 use prost::Message;
 use std::fmt::Debug;
 use wallstile::peer::{
-    HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineView, Offer,
-    PeerHeartbeat, PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, TeamLeft, TypeView, VERSION, Waiting, Wish,
-    ZoneCount,
+    HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineView, PeerHeartbeat,
+    PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamLeft, TypeView,
+    VERSION, Waiting, ZoneCount,
 };
 
 /// Each message has its sample.
@@ -149,7 +149,7 @@
         guaranteed: true,
         service: true,
         slo_deadline_s: Some(9.5),
-        may_rent: true,
+        may_scale_out: true,
         missed: 44,
         successors_s: 10.5,
     }
@@ -177,7 +177,7 @@
         ("job_view_new_spot", JobView { new_spot: true, ..JobView::default() }),
         ("job_view_guaranteed", JobView { guaranteed: true, ..JobView::default() }),
         ("job_view_service", JobView { service: true, ..JobView::default() }),
-        ("job_view_may_rent", JobView { may_rent: true, ..JobView::default() }),
+        ("job_view_may_rent", JobView { may_scale_out: true, ..JobView::default() }),
     ]);
 }
 
@@ -185,8 +185,8 @@
     TeamLeft { team: 51, cpus: 1.5, gpus: 2.5 }
 }
 
-fn offer() -> Offer {
-    Offer { kind: 52, zone: 53, spot: true, most: 54 }
+fn offer() -> ProvisionOffer {
+    ProvisionOffer { kind: 52, zone: 53, spot: true, most: 54 }
 }
 
 #[test]
@@ -213,14 +213,14 @@
 #[test]
 fn plans_are_the_samples() {
     let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
-    let wish = Wish { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
+    let wish = ScaleOutRequest { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
     let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, ready_s: 3.5 };
     let output = PlanOutput {
         version: 3,
         term: 9001,
         round: 9002,
         placements: vec![placement.clone()],
-        wishes: vec![wish.clone()],
+        scale_out: vec![wish.clone()],
         waiting: vec![waiting.clone()],
     };
     assert_samples(&[("plan_output", output)]);
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -8,8 +8,8 @@
 use wallstile::net::users::Reply;
 use wallstile::wire::{
     Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobPhase, JobStatus, KeyValue, Kind, ListPhase, ListedMachine,
-    MachineList, MachineNames, MachineType, MachineTypes, Mutation, Order, Precondition, Priority, RangeResponse,
-    RentRequest, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
+    MachineList, MachineNames, MachineType, MachineTypes, Mutation, Order, Precondition, Priority, ProvisionRequest,
+    RangeResponse, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
 };
 
 #[test]
@@ -157,7 +157,7 @@
 
 #[test]
 fn rentals_are_the_samples() {
-    let request = RentRequest { name: "w31-2".into(), kind: "g8".into(), zone: "a".into(), spot: true, number: 6 };
+    let request = ProvisionRequest { name: "w31-2".into(), kind: "g8".into(), zone: "a".into(), spot: true, number: 6 };
     Samples::wire().assert_both_ways("rent_request", &request);
     let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
     Samples::wire().assert_both_ways("machine_names", &names);
