--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 use wallstile::config::{Settings, Tuning};
 use wallstile::core::cost::CostCounters;
-use wallstile::core::leadership::LeaderRecord;
+use wallstile::core::election::LeaderRecord;
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord};
 use wallstile::core::records::LiveRecord;
 use wallstile::core::scheduler::{
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -20,7 +20,7 @@
 #[test]
 fn the_sockets_suffice_for_a_worker_each() {
     let mut s = sample_settings();
-    // The least that platforms have promised for a fleet, with room for users.
+    // The least that platforms have pledged for a fleet, with room for users.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
         s.cluster.limits.sockets = limit;
         let x = s.sockets();
--- a/src/core/leadership.rs
+++ b/src/core/election.rs
@@ -3,9 +3,9 @@
 //!
 //! The lease never ends early, so a leader that counts it from before the request was sent knows
 //! a bound up to which no other can lead. It stops answering at that bound. When the
-//! state service refuses it, it may hold on only while every peer is refused too and promises not
-//! to run for leader: a promise that each peer keeps, even over a restart (see `may_run`). With its
-//! promise a peer passes on the cancellations that it has told users and the leader can't have read.
+//! state service refuses it, it may hold on only while every peer is refused too and pledges not
+//! to run for leader: a pledge that each peer keeps, even over a restart (see `may_stand`). With its
+//! pledge a peer passes on the cancellations that it has told users and the leader can't have read.
 //!
 //! A leader that isn't told of cancellations is as blind as one without a lease, whatever its
 //! renewals come to: what it has read bounds its acting as well (`read`).
@@ -23,7 +23,7 @@
 /// back for as long, also those that the leader can't reach.
 pub const SUCCESSOR_KEY: &str = "ctl/heir";
 
-pub const YIELD: Millis = Millis(2_000);
+pub const SUCCESSOR_BACKOFF: Millis = Millis(2_000);
 
 /// Whether a leader should hand over to a peer: many of its machines are silent, and about as many
 /// report to its peers in vain, so it is the leader that can't be reached.
@@ -50,28 +50,28 @@
     /// Until then what has been read of the live jobs is new enough to act on.
     read_bound: MonotonicTime,
     /// All changes of live jobs up to here are known.
-    pub read_to: Revision,
+    pub read_through: Revision,
 }
 
 /// A peer's word to a leader that is refused: for how long it will not run for leader, and the
 /// cancellations that users have been told by it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Promise {
+pub struct Pledge {
     pub span: Millis,
     pub cancelled: Vec<JobId>,
 }
 
-pub struct Leadership {
+pub struct Election {
     ttl: Millis,
     /// How long a leader may act on what it has last read.
     read_ttl: Millis,
-    /// How long a promise lasts.
-    pub promise: Millis,
-    promised_until: MonotonicTime,
+    /// How long a pledge lasts.
+    pub pledge: Millis,
+    pledged_until: MonotonicTime,
     /// Another controller is to lead next, so this one holds back until then.
-    yields_until: MonotonicTime,
+    backoff_until: MonotonicTime,
     /// A bid to lead was sent and its outcome isn't known.
-    bid_open: bool,
+    candidacy_pending: bool,
     /// Whether the last word of the state service was a refusal or none at all.
     refused: bool,
     lease: Option<LeaderLease>,
@@ -79,15 +79,15 @@
     last_term: Term,
 }
 
-impl Leadership {
-    pub fn new(ttl: Millis, read_ttl: Millis) -> Leadership {
-        Leadership {
+impl Election {
+    pub fn new(ttl: Millis, read_ttl: Millis) -> Election {
+        Election {
             ttl,
             read_ttl,
-            promise: ttl,
-            promised_until: MonotonicTime(0),
-            yields_until: MonotonicTime(0),
-            bid_open: false,
+            pledge: ttl,
+            pledged_until: MonotonicTime(0),
+            backoff_until: MonotonicTime(0),
+            candidacy_pending: false,
             refused: false,
             lease: None,
             last_term: Term(0),
@@ -104,25 +104,25 @@
         self.refused
     }
 
-    /// A process that has just begun may have forgotten a promise, so it waits as long as one
+    /// A process that has just begun may have forgotten a pledge, so it waits as long as one
     /// lasts, unless nobody has ever led.
-    pub fn may_run(&self, now: MonotonicTime, initialized: bool) -> bool {
-        now >= self.promised_until
-            && now >= self.yields_until
-            && (!initialized || now >= MonotonicTime(0) + self.promise.plus_clock_drift())
+    pub fn may_stand(&self, now: MonotonicTime, initialized: bool) -> bool {
+        now >= self.pledged_until
+            && now >= self.backoff_until
+            && (!initialized || now >= MonotonicTime(0) + self.pledge.plus_clock_drift())
     }
 
     /// Only a matter of manners: whoever bids first leads.
-    pub fn yield_to_successor(&mut self, now: MonotonicTime) {
-        self.yields_until = now + YIELD;
+    pub fn back_off_for_successor(&mut self, now: MonotonicTime) {
+        self.backoff_until = now + SUCCESSOR_BACKOFF;
     }
 
-    pub fn bid_sent(&mut self) {
-        self.bid_open = true;
+    pub fn candidacy_sent(&mut self) {
+        self.candidacy_pending = true;
     }
     /// The bid was answered, or its lease is gone so that it can never be carried out.
-    pub fn bid_settled(&mut self) {
-        self.bid_open = false;
+    pub fn candidacy_settled(&mut self) {
+        self.candidacy_pending = false;
     }
 
     /// The lease counts from before the request that made or renewed it was sent.
@@ -132,10 +132,10 @@
             id: lease,
             bound: asked_at + self.ttl.minus_clock_drift(),
             read_bound: asked_at + self.read_ttl,
-            read_to: Revision(0),
+            read_through: Revision(0),
         });
         self.last_term = term;
-        self.bid_open = false;
+        self.candidacy_pending = false;
     }
 
     pub fn renewed(&mut self, asked_at: MonotonicTime) {
@@ -151,14 +151,14 @@
             // Past the bound somebody else may lead, so that a revision read then may be of
             // a later term; a peer that has led, and has forgotten it, could vouch from there.
             if now < lease.bound {
-                lease.read_to = lease.read_to.max(revision);
+                lease.read_through = lease.read_through.max(revision);
             }
         }
     }
 
-    /// Every peer has promised, and its cancellations are in the cluster state; each promise began after
+    /// Every peer has pledged, and its cancellations are in the cluster state; each pledge began after
     /// `asked_at`.
-    pub fn all_promised(&mut self, asked_at: MonotonicTime, shortest: Millis) {
+    pub fn extend_on_pledges(&mut self, asked_at: MonotonicTime, shortest: Millis) {
         if let Some(lease) = &mut self.lease {
             lease.bound = lease.bound.max(asked_at + shortest.minus_clock_drift());
             lease.read_bound = lease.read_bound.max(asked_at + self.read_ttl);
@@ -175,25 +175,25 @@
     }
 
     /// The term under which orders and answers may go out now.
-    pub fn acting(&self, now: MonotonicTime) -> Option<Term> {
+    pub fn active_term(&self, now: MonotonicTime) -> Option<Term> {
         self.lease.filter(|lease| now < lease.bound.min(lease.read_bound)).map(|lease| lease.term)
     }
 
     /// Asked by a leader that is refused, which has read all up to a revision. None: a no. A process
-    /// that has led since, or can't tell what users have been told since, gives no promise.
-    pub fn promise_to(
+    /// that has led since, or can't tell what users have been told since, gives no pledge.
+    pub fn pledge_to(
         &mut self,
         now: MonotonicTime,
         term: Term,
-        read_to: Revision,
+        read_through: Revision,
         told: &Cancellations,
-    ) -> Option<Promise> {
-        if !self.refused || self.bid_open || self.lease.is_some() || self.last_term > term {
+    ) -> Option<Pledge> {
+        if !self.refused || self.candidacy_pending || self.lease.is_some() || self.last_term > term {
             return None;
         }
-        let cancelled = told.since(read_to)?;
-        self.promised_until = self.promised_until.max(now + self.promise.plus_clock_drift());
-        Some(Promise { span: self.promise, cancelled })
+        let cancelled = told.since(read_through)?;
+        self.pledged_until = self.pledged_until.max(now + self.pledge.plus_clock_drift());
+        Some(Pledge { span: self.pledge, cancelled })
     }
 }
 
--- a/src/core/leadership/tests.rs
+++ b/src/core/election/tests.rs
@@ -3,17 +3,17 @@
 
 #[test]
 fn a_leader_stops_before_its_lease_can_end() {
-    let mut l = leadership();
+    let mut l = election();
     l.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
-    assert_eq!(l.acting(MonotonicTime(13_900)), Some(Term(7)));
-    assert_eq!(l.acting(MonotonicTime(14_000)), None);
+    assert_eq!(l.active_term(MonotonicTime(13_900)), Some(Term(7)));
+    assert_eq!(l.active_term(MonotonicTime(14_000)), None);
     l.renewed(MonotonicTime(12_000));
-    assert_eq!(l.acting(MonotonicTime(15_900)), Some(Term(7)));
+    assert_eq!(l.active_term(MonotonicTime(15_900)), Some(Term(7)));
     // An answer that comes late to an earlier renewal changes nothing.
     l.renewed(MonotonicTime(11_000));
-    assert_eq!(l.acting(MonotonicTime(15_900)), Some(Term(7)));
+    assert_eq!(l.active_term(MonotonicTime(15_900)), Some(Term(7)));
     l.step_down();
-    assert_eq!(l.acting(MonotonicTime(12_000)), None);
+    assert_eq!(l.active_term(MonotonicTime(12_000)), None);
 }
 
 #[test]
@@ -25,8 +25,8 @@
     assert!(!should_hand_over(2, 2, 30), "not worth a change");
 }
 
-fn leadership() -> Leadership {
-    Leadership::new(Millis(4_000), Millis(10_000))
+fn election() -> Election {
+    Election::new(Millis(4_000), Millis(10_000))
 }
 
 fn job(n: u64) -> JobId {
@@ -42,36 +42,36 @@
 
 #[test]
 fn a_promise_needs_a_refusal_and_binds() {
-    let mut p = leadership();
-    let ask = |p: &mut Leadership| p.promise_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing());
+    let mut p = election();
+    let ask = |p: &mut Election| p.pledge_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing());
     assert_eq!(ask(&mut p), None, "it is served by the state service");
     p.store_refused();
-    p.bid_sent();
+    p.candidacy_sent();
     assert_eq!(ask(&mut p), None, "an open bid may be carried out late");
-    p.bid_settled();
+    p.candidacy_settled();
     let span = ask(&mut p).unwrap().span;
     assert!(span > Millis(0));
-    assert!(!p.may_run(MonotonicTime(20_000) + span, true), "bound even by a fast clock");
-    assert!(p.may_run(MonotonicTime(20_000) + span.plus_clock_drift(), true));
+    assert!(!p.may_stand(MonotonicTime(20_000) + span, true), "bound even by a fast clock");
+    assert!(p.may_stand(MonotonicTime(20_000) + span.plus_clock_drift(), true));
 }
 
 #[test]
 fn who_led_later_promises_nothing_to_an_earlier_term() {
-    let mut p = leadership();
+    let mut p = election();
     p.elected(Term(8), LeaseId(1), MonotonicTime(0));
     p.step_down();
     p.store_refused();
-    assert_eq!(p.promise_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing()), None);
-    assert!(p.promise_to(MonotonicTime(20_000), Term(9), Revision(9), &told_nothing()).is_some());
+    assert_eq!(p.pledge_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing()), None);
+    assert!(p.pledge_to(MonotonicTime(20_000), Term(9), Revision(9), &told_nothing()).is_some());
 }
 
 #[test]
 fn a_promise_carries_what_the_leader_cannot_have_read() {
-    let mut p = leadership();
+    let mut p = election();
     p.store_refused();
     let mut c = Cancellations::default();
-    let ask = |p: &mut Leadership, c: &Cancellations, read_to| {
-        p.promise_to(MonotonicTime(20_000), Term(7), Revision(read_to), c).map(|p| p.cancelled)
+    let ask = |p: &mut Election, c: &Cancellations, read_through| {
+        p.pledge_to(MonotonicTime(20_000), Term(7), Revision(read_through), c).map(|p| p.cancelled)
     };
     c.tell(job(1), Revision(11));
     assert_eq!(ask(&mut p, &c, 90), None, "an earlier process here may have told more");
@@ -91,26 +91,26 @@
 
 #[test]
 fn a_leader_acts_only_on_what_it_has_read_lately() {
-    let mut l = leadership();
+    let mut l = election();
     l.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
     // Its renewals succeed, but it reads nothing.
     for t in 10..40 {
         l.renewed(MonotonicTime(t * 1_000));
     }
-    assert_eq!(l.acting(MonotonicTime(19_900)), Some(Term(7)));
-    assert_eq!(l.acting(MonotonicTime(20_000)), None);
+    assert_eq!(l.active_term(MonotonicTime(19_900)), Some(Term(7)));
+    assert_eq!(l.active_term(MonotonicTime(20_000)), None);
     l.read(MonotonicTime(29_000), MonotonicTime(30_000), Revision(30));
-    assert_eq!(l.acting(MonotonicTime(30_100)), Some(Term(7)));
-    assert_eq!(l.lease().unwrap().read_to, Revision(30));
+    assert_eq!(l.active_term(MonotonicTime(30_100)), Some(Term(7)));
+    assert_eq!(l.lease().unwrap().read_through, Revision(30));
     // Past its bound somebody else may lead, whose changes these may be.
     l.read(MonotonicTime(49_000), MonotonicTime(50_000), Revision(50));
-    assert_eq!(l.lease().unwrap().read_to, Revision(30));
+    assert_eq!(l.lease().unwrap().read_through, Revision(30));
 }
 
 #[test]
 fn a_restarted_process_keeps_promises_it_has_forgotten() {
-    let p = leadership();
-    assert!(!p.may_run(MonotonicTime(4_000), true));
-    assert!(p.may_run(MonotonicTime(4_100), true));
-    assert!(p.may_run(MonotonicTime(0), false), "nobody ever led");
+    let p = election();
+    assert!(!p.may_stand(MonotonicTime(4_000), true));
+    assert!(p.may_stand(MonotonicTime(4_100), true));
+    assert!(p.may_stand(MonotonicTime(0), false), "nobody ever led");
 }
--- a/src/core/election_simulation.rs
+++ b/src/core/election_simulation.rs
@@ -3,7 +3,7 @@
 //! most one of them acts, and that a cancelled task is gone in time.
 
 use super::cancellations::Cancellations;
-use super::leadership::Leadership;
+use super::election::Election;
 use crate::ids::{JobId, LeaseId, Revision, Term};
 use crate::time::{Millis, MonotonicTime};
 use rand::rngs::StdRng;
@@ -19,7 +19,7 @@
 struct Controller {
     /// When this process began; its clock counts from there.
     began: u64,
-    leadership: Leadership,
+    election: Election,
     cancellations: Cancellations,
     frozen_until: u64,
     refused_until: u64,
@@ -40,7 +40,7 @@
     to: usize,
     began: u64,
     asked_at: u64,
-    promises: Vec<Option<(Millis, Vec<JobId>)>>,
+    pledges: Vec<Option<(Millis, Vec<JobId>)>>,
 }
 
 struct Worker {
@@ -68,7 +68,7 @@
     under_way: Vec<(u64, usize, u64, JobId, u64)>,
     told: BTreeMap<JobId, u64>,
     answers: Vec<Answer>,
-    held_on: u64,
+    extended: u64,
     carried: u64,
     /// The latest term that anybody has acted for.
     last_term: u64,
@@ -77,7 +77,7 @@
 fn controller(began: u64) -> Controller {
     Controller {
         began,
-        leadership: Leadership::new(Millis(TTL), Millis((CANCEL - LEASE) * 6 / 10)),
+        election: Election::new(Millis(TTL), Millis((CANCEL - LEASE) * 6 / 10)),
         cancellations: Cancellations::default(),
         frozen_until: 0,
         refused_until: 0,
@@ -122,7 +122,7 @@
             under_way: Vec::new(),
             told: BTreeMap::new(),
             answers: Vec::new(),
-            held_on: 0,
+            extended: 0,
             carried: 0,
             last_term: 0,
         }
@@ -137,7 +137,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let acts = |c: &Controller| c.leadership.acting(c.clock(self.now)).is_some();
+        let acts = |c: &Controller| c.election.active_term(c.clock(self.now)).is_some();
         self.controllers.iter().position(acts)
     }
 
@@ -161,23 +161,23 @@
         let served = self.served(n);
         let c = &mut self.controllers[n];
         if served {
-            c.leadership.store_answered()
+            c.election.store_answered()
         } else {
-            c.leadership.store_refused()
+            c.election.store_refused()
         }
         if served {
             c.cancellations.at_revision(Revision(self.revision));
         }
         let asked_at = c.clock(now.saturating_sub(30));
-        if let Some(leader_lease) = c.leadership.lease() {
+        if let Some(leader_lease) = c.election.lease() {
             c.next_look = now + 600;
             if served {
                 match self.leases.get_mut(&leader_lease.id.0) {
                     Some(end) => {
                         *end = (*end).max(now + TTL);
-                        c.leadership.renewed(asked_at);
+                        c.election.renewed(asked_at);
                     }
-                    None => c.leadership.step_down(),
+                    None => c.election.step_down(),
                 }
             } else {
                 c.next_look = now + 100;
@@ -197,12 +197,12 @@
                 self.revision += 1;
             }
             Some(_) => {}
-            None if c.leadership.may_run(c.clock(now), self.revision > 1) => {
+            None if c.election.may_stand(c.clock(now), self.revision > 1) => {
                 self.revision += 1;
                 let lease = self.revision;
                 self.leases.insert(lease, now + TTL);
                 self.key = Some((n, lease));
-                c.leadership.elected(Term(lease), LeaseId(lease), asked_at);
+                c.election.elected(Term(lease), LeaseId(lease), asked_at);
                 c.loaded = false;
                 c.next_read = now + 200;
             }
@@ -212,19 +212,19 @@
 
     fn hold_on(&mut self, n: usize) {
         let c = &self.controllers[n];
-        let Some(leader_lease) = c.leadership.lease().filter(|_| c.loaded) else { return };
-        let mut promises = Vec::new();
+        let Some(leader_lease) = c.election.lease().filter(|_| c.loaded) else { return };
+        let mut pledges = Vec::new();
         for p in (0..NODES).filter(|p| *p != n) {
             let cut = self.now < self.controllers[n].cut_until.max(self.controllers[p].cut_until);
             let lost = cut || self.rng.random::<f64>() < 0.02;
             let c = &mut self.controllers[p];
             let clock = c.clock(self.now);
-            let promise = c.leadership.promise_to(clock, leader_lease.term, leader_lease.read_to, &c.cancellations);
-            promises.push(promise.filter(|_| !lost && self.now >= c.frozen_until).map(|p| (p.span, p.cancelled)));
+            let pledge = c.election.pledge_to(clock, leader_lease.term, leader_lease.read_through, &c.cancellations);
+            pledges.push(pledge.filter(|_| !lost && self.now >= c.frozen_until).map(|p| (p.span, p.cancelled)));
         }
         let at = self.now + self.rng.random_range(1..700);
         let began = self.controllers[n].began;
-        self.answers.push(Answer { at, to: n, began, asked_at: self.now, promises });
+        self.answers.push(Answer { at, to: n, began, asked_at: self.now, pledges });
     }
 
     fn deliver(&mut self) {
@@ -237,13 +237,13 @@
                 continue;
             }
             let before = c.known.len();
-            c.known.extend(a.promises.iter().flatten().flat_map(|(_, jobs)| jobs.iter().copied()));
+            c.known.extend(a.pledges.iter().flatten().flat_map(|(_, jobs)| jobs.iter().copied()));
             self.carried += (c.known.len() - before) as u64;
-            let spans: Option<Vec<Millis>> = a.promises.iter().map(|p| p.as_ref().map(|p| p.0)).collect();
+            let spans: Option<Vec<Millis>> = a.pledges.iter().map(|p| p.as_ref().map(|p| p.0)).collect();
             if let Some(shortest) = spans.and_then(|s| s.into_iter().min()) {
                 let asked_at = c.clock(a.asked_at);
-                c.leadership.all_promised(asked_at, shortest);
-                self.held_on += 1;
+                c.election.extend_on_pledges(asked_at, shortest);
+                self.extended += 1;
             }
         }
         let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.under_way).into_iter().partition(|a| a.0 <= now);
@@ -253,7 +253,7 @@
             // The process that was asked must still be there to tell.
             if c.began == began && now >= c.frozen_until {
                 c.cancellations.tell(job, Revision(revision));
-                if c.leadership.lease().is_some() {
+                if c.election.lease().is_some() {
                     c.known.insert(job);
                 }
                 self.told.entry(job).or_insert(now);
@@ -265,7 +265,7 @@
         let served = self.served(n);
         let now = self.now;
         let c = &mut self.controllers[n];
-        if c.leadership.lease().is_none() || now < c.next_read || now < c.stalled_until || !served {
+        if c.election.lease().is_none() || now < c.next_read || now < c.stalled_until || !served {
             return;
         }
         if !c.loaded {
@@ -276,7 +276,7 @@
         c.next_read = now + 300;
         let asked_at = c.clock(now.saturating_sub(300));
         let clock = c.clock(now);
-        c.leadership.read(asked_at, clock, Revision(self.revision));
+        c.election.read(asked_at, clock, Revision(self.revision));
     }
 
     /// A user cancels a job, or asks about one that is, at a controller that is served.
@@ -311,7 +311,7 @@
             }
             w.next_heartbeat = now + 1_500;
             let c = &self.controllers[w.reports_to];
-            let term = c.leadership.acting(c.clock(now)).filter(|_| c.loaded && now >= c.frozen_until);
+            let term = c.election.active_term(c.clock(now)).filter(|_| c.loaded && now >= c.frozen_until);
             match term {
                 Some(t) if t.0 >= w.token => {
                     if !lost {
@@ -363,15 +363,15 @@
     }
 
     fn check(&mut self) {
-        let acting: Vec<(usize, Term)> = (0..NODES)
+        let active_term: Vec<(usize, Term)> = (0..NODES)
             .filter(|n| self.now >= self.controllers[*n].frozen_until)
             .filter_map(|n| {
                 let c = &self.controllers[n];
-                Some((n, c.leadership.acting(c.clock(self.now))?))
+                Some((n, c.election.active_term(c.clock(self.now))?))
             })
             .collect();
-        assert!(acting.len() < 2, "{acting:?} all act at {}", self.now);
-        for (n, term) in acting {
+        assert!(active_term.len() < 2, "{active_term:?} all act at {}", self.now);
+        for (n, term) in active_term {
             assert!(term.0 >= self.last_term, "{n} acts again for {term} after {} at {}", self.last_term, self.now);
             self.last_term = term.0;
         }
@@ -410,14 +410,14 @@
 
 #[test]
 fn one_leader_at_most_and_no_cancelled_task_outlives_its_time() {
-    let (mut held_on, mut carried, mut told) = (0, 0, 0);
+    let (mut extended, mut carried, mut told) = (0, 0, 0);
     for seed in 0..200 {
         let mut w = World::new(seed);
         w.run(100);
-        held_on += w.held_on;
+        extended += w.extended;
         carried += w.carried;
         told += w.told.len();
     }
     // The histories are worth something only if leaders hold on, and learn what they couldn't read.
-    assert!(held_on > 1_000 && carried > 100 && told > 1_000, "held_on={held_on} carried={carried} told={told}");
+    assert!(extended > 1_000 && carried > 100 && told > 1_000, "held_on={extended} carried={carried} told={told}");
 }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -23,8 +23,8 @@
 use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::dependencies::{DependencyGraph, JobTiming};
+use crate::core::election::{LEADER_KEY, LeaderRecord};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
-use crate::core::leadership::{LEADER_KEY, LeaderRecord};
 use crate::core::machine::{
     Allocation, Amount, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD,
     Registration, TaskAttempt, machine_key,
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -10,7 +10,7 @@
 
 use self::digest::Digest;
 use super::completion_bitmap::{BitmapLayout, parse_key};
-use super::leadership::{LEADER_KEY, LeaderRecord};
+use super::election::{LEADER_KEY, LeaderRecord};
 use super::machine::MACHINE_PREFIX;
 use super::miser;
 use super::records::{
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -4,7 +4,7 @@
 use super::leader_loop;
 use super::node::{Inner, Node};
 use super::peers;
-use crate::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_KEY, YIELD};
+use crate::core::election::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_BACKOFF, SUCCESSOR_KEY};
 use crate::core::records::JobOutcome;
 use crate::ids::{Revision, Term};
 use crate::peer::PeerHeartbeatResponse;
@@ -14,11 +14,11 @@
 use serde_json::json;
 use std::sync::Arc;
 
-const POLL: Millis = Millis(350);
+const POLL_INTERVAL: Millis = Millis(350);
 
 pub async fn run(node: Arc<Node>) {
     let mut initialized = true;
-    // Whoever has held the key until just now has no promise to keep: promises are made to the
+    // Whoever has held the key until just now has no pledge to keep: pledges are made to the
     // holder of the key.
     let mut held_it = false;
     loop {
@@ -53,11 +53,11 @@
                 }
                 let may = {
                     let now = node.now();
-                    node.lock().leadership.may_run(now, initialized && !held_it)
+                    node.lock().election.may_stand(now, initialized && !held_it)
                 };
-                if may && !must_yield(&node).await {
+                if may && !must_back_off(&node).await {
                     held_it = false;
-                    if let Some((leader_lease, record)) = bid(&node).await {
+                    if let Some((leader_lease, record)) = stand_for_election(&node).await {
                         initialized = true;
                         keep_leading(&node, leader_lease, record).await;
                         continue;
@@ -68,7 +68,7 @@
             Err(KvError::Refused | KvError::Unknown(_)) => probe_peers(&node).await,
             Err(_) => {}
         }
-        tokio::time::sleep(POLL.to_std()).await;
+        tokio::time::sleep(POLL_INTERVAL.to_std()).await;
     }
 }
 
@@ -84,18 +84,18 @@
     inner.leader_per_peers = answers.iter().flatten().map(|a| a.leader.clone()).find(|l| !l.is_empty());
 }
 
-async fn bid(node: &Arc<Node>) -> Option<(LeaderLease, LeaderRecord)> {
+async fn stand_for_election(node: &Arc<Node>) -> Option<(LeaderLease, LeaderRecord)> {
     let asked_at = node.now();
     let lease = node.track_store(node.kv.grant(&node.http, node.settings.state_ttl())).await.ok()?;
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: node.incarnation, lease };
     {
         let now = node.now();
         let mut inner = node.lock();
-        // A promise may have been given since.
-        if !inner.leadership.may_run(now, false) {
+        // A pledge may have been given since.
+        if !inner.election.may_stand(now, false) {
             return None;
         }
-        inner.leadership.bid_sent();
+        inner.election.candidacy_sent();
     }
     let transaction = Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: 0 }],
@@ -123,16 +123,16 @@
                 if row.is_ok() && node.kv.revoke(&node.http, lease).await.is_ok() {
                     break;
                 }
-                tokio::time::sleep(POLL.to_std()).await;
+                tokio::time::sleep(POLL_INTERVAL.to_std()).await;
             }
         }
     }
     let mut inner = node.lock();
-    inner.leadership.bid_settled();
+    inner.election.candidacy_settled();
     let term = term?;
-    inner.leadership.elected(term, lease, asked_at);
+    inner.election.elected(term, lease, asked_at);
     inner.leader_name = Some(node.settings.name.clone());
-    Some((inner.leadership.lease()?, record))
+    Some((inner.election.lease()?, record))
 }
 
 /// Renews the lease until it is lost.
@@ -140,26 +140,26 @@
     info!("leading: term={}", leader_lease.term);
     let work = tokio::spawn(leader_loop::run(node.clone(), leader_lease.term, record));
     let ttl = node.settings.state_ttl();
-    let mut acting = true;
-    let mut promised = false;
+    let mut active_term = true;
+    let mut pledged = false;
     loop {
         let asked_at = node.now();
         let renewed = node.track_store(node.kv.renew(&node.http, leader_lease.id, Millis(900))).await;
         match renewed {
             Ok(true) => {
                 let mut inner = node.lock();
-                inner.leadership.renewed(asked_at);
-                promised = false;
-                doubt(&mut inner, false);
+                inner.election.renewed(asked_at);
+                pledged = false;
+                set_in_doubt(&mut inner, false);
             }
             Ok(false) => break,
             Err(e) => {
                 warn!("the lease could not be renewed: {e}");
                 // Others may be served, and tell users of cancellations that can't be read here.
-                // What the peers have promised last holds until they are asked again.
-                doubt(&mut node.lock(), !promised);
-                promised = hold_on(node, leader_lease.term).await;
-                doubt(&mut node.lock(), !promised);
+                // What the peers have pledged last holds until they are asked again.
+                set_in_doubt(&mut node.lock(), !pledged);
+                pledged = extend_lease(node, leader_lease.term).await;
+                set_in_doubt(&mut node.lock(), !pledged);
             }
         }
         let successor = node.lock().successor.take();
@@ -168,9 +168,9 @@
             break;
         }
         let now = node.now();
-        let acts = node.lock().leadership.acting(now).is_some();
-        if acts != acting {
-            acting = acts;
+        let acts = node.lock().election.active_term(now).is_some();
+        if acts != active_term {
+            active_term = acts;
             info!("{}: term={}", if acts { "acting again" } else { "no longer acting" }, leader_lease.term);
         }
         let pause = if renewed_late(node, asked_at) { Millis(100) } else { Millis(ttl.0 / 6) };
@@ -178,7 +178,7 @@
     }
     warn!("no longer leader: term={}", leader_lease.term);
     let mut inner = node.lock();
-    inner.leadership.step_down();
+    inner.election.step_down();
     inner.scheduler = None;
     inner.leader_name = None;
     drop(inner);
@@ -190,8 +190,8 @@
     let fence_revision = {
         let now = node.now();
         let mut inner = node.lock();
-        inner.leadership.step_down();
-        inner.leadership.yield_to_successor(now);
+        inner.election.step_down();
+        inner.election.back_off_for_successor(now);
         inner.leader_name = None;
         inner.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
     };
@@ -207,7 +207,7 @@
 }
 
 async fn name_successor(node: &Arc<Node>, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
-    let lease = node.kv.grant(&node.http, YIELD).await?;
+    let lease = node.kv.grant(&node.http, SUCCESSOR_BACKOFF).await?;
     let transaction = Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: fence_revision.0 }],
         mutations: vec![Mutation::Put { key: SUCCESSOR_KEY.into(), value: json!(successor), lease: Some(lease.0) }],
@@ -216,7 +216,7 @@
 }
 
 /// Whether a leader that has just handed over named somebody else.
-async fn must_yield(node: &Arc<Node>) -> bool {
+async fn must_back_off(node: &Arc<Node>) -> bool {
     let row = node.track_store(node.kv.get(&node.http, SUCCESSOR_KEY)).await;
     matches!(row, Ok(Some(row)) if row.value.as_str() != Some(&node.settings.name))
 }
@@ -226,41 +226,41 @@
 }
 
 /// Starts wait while it isn't known what users have been told meanwhile.
-fn doubt(inner: &mut Inner, in_doubt: bool) {
+fn set_in_doubt(inner: &mut Inner, in_doubt: bool) {
     if let Some(scheduler) = &mut inner.scheduler {
         scheduler.set_in_doubt(in_doubt);
     }
 }
 
-/// Refused by the state service: goes on leading only if every peer is refused, promises not to run,
+/// Refused by the state service: goes on leading only if every peer is refused, pledges not to run,
 /// and has passed on the cancellations that can't have been read here. True: all have.
-async fn hold_on(node: &Arc<Node>, term: Term) -> bool {
+async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
     let asked_at = node.now();
     let mut peer_heartbeat = peers::peer_heartbeat(node);
-    peer_heartbeat.hold_on = true;
+    peer_heartbeat.asks_extension = true;
     peer_heartbeat.leading = true;
     peer_heartbeat.term = term.0;
-    peer_heartbeat.read_to = node.lock().leadership.lease().map_or(0, |o| o.read_to.0);
+    peer_heartbeat.read_through = node.lock().election.lease().map_or(0, |o| o.read_through.0);
     let answers = peers::ask_all(node, &peer_heartbeat, Millis(800)).await;
-    // A promise whose cancellations can't be read is none.
-    let promised = |a: &Option<PeerHeartbeatResponse>| {
-        let a = a.as_ref().filter(|a| a.promise_ms > 0)?;
-        Some((Millis(a.promise_ms), peers::jobs(&a.cancelled)?))
+    // A pledge whose cancellations can't be read is none.
+    let pledged = |a: &Option<PeerHeartbeatResponse>| {
+        let a = a.as_ref().filter(|a| a.pledge_ms > 0)?;
+        Some((Millis(a.pledge_ms), peers::jobs(&a.cancelled)?))
     };
-    let promises: Vec<_> = answers.iter().map(promised).collect();
+    let pledges: Vec<_> = answers.iter().map(pledged).collect();
     let mut inner = node.lock();
     record_peer_answers(&mut inner, &answers);
     let Some(scheduler) = &mut inner.scheduler else { return false };
-    for (_, cancelled) in promises.iter().flatten() {
+    for (_, cancelled) in pledges.iter().flatten() {
         cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
     }
-    // Without peers there is nobody to promise.
-    let shortest = promises.iter().map(|p| p.as_ref().map_or(Millis(0), |p| p.0)).min().unwrap_or_default();
-    let promised = shortest > Millis(0);
-    if promised {
-        inner.leadership.all_promised(asked_at, shortest);
+    // Without peers there is nobody to pledge.
+    let shortest = pledges.iter().map(|p| p.as_ref().map_or(Millis(0), |p| p.0)).min().unwrap_or_default();
+    let pledged = shortest > Millis(0);
+    if pledged {
+        inner.election.extend_on_pledges(asked_at, shortest);
     }
     drop(inner);
     leader_loop::perform_pending(node);
-    promised
+    pledged
 }
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -41,11 +41,11 @@
 
 /// Answers a worker that has reported to this controller.
 pub async fn respond_to_worker(node: &Arc<Node>, body: &Bytes) -> HeartbeatDecision {
-    let acting = {
+    let active_term = {
         let now = node.now();
-        node.lock().leadership.acting(now).is_some()
+        node.lock().election.active_term(now).is_some()
     };
-    if acting {
+    if active_term {
         return answer_directly(node, body);
     }
     match forwarding::forward(node, body.clone()).await {
@@ -69,7 +69,7 @@
     let now = node.now();
     let moves = {
         let mut inner = node.lock();
-        let term = inner.leadership.acting(now)?;
+        let term = inner.election.active_term(now)?;
         if inner.scheduler.is_none() {
             return Some(heartbeats.iter().map(|r| decided(Some(response_before_load(term, r)))).collect());
         }
--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -119,7 +119,7 @@
         let mut inner = node.lock();
         let Some(line) = inner.input_latency.take_line() else { continue };
         info!("steps: {line}");
-        let term = inner.leadership.acting(now);
+        let term = inner.election.active_term(now);
         let (heartbeats, requests) = (inner.forwarding.waiting(), inner.user_requests);
         match (&inner.scheduler, term) {
             (Some(leader), Some(term)) => {
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::core::cost::CostCounters;
-use crate::core::leadership::{LEADER_KEY, LeaderRecord, should_hand_over};
+use crate::core::election::{LEADER_KEY, LeaderRecord, should_hand_over};
 use crate::core::records::{BITMAP_PREFIX, JobOutcome, LIVE_PREFIX};
 use crate::core::shares::SHARES_KEY;
 use crate::ids::{JobId, MachineId, Revision, Term};
@@ -74,7 +74,7 @@
 }
 
 fn still_leads(node: &Node, term: Term) -> bool {
-    node.lock().leadership.lease().is_some_and(|o| o.term == term)
+    node.lock().election.lease().is_some_and(|o| o.term == term)
 }
 
 pub async fn run(node: Arc<Node>, term: Term, record: LeaderRecord) {
@@ -93,10 +93,10 @@
     {
         let now = node.now();
         let mut inner = node.lock();
-        if inner.leadership.lease().is_none_or(|o| o.term != term) {
+        if inner.election.lease().is_none_or(|o| o.term != term) {
             return;
         }
-        inner.leadership.read(asked_at, now, Revision(revision));
+        inner.election.read(asked_at, now, Revision(revision));
         inner.scheduler = Some(leader);
     }
     tokio::join!(tick(&node, term), follow(&node, term, revision), watch_cloud(&node, term), tell_peers(&node, term));
@@ -127,7 +127,7 @@
     let now = node.now();
     let (answer, term, effects) = {
         let mut inner = node.lock();
-        let Some(term) = inner.leadership.acting(now) else {
+        let Some(term) = inner.election.active_term(now) else {
             if let Some(leader) = &mut inner.scheduler {
                 leader.abandon_round();
             }
@@ -177,15 +177,15 @@
 /// was decided: what is no longer this leader's to send isn't sent.
 pub(super) async fn perform(node: Arc<Node>, term: Term, effect: Effect) {
     let now = node.now();
-    let acting = node.lock().leadership.acting(now) == Some(term);
+    let active_term = node.lock().election.active_term(now) == Some(term);
     match effect {
         Effect::Orders { ticket, endpoint, body } => {
-            let result = if acting { send_orders(&node, &endpoint, &body).await } else { OrdersResult::Unknown };
+            let result = if active_term { send_orders(&node, &endpoint, &body).await } else { OrdersResult::Unknown };
             notify_scheduler(&node, |scheduler, now| scheduler.on_orders_result(now, ticket, result));
             perform_pending(&node);
         }
         Effect::Commit { ticket, transaction } => {
-            let result = match acting {
+            let result = match active_term {
                 true => commit_outcome(&node.track_store(node.kv.commit(&node.http, &transaction)).await),
                 false => CommitOutcome::Rejected,
             };
@@ -208,7 +208,7 @@
             perform_pending(&node);
         }
         Effect::Provision(request) => {
-            let result = match acting {
+            let result = match active_term {
                 true => node.cloud.provision(&node.http, now, &request).await,
                 false => ProvisionOutcome::Unknown,
             };
@@ -216,7 +216,7 @@
         }
         Effect::Terminate(ids) => {
             let names = ids.iter().map(MachineId::to_string).collect();
-            let returned = acting && node.cloud.terminate(&node.http, now, names).await;
+            let returned = active_term && node.cloud.terminate(&node.http, now, names).await;
             notify_scheduler(&node, |scheduler, now| scheduler.on_terminated(now, &ids, returned));
         }
     }
@@ -275,7 +275,7 @@
                 since = since.max(log.revision);
                 let now = node.now();
                 let mut inner = node.lock();
-                inner.leadership.read(asked_at, now, Revision(since));
+                inner.election.read(asked_at, now, Revision(since));
                 let Some(scheduler) = &mut inner.scheduler else { continue };
                 for e in log.events {
                     let (key, value) = match e {
@@ -298,7 +298,7 @@
                         let mut inner = node.lock();
                         if let Some(scheduler) = &mut inner.scheduler {
                             scheduler.resync_live_jobs(rows, revision);
-                            inner.leadership.read(asked_at, now, Revision(revision));
+                            inner.election.read(asked_at, now, Revision(revision));
                         }
                     }
                     Err(_) => tokio::time::sleep(Millis(300).to_std()).await,
--- a/src/net/lookups.rs
+++ b/src/net/lookups.rs
@@ -48,7 +48,7 @@
 }
 
 /// A user is about to be told how a job has ended. A leader must act on what it tells, even where its
-/// watch is late, and a leader that can't read it is told by promise.
+/// watch is late, and a leader that can't read it is told by pledge.
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut inner = node.lock();
     inner.outcomes.put(id, record);
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -8,7 +8,7 @@
 use super::{detours, election, forwarding, leader_loop, peers, server};
 use crate::config::{Peer, Settings, Tuning, sample_settings};
 use crate::core::cancellations::Cancellations;
-use crate::core::leadership::{LEADER_KEY, SUCCESSOR_KEY};
+use crate::core::election::{LEADER_KEY, SUCCESSOR_KEY};
 use crate::core::scheduler::Effect;
 use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, Revision, TaskId, Term};
 use crate::time::{Millis, MonotonicTime};
@@ -274,7 +274,7 @@
         tokio::spawn(election::run(node.clone()));
         until(async || world.lock().unwrap().store.contains_key(LEADER_KEY)).await;
     }
-    assert!(leader.lock().leadership.lease().is_some());
+    assert!(leader.lock().election.lease().is_some());
     until(async || at_leader.post("/api/jobs", job("req-000001", 1)).await.0 == 201).await;
     let heartbeat = async || {
         let r = world.lock().unwrap().heartbeat();
@@ -289,8 +289,8 @@
     until(async || {
         heartbeat().await;
         // What the other can tell begins where the leader has read to, or before.
-        let read_to = leader.lock().leadership.lease().map_or(0, |o| o.read_to.0);
-        let known = other.lock().cancellations.since(Revision(read_to)).is_some();
+        let read_through = leader.lock().election.lease().map_or(0, |o| o.read_through.0);
+        let known = other.lock().cancellations.since(Revision(read_through)).is_some();
         let w = world.lock().unwrap();
         !w.tasks.is_empty() && known
     })
@@ -306,14 +306,14 @@
         world.lock().unwrap().tasks.is_empty()
     })
     .await;
-    // It goes on for longer than its lease, as the other has promised.
+    // It goes on for longer than its lease, as the other has pledged.
     while since.elapsed() < leader.settings.state_ttl().mul_f64(2.0).to_std() {
         heartbeat().await;
         tokio::time::sleep(Millis(300).to_std()).await;
     }
     until(async || heartbeat().await == 200).await;
 
-    // The other ends, and what is there in its place can't tell what users were told: no promise.
+    // The other ends, and what is there in its place can't tell what users were told: no pledge.
     other.lock().cancellations = Cancellations::default();
     until(async || heartbeat().await == 421).await;
 }
@@ -340,7 +340,7 @@
     until(async || at_leader.post("/api/jobs", job("req-000001", 1)).await.0 == 201).await;
     until(async || {
         let (status, answer) = heartbeat(&at_other).await;
-        let term = leader.lock().leadership.lease().map(|o| FencingToken::new(o.term, 0));
+        let term = leader.lock().election.lease().map(|o| FencingToken::new(o.term, 0));
         let held = !world.lock().unwrap().tasks.is_empty();
         held && status == 200 && answer["baton"] == json!(term)
     })
@@ -372,7 +372,7 @@
     until(async || heartbeat(&at_third).await == (421, json!({"steward": other_name}))).await;
 
     // Without a leader that acts there is no answer, and none is made up or remembered.
-    leader.lock().leadership.step_down();
+    leader.lock().election.step_down();
     assert_eq!(heartbeat(&at_other).await, (421, json!({})));
     assert_ne!(heartbeat(&at_other).await.0, 200);
 }
@@ -518,7 +518,7 @@
     let world = Arc::new(Mutex::new(World::default()));
     let (node, c) = controller(&world, false);
     tokio::time::sleep(Millis(200).to_std()).await;
-    node.lock().leadership.elected(Term(5), LeaseId(7), node.now());
+    node.lock().election.elected(Term(5), LeaseId(7), node.now());
     let own = FencingToken::new(Term(5), 0);
     let empty = world.lock().unwrap().heartbeat();
     assert_eq!(c.post("/v1/report", empty).await, (200, json!({"baton": own, "orders": []})));
@@ -538,7 +538,7 @@
     let order = || Effect::Orders { ticket: 1, endpoint: endpoint.clone(), body: body.clone() };
     leader_loop::perform(node.clone(), Term(5), order()).await;
     assert!(world.lock().unwrap().orders.is_empty(), "it is no longer the leader");
-    node.lock().leadership.elected(Term(6), LeaseId(7), node.now());
+    node.lock().election.elected(Term(6), LeaseId(7), node.now());
     leader_loop::perform(node.clone(), Term(5), order()).await;
     assert!(world.lock().unwrap().orders.is_empty(), "leader again, but for another term");
     leader_loop::perform(node.clone(), Term(6), order()).await;
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -1,7 +1,7 @@
 //! What happens past the bound of a leader's lease, and how long one message may hold everything else.
 
 use super::*;
-use crate::core::leadership::LeaderRecord;
+use crate::core::election::LeaderRecord;
 use crate::core::records::{JobOutcome, LiveRecord};
 use crate::core::scheduler::{Scheduler, TICK_INTERVAL};
 use crate::core::submissions::{Submission, parse_submission};
@@ -60,7 +60,7 @@
     };
     let answer = ask().await;
     assert!(!answer.leading && answer.decisions.is_empty(), "nobody leads here");
-    node.lock().leadership.elected(Term(5), LeaseId(7), node.now());
+    node.lock().election.elected(Term(5), LeaseId(7), node.now());
     let answer = ask().await;
     assert!(answer.leading);
     let statuses: Vec<u32> = answer.decisions.iter().map(|decision| decision.status).collect();
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -11,7 +11,7 @@
 use super::rare_log::RareLog;
 use crate::config::{Settings, Tuning};
 use crate::core::cancellations::Cancellations;
-use crate::core::leadership::Leadership;
+use crate::core::election::Election;
 use crate::core::overload::Overload;
 use crate::core::records::TerminalRecord;
 use crate::core::scheduler::Scheduler;
@@ -40,7 +40,7 @@
 }
 
 pub struct Inner {
-    pub leadership: Leadership,
+    pub election: Election,
     /// The cluster state, while leading and once it is loaded.
     pub scheduler: Option<Scheduler>,
     /// Who leads, as last read from the state service.
@@ -153,7 +153,7 @@
         let sockets = settings.sockets();
         let kv = KvClient::new(settings.services.state.to_string());
         let inner = Inner {
-            leadership: Leadership::new(settings.state_ttl(), settings.read_ttl()),
+            election: Election::new(settings.state_ttl(), settings.read_ttl()),
             scheduler: None,
             leader_name: None,
             types: None,
@@ -217,7 +217,7 @@
         let mut inner = self.lock();
         match r {
             Err(KvError::Refused | KvError::Unknown(_)) => {
-                inner.leadership.store_refused();
+                inner.election.store_refused();
                 inner.store_refused_since.get_or_insert(now);
                 if matches!(r, Err(KvError::Unknown(_))) {
                     inner.store_unreachable_since.get_or_insert(now);
@@ -226,7 +226,7 @@
                 }
             }
             _ => {
-                inner.leadership.store_answered();
+                inner.election.store_answered();
                 inner.store_refused_since = None;
                 inner.store_unreachable_since = None;
             }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -84,32 +84,32 @@
     let mut guard = node.lock();
     let inner = &mut *guard;
     let misdirected = inner.misdirected_among(&peer_heartbeat.suspected, now);
-    if peer_heartbeat.leading && !peer_heartbeat.hold_on {
+    if peer_heartbeat.leading && !peer_heartbeat.asks_extension {
         inner.suspected = peer_heartbeat.suspected.into_iter().collect();
         inner.take_counts(&peer_heartbeat.counts);
         inner.forwarding.heard_leader(&peer_heartbeat.from, Term(peer_heartbeat.term), now);
-        if !inner.forwarding.is_proven() && inner.leadership.acting(now).is_none() {
+        if !inner.forwarding.is_proven() && inner.election.active_term(now).is_none() {
             node.relay_wakeup.notify_one();
         }
     }
     if !peer_heartbeat.successor.is_empty() && peer_heartbeat.successor != node.settings.name {
-        inner.leadership.yield_to_successor(now);
+        inner.election.back_off_for_successor(now);
     }
     let mut answer = PeerHeartbeatResponse {
         version: VERSION,
         misdirected,
-        store_ok: !inner.leadership.is_refused_by_store(),
+        store_ok: !inner.election.is_refused_by_store(),
         ..Default::default()
     };
-    if peer_heartbeat.hold_on
-        && let Some(p) = inner.leadership.promise_to(
+    if peer_heartbeat.asks_extension
+        && let Some(p) = inner.election.pledge_to(
             now,
             Term(peer_heartbeat.term),
-            Revision(peer_heartbeat.read_to),
+            Revision(peer_heartbeat.read_through),
             &inner.cancellations,
         )
     {
-        answer.promise_ms = p.span.0;
+        answer.pledge_ms = p.span.0;
         answer.cancelled = p.cancelled.iter().map(JobId::to_string).collect();
     }
     answer.forwards = inner.forwarding.has_capacity(now);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -14,9 +14,9 @@
     pub version: u32,
     #[prost(string, tag = "2")]
     pub from: String,
-    /// The sender is a leader who can't reach the state service and asks for a promise.
+    /// The sender is a leader who can't reach the state service and asks for a pledge.
     #[prost(bool, tag = "3")]
-    pub hold_on: bool,
+    pub asks_extension: bool,
     #[prost(uint64, tag = "4")]
     pub term: u64,
     /// The leader's counts of its live jobs, for polls.
@@ -30,9 +30,9 @@
     /// Machines that the leader doesn't hear from: no use sending them to it.
     #[prost(string, repeated, tag = "8")]
     pub suspected: Vec<String>,
-    /// With `hold_on`: the sender has read all changes of live jobs up to this revision.
+    /// With `asks_extension`: the sender has read all changes of live jobs up to this revision.
     #[prost(uint64, tag = "9")]
-    pub read_to: u64,
+    pub read_through: u64,
     /// Jobs that the sender has just told users are cancelled. It saves the leader starts, and
     /// nothing rests on it.
     #[prost(string, repeated, tag = "10")]
@@ -57,14 +57,14 @@
     pub store_ok: bool,
     /// For this long the answering controller will not try to lead; 0 is a no.
     #[prost(uint64, tag = "3")]
-    pub promise_ms: u64,
+    pub pledge_ms: u64,
     /// Of the machines that the asking leader doesn't hear, those that have lately tried here.
     #[prost(string, repeated, tag = "4")]
     pub misdirected: Vec<String>,
     /// Who leads, as far as the answering controller has read it from the state service.
     #[prost(string, tag = "5")]
     pub leader: String,
-    /// With a promise: all jobs that users have been told here are cancelled, and that the asking
+    /// With a pledge: all jobs that users have been told here are cancelled, and that the asking
     /// leader can't have read.
     #[prost(string, repeated, tag = "6")]
     pub cancelled: Vec<String>,
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -32,18 +32,18 @@
     let full = PeerHeartbeat {
         version: 3,
         from: "plinth-0".into(),
-        hold_on: true,
+        asks_extension: true,
         term: 9001,
         counts: vec![job_count()],
         leading: true,
         successor: "plinth-1".into(),
         suspected: vec!["m-000231".into(), "m-000232".into()],
-        read_to: 9002,
+        read_through: 9002,
         cancelled: vec!["req-000007".into()],
     };
     assert_samples(&[
         ("hello", full),
-        ("hello_hold_on", PeerHeartbeat { hold_on: true, ..PeerHeartbeat::default() }),
+        ("hello_hold_on", PeerHeartbeat { asks_extension: true, ..PeerHeartbeat::default() }),
         ("hello_leading", PeerHeartbeat { leading: true, ..PeerHeartbeat::default() }),
     ]);
     assert_samples(&[("job_count", job_count())]);
@@ -54,7 +54,7 @@
     let full = PeerHeartbeatResponse {
         version: 3,
         store_ok: true,
-        promise_ms: 3500,
+        pledge_ms: 3500,
         misdirected: vec!["m-000231".into()],
         leader: "plinth-2".into(),
         cancelled: vec!["req-000007".into(), "req-000008".into()],
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use wallstile::config::{LaterLimits, StateLimits};
 use wallstile::core::completion_bitmap::{BitmapLayout, parse_key};
-use wallstile::core::leadership::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
+use wallstile::core::election::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
 use wallstile::core::records::{
     BITMAP_PREFIX, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, absent_preconditions, has_dependencies,
