--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,7 +12,7 @@
 pub mod provisioning;
 pub mod records;
 pub mod scheduler;
-pub mod shares;
+pub mod shards;
 pub mod submissions;
 
 #[cfg(test)]
--- a/src/core/scheduler/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -33,7 +33,7 @@
         // Rounds are the bulk of the work: where ticks come late, rounds come seldom, and each
         // decides more.
         let due = Millis((self.tuning.round_ms + 6.0 * self.lag_ms).min(MAX_ROUND_INTERVAL_MS) as u64);
-        self.move_shares(now);
+        self.rebalance_shards(now);
         self.use_reservations(now);
         self.consolidate_replicas(now);
         self.close_round(now);
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -35,7 +35,7 @@
     JobOutcome, LIVE_PREFIX, LiveRecord, MUTATIONS_PER_TERMINATION, TerminalRecord, live_key, live_precondition,
     termination_mutations,
 };
-use crate::core::shares::{SHARES_KEY, Shares};
+use crate::core::shards::{SHARDS_KEY, ShardAssignment};
 use crate::core::submissions;
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::{
@@ -115,7 +115,7 @@
     CompletionBitmaps(Vec<(JobId, FixedBitSet)>),
     Finish(JobId, WallTime),
     Cancel(Vec<JobId>),
-    Shares,
+    ShardAssignment,
     Tidy(Vec<String>),
 }
 
@@ -177,8 +177,8 @@
     round_at: MonotonicTime,
     rounds: u64,
     provision_requests: u64,
-    shares: Shares,
-    shares_dirty: bool,
+    shards: ShardAssignment,
+    shards_unsaved: bool,
     team_names: Vec<String>,
     /// For each type the most that a GPU job has asked of it.
     gpu_needs: Vec<Amount>,
@@ -265,18 +265,18 @@
     pub live: Vec<KeyValue>,
     pub bitmaps: Vec<KeyValue>,
     pub machines: Vec<KeyValue>,
-    pub shares: Option<Value>,
+    pub shards: Option<Value>,
 }
 
 impl StoredState {
     /// The same in parts of at most so many rows, done sets after all jobs.
     pub fn into_parts(self, rows: usize) -> Vec<StoredState> {
-        let StoredState { live, bitmaps, machines, shares } = self;
+        let StoredState { live, bitmaps, machines, shards } = self;
         let live = in_chunks(live, rows).map(|live| StoredState { live, ..StoredState::default() });
         let bitmaps = in_chunks(bitmaps, rows).map(|bitmaps| StoredState { bitmaps, ..StoredState::default() });
         let machines = in_chunks(machines, rows).map(|machines| StoredState { machines, ..StoredState::default() });
-        let shares = shares.map(|shares| StoredState { shares: Some(shares), ..StoredState::default() });
-        live.chain(bitmaps).chain(machines).chain(shares).collect()
+        let shards = shards.map(|shards| StoredState { shards: Some(shards), ..StoredState::default() });
+        live.chain(bitmaps).chain(machines).chain(shards).collect()
     }
 }
 
@@ -316,7 +316,7 @@
         };
         let team_names: Vec<String> = c.teams.iter().map(|t| t.name.clone()).collect();
         let peers = settings.peers.iter().map(|p| p.name.clone());
-        let shares = Shares::new(&settings.name, peers, team_names.len() as u32, now);
+        let shards = ShardAssignment::new(&settings.name, peers, team_names.len() as u32, now);
         Scheduler {
             tokens: p.write_rps,
             p,
@@ -356,8 +356,8 @@
             round_at: now,
             rounds: 0,
             provision_requests: 0,
-            shares,
-            shares_dirty: true,
+            shards,
+            shards_unsaved: true,
             team_names,
             gpu_needs: vec![Amount::default(); types.len()],
             types,
@@ -465,9 +465,9 @@
         stored.live.into_iter().for_each(|row| self.load_job(row));
         stored.bitmaps.into_iter().for_each(|row| self.load_completion_bitmap(row));
         stored.machines.into_iter().for_each(|row| self.load_machine(now, row));
-        if let Some(kept) = stored.shares.and_then(|v| serde_json::from_value(v).ok()) {
-            self.shares.restore(&kept, &self.team_names);
-            self.shares_dirty = false;
+        if let Some(kept) = stored.shards.and_then(|v| serde_json::from_value(v).ok()) {
+            self.shards.restore(&kept, &self.team_names);
+            self.shards_unsaved = false;
         }
     }
 
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -398,20 +398,20 @@
 /// are up, each in an order of its own, so that where several are as good the parts choose different
 /// ones. Machines that aren't up are dealt out by what the parts want: counted on by all of them, a
 /// few booting machines looked like enough for everyone, and too few were rented.
-pub(super) fn deal(input: &PlanInput, parts: &[&[u32]]) -> Vec<PlanInput> {
+pub(super) fn partition_view(input: &PlanInput, parts: &[&[u32]]) -> Vec<PlanInput> {
     let jobs_of =
         |keys: &[u32]| -> Vec<JobView> { keys.iter().filter_map(|k| input.jobs.get(*k as usize)).cloned().collect() };
-    let mut dealt: Vec<PlanInput> =
+    let mut partitions: Vec<PlanInput> =
         parts.iter().map(|keys| PlanInput { jobs: jobs_of(keys), ..Default::default() }).collect();
     // What each part wants of machines without GPUs and of those with.
     let wants = |gpus: bool| -> Vec<f64> {
         let want = |j: &JobView| f64::from(j.ready) * if gpus { j.gpus } else { j.cpus };
-        dealt.iter().map(|p| p.jobs.iter().filter(|j| gpus == (j.gpus > 0.0)).map(want).sum()).collect()
+        partitions.iter().map(|p| p.jobs.iter().filter(|j| gpus == (j.gpus > 0.0)).map(want).sum()).collect()
     };
     let wants = [wants(false), wants(true)];
     let mut given = [vec![1.0; parts.len()], vec![1.0; parts.len()]];
     let (up, coming): (Vec<&MachineView>, Vec<&MachineView>) = input.machines.iter().partition(|m| m.up);
-    for (n, p) in dealt.iter_mut().enumerate() {
+    for (n, p) in partitions.iter_mut().enumerate() {
         let first = up.len() * n / parts.len().max(1);
         p.machines.extend(up[first..].iter().chain(&up[..first]).map(|m| (*m).clone()));
         p.teams = input.teams.iter().filter(|t| p.jobs.iter().any(|j| j.team == t.team)).cloned().collect();
@@ -422,16 +422,16 @@
         let ratio = |n: &usize| wants[kind][*n] / given[kind][*n];
         if let Some(n) = (0..parts.len()).max_by(|a, b| ratio(a).total_cmp(&ratio(b))) {
             given[kind][n] += 1.0;
-            dealt[n].machines.push(m.clone());
+            partitions[n].machines.push(m.clone());
         }
     }
-    for p in &mut dealt {
+    for p in &mut partitions {
         (p.version, p.term, p.round, p.batch) = (input.version, input.term, input.round, input.batch);
         (p.budget_share, p.spot_mu, p.spot_sigma) = (input.budget_share, input.spot_mu, input.spot_sigma);
         p.types.clone_from(&input.types);
         p.offers.clone_from(&input.offers);
     }
-    dealt
+    partitions
 }
 
 fn type_view(t: &MachineType) -> TypeView {
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -1,6 +1,6 @@
 //! Rounds of decisions: the view, the parts of the plan, and what of it is committed.
 
-use super::planner_view::{PlannedJob, PlannerView, deal, zone_counts};
+use super::planner_view::{PlannedJob, PlannerView, partition_view, zone_counts};
 use super::preemption::{PlacementTarget, PreemptionRequest};
 use super::preemption_index::PreemptionSearch;
 use super::*;
@@ -18,12 +18,12 @@
         // The leader's own part has no name.
         let mut parts: BTreeMap<Option<String>, Vec<u32>> = BTreeMap::from([(None, Vec::new())]);
         for j in &view.input.jobs {
-            self.shares.note_load(j.team, j.ready);
-            let planner = self.shares.planner(j.team, now).map(str::to_string);
+            self.shards.record_load(j.team, j.ready);
+            let planner = self.shards.planner_for(j.team, now).map(str::to_string);
             parts.entry(planner).or_default().push(j.key);
         }
         let keys: Vec<&[u32]> = parts.values().map(Vec::as_slice).collect();
-        let mut inputs = deal(&view.input, &keys);
+        let mut inputs = partition_view(&view.input, &keys);
         let own = inputs.remove(0);
         let mut missing = BTreeMap::new();
         for (node, part) in parts.into_keys().flatten().zip(inputs) {
@@ -44,7 +44,7 @@
             Some(p) if (p.version, p.term, p.round) == (VERSION, self.term.0, round.view.input.round) => {
                 if round.missing.remove(node).is_some() {
                     round.outputs.push(p);
-                    self.shares.heard(node, now);
+                    self.shards.mark_responsive(node, now);
                 }
             }
             Some(p) => debug!("a plan of {node} is of round {} of term {}", p.round, p.term),
@@ -62,7 +62,7 @@
         // One part for each input: planning for all peers at once would hold up everything else.
         if let Some((node, part)) = round.missing.pop_first() {
             debug!("{node} is silent, its share is planned here");
-            self.shares.silent(&node);
+            self.shards.mark_unresponsive(&node);
             round.outputs.push(miser::plan_metered(&part, &self.cost));
         }
         if !round.missing.is_empty() {
@@ -100,13 +100,13 @@
     }
 
     pub fn peer_answered(&mut self, now: MonotonicTime, node: &str) {
-        self.shares.heard(node, now);
+        self.shards.mark_responsive(node, now);
     }
 
-    pub(super) fn move_shares(&mut self, now: MonotonicTime) {
-        for (team, from, to) in self.shares.rebalance(now) {
+    pub(super) fn rebalance_shards(&mut self, now: MonotonicTime) {
+        for (team, from, to) in self.shards.rebalance(now) {
             info!("share moved: team={} from={from} to={to}", self.team_names[team as usize]);
-            self.shares_dirty = true;
+            self.shards_unsaved = true;
         }
     }
 
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -7,7 +7,7 @@
 mod operation_bounds;
 mod planning;
 
-use super::planner_view::deal;
+use super::planner_view::partition_view;
 use super::*;
 use crate::config::sample_settings;
 use crate::core::records::{BITMAP_PREFIX, TERMINAL_PREFIX, terminal_key};
@@ -180,7 +180,7 @@
             live: rows(LIVE_PREFIX),
             bitmaps: rows(BITMAP_PREFIX),
             machines: rows(MACHINE_PREFIX),
-            shares: None,
+            shards: None,
         };
         self.leader =
             Scheduler::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -76,7 +76,7 @@
         jobs: vec![job(0, 0.0), job(1, 2.0), job(2, 2.0), job(3, 0.0)],
         ..Default::default()
     };
-    let parts = deal(&input, &[&[0, 1], &[2], &[3]]);
+    let parts = partition_view(&input, &[&[0, 1], &[2], &[3]]);
     let coming: Vec<u32> = parts.iter().flat_map(|p| &p.machines).filter(|m| !m.up).map(|m| m.key).collect();
     assert_eq!(coming.iter().collect::<BTreeSet<_>>().len(), 30, "each to one part");
     assert_eq!(coming.len(), 30);
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -33,7 +33,7 @@
         self.write_cascaded_cancellations();
         self.write_finished(wall);
         // What can wait takes turns.
-        if !self.write_completion_bitmaps(now) && !self.write_shares() {
+        if !self.write_completion_bitmaps(now) && !self.write_shards() {
             self.delete_orphaned_bitmaps();
         }
     }
@@ -160,22 +160,22 @@
     }
 
     /// Keeps who plans for which team. False: nothing was due.
-    fn write_shares(&mut self) -> bool {
-        if !self.shares_dirty || !self.has_writes_to_spare() {
+    fn write_shards(&mut self) -> bool {
+        if !self.shards_unsaved || !self.has_writes_to_spare() {
             return false;
         }
-        self.shares_dirty = false;
-        let value = serde_json::json!(self.shares.kept(&self.team_names));
+        self.shards_unsaved = false;
+        let value = serde_json::json!(self.shards.to_record(&self.team_names));
         if value.to_string().len() > self.p.value_bytes {
             // They save moves after a change of leader, and nothing rests on them.
-            warn!("{SHARES_KEY} has too many teams for a value and isn't kept");
+            warn!("{SHARDS_KEY} has too many teams for a value and isn't kept");
             return false;
         }
         let transaction = Transaction {
             preconditions: vec![self.fence_precondition()],
-            mutations: vec![Mutation::put(SHARES_KEY, value)],
+            mutations: vec![Mutation::put(SHARDS_KEY, value)],
         };
-        self.commit(Purpose::Shares, transaction);
+        self.commit(Purpose::ShardAssignment, transaction);
         true
     }
 
@@ -278,7 +278,7 @@
                 }
                 _ => {}
             },
-            Purpose::Shares => self.shares_dirty |= !ok,
+            Purpose::ShardAssignment => self.shards_unsaved |= !ok,
             Purpose::Tidy(keys) if !ok => self.orphaned_bitmaps.extend(keys),
             Purpose::Tidy(_) => {}
         }
--- a/src/core/shares.rs
+++ b/src/core/shards.rs
@@ -5,15 +5,15 @@
 use std::collections::BTreeMap;
 
 /// Team names and who plans for them.
-pub const SHARES_KEY: &str = "ctl/shares";
+pub const SHARDS_KEY: &str = "ctl/shares";
 
 /// A controller that hasn't answered for this long gets nothing to plan.
-const SILENT: Millis = Millis(2_500);
+const UNRESPONSIVE_TIMEOUT: Millis = Millis(2_500);
 /// Its teams move to others after this long.
-const GONE: Millis = Millis(8_000);
-const MOVE_EVERY: Millis = Millis(10_000);
+const FAILOVER_TIMEOUT: Millis = Millis(8_000);
+const REBALANCE_INTERVAL: Millis = Millis(10_000);
 
-pub struct Shares {
+pub struct ShardAssignment {
     me: String,
     /// Other controllers and when they last answered.
     peers: BTreeMap<String, Option<MonotonicTime>>,
@@ -23,38 +23,38 @@
     moved_at: MonotonicTime,
 }
 
-impl Shares {
-    pub fn new(me: &str, peers: impl Iterator<Item = String>, teams: u32, now: MonotonicTime) -> Shares {
+impl ShardAssignment {
+    pub fn new(me: &str, peers: impl Iterator<Item = String>, teams: u32, now: MonotonicTime) -> ShardAssignment {
         let peers: BTreeMap<String, Option<MonotonicTime>> = peers.map(|p| (p, None)).collect();
         let mut nodes: Vec<String> = peers.keys().cloned().collect();
         nodes.push(me.into());
         nodes.sort();
         let owner = (0..teams).map(|t| (t, nodes[t as usize % nodes.len()].clone())).collect();
-        Shares { me: me.into(), peers, owner, load: BTreeMap::new(), moved_at: now }
+        ShardAssignment { me: me.into(), peers, owner, load: BTreeMap::new(), moved_at: now }
     }
 
     /// Takes over what an earlier leader has kept; names that no longer exist are ignored.
-    pub fn restore(&mut self, kept: &BTreeMap<String, String>, team_names: &[String]) {
+    pub fn restore(&mut self, to_record: &BTreeMap<String, String>, team_names: &[String]) {
         for (team, name) in team_names.iter().enumerate() {
-            if let Some(node) = kept.get(name).filter(|n| **n == self.me || self.peers.contains_key(*n)) {
+            if let Some(node) = to_record.get(name).filter(|n| **n == self.me || self.peers.contains_key(*n)) {
                 self.owner.insert(team as u32, node.clone());
             }
         }
     }
 
-    pub fn kept(&self, team_names: &[String]) -> BTreeMap<String, String> {
+    pub fn to_record(&self, team_names: &[String]) -> BTreeMap<String, String> {
         let name = |t: u32| team_names.get(t as usize).cloned();
         self.owner.iter().filter_map(|(t, n)| Some((name(*t)?, n.clone()))).collect()
     }
 
-    pub fn heard(&mut self, node: &str, now: MonotonicTime) {
+    pub fn mark_responsive(&mut self, node: &str, now: MonotonicTime) {
         if let Some(at) = self.peers.get_mut(node) {
             *at = Some(now);
         }
     }
 
     /// Let a plan go unanswered: silent from now on, until it is heard again.
-    pub fn silent(&mut self, node: &str) {
+    pub fn mark_unresponsive(&mut self, node: &str) {
         if let Some(at) = self.peers.get_mut(node) {
             *at = None;
         }
@@ -65,12 +65,12 @@
     }
 
     /// The peer to plan for the team; none: the leader plans itself.
-    pub fn planner(&self, team: u32, now: MonotonicTime) -> Option<&str> {
+    pub fn planner_for(&self, team: u32, now: MonotonicTime) -> Option<&str> {
         let node = self.owner.get(&team)?;
-        self.answers(node, now, SILENT).then_some(node.as_str())
+        self.answers(node, now, UNRESPONSIVE_TIMEOUT).then_some(node.as_str())
     }
 
-    pub fn note_load(&mut self, team: u32, ready: u32) {
+    pub fn record_load(&mut self, team: u32, ready: u32) {
         let l = self.load.entry(team).or_default();
         *l += 0.1 * (f64::from(ready) - *l);
     }
@@ -78,13 +78,13 @@
     /// Moves teams away from silent controllers, or one team from the most loaded controller to
     /// the least loaded. Says what has moved.
     pub fn rebalance(&mut self, now: MonotonicTime) -> Vec<(u32, String, String)> {
-        if now - self.moved_at < MOVE_EVERY {
+        if now - self.moved_at < REBALANCE_INTERVAL {
             return Vec::new();
         }
         self.moved_at = now;
         let mut loads: BTreeMap<String, f64> = BTreeMap::new();
         loads.insert(self.me.clone(), 0.0);
-        for p in self.peers.keys().filter(|p| self.answers(p, now, GONE)) {
+        for p in self.peers.keys().filter(|p| self.answers(p, now, FAILOVER_TIMEOUT)) {
             loads.insert(p.clone(), 0.0);
         }
         let mut moves = Vec::new();
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -317,7 +317,7 @@
             live: self.rows(LIVE_PREFIX),
             bitmaps: self.rows(BITMAP_PREFIX),
             machines: self.rows(MACHINE_PREFIX),
-            shares: None,
+            shards: None,
         };
         l.load(MonotonicTime(self.now), stored);
         self.leader = Some(l);
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -14,7 +14,7 @@
 use crate::core::cost::CostCounters;
 use crate::core::election::{LEADER_KEY, LeaderRecord, should_hand_over};
 use crate::core::records::{BITMAP_PREFIX, JobOutcome, LIVE_PREFIX};
-use crate::core::shares::SHARES_KEY;
+use crate::core::shards::SHARDS_KEY;
 use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::peer::PeerHeartbeatResponse;
 use crate::time::{Millis, MonotonicTime};
@@ -117,8 +117,8 @@
     let (live, revision) = node.kv.list(&node.http, LIVE_PREFIX).await?;
     let (bitmaps, _) = node.kv.list(&node.http, BITMAP_PREFIX).await?;
     let (machines, _) = node.kv.list(&node.http, MACHINE_PREFIX).await?;
-    let shares = node.kv.get(&node.http, SHARES_KEY).await?.map(|r| r.value);
-    Ok((StoredState { live, bitmaps, machines, shares }, revision))
+    let shards = node.kv.get(&node.http, SHARDS_KEY).await?.map(|r| r.value);
+    Ok((StoredState { live, bitmaps, machines, shards }, revision))
 }
 
 /// Feeds the cluster state something and carries out what follows. Outside the bound of the leader's lease
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -13,7 +13,7 @@
     BITMAP_PREFIX, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, absent_preconditions, has_dependencies,
     live_key, live_precondition, terminal_key, termination_mutations,
 };
-use wallstile::core::shares::{SHARES_KEY, Shares};
+use wallstile::core::shards::{SHARDS_KEY, ShardAssignment};
 use wallstile::ids::{LeaseId, MachineId, Revision};
 use wallstile::net::leader_loop::KINDS_KEY;
 use wallstile::time::{MonotonicTime, WallTime};
@@ -36,7 +36,7 @@
         "founded": INITIALIZED_KEY,
         "heir": SUCCESSOR_KEY,
         "kinds": KINDS_KEY,
-        "shares": SHARES_KEY,
+        "shares": SHARDS_KEY,
         "prefixes": [LIVE_PREFIX, TERMINAL_PREFIX, BITMAP_PREFIX, MACHINE_PREFIX],
     });
     Samples::stored().assert_text("keys", &keys.to_string());
@@ -100,12 +100,12 @@
 #[test]
 fn shares_are_kept_as_the_sample() {
     let teams = ["team-a".to_string(), "team-b".to_string()];
-    let mut shares = Shares::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, MonotonicTime(0));
+    let mut shares = ShardAssignment::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, MonotonicTime(0));
     let samples = Samples::stored();
     let kept: BTreeMap<String, String> = samples.read("shares");
-    assert_ne!(shares.kept(&teams), kept);
+    assert_ne!(shares.to_record(&teams), kept);
     shares.restore(&kept, &teams);
-    samples.assert_text("shares", &json!(shares.kept(&teams)).to_string());
+    samples.assert_text("shares", &json!(shares.to_record(&teams)).to_string());
 }
 
 /// Rows of 150 tasks, which become the limit later; today's rows hold 306.
