--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -30,36 +30,36 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Amount {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
 }
 
-impl Amount {
-    pub fn of_type(t: &MachineType) -> Amount {
-        Amount { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }
+impl Resources {
+    pub fn of_type(t: &MachineType) -> Resources {
+        Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }
     }
-    pub fn of_task(s: &JobSpec) -> Amount {
-        Amount { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb }
+    pub fn of_task(s: &JobSpec) -> Resources {
+        Resources { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb }
     }
-    pub fn add(&mut self, o: &Amount) {
+    pub fn add(&mut self, o: &Resources) {
         self.cpus += o.cpus;
         self.gpus += o.gpus;
         self.memory_gb += o.memory_gb;
     }
-    pub fn sub(&mut self, o: &Amount) {
+    pub fn sub(&mut self, o: &Resources) {
         self.cpus -= o.cpus;
         self.gpus -= o.gpus;
         self.memory_gb -= o.memory_gb;
     }
     /// Raises each part to at least that of the other.
-    pub fn raise_to(&mut self, o: &Amount) {
+    pub fn max_with(&mut self, o: &Resources) {
         self.cpus = self.cpus.max(o.cpus);
         self.gpus = self.gpus.max(o.gpus);
         self.memory_gb = self.memory_gb.max(o.memory_gb);
     }
-    pub fn holds(&self, o: &Amount) -> bool {
+    pub fn covers(&self, o: &Resources) -> bool {
         let e = 1e-6;
         o.cpus <= self.cpus + e && o.gpus <= self.gpus + e && o.memory_gb <= self.memory_gb + e
     }
@@ -75,7 +75,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Allocation {
-    pub need: Amount,
+    pub need: Resources,
     /// None: a task of a job that is over, known from a heartbeat only.
     pub team: Option<u32>,
     pub priority: Priority,
@@ -225,16 +225,16 @@
         InstancePool { kind: self.kind, zone: self.zone, spot: self.spot }
     }
 
-    pub fn used(&self) -> Amount {
-        let mut a = Amount::default();
+    pub fn used(&self) -> Resources {
+        let mut a = Resources::default();
         for s in self.allocations.values().filter(|s| !s.has_exited()) {
             a.add(&s.need);
         }
         a
     }
 
-    pub fn free(&self, t: &MachineType) -> Amount {
-        let mut a = Amount::of_type(t);
+    pub fn free(&self, t: &MachineType) -> Resources {
+        let mut a = Resources::of_type(t);
         a.sub(&self.used());
         a
     }
--- a/src/core/miser/places.rs
+++ b/src/core/miser/places.rs
@@ -34,10 +34,10 @@
     pub(super) zone: u32,
     pub(super) spot: bool,
     pub(super) up: bool,
-    /// It has GPUs: `spare` is the room of urgent work without, `rest` that of other such work.
+    /// It has GPUs: `urgent_headroom` is the room of urgent work without, `preemptible_headroom` that of other such work.
     pub(super) gpus: bool,
-    pub(super) spare: Room,
-    pub(super) rest: Room,
+    pub(super) urgent_headroom: Room,
+    pub(super) preemptible_headroom: Room,
     pub(super) room: Room,
     /// For a machine yet to be rented: the offer it comes from, and whether a task wants it.
     pub(super) offer: Option<usize>,
@@ -48,7 +48,7 @@
 
 impl Place {
     pub(super) fn fits(&self, j: &JobView, reach: Reach) -> bool {
-        let part = if j.priority <= URGENT { &self.spare } else { &self.rest };
+        let part = if j.priority <= URGENT { &self.urgent_headroom } else { &self.preemptible_headroom };
         self.room.fits(j) && (reach == Reach::Any || !self.guards_against(j) || part.fits(j))
     }
     pub(super) fn guards_against(&self, j: &JobView) -> bool {
@@ -57,18 +57,18 @@
     pub(super) fn take(&mut self, j: &JobView) {
         self.room.take(j);
         if self.guards_against(j) {
-            self.rest.take(j);
+            self.preemptible_headroom.take(j);
             if j.priority <= URGENT {
-                self.spare.take(j);
+                self.urgent_headroom.take(j);
             }
         }
     }
     pub(super) fn give_back(&mut self, j: &JobView) {
         self.room.give_back(j);
         if self.guards_against(j) {
-            self.rest.give_back(j);
+            self.preemptible_headroom.give_back(j);
             if j.priority <= URGENT {
-                self.spare.give_back(j);
+                self.urgent_headroom.give_back(j);
             }
         }
     }
--- a/src/core/miser/tests.rs
+++ b/src/core/miser/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::peer::{ImageView, MachineView, ProvisionOffer, TeamLeft, TypeView};
+use crate::peer::{ImageView, MachineView, ProvisionOffer, TeamHeadroom, TypeView};
 
 fn kind(cpus: f64, gpus: f64, price: f64) -> TypeView {
     let spot_price = price / 3.0;
@@ -159,7 +159,7 @@
 #[test]
 fn services_take_gpu_machines_only_where_nothing_else_is_up() {
     let mut gpu = machine(1, 8.0);
-    (gpu.kind, gpu.spare_cpus, gpu.spare_memory_gb) = (1, 2.0, 8.0);
+    (gpu.kind, gpu.urgent_cpus, gpu.urgent_memory_gb) = (1, 2.0, 8.0);
     let mut i = input(vec![machine(0, 4.0), gpu], vec![job(0, 4)]);
     i.types.push(kind(8.0, 2.0, 9.0));
     (i.jobs[0].service, i.jobs[0].priority) = (true, 0);
@@ -199,7 +199,7 @@
 #[test]
 fn a_team_gets_no_more_than_is_left_to_it() {
     let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
-    i.teams = vec![TeamLeft { team: 0, cpus: 5.0, gpus: 0.0 }];
+    i.teams = vec![TeamHeadroom { team: 0, cpus: 5.0, gpus: 0.0 }];
     assert_eq!(put(&plan(&i)), [(0, 0, 2)]);
 }
 
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -17,7 +17,7 @@
     machine: &'a Machine,
     /// From 0 to 1, of what is scarcest on it.
     share: f64,
-    free: Amount,
+    free: Resources,
 }
 
 /// A replica that should be on another machine.
@@ -25,7 +25,7 @@
     from: MachineId,
     to: MachineId,
     allocation: TaskAttempt,
-    need: Amount,
+    need: Resources,
 }
 
 impl Scheduler {
@@ -77,7 +77,7 @@
         let t = &self.types[machine.kind];
         let used = machine.used();
         let share = (used.cpus / t.cpus.max(0.1)).max(used.memory_gb / t.memory_gb.max(0.1));
-        let mut free = Amount::of_type(t);
+        let mut free = Resources::of_type(t);
         free.sub(&used);
         Loaded { id, machine, share, free }
     }
@@ -104,7 +104,7 @@
             zones.iter_mut().filter(|z| z.zone == source.machine.zone).for_each(|z| z.count -= 1);
             let spec = &job.spec;
             let fits = |l: &&Loaded| {
-                l.free.holds(&allocation.need)
+                l.free.covers(&allocation.need)
                     && l.id != source.id
                     && self.types[l.machine.kind].gpus <= 0.0
                     && l.machine.image_ready_in_s(allocation.image, now) == Some(0.0)
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -26,8 +26,8 @@
 use crate::core::election::{LEADER_KEY, LeaderRecord};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::machine::{
-    Allocation, Amount, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD,
-    Registration, TaskAttempt, machine_key,
+    Allocation, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD, Registration,
+    Resources, TaskAttempt, machine_key,
 };
 use crate::core::miser;
 use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
@@ -39,7 +39,7 @@
 use crate::core::submissions;
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamLeft,
+    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom,
     TypeView, VERSION, Waiting, ZoneCount,
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
@@ -181,10 +181,10 @@
     shards_unsaved: bool,
     team_names: Vec<String>,
     /// For each type the most that a GPU job has asked of it.
-    gpu_needs: Vec<Amount>,
+    gpu_needs: Vec<Resources>,
     gpu_demand: GpuDemand,
     /// GPU machines that plain work may fill, as of the last round.
-    lent: BTreeSet<MachineId>,
+    lendable: BTreeSet<MachineId>,
     open_round: Option<Round>,
     reservations: Reservations,
     /// The last job whose reservations were tried: the next ones have their turn.
@@ -206,7 +206,7 @@
     lag_ms: f64,
     /// What each team possibly uses: counted when it is needed, kept up by starts, and dropped
     /// whenever a heartbeat may have added to it.
-    usage: Option<Usage>,
+    usage: Option<QuotaUsage>,
     effects: Vec<Effect>,
     /// What this leader has worked through since it began.
     cost: CostMeter,
@@ -221,10 +221,10 @@
 }
 
 /// What is possibly on machines, by team.
-struct Usage {
-    teams: Vec<Amount>,
+struct QuotaUsage {
+    teams: Vec<Resources>,
     /// All of every machine whose tasks aren't known: it may hold any team's.
-    unreconciled: Amount,
+    unreconciled: Resources,
 }
 
 /// The log-normal of spot machines' lives: starts at the settings' median and shifts with what is
@@ -330,7 +330,7 @@
             in_doubt: false,
             since: now,
             gpu_demand: GpuDemand::new(zones.len(), now),
-            lent: BTreeSet::new(),
+            lendable: BTreeSet::new(),
             zones,
             images: HashMap::new(),
             jobs: BTreeMap::new(),
@@ -359,7 +359,7 @@
             shards,
             shards_unsaved: true,
             team_names,
-            gpu_needs: vec![Amount::default(); types.len()],
+            gpu_needs: vec![Resources::default(); types.len()],
             types,
             open_round: None,
             reservations: Reservations::default(),
@@ -443,7 +443,7 @@
                 Some(o) => *o = t,
                 None => {
                     self.types.push(t);
-                    self.gpu_needs.push(Amount::default());
+                    self.gpu_needs.push(Resources::default());
                 }
             }
         }
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -76,12 +76,12 @@
         self.update_unreconciled();
         let waits = |j: &Job| j.startable_tasks() > 0 && j.pause_until <= now && !j.finishing && !self.held_back(j);
         let waiting: BTreeSet<JobId> = self.jobs.iter().filter(|(_, j)| waits(j)).map(|(id, _)| *id).collect();
-        self.lend(now, &waiting);
-        let mut machines = self.machine_views(now, self.least_need(&waiting));
+        self.update_lendable_gpu_machines(now, &waiting);
+        let mut machines = self.machine_views(now, self.smallest_demand(&waiting));
         self.add_requested(&mut machines);
         let offers = self.offers(now);
         let guaranteed = self.guaranteed();
-        let teams = self.teams_left();
+        let teams = self.team_headrooms();
         let named = machines.ids.iter().enumerate().filter_map(|(key, id)| Some((id.as_ref()?, key as u32)));
         let keys: HashMap<&MachineId, u32> = named.collect();
         let context = JobContext {
@@ -123,9 +123,9 @@
     }
 
     /// The least that any waiting task needs of a machine.
-    fn least_need(&self, waiting: &BTreeSet<JobId>) -> Option<Amount> {
-        let needs = waiting.iter().filter_map(|id| self.jobs.get(id)).map(|j| Amount::of_task(&j.spec));
-        needs.reduce(|least, need| Amount {
+    fn smallest_demand(&self, waiting: &BTreeSet<JobId>) -> Option<Resources> {
+        let needs = waiting.iter().filter_map(|id| self.jobs.get(id)).map(|j| Resources::of_task(&j.spec));
+        needs.reduce(|least, need| Resources {
             cpus: least.cpus.min(need.cpus),
             gpus: least.gpus.min(need.gpus),
             memory_gb: least.memory_gb.min(need.memory_gb),
@@ -133,7 +133,7 @@
     }
 
     /// The machines that are up or coming, as far as they have room for the least that anyone needs.
-    fn machine_views(&self, now: MonotonicTime, least: Option<Amount>) -> MachineViews {
+    fn machine_views(&self, now: MonotonicTime, least: Option<Resources>) -> MachineViews {
         let heartbeat_timeout = self.heartbeat_timeout();
         let mut all = MachineViews::default();
         for (id, m) in &self.machines {
@@ -148,7 +148,7 @@
                 all.cpus_up += t.cpus;
             }
             let free = self.unreserved_capacity(id, m, None);
-            if least.is_none_or(|least| !free.holds(&least)) {
+            if least.is_none_or(|least| !free.covers(&least)) {
                 continue;
             }
             let age_s = (now - m.since).as_secs_f64();
@@ -163,9 +163,9 @@
         all
     }
 
-    fn machine_view(&self, now: MonotonicTime, id: &MachineId, m: &Machine, free: &Amount) -> MachineView {
-        let spare = self.spare(m);
-        let rest = self.rest(m, !m.up || self.lent.contains(id));
+    fn machine_view(&self, now: MonotonicTime, id: &MachineId, m: &Machine, free: &Resources) -> MachineView {
+        let urgent_headroom = self.urgent_headroom(m);
+        let rest = self.preemptible_headroom(m, !m.up || self.lendable.contains(id));
         let age_s = (now - m.since).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
@@ -182,10 +182,10 @@
             images: m.images.iter().map(image).collect(),
             // Coarse, so that places which hardly differ compare as equal.
             slowness: (m.slowness * 4.0).round().max(1.0) / 4.0,
-            spare_cpus: spare.cpus,
-            spare_memory_gb: spare.memory_gb,
-            rest_cpus: rest.cpus,
-            rest_memory_gb: rest.memory_gb,
+            urgent_cpus: urgent_headroom.cpus,
+            urgent_memory_gb: urgent_headroom.memory_gb,
+            preemptible_cpus: rest.cpus,
+            preemptible_memory_gb: rest.memory_gb,
             ..Default::default()
         }
     }
@@ -202,8 +202,8 @@
                 free_cpus: t.cpus,
                 free_gpus: t.gpus,
                 free_memory_gb: t.memory_gb,
-                rest_cpus: t.cpus,
-                rest_memory_gb: t.memory_gb,
+                preemptible_cpus: t.cpus,
+                preemptible_memory_gb: t.memory_gb,
                 slowness: 1.0,
                 ..Default::default()
             };
@@ -214,13 +214,13 @@
     }
 
     /// What each team may still use.
-    fn teams_left(&mut self) -> Vec<TeamLeft> {
-        self.count_usage();
+    fn team_headrooms(&mut self) -> Vec<TeamHeadroom> {
+        self.quota_usage();
         let Some(usage) = &self.usage else { return Vec::new() };
         let left = |most: f64, used: f64, unreconciled: f64| {
             if most > 0.0 { (most - used - unreconciled).max(0.0) } else { UNLIMITED }
         };
-        let team = |(i, (t, used)): (usize, (&Team, &Amount))| TeamLeft {
+        let team = |(i, (t, used)): (usize, (&Team, &Resources))| TeamHeadroom {
             team: i as u32,
             cpus: left(t.cpus_max, used.cpus, usage.unreconciled.cpus),
             gpus: left(t.gpus_max, used.gpus, usage.unreconciled.gpus),
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -152,18 +152,18 @@
     }
 
     /// What urgent work without GPUs may still take of a GPU machine.
-    pub(super) fn spare(&self, m: &Machine) -> Amount {
-        let mut spare = Amount::of_type(&self.types[m.kind]);
-        spare.sub(&self.gpu_needs[m.kind]);
+    pub(super) fn urgent_headroom(&self, m: &Machine) -> Resources {
+        let mut urgent_headroom = Resources::of_type(&self.types[m.kind]);
+        urgent_headroom.sub(&self.gpu_needs[m.kind]);
         let fixed = |s: &&Allocation| !s.has_exited() && s.need.gpus <= 0.0 && s.priority <= Priority::High;
-        m.allocations.values().filter(fixed).for_each(|s| spare.sub(&s.need));
-        spare
+        m.allocations.values().filter(fixed).for_each(|s| urgent_headroom.sub(&s.need));
+        urgent_headroom
     }
 
     /// The GPU machines that work without GPUs may fill: of each zone's, as many as GPU jobs haven't
     /// wanted lately, and those first that do such work already. Filled as they come free, they
     /// would be cleared for the next GPU job, and what ran there would start over each time.
-    pub(super) fn lend(&mut self, now: MonotonicTime, waiting: &BTreeSet<JobId>) {
+    pub(super) fn update_lendable_gpu_machines(&mut self, now: MonotonicTime, waiting: &BTreeSet<JobId>) {
         let mut there = vec![0.0; self.zones.len()];
         let mut in_use = vec![0.0; self.zones.len()];
         let mut idle: Vec<(f64, &MachineId, &Machine)> = Vec::new();
@@ -181,11 +181,11 @@
         idle.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
         let lent = idle.into_iter().filter(|(_, _, m)| unwanted.take(m.zone, self.types[m.kind].gpus));
         let lent = lent.map(|(_, id, _)| id.clone()).collect();
-        self.lent = lent;
+        self.lendable = lent;
     }
 
     /// What work without GPUs that can be stopped for GPU jobs may still take of a GPU machine.
-    pub(super) fn rest(&self, m: &Machine, lent: bool) -> Amount {
+    pub(super) fn preemptible_headroom(&self, m: &Machine, lent: bool) -> Resources {
         let mut rest = m.free(&self.types[m.kind]);
         let gpu_work = m.allocations.values().any(|s| !s.has_exited() && s.need.gpus > 0.0);
         if !lent && !gpu_work {
@@ -196,17 +196,21 @@
 
     /// Whether a planned start leaves GPU jobs their room. Planners keep to that, but not knowing of
     /// each other they may all give the same machine what is left there.
-    pub(super) fn leaves_gpu_room(&self, j: &Job, id: &MachineId, m: &Machine) -> bool {
+    pub(super) fn preserves_gpu_headroom(&self, j: &Job, id: &MachineId, m: &Machine) -> bool {
         let s = &j.spec;
         if self.types[m.kind].gpus <= 0.0 || s.gpus > 0.0 || s.kind == Kind::Service {
             return true;
         }
-        let part = if j.priority() <= Priority::High { self.spare(m) } else { self.rest(m, self.lent.contains(id)) };
+        let part = if j.priority() <= Priority::High {
+            self.urgent_headroom(m)
+        } else {
+            self.preemptible_headroom(m, self.lendable.contains(id))
+        };
         part.cpus + 1e-6 >= s.cpus && part.memory_gb + 1e-6 >= s.memory_gb
     }
 
     /// What of a machine is neither used nor reserved, but for one job's reservations if that is named.
-    pub(super) fn unreserved_capacity(&self, id: &MachineId, m: &Machine, but_for: Option<&JobId>) -> Amount {
+    pub(super) fn unreserved_capacity(&self, id: &MachineId, m: &Machine, but_for: Option<&JobId>) -> Resources {
         let mut free = m.free(&self.types[m.kind]);
         let reservations = self.reservations.on(id).filter(|r| but_for != Some(&r.job));
         reservations.for_each(|r| free.sub(&r.need));
@@ -308,7 +312,7 @@
         let mut candidates = Candidates::default();
         let PreemptionRequest { job: id, target, zone, .. } = request;
         let Some(j) = self.jobs.get(id) else { return candidates };
-        let (need, urgency) = (Amount::of_task(&j.spec), self.urgency(id, j));
+        let (need, urgency) = (Resources::of_task(&j.spec), self.urgency(id, j));
         let mut permitted = self.permitted_pools(&j.spec);
         permitted.retain(|pool| zone.is_none_or(|zone| pool.zone == zone));
         self.cost.add_jobs(1);
@@ -320,7 +324,7 @@
         self.cost.add_machines(index.machines.len());
         let suited = |at: &usize| {
             let machine = &index.machines[*at];
-            machine.reclaimable_by(urgency).holds(&need) && promising.contains(&machine.pool)
+            machine.reclaimable_by(urgency).covers(&need) && promising.contains(&machine.pool)
         };
         let count = index.machines.len();
         let first = (self.rounds as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
@@ -362,7 +366,7 @@
 
     /// Stops tasks on a machine and keeps the room for a task of a job.
     fn evict(&mut self, now: MonotonicTime, id: &JobId, machine: &MachineId, victims: Vec<TaskAttempt>) {
-        let Some(need) = self.jobs.get(id).map(|j| Amount::of_task(&j.spec)) else { return };
+        let Some(need) = self.jobs.get(id).map(|j| Resources::of_task(&j.spec)) else { return };
         if !victims.is_empty() {
             debug!("making room for {id} on {machine}: tasks={}", victims.len());
         }
@@ -382,7 +386,7 @@
     ) -> Option<Eviction> {
         let spec = &j.spec;
         let t = &self.types[m.kind];
-        let need = Amount::of_task(spec);
+        let need = Resources::of_task(spec);
         let service = spec.kind == Kind::Service;
         let image = self.images.get(&spec.image).copied().unwrap_or(u32::MAX);
         let ready = m.image_ready_in_s(image, now);
@@ -390,7 +394,7 @@
             return None;
         }
         let plain_on_gpus = t.gpus > 0.0 && need.gpus <= 0.0;
-        let spared = plain_on_gpus && !self.spare(m).holds(&Amount { gpus: 0.0, ..need });
+        let spared = plain_on_gpus && !self.urgent_headroom(m).covers(&Resources { gpus: 0.0, ..need });
         if spared && !service {
             return None;
         }
@@ -402,7 +406,7 @@
         }
         let mut eviction = Eviction::default();
         for (key, allocation) in self.candidates((id, j), m, now, target) {
-            if free.holds(&need) {
+            if free.covers(&need) {
                 break;
             }
             free.add(&allocation.need);
@@ -410,7 +414,7 @@
             eviction.loss += self.gang_size(&key.0.job) * (1.0 + ran_s * allocation.need.cpus.max(1.0));
             eviction.victims.push(*key);
         }
-        if !free.holds(&need) {
+        if !free.covers(&need) {
             return None;
         }
         if ready.is_none() {
@@ -501,8 +505,8 @@
         partial: PartialCapacity,
     ) -> bool {
         let Some(j) = self.jobs.get(id) else { return false };
-        let (team, tasks, need) = (j.team, j.spec.tasks, Amount::of_task(&j.spec));
-        if !self.quota_holds(team, &need, f64::from(tasks)) {
+        let (team, tasks, need) = (j.team, j.spec.tasks, Resources::of_task(&j.spec));
+        if !self.fits_quota(team, &need, f64::from(tasks)) {
             return false;
         }
         let before = self.cost.read();
@@ -537,10 +541,10 @@
     ) -> BTreeMap<u32, GangCapacity> {
         let mut zones: BTreeMap<u32, GangCapacity> = BTreeMap::new();
         let Some(j) = self.jobs.get(id) else { return zones };
-        let need = Amount::of_task(&j.spec);
+        let need = Resources::of_task(&j.spec);
         let urgency = Urgency { guaranteed: false, ..self.urgency(id, j) };
         let permitted = self.permitted_pools(&j.spec);
-        let mut held: BTreeMap<&MachineId, Amount> = BTreeMap::new();
+        let mut held: BTreeMap<&MachineId, Resources> = BTreeMap::new();
         for reservation in self.reservations.of(id) {
             held.entry(&reservation.machine).or_default().add(&reservation.need);
         }
@@ -559,7 +563,7 @@
                 room.free.push((machine.id.clone(), free));
             }
             room.soon += tasks_that_fit(&soon, &need);
-            room.most += tasks_that_fit(&Amount::of_type(&self.types[machine.pool.kind]), &need);
+            room.most += tasks_that_fit(&Resources::of_type(&self.types[machine.pool.kind]), &need);
         }
         zones
     }
@@ -573,7 +577,7 @@
         room: &GangCapacity,
     ) -> u32 {
         let Some(j) = self.jobs.get(id) else { return 0 };
-        let (tasks, need) = (j.spec.tasks, Amount::of_task(&j.spec));
+        let (tasks, need) = (j.spec.tasks, Resources::of_task(&j.spec));
         let mut changed: BTreeSet<MachineId> = self.reservations.of(id).map(|r| r.machine.clone()).collect();
         self.reservations.release(id);
         let mut held = 0;
@@ -607,7 +611,7 @@
 }
 
 /// How many times a need fits into room.
-fn tasks_that_fit(room: &Amount, need: &Amount) -> u32 {
+fn tasks_that_fit(room: &Resources, need: &Resources) -> u32 {
     let part = |room: f64, need: f64| if need > 0.0 { (room + 1e-6) / need } else { f64::INFINITY };
     let n = part(room.cpus, need.cpus).min(part(room.gpus, need.gpus)).min(part(room.memory_gb, need.memory_gb));
     n.clamp(0.0, 1e6) as u32
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -25,16 +25,16 @@
     pub id: MachineId,
     pub pool: InstancePool,
     /// Neither used nor reserved.
-    pub free: Amount,
+    pub free: Resources,
     /// By priority, what would be free without the tasks of lower priority and those that stop already.
-    reclaimable: [Amount; PRIORITIES],
+    reclaimable: [Resources; PRIORITIES],
     /// By priority, what its tasks beyond any guarantee use.
-    over_guarantee: [Amount; PRIORITIES],
+    over_guarantee: [Resources; PRIORITIES],
 }
 
 impl IndexedMachine {
     /// The most that could become free for such work.
-    pub fn reclaimable_by(&self, urgency: Urgency) -> Amount {
+    pub fn reclaimable_by(&self, urgency: Urgency) -> Resources {
         let mut room = self.reclaimable[urgency.priority];
         if urgency.guaranteed {
             room.add(&self.over_guarantee[urgency.priority]);
@@ -46,22 +46,22 @@
 /// By priority, more than any machine of a market yields.
 #[derive(Default)]
 struct ReclaimableByPool {
-    to_any: [Amount; PRIORITIES],
-    to_guaranteed: [Amount; PRIORITIES],
+    to_any: [Resources; PRIORITIES],
+    to_guaranteed: [Resources; PRIORITIES],
 }
 
 impl ReclaimableByPool {
     fn include(&mut self, machine: &IndexedMachine) {
         for priority in 0..PRIORITIES {
             let reclaimable = |guaranteed| machine.reclaimable_by(Urgency { priority, guaranteed });
-            self.to_any[priority].raise_to(&reclaimable(false));
-            self.to_guaranteed[priority].raise_to(&reclaimable(true));
+            self.to_any[priority].max_with(&reclaimable(false));
+            self.to_guaranteed[priority].max_with(&reclaimable(true));
         }
     }
 
-    fn may_reclaim(&self, urgency: Urgency, need: &Amount) -> bool {
+    fn may_reclaim(&self, urgency: Urgency, need: &Resources) -> bool {
         let reclaimable = if urgency.guaranteed { &self.to_guaranteed } else { &self.to_any };
-        reclaimable[urgency.priority].holds(need)
+        reclaimable[urgency.priority].covers(need)
     }
 }
 
@@ -85,7 +85,7 @@
         &self,
         permitted: &BTreeSet<InstancePool>,
         urgency: Urgency,
-        need: &Amount,
+        need: &Resources,
     ) -> BTreeSet<InstancePool> {
         let may_reclaim = |pool: &&InstancePool| self.pools.get(pool).is_some_and(|m| m.may_reclaim(urgency, need));
         permitted.iter().filter(may_reclaim).copied().collect()
@@ -205,7 +205,7 @@
         self.cost.add_tasks(m.allocations.len());
         let free = self.unreserved_capacity(id, m, None);
         let mut reclaimable = [free; PRIORITIES];
-        let mut over_guarantee = [Amount::default(); PRIORITIES];
+        let mut over_guarantee = [Resources::default(); PRIORITIES];
         for (key, allocation) in m.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
             let priority = priority_number(allocation.priority) as usize;
             // What is already told to stop will be free soon, for anyone.
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -2,7 +2,7 @@
 //! has room for all of its tasks; without a reservation other work would take the room as soon as it is
 //! free, and be stopped again.
 
-use crate::core::machine::Amount;
+use crate::core::machine::Resources;
 use crate::ids::{JobId, MachineId};
 use crate::time::{Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 pub(super) struct Reservation {
     pub machine: MachineId,
     pub job: JobId,
-    pub need: Amount,
+    pub need: Resources,
     until: MonotonicTime,
 }
 
@@ -71,7 +71,7 @@
         later.chain(earlier).take_while(fits).map(|(job, _)| *job).collect()
     }
 
-    pub fn add(&mut self, now: MonotonicTime, machine: MachineId, job: JobId, need: Amount) {
+    pub fn add(&mut self, now: MonotonicTime, machine: MachineId, job: JobId, need: Resources) {
         self.last += 1;
         self.by_machine.entry(machine.clone()).or_default().insert(self.last);
         self.by_job.entry(job).or_default().insert(self.last);
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -144,7 +144,7 @@
                 .collect();
             for index in picked {
                 let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { break };
-                if !self.leaves_gpu_room(j, machine, m) || !self.may_place(now, job, machine, 1.0) {
+                if !self.preserves_gpu_headroom(j, machine, m) || !self.may_place(now, job, machine, 1.0) {
                     break;
                 }
                 let attempt = self.next_attempt();
@@ -220,7 +220,7 @@
     pub(super) fn may_place(&mut self, now: MonotonicTime, job: &JobId, machine: &MachineId, n: f64) -> bool {
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         let s = &j.spec;
-        let need = Amount::of_task(s);
+        let need = Resources::of_task(s);
         let free = self.unreserved_capacity(machine, m, Some(job));
         let placed = zone_counts(j, &self.machines);
         let team = j.team;
@@ -228,18 +228,18 @@
             && !j.is_waiting()
             && m.usable(now, self.heartbeat_timeout())
             && !self.held_back(j)
-            && free.holds(&need)
+            && free.covers(&need)
             && self.permits(s, m)
             && miser::zone_allowed(s.spread, s.one_zone, s.tasks, &placed, m.zone)
-            && self.quota_holds(team, &need, n)
+            && self.fits_quota(team, &need, n)
     }
 
     /// Counts everything possibly on a machine, and all of a machine that isn't accounted for.
-    pub(super) fn count_usage(&mut self) -> &Usage {
+    pub(super) fn quota_usage(&mut self) -> &QuotaUsage {
         self.usage.get_or_insert_with(|| {
-            let mut u = Usage {
-                teams: vec![Amount::default(); self.settings.cluster.teams.len()],
-                unreconciled: Amount::default(),
+            let mut u = QuotaUsage {
+                teams: vec![Resources::default(); self.settings.cluster.teams.len()],
+                unreconciled: Resources::default(),
             };
             for m in self.machines.values() {
                 for s in m.allocations.values().filter(|s| !s.has_exited()) {
@@ -248,20 +248,20 @@
                     }
                 }
                 if !m.reconciled || m.has_unknown_usage() {
-                    u.unreconciled.add(&Amount::of_type(&self.types[m.kind]));
+                    u.unreconciled.add(&Resources::of_type(&self.types[m.kind]));
                 }
             }
             u
         })
     }
 
-    pub(super) fn quota_holds(&mut self, team: u32, need: &Amount, n: f64) -> bool {
+    pub(super) fn fits_quota(&mut self, team: u32, need: &Resources, n: f64) -> bool {
         let Some(t) = self.settings.cluster.teams.get(team as usize) else { return false };
         let (cpus_max, gpus_max) = (t.cpus_max, t.gpus_max);
         if cpus_max <= 0.0 && gpus_max <= 0.0 {
             return true;
         }
-        let u = self.count_usage();
+        let u = self.quota_usage();
         let mut used = u.teams[team as usize];
         used.add(&u.unreconciled);
         let fits = |most: f64, used: f64, need: f64| most <= 0.0 || used + need * n <= most + 1e-9;
@@ -316,7 +316,7 @@
         m.cache_image(image, s.image_gb, t.cache_gb);
         let task = TaskId { job: *job, index };
         let allocation = Allocation {
-            need: Amount::of_task(s),
+            need: Resources::of_task(s),
             team: Some(j.team),
             priority: j.priority(),
             phase: None,
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -99,8 +99,8 @@
     let id = rig.submit(200, spec("req-000001", Kind::Array, 1, 8.0));
     rig.run(1_000);
     assert_eq!(rig.runs(&id), 1, "ordered in the session that the first answer has told of");
-    let holds = rig.busy_worker();
-    rig.mute.retain(|name| *name == holds);
+    let covers = rig.busy_worker();
+    rig.mute.retain(|name| *name == covers);
     rig.run(8_500);
     assert_eq!(rig.runs(&id), 1, "the session may go on");
     rig.run(3_000);
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -92,7 +92,7 @@
             MonotonicTime(rig.now),
             name.clone(),
             of,
-            Amount { cpus: 1.0, ..Amount::default() },
+            Resources { cpus: 1.0, ..Resources::default() },
         );
     }
     rig.run(1_000);
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -101,8 +101,8 @@
         l.machines.insert(MachineId::parse(&format!("m-{i}")).unwrap(), m);
     }
     let lent = |l: &mut Scheduler, at: MonotonicTime, waiting: &BTreeSet<JobId>| {
-        l.lend(at, waiting);
-        l.lent.len()
+        l.update_lendable_gpu_machines(at, waiting);
+        l.lendable.len()
     };
     assert_eq!(lent(&mut l, MonotonicTime(0), &BTreeSet::new()), 4, "nobody wants GPUs");
     let mut s = spec("req-000001", Kind::Gang, 3, 1.0);
--- a/src/core/scheduler/workers.rs
+++ b/src/core/scheduler/workers.rs
@@ -280,7 +280,7 @@
         self.usage = None;
         let Some(m) = self.machines.get_mut(id) else { return };
         let mut allocation = Allocation {
-            need: Amount::default(),
+            need: Resources::default(),
             team: None,
             priority: Priority::Low,
             phase: None,
@@ -303,7 +303,7 @@
                 info!("machine {id} lists {task} try {attempt}, and so do {places:?}");
             }
             let s = &job.spec;
-            allocation.need = Amount::of_task(s);
+            allocation.need = Resources::of_task(s);
             allocation.team = Some(job.team);
             allocation.priority = job.priority();
             allocation.run_s = self.times.expect(&s.class, s.estimate_s);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -164,14 +164,14 @@
     /// Of the free room, what urgent work without GPUs may take. Such work can't be stopped for
     /// GPU jobs, so it leaves them their room.
     #[prost(double, tag = "13")]
-    pub spare_cpus: f64,
+    pub urgent_cpus: f64,
     #[prost(double, tag = "14")]
-    pub spare_memory_gb: f64,
+    pub urgent_memory_gb: f64,
     /// Of a GPU machine's free room, what work without GPUs that isn't urgent may take.
     #[prost(double, tag = "15")]
-    pub rest_cpus: f64,
+    pub preemptible_cpus: f64,
     #[prost(double, tag = "16")]
-    pub rest_memory_gb: f64,
+    pub preemptible_memory_gb: f64,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -257,7 +257,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct TeamLeft {
+pub struct TeamHeadroom {
     #[prost(uint32, tag = "1")]
     pub team: u32,
     #[prost(double, tag = "2")]
@@ -294,7 +294,7 @@
     #[prost(message, repeated, tag = "6")]
     pub jobs: Vec<JobView>,
     #[prost(message, repeated, tag = "7")]
-    pub teams: Vec<TeamLeft>,
+    pub teams: Vec<TeamHeadroom>,
     #[prost(message, repeated, tag = "8")]
     pub offers: Vec<ProvisionOffer>,
     /// The most tasks to place in this round.
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -6,7 +6,7 @@
 use std::fmt::Debug;
 use wallstile::peer::{
     HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineView, PeerHeartbeat,
-    PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamLeft, TypeView,
+    PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom, TypeView,
     VERSION, Waiting, ZoneCount,
 };
 
@@ -103,10 +103,10 @@
         free_memory_gb: 6.5,
         images: vec![ImageView { image: 24, ready_s: 7.5 }],
         slowness: 8.5,
-        spare_cpus: 9.5,
-        spare_memory_gb: 10.5,
-        rest_cpus: 11.5,
-        rest_memory_gb: 12.5,
+        urgent_cpus: 9.5,
+        urgent_memory_gb: 10.5,
+        preemptible_cpus: 11.5,
+        preemptible_memory_gb: 12.5,
     }
 }
 
@@ -181,8 +181,8 @@
     ]);
 }
 
-fn team_left() -> TeamLeft {
-    TeamLeft { team: 51, cpus: 1.5, gpus: 2.5 }
+fn team_left() -> TeamHeadroom {
+    TeamHeadroom { team: 51, cpus: 1.5, gpus: 2.5 }
 }
 
 fn offer() -> ProvisionOffer {
