--- a/src/core/miser.rs
+++ b/src/core/placement.rs
@@ -2,27 +2,27 @@
 //!
 //! Pure: a view of the fleet and of the ready tasks in, placements and wishes for machines out.
 
-mod places;
+mod candidates;
 mod planner;
 
-use self::planner::{Active, Planner};
+use self::planner::{JobProgress, Planner};
 use crate::core::cost::CostMeter;
 use crate::peer::{JobView, Placement, PlanInput, PlanOutput, ScaleOutRequest, VERSION, Waiting, ZoneCount};
 
 const EPS: f64 = 1e-6;
 /// Most comparisons of jobs with places that a round begins with, and the fewest and most jobs that it plans
 /// for. The rest is planned for in later rounds.
-const MOST_CHOICES: usize = 65_536;
-const LEAST_JOBS: usize = 24;
-const MOST_JOBS: usize = 256;
+const MAX_ESTIMATES: usize = 65_536;
+const MIN_JOBS: usize = 24;
+const MAX_JOBS: usize = 256;
 /// How many times a batch a round looks ahead to machines that aren't up yet.
-const OUTLOOK: u32 = 8;
+const PENDING_BATCHES: u32 = 8;
 /// Priorities up to this one (prod, high) are not stopped for GPU jobs.
 const URGENT: u32 = 1;
 
 /// What a place would mean for one job, room aside.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Choice {
+pub struct Estimate {
     /// Expected finish, in seconds from now: the paper's FT.
     pub finish_s: f64,
     /// The part of it before the run begins.
@@ -58,7 +58,7 @@
 }
 
 /// The quality of a choice among those open to the task (paper, eq. 4, 5 and 7).
-pub fn quality(c: &Choice, lo: &Choice, hi: &Choice) -> f64 {
+pub fn quality(c: &Estimate, lo: &Estimate, hi: &Estimate) -> f64 {
     let part = |x: f64, lo: f64, hi: f64| if hi - lo > EPS { 1.0 - (x - lo) / (hi - lo) } else { 1.0 };
     part(c.finish_s, lo.finish_s, hi.finish_s) + part(c.cost, lo.cost, hi.cost) + c.reliability
 }
@@ -69,7 +69,7 @@
 }
 
 /// Whether all that a view refers to is in it; one from a peer may be anything.
-fn sound(input: &PlanInput) -> bool {
+fn is_consistent(input: &PlanInput) -> bool {
     let kinds = input.types.len() as u32;
     input.machines.iter().all(|m| m.kind < kinds)
         && input.offers.iter().all(|o| o.kind < kinds && o.most <= 1_000)
@@ -77,21 +77,21 @@
 }
 
 /// Jobs of a higher class go first: of higher priority, then within a guarantee, then with fewer aims missed.
-fn class_of(j: &JobView) -> (u32, bool, u32) {
+fn urgency_class(j: &JobView) -> (u32, bool, u32) {
     (j.priority, !j.guaranteed, j.missed)
 }
 
 /// The jobs that this round plans for. Each is compared with every place, so where both are many, the most
 /// urgent are considered, and of the others some in each round, in turn: nobody starves.
-fn considered(input: &PlanInput) -> Vec<&JobView> {
-    let places = (input.machines.len() + input.offers.len()).max(1);
-    let most = (MOST_CHOICES / places).clamp(LEAST_JOBS, MOST_JOBS);
+fn jobs_in_scope(input: &PlanInput) -> Vec<&JobView> {
+    let candidates = (input.machines.len() + input.offers.len()).max(1);
+    let most = (MAX_ESTIMATES / candidates).clamp(MIN_JOBS, MAX_JOBS);
     let mut jobs: Vec<&JobView> = input.jobs.iter().filter(|j| j.ready > 0).collect();
     if jobs.len() <= most {
         return jobs;
     }
     let left_s = |j: &JobView| j.slo_deadline_s.or(j.due_s).unwrap_or(-j.age_s);
-    jobs.sort_by(|a, b| class_of(a).cmp(&class_of(b)).then(left_s(a).total_cmp(&left_s(b))));
+    jobs.sort_by(|a, b| urgency_class(a).cmp(&urgency_class(b)).then(left_s(a).total_cmp(&left_s(b))));
     let in_turn = most / 4;
     let mut others = jobs.split_off(most - in_turn);
     others.sort_by_key(|j| j.key);
@@ -107,24 +107,24 @@
 
 /// The same; `meter` counts what was compared for it.
 pub fn plan_metered(input: &PlanInput, meter: &CostMeter) -> PlanOutput {
-    if !sound(input) {
+    if !is_consistent(input) {
         return PlanOutput::default();
     }
-    let jobs = considered(input);
+    let jobs = jobs_in_scope(input);
     let mut p = Planner::new(input, meter);
     let mut out = PlanOutput { version: VERSION, term: input.term, round: input.round, ..Default::default() };
     // What only waits for machines to come up starts nothing, but says how many are wanted: a limit
     // of its own, or a long queue's demand would be seen a batch at a time.
-    let (mut budget, mut outlook) = (input.batch, input.batch.saturating_mul(OUTLOOK));
+    let (mut budget, mut pending_budget) = (input.batch, input.batch.saturating_mul(PENDING_BATCHES));
     // Jobs of higher priority go first, within one priority what a guarantee covers, and of that
     // what can still meet the most of its aims: under overload the rest would only make it late
     // as well (ours).
-    let mut classes: Vec<(u32, bool, u32)> = jobs.iter().map(|j| class_of(j)).collect();
+    let mut classes: Vec<(u32, bool, u32)> = jobs.iter().map(|j| urgency_class(j)).collect();
     classes.sort_unstable();
     classes.dedup();
     for class in classes {
-        let mut active: Vec<Active> =
-            jobs.iter().copied().filter(|j| class_of(j) == class).map(|j| p.activate(j)).collect();
+        let mut active: Vec<JobProgress> =
+            jobs.iter().copied().filter(|j| urgency_class(j) == class).map(|j| p.activate(j)).collect();
         // Round-robin over the jobs (paper, lines 7-9). The tasks of a job are alike here, so its
         // top task by rank (eq. 1) is any. Which job begins is open in the paper: the one with the
         // least time left of those that can still make it, then the late ones by age (ours).
@@ -133,13 +133,13 @@
         while going {
             going = false;
             for a in active.iter_mut().filter(|a| a.left > 0) {
-                if budget == 0 || outlook == 0 {
+                if budget == 0 || pending_budget == 0 {
                     break;
                 }
                 let n = if a.job.gang { a.job.tasks } else { 1 };
                 match p.place_next(a) {
                     Some(true) => budget = budget.saturating_sub(n),
-                    Some(false) => outlook = outlook.saturating_sub(n),
+                    Some(false) => pending_budget = pending_budget.saturating_sub(n),
                     None => {
                         a.waiting.count += a.left;
                         a.left = 0;
@@ -150,7 +150,7 @@
             }
         }
         for a in active {
-            for (machine, (count, extra)) in a.put {
+            for (machine, (count, extra)) in a.placed_on {
                 out.placements.push(Placement { job: a.job.key, machine, count, extra });
             }
             if a.waiting.count + a.left > 0 {
@@ -158,7 +158,7 @@
             }
         }
     }
-    for pl in p.places.iter().filter(|pl| pl.opened) {
+    for pl in p.candidates.iter().filter(|pl| pl.opened) {
         out.scale_out.push(ScaleOutRequest {
             kind: pl.kind as u32,
             zone: pl.zone,
--- a/src/core/miser/places.rs
+++ b/src/core/placement/candidates.rs
@@ -27,7 +27,7 @@
 }
 
 /// Something a task could be put on: a machine of the view, or one opened in this round.
-pub(super) struct Place {
+pub(super) struct Candidate {
     /// Key of a machine of the view; none for a machine yet to be rented.
     pub(super) machine: Option<u32>,
     pub(super) kind: usize,
@@ -46,17 +46,17 @@
     pub(super) priority: u32,
 }
 
-impl Place {
-    pub(super) fn fits(&self, j: &JobView, reach: Reach) -> bool {
+impl Candidate {
+    pub(super) fn fits(&self, j: &JobView, scope: SearchScope) -> bool {
         let part = if j.priority <= URGENT { &self.urgent_headroom } else { &self.preemptible_headroom };
-        self.room.fits(j) && (reach == Reach::Any || !self.guards_against(j) || part.fits(j))
+        self.room.fits(j) && (scope == SearchScope::Any || !self.is_restricted_for(j) || part.fits(j))
     }
-    pub(super) fn guards_against(&self, j: &JobView) -> bool {
+    pub(super) fn is_restricted_for(&self, j: &JobView) -> bool {
         self.gpus && j.gpus <= EPS
     }
     pub(super) fn take(&mut self, j: &JobView) {
         self.room.take(j);
-        if self.guards_against(j) {
+        if self.is_restricted_for(j) {
             self.preemptible_headroom.take(j);
             if j.priority <= URGENT {
                 self.urgent_headroom.take(j);
@@ -65,7 +65,7 @@
     }
     pub(super) fn give_back(&mut self, j: &JobView) {
         self.room.give_back(j);
-        if self.guards_against(j) {
+        if self.is_restricted_for(j) {
             self.preemptible_headroom.give_back(j);
             if j.priority <= URGENT {
                 self.urgent_headroom.give_back(j);
@@ -77,7 +77,7 @@
 /// Which machines a service may take. It would keep a GPU machine up for good, and GPU jobs out of
 /// it; but nothing comes before a service (ours).
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
-pub(super) enum Reach {
+pub(super) enum SearchScope {
     /// None with GPUs.
     Plain,
     /// Of those with GPUs, what GPU jobs leave.
--- a/src/core/miser/planner.rs
+++ b/src/core/placement/planner.rs
@@ -1,7 +1,7 @@
 //! One round for one planner: the choices of each job, in the paper's order.
 
-use super::places::{Place, Reach, Room};
-use super::{Choice, EPS, log_normal_cdf, quality, sub_deadline, zone_allowed};
+use super::candidates::{Candidate, Room, SearchScope};
+use super::{EPS, Estimate, log_normal_cdf, quality, sub_deadline, zone_allowed};
 use crate::core::cost::CostMeter;
 use crate::peer::{JobView, PlanInput, Waiting, ZoneCount};
 
@@ -9,7 +9,7 @@
     input: &'a PlanInput,
     /// Counts the places that jobs are compared with.
     meter: &'a CostMeter,
-    pub(super) places: Vec<Place>,
+    pub(super) candidates: Vec<Candidate>,
     offers_left: Vec<u32>,
     cpus_left: std::collections::BTreeMap<u32, (f64, f64)>,
 }
@@ -18,7 +18,7 @@
 /// round comes to the job and again when none of those is left that passed both filters, not for
 /// each task: room, budget and time only shrink within a round.
 #[derive(Default)]
-struct Order {
+struct CandidateRanking {
     /// Place, cost, and whether it is in time.
     list: Vec<(usize, f64, bool)>,
     cheapest: f64,
@@ -27,28 +27,28 @@
     /// Before here, none has room any more.
     any: usize,
     /// None passed both filters when they were last compared.
-    hopeless: bool,
+    none_pass_filters: bool,
     built: bool,
 }
 
 /// A job's state within a round.
-pub(super) struct Active<'a> {
+pub(super) struct JobProgress<'a> {
     pub(super) job: &'a JobView,
-    choices: Vec<Option<Choice>>,
+    estimates: Vec<Option<Estimate>>,
     pub(super) left: u32,
     cheapest: f64,
     spare: f64,
     due_s: f64,
     zones: Vec<ZoneCount>,
-    pub(super) put: std::collections::BTreeMap<u32, (u32, f64)>,
+    pub(super) placed_on: std::collections::BTreeMap<u32, (u32, f64)>,
     pub(super) waiting: Waiting,
     rank: f64,
-    order: Order,
+    order: CandidateRanking,
     /// Wider and wider as nothing that is up has room.
-    reach: Reach,
+    scope: SearchScope,
 }
 
-impl Active<'_> {
+impl JobProgress<'_> {
     /// Lowest goes first.
     pub(super) fn turn(&self) -> (bool, f64, f64, u32) {
         let left = self.job.slo_deadline_s.unwrap_or(self.due_s);
@@ -62,12 +62,12 @@
         let mut p = Planner {
             input,
             meter,
-            places: Vec::new(),
+            candidates: Vec::new(),
             offers_left: input.offers.iter().map(|o| o.most).collect(),
             cpus_left: input.teams.iter().map(|t| (t.team, (t.cpus, t.gpus))).collect(),
         };
         for m in &input.machines {
-            p.places.push(Place {
+            p.candidates.push(Candidate {
                 machine: Some(m.key),
                 kind: m.kind as usize,
                 zone: m.zone,
@@ -97,7 +97,7 @@
         self.offers_left[o] -= 1;
         let offer = &self.input.offers[o];
         let t = &self.input.types[offer.kind as usize];
-        self.places.push(Place {
+        self.candidates.push(Candidate {
             machine: None,
             kind: offer.kind as usize,
             zone: offer.zone,
@@ -114,20 +114,21 @@
         });
     }
 
-    fn choice_for(&self, j: &JobView, i: usize, reach: Reach) -> Option<Choice> {
-        let pl = &self.places[i];
+    fn estimate_in_scope(&self, j: &JobView, i: usize, scope: SearchScope) -> Option<Estimate> {
+        let pl = &self.candidates[i];
         let gpus = self.input.types[pl.kind].gpus > EPS;
-        if gpus && j.service && j.gpus <= EPS && j.types.is_empty() && (reach == Reach::Plain || !pl.up) {
+        if gpus && j.service && j.gpus <= EPS && j.types.is_empty() && (scope == SearchScope::Plain || !pl.up) {
             return None;
         }
-        self.choice(j, i)
+        self.estimate(j, i)
     }
 
-    pub(super) fn activate(&self, j: &'a JobView) -> Active<'a> {
-        self.meter.add_choices(self.places.len());
-        let reach = if j.service { Reach::Plain } else { Reach::Spare };
-        let choices: Vec<Option<Choice>> = (0..self.places.len()).map(|i| self.choice_for(j, i, reach)).collect();
-        let known = || choices.iter().flatten();
+    pub(super) fn activate(&self, j: &'a JobView) -> JobProgress<'a> {
+        self.meter.add_choices(self.candidates.len());
+        let scope = if j.service { SearchScope::Plain } else { SearchScope::Spare };
+        let estimates: Vec<Option<Estimate>> =
+            (0..self.candidates.len()).map(|i| self.estimate_in_scope(j, i, scope)).collect();
+        let known = || estimates.iter().flatten();
         let cheapest = known().map(|c| c.cost).fold(f64::INFINITY, f64::min);
         let dearest = known().map(|c| c.cost).fold(0.0, f64::max);
         let span = known().filter(|c| c.cost <= cheapest + EPS).map(|c| c.finish_s).fold(f64::INFINITY, f64::min);
@@ -142,25 +143,25 @@
         };
         // Jobs without a deadline get twice their cheapest make span (ours).
         let due_s = j.due_s.unwrap_or(2.0 * span - j.age_s);
-        Active {
+        JobProgress {
             job: j,
-            choices,
+            estimates,
             left: j.ready,
             cheapest,
             spare,
             due_s,
             zones: j.placed.clone(),
-            put: Default::default(),
+            placed_on: Default::default(),
             waiting: Waiting { job: j.key, ..Default::default() },
             rank,
-            order: Order::default(),
-            reach,
+            order: CandidateRanking::default(),
+            scope,
         }
     }
 
     /// Time, cost and reliability of a place for a job; none if the job may not go there.
-    pub(super) fn choice(&self, j: &JobView, i: usize) -> Option<Choice> {
-        let pl = &self.places[i];
+    pub(super) fn estimate(&self, j: &JobView, i: usize) -> Option<Estimate> {
+        let pl = &self.candidates[i];
         let t = &self.input.types[pl.kind];
         let full = Room { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
         let m = pl.machine.map(|_| &self.input.machines[i]);
@@ -213,41 +214,42 @@
         } else {
             1.0
         };
-        Some(Choice { finish_s, start_s, cost, reliability, spot: pl.spot })
+        Some(Estimate { finish_s, start_s, cost, reliability, spot: pl.spot })
     }
 
-    fn has_room(&self, a: &Active, i: usize) -> bool {
-        self.places[i].fits(a.job, a.reach)
+    fn has_room(&self, a: &JobProgress, i: usize) -> bool {
+        self.candidates[i].fits(a.job, a.scope)
     }
 
     /// Whether a place that is up is open to the job.
-    fn some_is_up(&self, a: &mut Active) -> bool {
+    fn some_is_up(&self, a: &mut JobProgress) -> bool {
         if !a.order.built {
             self.compare(a);
         }
         // Room only shrinks: what was found before is looked at first.
-        let open = |(i, _, _): &(usize, f64, bool)| self.places[*i].up && self.has_room(a, *i) && self.may_be_in(a, *i);
+        let open =
+            |(i, _, _): &(usize, f64, bool)| self.candidates[*i].up && self.has_room(a, *i) && self.may_be_in(a, *i);
         a.order.list[a.order.any..].iter().any(open)
     }
 
-    fn may_be_in(&self, a: &Active, i: usize) -> bool {
-        zone_allowed(a.job.spread, a.job.one_zone, a.job.tasks, &a.zones, self.places[i].zone)
+    fn may_be_in(&self, a: &JobProgress, i: usize) -> bool {
+        zone_allowed(a.job.spread, a.job.one_zone, a.job.tasks, &a.zones, self.candidates[i].zone)
     }
 
     /// The place of the highest quality for the job's next task (paper, lines 10-16).
-    fn best(&self, a: &mut Active) -> Option<usize> {
+    fn best(&self, a: &mut JobProgress) -> Option<usize> {
         if !a.order.built {
             self.compare(a);
         }
         loop {
-            if !a.order.hopeless {
+            if !a.order.none_pass_filters {
                 let found = self.first(a, a.order.passing, true);
                 a.order.passing = found.unwrap_or(a.order.list.len());
                 if let Some(at) = found {
                     return Some(a.order.list[at].0);
                 }
                 self.compare(a);
-                if !a.order.hopeless {
+                if !a.order.none_pass_filters {
                     continue;
                 }
             }
@@ -258,7 +260,7 @@
     }
 
     /// Where in the job's order the first place from `from` on is that is still open to it.
-    fn first(&self, a: &Active, from: usize, filters: bool) -> Option<usize> {
+    fn first(&self, a: &JobProgress, from: usize, filters: bool) -> Option<usize> {
         let most = a.order.cheapest + a.spare + EPS;
         let passes = |cost: f64, in_time: bool| !filters || in_time && cost <= most;
         let rest = a.order.list[from..].iter();
@@ -269,15 +271,15 @@
 
     /// Enters a machine of an offer that was opened since: behind the one opened before it, which
     /// is its equal.
-    fn enter_opened(&self, a: &mut Active, i: usize) {
+    fn enter_opened(&self, a: &mut JobProgress, i: usize) {
         self.meter.add_choices(1);
         // Others may have filled it already, and room only shrinks.
         if !self.has_room(a, i) {
             return;
         }
-        let Some(c) = &a.choices[i] else { return };
-        let offer = self.places[i].offer;
-        let Some(at) = a.order.list.iter().rposition(|(o, _, _)| self.places[*o].offer == offer) else {
+        let Some(c) = &a.estimates[i] else { return };
+        let offer = self.candidates[i].offer;
+        let Some(at) = a.order.list.iter().rposition(|(o, _, _)| self.candidates[*o].offer == offer) else {
             a.order.built = false;
             return;
         };
@@ -289,29 +291,29 @@
     }
 
     /// Puts the places open to the job in order of quality.
-    fn compare(&self, a: &mut Active) {
-        self.meter.add_choices(a.choices.len());
-        let open: Vec<usize> = (0..a.choices.len())
-            .filter(|i| a.choices[*i].is_some() && self.has_room(a, *i) && self.may_be_in(a, *i))
+    fn compare(&self, a: &mut JobProgress) {
+        self.meter.add_choices(a.estimates.len());
+        let open: Vec<usize> = (0..a.estimates.len())
+            .filter(|i| a.estimates[*i].is_some() && self.has_room(a, *i) && self.may_be_in(a, *i))
             .collect();
-        let all = || open.iter().filter_map(|i| a.choices[*i].as_ref().map(|c| (*i, c)));
+        let all = || open.iter().filter_map(|i| a.estimates[*i].as_ref().map(|c| (*i, c)));
         let first =
-            Choice { finish_s: f64::INFINITY, cost: f64::INFINITY, start_s: 0.0, reliability: 0.0, spot: false };
-        let (mut lo, mut hi) = (first, Choice { finish_s: 0.0, cost: 0.0, ..first });
+            Estimate { finish_s: f64::INFINITY, cost: f64::INFINITY, start_s: 0.0, reliability: 0.0, spot: false };
+        let (mut lo, mut hi) = (first, Estimate { finish_s: 0.0, cost: 0.0, ..first });
         for (_, c) in all() {
             lo.finish_s = lo.finish_s.min(c.finish_s);
             lo.cost = lo.cost.min(c.cost);
             hi.finish_s = hi.finish_s.max(c.finish_s);
             hi.cost = hi.cost.max(c.cost);
         }
-        let in_time = |c: &Choice| c.finish_s <= sub_deadline(a.due_s, a.job.run_s, c.spot) + EPS;
+        let in_time = |c: &Estimate| c.finish_s <= sub_deadline(a.due_s, a.job.run_s, c.spot) + EPS;
         // Qualities that differ by less than EPS are equal: then the first place goes first.
         let mut list: Vec<(i64, (usize, f64, bool))> =
             all().map(|(i, c)| ((-quality(c, &lo, &hi) / EPS) as i64, (i, c.cost, in_time(c)))).collect();
         list.sort_by_key(|(q, _)| *q);
         let passes = |(_, cost, in_time): &(usize, f64, bool)| *in_time && *cost <= lo.cost + a.spare + EPS;
-        a.order = Order {
-            hopeless: !list.iter().any(|(_, p)| passes(p)),
+        a.order = CandidateRanking {
+            none_pass_filters: !list.iter().any(|(_, p)| passes(p)),
             list: list.into_iter().map(|(_, p)| p).collect(),
             cheapest: lo.cost,
             passing: 0,
@@ -322,14 +324,14 @@
 
     /// Places the job's next task, or the whole gang: on machines that are up (true) or not all
     /// (false). None: nothing is open to it.
-    pub(super) fn place_next(&mut self, a: &mut Active) -> Option<bool> {
+    pub(super) fn place_next(&mut self, a: &mut JobProgress) -> Option<bool> {
         if a.job.service && a.job.gpus <= EPS {
-            for reach in [Reach::Spare, Reach::Any] {
-                if a.reach >= reach || self.some_is_up(a) {
+            for scope in [SearchScope::Spare, SearchScope::Any] {
+                if a.scope >= scope || self.some_is_up(a) {
                     continue;
                 }
-                a.reach = reach;
-                a.choices = (0..self.places.len()).map(|i| self.choice_for(a.job, i, reach)).collect();
+                a.scope = scope;
+                a.estimates = (0..self.candidates.len()).map(|i| self.estimate_in_scope(a.job, i, scope)).collect();
                 a.order.built = false;
             }
         }
@@ -341,7 +343,7 @@
         let mut chosen = self.choose(a, n);
         if chosen.is_none() && a.job.gang && a.job.one_zone {
             // The best place of all may be in a zone that can't hold the gang: then the others.
-            let mut zones: Vec<u32> = self.places.iter().map(|p| p.zone).collect();
+            let mut zones: Vec<u32> = self.candidates.iter().map(|p| p.zone).collect();
             zones.sort_unstable();
             zones.dedup();
             for zone in zones {
@@ -358,11 +360,11 @@
             l.0 -= a.job.cpus * n as f64;
             l.1 -= a.job.gpus * n as f64;
         }
-        let all_up = chosen.iter().all(|i| self.places[*i].up && self.places[*i].machine.is_some());
+        let all_up = chosen.iter().all(|i| self.candidates[*i].up && self.candidates[*i].machine.is_some());
         for i in chosen {
-            let t = &self.input.types[self.places[i].kind];
-            let pl = &mut self.places[i];
-            let c = a.choices[i].unwrap_or(Choice {
+            let t = &self.input.types[self.candidates[i].kind];
+            let pl = &mut self.candidates[i];
+            let c = a.estimates[i].unwrap_or(Estimate {
                 finish_s: 0.0,
                 start_s: 0.0,
                 cost: 0.0,
@@ -379,9 +381,9 @@
             }
             match (all_up, pl.machine) {
                 (true, Some(key)) => {
-                    let put = a.put.entry(key).or_default();
-                    put.0 += 1;
-                    put.1 += extra;
+                    let placed_on = a.placed_on.entry(key).or_default();
+                    placed_on.0 += 1;
+                    placed_on.1 += extra;
                 }
                 _ => {
                     a.waiting.count += 1;
@@ -396,20 +398,20 @@
     }
 
     /// Takes room for `n` tasks, all or none.
-    fn choose(&mut self, a: &mut Active, n: u32) -> Option<Vec<usize>> {
+    fn choose(&mut self, a: &mut JobProgress, n: u32) -> Option<Vec<usize>> {
         let mut chosen = Vec::new();
         for _ in 0..n {
             // Offers opened since the job was looked at.
-            for i in a.choices.len()..self.places.len() {
-                a.choices.push(self.choice_for(a.job, i, a.reach));
+            for i in a.estimates.len()..self.candidates.len() {
+                a.estimates.push(self.estimate_in_scope(a.job, i, a.scope));
                 self.enter_opened(a, i);
             }
             let Some(i) = self.best(a) else { break };
-            self.places[i].take(a.job);
-            bump(&mut a.zones, self.places[i].zone, 1);
+            self.candidates[i].take(a.job);
+            add_to_zone(&mut a.zones, self.candidates[i].zone, 1);
             chosen.push(i);
-            if let (Some(o), false) = (self.places[i].offer, self.places[i].opened) {
-                self.places[i].opened = true;
+            if let (Some(o), false) = (self.candidates[i].offer, self.candidates[i].opened) {
+                self.candidates[i].opened = true;
                 self.open(o);
             }
         }
@@ -419,9 +421,9 @@
         // Room that was taken for the rest is given back.
         a.order.built = false;
         for i in chosen {
-            self.places[i].give_back(a.job);
-            if self.places[i].offer.is_some() && self.places[i].load <= EPS {
-                self.places[i].opened = false;
+            self.candidates[i].give_back(a.job);
+            if self.candidates[i].offer.is_some() && self.candidates[i].load <= EPS {
+                self.candidates[i].opened = false;
             }
         }
         a.zones = a.job.placed.clone();
@@ -429,7 +431,7 @@
     }
 }
 
-fn bump(zones: &mut Vec<ZoneCount>, zone: u32, by: u32) {
+fn add_to_zone(zones: &mut Vec<ZoneCount>, zone: u32, by: u32) {
     match zones.iter_mut().find(|z| z.zone == zone) {
         Some(z) => z.count += by,
         None => zones.push(ZoneCount { zone, count: by }),
--- a/src/core/miser/tests.rs
+++ b/src/core/placement/tests.rs
@@ -63,23 +63,23 @@
     let meter = CostMeter::default();
     let p = Planner::new(&i, &meter);
     // Running: 1 GB at 0.5 GB/s, then 36 s, on a quarter of a machine at 1.0 an hour.
-    let up = p.choice(&i.jobs[0], 0).unwrap();
+    let up = p.estimate(&i.jobs[0], 0).unwrap();
     assert_eq!((up.finish_s, up.start_s, up.reliability), (38.0, 2.0, 1.0));
     assert!((up.cost - 0.25 * 38.0 / 3600.0).abs() < 1e-12);
     // Booting and spot: 12 s later, a third of the price, less reliable.
-    let boot = p.choice(&i.jobs[0], 1).unwrap();
+    let boot = p.estimate(&i.jobs[0], 1).unwrap();
     assert_eq!(boot.finish_s, 50.0);
     assert!((boot.cost - 0.25 * 38.0 / 3600.0 / 3.0).abs() < 1e-12);
     assert!((boot.reliability - (1.0 - log_normal_cdf(50.0, i.spot_mu, 1.0))).abs() < 1e-12);
     // New: the one task that asks for it pays the whole boot.
-    let new = p.choice(&i.jobs[0], 2).unwrap();
+    let new = p.estimate(&i.jobs[0], 2).unwrap();
     assert_eq!(new.finish_s, 68.0);
     assert!((new.cost - (0.25 * 38.0 + 30.0) / 3600.0).abs() < 1e-12);
 }
 
 #[test]
 fn quality_adds_up_three_parts() {
-    let c = |finish_s, cost, reliability| Choice { finish_s, start_s: 0.0, cost, reliability, spot: false };
+    let c = |finish_s, cost, reliability| Estimate { finish_s, start_s: 0.0, cost, reliability, spot: false };
     let (lo, hi) = (c(10.0, 1.0, 0.0), c(30.0, 5.0, 0.0));
     assert!((quality(&c(15.0, 4.0, 0.9), &lo, &hi) - (0.75 + 0.25 + 0.9)).abs() < 1e-12);
     assert!((quality(&c(10.0, 1.0, 1.0), &lo, &lo) - 3.0).abs() < 1e-12, "nothing to choose between");
@@ -212,22 +212,22 @@
 
 #[test]
 fn of_too_many_jobs_the_most_urgent_are_planned_for_and_the_others_in_turn() {
-    let places = MOST_CHOICES / LEAST_JOBS;
-    let full = (0..places as u32).map(|key| machine(key, 0.0)).collect();
+    let candidates = MAX_ESTIMATES / MIN_JOBS;
+    let full = (0..candidates as u32).map(|key| machine(key, 0.0)).collect();
     let urgent = |key: u32| key.is_multiple_of(25);
     let jobs = (0..400).map(|key| JobView { priority: if urgent(key) { 0 } else { 2 }, ..job(key, 1) }).collect();
     let mut input = input(full, jobs);
     let mut rounds_of = vec![0; 400];
     for round in 0..80 {
         input.round = round;
-        let jobs = considered(&input);
-        assert_eq!(jobs.len(), LEAST_JOBS, "the work of a round is bounded");
+        let jobs = jobs_in_scope(&input);
+        assert_eq!(jobs.len(), MIN_JOBS, "the work of a round is bounded");
         jobs.iter().for_each(|j| rounds_of[j.key as usize] += 1);
     }
     let (most_urgent, others): (Vec<_>, Vec<_>) =
         rounds_of.iter().enumerate().partition(|(key, _)| urgent(*key as u32));
     assert!(most_urgent.iter().all(|(_, rounds)| **rounds == 80));
     assert!(others.iter().all(|(_, rounds)| **rounds >= 1), "nobody starves: {others:?}");
-    input.jobs.truncate(LEAST_JOBS);
-    assert_eq!(considered(&input).len(), LEAST_JOBS);
+    input.jobs.truncate(MIN_JOBS);
+    assert_eq!(jobs_in_scope(&input).len(), MIN_JOBS);
 }
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -109,7 +109,7 @@
                     && self.types[l.machine.kind].gpus <= 0.0
                     && l.machine.image_ready_in_s(allocation.image, now) == Some(0.0)
                     && self.permits(spec, l.machine)
-                    && miser::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &zones, l.machine.zone)
+                    && placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &zones, l.machine.zone)
             };
             let fuller = loaded.iter().take_while(|l| from_gpus || l.share > source.share);
             if let Some(to) = fuller.inspect(|_| *operations += 1).find(fits) {
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -124,9 +124,9 @@
         }
         let since = *j.spot_wait_since.get_or_insert(now);
         let due = view.due_s.unwrap_or(2.0 * w.finish_s);
-        let sub = miser::sub_deadline(due, view.run_s, true);
+        let sub = placement::sub_deadline(due, view.run_s, true);
         let slip = (now - since).as_secs_f64();
-        if !j.no_new_spot && miser::spot_wait_is_over(sub, w.finish_s, slip, window_s) {
+        if !j.no_new_spot && placement::spot_wait_is_over(sub, w.finish_s, slip, window_s) {
             debug!("job {id} gives up its spot request");
             j.no_new_spot = true;
         }
@@ -360,7 +360,7 @@
     ) -> Option<Eviction> {
         let m = self.machines.get(machine)?;
         let spec = &j.spec;
-        let allowed = miser::zone_allowed(spec.spread, spec.one_zone, spec.tasks, zones, m.zone);
+        let allowed = placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, zones, m.zone);
         (allowed && self.is_eligible(now, j, machine, m)).then(|| self.eviction(now, (id, j), (machine, m), target))?
     }
 
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -31,7 +31,7 @@
             self.effects.push(Effect::Plan { node: node.clone(), input: part.clone() });
             missing.insert(node, part);
         }
-        let outputs = vec![miser::plan_metered(&own, &self.cost)];
+        let outputs = vec![placement::plan_metered(&own, &self.cost)];
         let until = now + PLAN_TIMEOUT;
         self.open_round = Some(Round { view, outputs, missing, until });
         self.close_round(now);
@@ -63,7 +63,7 @@
         if let Some((node, part)) = round.missing.pop_first() {
             debug!("{node} is silent, its share is planned here");
             self.shards.mark_unresponsive(&node);
-            round.outputs.push(miser::plan_metered(&part, &self.cost));
+            round.outputs.push(placement::plan_metered(&part, &self.cost));
         }
         if !round.missing.is_empty() {
             self.open_round = Some(round);
@@ -230,7 +230,7 @@
             && !self.held_back(j)
             && free.covers(&need)
             && self.permits(s, m)
-            && miser::zone_allowed(s.spread, s.one_zone, s.tasks, &placed, m.zone)
+            && placement::zone_allowed(s.spread, s.one_zone, s.tasks, &placed, m.zone)
             && self.fits_quota(team, &need, n)
     }
 
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -388,7 +388,7 @@
     /// Peers plan at once, and at times not at all.
     fn plan(&mut self, node: &str, input: &PlanInput) {
         self.given.plans += 1;
-        let plan = (!self.given.plans.is_multiple_of(13)).then(|| miser::plan(input));
+        let plan = (!self.given.plans.is_multiple_of(13)).then(|| placement::plan(input));
         plan.iter().for_each(|plan| self.digest.peer_plan(plan));
         self.leader.on_plan(MonotonicTime(self.now), node, plan);
     }
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -117,7 +117,7 @@
     assert!(!asked.is_empty() && rig.leader.has_open_round(), "a peer plans for the job's team");
     rig.leader.abandon_round();
     for (node, input) in asked {
-        rig.leader.on_plan(MonotonicTime(rig.now + 1_100), &node, Some(miser::plan(&input)));
+        rig.leader.on_plan(MonotonicTime(rig.now + 1_100), &node, Some(placement::plan(&input)));
     }
     assert_eq!(rig.leader.take_effects(), [], "the plan comes too late");
     rig.now += 1_100;
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -12,7 +12,7 @@
 use super::completion_bitmap::{BitmapLayout, parse_key};
 use super::election::{LEADER_KEY, LeaderRecord};
 use super::machine::MACHINE_PREFIX;
-use super::miser;
+use super::placement;
 use super::records::{
     BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
 };
@@ -358,7 +358,7 @@
                 Effect::Plan { node, input } => {
                     // Peers plan on a view that is old by then, answer late, twice or not at all,
                     // and at times an answer is of another round, or plain wrong.
-                    let mut plan = (!self.lost()).then(|| miser::plan(&input));
+                    let mut plan = (!self.lost()).then(|| placement::plan(&input));
                     plan.iter().for_each(|plan| self.digest.peer_plan(plan));
                     if let Some(p) = &mut plan
                         && self.faults
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -5,7 +5,7 @@
 use super::node::Node;
 use crate::config::Peer;
 use crate::core::cost::CostMeter;
-use crate::core::miser;
+use crate::core::placement;
 use crate::core::records::JobOutcome;
 use crate::ids::{JobId, Revision, Term};
 use crate::peer::{PeerHeartbeat, PeerHeartbeatResponse, PlanInput, PlanOutput, VERSION};
@@ -129,7 +129,7 @@
 pub fn plan(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
     let (now, started, meter) = (node.now(), Instant::now(), CostMeter::default());
-    let output = miser::plan_metered(&input, &meter);
+    let output = placement::plan_metered(&input, &meter);
     node.lock().input_latency.record(now, InputKind::PlanForPeer, started.elapsed(), meter.read());
     Some(output.encode_to_vec())
 }
