--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -27,8 +27,8 @@
 
 /// Whether a leader should hand over to a peer: many of its machines are silent, and about as many
 /// report to its peers in vain, so it is the leader that can't be reached.
-pub fn should_hand_over(suspected: usize, misdirected: usize, machines: usize) -> bool {
-    suspected >= 2 && suspected * 12 >= machines && misdirected * 3 >= suspected * 2
+pub fn should_hand_over(suspected: usize, redirected: usize, machines: usize) -> bool {
+    suspected >= 2 && suspected * 12 >= machines && redirected * 3 >= suspected * 2
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -5,9 +5,9 @@
 /// Ticks that come this much late on average: reports wait, and renewals are about to fail.
 const OVERLOAD_LAG: Millis = Millis(400);
 /// How often in a row the lag must be seen, about once a second. A burst of work passes sooner.
-const SIGHTINGS: u32 = 3;
+const SAMPLES_TO_HAND_OVER: u32 = 3;
 /// Where every controller is too slow, handing over often would only add to the load.
-const RELIEF_INTERVAL: Millis = Millis(60_000);
+const HAND_OVER_INTERVAL: Millis = Millis(60_000);
 
 /// Watches the lag of one controller while it leads.
 #[derive(Default)]
@@ -24,8 +24,8 @@
             return false;
         }
         self.sightings += 1;
-        let relieved_lately = self.relieved_at.is_some_and(|at| now - at < RELIEF_INTERVAL);
-        if self.sightings < SIGHTINGS || relieved_lately {
+        let relieved_lately = self.relieved_at.is_some_and(|at| now - at < HAND_OVER_INTERVAL);
+        if self.sightings < SAMPLES_TO_HAND_OVER || relieved_lately {
             return false;
         }
         self.sightings = 0;
--- a/src/main.rs
+++ b/src/main.rs
@@ -68,8 +68,8 @@
         log::info!("starting {} on {}", node.settings.name, node.settings.listen);
         tokio::spawn(net::leader_loop::learn_types(node.clone()));
         tokio::spawn(net::election::run(node.clone()));
-        tokio::spawn(net::forwarding::run(node.clone()));
-        tokio::spawn(net::detours::run(node.clone()));
+        tokio::spawn(net::heartbeat_relay::run(node.clone()));
+        tokio::spawn(net::relay_routes::run(node.clone()));
         tokio::spawn(net::input_latency::run(node.clone()));
         let sockets = node.settings.sockets();
         let users = net::server::serve(node.settings.listen, net::server::public(&node), sockets.public);
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -13,9 +13,9 @@
     next: Mutex<MonotonicTime>,
 }
 
-const LIMIT: Millis = Millis(4_000);
+const REQUEST_TIMEOUT: Millis = Millis(4_000);
 /// Calls wait for their turn up to this long, then fail.
-const LONGEST_QUEUE: Millis = Millis(5_000);
+const MAX_QUEUE_DELAY: Millis = Millis(5_000);
 
 impl CloudClient {
     pub fn new(addr: String, rps: f64) -> CloudClient {
@@ -29,7 +29,7 @@
             // A burst worth half a second may go at once.
             let at = (*next).max(MonotonicTime(now.0.saturating_sub(500)));
             let wait = at - now;
-            if wait > LONGEST_QUEUE || (!urgent && wait > Millis(0)) {
+            if wait > MAX_QUEUE_DELAY || (!urgent && wait > Millis(0)) {
                 return false;
             }
             *next = at + self.every;
@@ -43,7 +43,7 @@
         if !self.turn(now, true).await {
             return None;
         }
-        match http.call(Method::GET, &self.addr, "/machine_types", vec![], LIMIT).await {
+        match http.call(Method::GET, &self.addr, "/machine_types", vec![], REQUEST_TIMEOUT).await {
             Ok((200, body)) => serde_json::from_slice::<MachineTypes>(&body).ok().map(|t| t.builds),
             _ => None,
         }
@@ -54,7 +54,7 @@
         if !self.turn(now, true).await {
             return ProvisionOutcome::Unknown;
         }
-        match http.call(Method::POST, &self.addr, "/machines", body, LIMIT).await {
+        match http.call(Method::POST, &self.addr, "/machines", body, REQUEST_TIMEOUT).await {
             Ok((200, body)) => match serde_json::from_slice::<MachineNames>(&body) {
                 Ok(n) => ProvisionOutcome::Provisioned(n.plinths),
                 Err(_) => ProvisionOutcome::Unknown,
@@ -70,7 +70,7 @@
         if !self.turn(now, true).await {
             return false;
         }
-        let answer = http.call(Method::POST, &self.addr, "/machines/return", body, LIMIT).await;
+        let answer = http.call(Method::POST, &self.addr, "/machines/return", body, REQUEST_TIMEOUT).await;
         matches!(answer, Ok((200, _)))
     }
 
@@ -82,7 +82,7 @@
             }
             let since = all.last().map(|m| format!("&since={}", m.id)).unwrap_or_default();
             let path = format!("/machines?limit=500{since}");
-            let (200, body) = http.call(Method::GET, &self.addr, &path, vec![], LIMIT).await.ok()? else {
+            let (200, body) = http.call(Method::GET, &self.addr, &path, vec![], REQUEST_TIMEOUT).await.ok()? else {
                 return None;
             };
             let page: MachineList = serde_json::from_slice(&body).ok()?;
--- a/src/net/dependency_check.rs
+++ b/src/net/dependency_check.rs
@@ -2,7 +2,7 @@
 //! jobs after a cancelled one; until it has, or while there is none, no controller calls them live.
 
 use super::kv::KvError;
-use super::lookups::{Found, in_time, read};
+use super::linearizable_reads::{Found, in_time, read};
 use super::node::Node;
 use crate::core::records::{LiveRecord, has_dependencies};
 use crate::ids::JobId;
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -2,7 +2,7 @@
 
 use super::kv::KvError;
 use super::leader_loop;
-use super::node::{Inner, Node};
+use super::node::{Node, NodeState};
 use super::peers;
 use crate::core::election::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_BACKOFF, SUCCESSOR_KEY};
 use crate::core::records::JobOutcome;
@@ -78,7 +78,7 @@
     record_peer_answers(&mut node.lock(), &answers);
 }
 
-fn record_peer_answers(inner: &mut Inner, answers: &[Option<PeerHeartbeatResponse>]) {
+fn record_peer_answers(inner: &mut NodeState, answers: &[Option<PeerHeartbeatResponse>]) {
     inner.peer_reaches_store = answers.iter().flatten().any(|a| a.store_ok);
     inner.no_peer_answers = !answers.is_empty() && answers.iter().all(Option::is_none);
     inner.leader_per_peers = answers.iter().flatten().map(|a| a.leader.clone()).find(|l| !l.is_empty());
@@ -226,7 +226,7 @@
 }
 
 /// Starts wait while it isn't known what users have been told meanwhile.
-fn set_in_doubt(inner: &mut Inner, in_doubt: bool) {
+fn set_in_doubt(inner: &mut NodeState, in_doubt: bool) {
     if let Some(scheduler) = &mut inner.scheduler {
         scheduler.set_in_doubt(in_doubt);
     }
--- a/src/net/offloading.rs
+++ b/src/net/heartbeat_balancing.rs
@@ -10,13 +10,13 @@
 
 /// The peers that take workers' heartbeats, as of their last answers to the leader's heartbeat.
 #[derive(Default)]
-pub struct Offloading {
+pub struct HeartbeatBalancer {
     peers: Vec<Peer>,
     moves: usize,
     not_before: MonotonicTime,
 }
 
-impl Offloading {
+impl HeartbeatBalancer {
     /// The peers that can pass heartbeats on now.
     pub fn set_peers(&mut self, peers: Vec<Peer>) {
         self.peers = peers;
--- a/src/net/offloading/tests.rs
+++ b/src/net/heartbeat_balancing/tests.rs
@@ -5,7 +5,7 @@
 }
 
 /// Moves a worker, if it should be.
-fn move_one(offloading: &mut Offloading, now: MonotonicTime, zone: &str, by: Option<&str>) -> Option<String> {
+fn move_one(offloading: &mut HeartbeatBalancer, now: MonotonicTime, zone: &str, by: Option<&str>) -> Option<String> {
     let peer = offloading.better_peer(now, zone, by)?.to_string();
     offloading.moved(now);
     Some(peer)
@@ -13,7 +13,7 @@
 
 #[test]
 fn workers_are_moved_to_peers_of_their_zone_in_turn_and_not_all_at_once() {
-    let mut offloading = Offloading::default();
+    let mut offloading = HeartbeatBalancer::default();
     assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", None), None, "no peer passes reports on");
     offloading.set_peers(vec![peer("one", "a"), peer("two", "b"), peer("three", "a")]);
     let first = move_one(&mut offloading, MonotonicTime(2_000), "a", None).unwrap();
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_worker_stays_with_a_peer_of_its_zone_and_with_any_where_there_is_none() {
-    let mut offloading = Offloading::default();
+    let mut offloading = HeartbeatBalancer::default();
     offloading.set_peers(vec![peer("one", "a"), peer("two", "b")]);
     assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", Some("one")), None);
     assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "c", Some("one")), None);
--- a/src/net/forwarding.rs
+++ b/src/net/heartbeat_relay.rs
@@ -3,9 +3,9 @@
 //! its heartbeat. It decides nothing itself: to the worker and to the leader's cluster state a forwarded report is
 //! one that took a longer way, which may be lost, late or delivered after a newer one like any other.
 
-use super::detours;
 use super::node::Node;
 use super::peers;
+use super::relay_routes;
 use crate::ids::Term;
 use crate::peer::{HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, VERSION};
 use crate::time::{Millis, MonotonicTime};
@@ -18,7 +18,7 @@
 /// Batches start at least this far apart, so that each carries several reports.
 const BATCH_INTERVAL: Millis = Millis(100);
 /// A worker waits 4 s for an answer; the leader gets less, so that the worker still learns of a failure.
-const BATCH_LIMIT: Millis = Millis(1_800);
+const BATCH_TIMEOUT: Millis = Millis(1_800);
 /// A controller whose timers come this much late on average has no room for more workers.
 const STRAINED_LAG_MS: f64 = 200.0;
 /// The weight of the latest batch in that average.
@@ -27,7 +27,7 @@
 const MAX_WAITING: usize = 4_096;
 const MAX_WAITING_BYTES: usize = 4 << 20;
 /// A leader sends a heartbeat every second; one that has been silent for longer is not sent anything.
-const HEARTBEAT_LIMIT: Millis = Millis(4_000);
+const LEADER_HEARTBEAT_TIMEOUT: Millis = Millis(4_000);
 
 /// A leader that has sent a heartbeat.
 #[derive(Clone, Debug)]
@@ -45,41 +45,41 @@
 
 /// The state of forwarding at one controller.
 #[derive(Default)]
-pub struct Forwarding {
+pub struct HeartbeatRelay {
     leader: Option<HeardLeader>,
     /// The leader has answered the last batch. Workers' heartbeats are taken in only then; until then each
     /// heartbeat of the leader is followed by an empty batch.
-    proven: bool,
+    leader_confirmed: bool,
     waiting: Vec<WaitingHeartbeat>,
     waiting_bytes: usize,
     /// By how much timers come late on average.
     lag_ms: f64,
 }
 
-impl Forwarding {
+impl HeartbeatRelay {
     /// A leader has sent its heartbeat. One of an earlier term may just not know yet that it has lost its lease.
     pub fn heard_leader(&mut self, name: &str, term: Term, now: MonotonicTime) {
         if self.leader.as_ref().is_some_and(|known| term < known.term) {
             return;
         }
-        self.proven &= self.leader.as_ref().is_some_and(|known| known.term == term);
+        self.leader_confirmed &= self.leader.as_ref().is_some_and(|known| known.term == term);
         self.leader = Some(HeardLeader { name: name.into(), term, heard_at: now });
     }
 
     /// The leader to send batches to, if there is one that should answer.
     fn destination(&self, now: MonotonicTime) -> Option<&HeardLeader> {
-        self.leader.as_ref().filter(|leader| now - leader.heard_at <= HEARTBEAT_LIMIT)
+        self.leader.as_ref().filter(|leader| now - leader.heard_at <= LEADER_HEARTBEAT_TIMEOUT)
     }
 
     /// Whether the leader has answered the last batch.
-    pub fn is_proven(&self) -> bool {
-        self.proven
+    pub fn is_leader_confirmed(&self) -> bool {
+        self.leader_confirmed
     }
 
     /// Whether workers' heartbeats can be passed on to a leader now.
     pub fn is_open(&self, now: MonotonicTime) -> bool {
         let has_room = self.waiting.len() < MAX_WAITING && self.waiting_bytes < MAX_WAITING_BYTES;
-        self.proven && has_room && self.destination(now).is_some()
+        self.leader_confirmed && has_room && self.destination(now).is_some()
     }
 
     /// How many heartbeats wait for the next batch.
@@ -116,13 +116,13 @@
     /// A batch was sent to the leader of a term, who has answered it or not.
     fn sent(&mut self, term: Term, answered: bool) {
         if self.leader.as_ref().is_some_and(|known| known.term == term) {
-            self.proven = answered;
+            self.leader_confirmed = answered;
         }
     }
 }
 
 /// What became of a heartbeat that was to be passed on.
-pub enum Forwarded {
+pub enum RelayOutcome {
     /// The leader has decided.
     Decided(HeartbeatDecision),
     /// It was sent, and there is no decision: the worker should try another controller.
@@ -132,12 +132,12 @@
 }
 
 /// Passes a heartbeat on to the leader and waits for its decision.
-pub async fn forward(node: &Node, heartbeat: Bytes) -> Forwarded {
+pub async fn forward(node: &Node, heartbeat: Bytes) -> RelayOutcome {
     let now = node.now();
-    let admitted = node.lock().forwarding.admit(heartbeat, now);
-    let Some(receiver) = admitted else { return Forwarded::Unavailable };
+    let admitted = node.lock().heartbeat_relay.admit(heartbeat, now);
+    let Some(receiver) = admitted else { return RelayOutcome::Unavailable };
     node.relay_wakeup.notify_one();
-    receiver.await.map_or(Forwarded::Unanswered, Forwarded::Decided)
+    receiver.await.map_or(RelayOutcome::Unanswered, RelayOutcome::Decided)
 }
 
 /// Wakes the task that sends batches.
@@ -153,8 +153,8 @@
         let now = node.now();
         let (waiting, leader) = {
             let mut inner = node.lock();
-            inner.forwarding.note_lag(now - due);
-            (inner.forwarding.take_waiting(), inner.forwarding.destination(now).cloned())
+            inner.heartbeat_relay.note_lag(now - due);
+            (inner.heartbeat_relay.take_waiting(), inner.heartbeat_relay.destination(now).cloned())
         };
         // Dropped unanswered, each worker is told to try elsewhere.
         let Some(leader) = leader else { continue };
@@ -167,14 +167,14 @@
     let batch = HeartbeatBatch { version: VERSION, heartbeats, from: node.settings.name.clone() };
     let decisions = ask_leader(node, &leader.name, &batch).await;
     let decisions = decisions.filter(|d| d.len() == waiting.len());
-    node.lock().forwarding.sent(leader.term, decisions.is_some());
+    node.lock().heartbeat_relay.sent(leader.term, decisions.is_some());
     let Some(decisions) = decisions else {
         log::debug!("{} has not answered a batch of reports={}", leader.name, waiting.len());
         // The workers are told where to try next, as going round all controllers takes longer than a lease
         // where some of them can't be reached either. So are those whose heartbeats have come meanwhile: another
         // batch would only wait as long.
-        detours::look_for(node).await;
-        drop(node.lock().forwarding.take_waiting());
+        relay_routes::refresh(node).await;
+        drop(node.lock().heartbeat_relay.take_waiting());
         return;
     };
     for (waiting, decision) in waiting.into_iter().zip(decisions) {
@@ -187,7 +187,7 @@
 async fn ask_leader(node: &Node, leader: &str, batch: &HeartbeatBatch) -> Option<Vec<HeartbeatDecision>> {
     let address = node.settings.peers.iter().find(|p| p.name == leader)?.addr.to_string();
     let body = batch.encode_to_vec();
-    let answer = node.http.call(Method::POST, &address, peers::HEARTBEAT_BATCH_PATH, body, BATCH_LIMIT).await;
+    let answer = node.http.call(Method::POST, &address, peers::HEARTBEAT_BATCH_PATH, body, BATCH_TIMEOUT).await;
     let Ok((200, body)) = answer else { return None };
     let answer = HeartbeatDecisions::decode(body).ok()?;
     (answer.version == VERSION && answer.leading).then_some(answer.decisions)
--- /dev/null
+++ b/src/net/heartbeat_relay/tests.rs
@@ -0,0 +1,112 @@
+use super::*;
+use crate::config::Peer;
+use crate::net::loopback::{World, free_addr, pair, start};
+use crate::net::server;
+use serde_json::json;
+use std::sync::Mutex;
+
+const HEARD: MonotonicTime = MonotonicTime(10_000);
+
+fn open() -> HeartbeatRelay {
+    let mut heartbeat_relay = HeartbeatRelay::default();
+    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
+    heartbeat_relay.sent(Term(5), true);
+    heartbeat_relay
+}
+
+fn destination(heartbeat_relay: &HeartbeatRelay) -> Option<&str> {
+    heartbeat_relay.destination(HEARD).map(|scheduler| scheduler.name.as_str())
+}
+
+#[test]
+fn reports_go_to_the_latest_leader_and_only_while_it_is_heard() {
+    let mut heartbeat_relay = HeartbeatRelay::default();
+    assert_eq!(destination(&heartbeat_relay), None);
+    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
+    assert_eq!(destination(&heartbeat_relay), Some("plinth-1"));
+    heartbeat_relay.heard_leader("plinth-2", Term(4), HEARD);
+    assert_eq!(destination(&heartbeat_relay), Some("plinth-1"), "an earlier term is over");
+    heartbeat_relay.heard_leader("plinth-2", Term(6), HEARD);
+    assert_eq!(destination(&heartbeat_relay), Some("plinth-2"));
+    assert!(heartbeat_relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "silent for too long");
+}
+
+#[test]
+fn workers_wait_only_for_a_leader_that_has_answered_the_last_batch() {
+    let mut heartbeat_relay = HeartbeatRelay::default();
+    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
+    assert!(!heartbeat_relay.is_open(HEARD) && heartbeat_relay.admit(Bytes::new(), HEARD).is_none(), "not tried yet");
+    heartbeat_relay.sent(Term(5), true);
+    assert!(heartbeat_relay.admit(Bytes::from_static(b"{}"), HEARD).is_some());
+    assert_eq!(heartbeat_relay.take_waiting().len(), 1);
+    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
+    assert!(heartbeat_relay.is_open(HEARD), "a heartbeat changes nothing");
+    heartbeat_relay.sent(Term(5), false);
+    assert!(!heartbeat_relay.is_open(HEARD));
+    heartbeat_relay.sent(Term(5), true);
+    heartbeat_relay.heard_leader("plinth-2", Term(6), HEARD);
+    assert!(!heartbeat_relay.is_open(HEARD), "another leader has yet to answer");
+    heartbeat_relay.sent(Term(5), true);
+    assert!(!heartbeat_relay.is_open(HEARD), "the one before has, late");
+}
+
+#[test]
+fn a_strained_controller_takes_no_more_workers_but_serves_those_it_has() {
+    let mut heartbeat_relay = open();
+    assert!(heartbeat_relay.has_capacity(HEARD));
+    (0..20).for_each(|_| heartbeat_relay.note_lag(Millis(400)));
+    assert!(!heartbeat_relay.has_capacity(HEARD) && heartbeat_relay.is_open(HEARD));
+    (0..20).for_each(|_| heartbeat_relay.note_lag(Millis(5)));
+    assert!(heartbeat_relay.has_capacity(HEARD));
+}
+
+#[test]
+fn what_waits_is_bounded_in_number_and_in_bytes() {
+    let mut heartbeat_relay = open();
+    let receivers: Vec<_> = (0..MAX_WAITING).map(|_| heartbeat_relay.admit(Bytes::new(), HEARD)).collect();
+    assert!(receivers.iter().all(Option::is_some));
+    assert!(heartbeat_relay.admit(Bytes::new(), HEARD).is_none(), "too many wait");
+    assert_eq!(heartbeat_relay.take_waiting().len(), MAX_WAITING);
+
+    let large = Bytes::from(vec![b' '; MAX_WAITING_BYTES]);
+    assert!(heartbeat_relay.admit(large, HEARD).is_some());
+    assert!(heartbeat_relay.admit(Bytes::new(), HEARD).is_none(), "too many bytes wait");
+}
+
+#[tokio::test]
+async fn what_waits_behind_an_unanswered_batch_is_sent_to_a_peer_that_reaches_the_leader() {
+    // Two zones could not reach each other: the first heartbeats waited for one time limit and those behind them
+    // for two, and the workers then went round controllers beyond the cut until their leases ran out.
+    let world = Arc::new(Mutex::new(World::default()));
+    let [(detour, _), (other, _)] = pair(&world);
+    tokio::spawn(server::serve(detour.settings.peer_listen, server::internal(&detour), 64));
+    // The leader's machine is silent: it takes connections, and says nothing.
+    let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut settings = other.settings.clone();
+    settings.name = "plinth-8".into();
+    settings.peers.push(Peer { name: "plinth-9".into(), addr: silent.local_addr().unwrap(), zone: String::new() });
+    settings.peer_listen = free_addr();
+    let (node, client) = start(&world, settings);
+    let client = Arc::new(client);
+    tokio::time::sleep(Millis(200).to_std()).await;
+    node.lock().leader_name = Some("plinth-9".into());
+    for node in [&detour, &node] {
+        let now = node.now();
+        let mut inner = node.lock();
+        inner.heartbeat_relay.heard_leader("plinth-9", Term(5), now);
+        inner.heartbeat_relay.sent(Term(5), true);
+    }
+    let begun = std::time::Instant::now();
+    let mut answers = Vec::new();
+    for _ in 0..3 {
+        let heartbeat = world.lock().unwrap().heartbeat();
+        let client = client.clone();
+        answers.push(tokio::spawn(async move { client.post("/v1/report", heartbeat).await }));
+        // Each comes while the batch before it is under way.
+        tokio::time::sleep(Millis(500).to_std()).await;
+    }
+    for answer in answers {
+        assert_eq!(answer.await.unwrap(), (421, json!({"steward": detour.settings.name})));
+    }
+    assert!(begun.elapsed() < (BATCH_TIMEOUT + Millis(1_000)).to_std(), "one time limit, not two");
+}
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Workers' heartbeats: the leader decides on them, other controllers pass them on or name the leader.
 
-use super::forwarding::{self, Forwarded};
+use super::heartbeat_relay::{self, RelayOutcome};
 use super::input_latency::InputKind;
 use super::leader_loop;
-use super::node::{Inner, Node};
+use super::node::{Node, NodeState};
 use crate::core::machine::HeartbeatRoute;
 use crate::core::scheduler::response_before_load;
 use crate::ids::MachineId;
@@ -48,10 +48,10 @@
     if active_term {
         return answer_directly(node, body);
     }
-    match forwarding::forward(node, body.clone()).await {
-        Forwarded::Decided(decision) => decision,
-        Forwarded::Unanswered => redirect(node.lock().detours.take_turn().as_deref()),
-        Forwarded::Unavailable => answer_directly(node, body),
+    match heartbeat_relay::forward(node, body.clone()).await {
+        RelayOutcome::Decided(decision) => decision,
+        RelayOutcome::Unanswered => redirect(node.lock().relay_routes.take_turn().as_deref()),
+        RelayOutcome::Unavailable => answer_directly(node, body),
     }
 }
 
@@ -91,16 +91,16 @@
     index.map_or(HeartbeatRoute::DIRECT, HeartbeatRoute::via_peer)
 }
 
-impl Inner {
+impl NodeState {
     /// The peer that should take a worker's heartbeats from now on; none: it stays where it is.
     fn moved_to(&mut self, now: MonotonicTime, heartbeat: &Heartbeat, by: Option<&str>) -> Option<String> {
         // First, as most workers are where they should be.
-        let peer = self.offloading.better_peer(now, &heartbeat.zone, by)?.to_string();
+        let peer = self.heartbeat_balancer.better_peer(now, &heartbeat.zone, by)?.to_string();
         let id = MachineId::parse(&heartbeat.machine)?;
         if !self.scheduler.as_ref()?.may_move(now, &id) {
             return None;
         }
-        self.offloading.moved(now);
+        self.heartbeat_balancer.moved(now);
         Some(peer)
     }
 }
@@ -109,14 +109,14 @@
 fn known_leader(node: &Node, heartbeat: &Heartbeat) -> Option<String> {
     let now = node.now();
     let mut inner = node.lock();
-    if let Some(peer) = inner.detours.take_turn() {
+    if let Some(peer) = inner.relay_routes.take_turn() {
         return Some(peer);
     }
     // A worker that the leader doesn't hear would only wait there in vain. And a name read before the
     // state service fell silent may send it round in circles; peers may know.
     let known = if inner.store_refused_since.is_some() { &inner.leader_per_peers } else { &inner.leader_name };
     let known = if inner.suspected.contains(&heartbeat.machine) { None } else { known.clone() };
-    inner.note_misdirected(&heartbeat.machine, now, known).filter(|name| *name != node.settings.name)
+    inner.record_redirect(&heartbeat.machine, now, known).filter(|name| *name != node.settings.name)
 }
 
 /// Decides on heartbeats that a peer has passed on; none: the message can't be read or is of another
--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -2,7 +2,7 @@
 //! core works, renewals, reports and users wait.
 
 use super::node::Node;
-use super::rare_log::RareLog;
+use super::rate_limited_log::RateLimitedLog;
 use crate::core::cost::CostCounters;
 use crate::time::{Millis, MonotonicTime};
 use hdrhistogram::Histogram;
@@ -60,12 +60,16 @@
 pub struct InputLatency {
     histograms: BTreeMap<InputKind, Histogram<u64>>,
     longest: Option<Longest>,
-    long_steps: RareLog,
+    long_steps: RateLimitedLog,
 }
 
 impl Default for InputLatency {
     fn default() -> InputLatency {
-        InputLatency { histograms: BTreeMap::new(), longest: None, long_steps: RareLog::new(SLOW_INPUT_LOG_INTERVAL) }
+        InputLatency {
+            histograms: BTreeMap::new(),
+            longest: None,
+            long_steps: RateLimitedLog::new(SLOW_INPUT_LOG_INTERVAL),
+        }
     }
 }
 
@@ -120,7 +124,7 @@
         let Some(line) = inner.input_latency.take_line() else { continue };
         info!("steps: {line}");
         let term = inner.election.active_term(now);
-        let (heartbeats, requests) = (inner.forwarding.waiting(), inner.user_requests);
+        let (heartbeats, requests) = (inner.heartbeat_relay.waiting(), inner.user_requests);
         match (&inner.scheduler, term) {
             (Some(leader), Some(term)) => {
                 info!("load: acting term={term} {} reports={heartbeats} requests={requests}", leader.load_summary());
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -29,7 +29,7 @@
     Status(u16),
 }
 
-const LIMIT: Millis = Millis(1_200);
+const REQUEST_TIMEOUT: Millis = Millis(1_200);
 
 pub struct KvClient {
     addr: String,
@@ -74,7 +74,7 @@
 
     /// A linearizable read; None: the key is absent.
     pub async fn get(&self, http: &Http, key: &str) -> Result<Option<KeyValue>, KvError> {
-        match self.call(http, Method::GET, &format!("/store/{key}"), vec![], LIMIT).await? {
+        match self.call(http, Method::GET, &format!("/store/{key}"), vec![], REQUEST_TIMEOUT).await? {
             (200, body) => parse(&body).map(Some),
             (404, _) => Ok(None),
             (s, _) => Err(KvError::Status(s)),
@@ -105,7 +105,7 @@
 
     /// The revision that the state service is at.
     pub async fn revision(&self, http: &Http) -> Result<Revision, KvError> {
-        match self.call(http, Method::GET, "/store?prefix=ctl/&limit=1", vec![], LIMIT).await? {
+        match self.call(http, Method::GET, "/store?prefix=ctl/&limit=1", vec![], REQUEST_TIMEOUT).await? {
             (200, body) => Ok(Revision(parse::<RangeResponse>(&body)?.revision)),
             (s, _) => Err(KvError::Status(s)),
         }
@@ -114,7 +114,7 @@
     /// The revision of the commit, or why there is none.
     pub async fn commit(&self, http: &Http, transaction: &Transaction) -> Result<Result<u64, Vec<String>>, KvError> {
         let body = serde_json::to_vec(transaction).map_err(|e| KvError::Unknown(e.to_string()))?;
-        match self.call(http, Method::POST, "/commit", body, LIMIT).await? {
+        match self.call(http, Method::POST, "/commit", body, REQUEST_TIMEOUT).await? {
             (200, body) => Ok(Ok(parse::<Committed>(&body)?.revision)),
             (409, body) => Ok(Err(parse::<Failed>(&body)?.failed)),
             (s, _) => Err(KvError::Status(s)),
@@ -123,7 +123,7 @@
 
     pub async fn grant(&self, http: &Http, life: Millis) -> Result<LeaseId, KvError> {
         let body = json!({ "life_ms": life.0 }).to_string().into_bytes();
-        match self.call(http, Method::POST, "/holds", body, LIMIT).await? {
+        match self.call(http, Method::POST, "/holds", body, REQUEST_TIMEOUT).await? {
             (200 | 201, body) => Ok(parse::<Tenure>(&body)?.tenure),
             (s, _) => Err(KvError::Status(s)),
         }
@@ -139,7 +139,7 @@
     }
 
     pub async fn revoke(&self, http: &Http, lease: LeaseId) -> Result<(), KvError> {
-        match self.call(http, Method::DELETE, &format!("/holds/{lease}"), vec![], LIMIT).await? {
+        match self.call(http, Method::DELETE, &format!("/holds/{lease}"), vec![], REQUEST_TIMEOUT).await? {
             (200 | 204 | 404, _) => Ok(()),
             (s, _) => Err(KvError::Status(s)),
         }
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -2,8 +2,8 @@
 
 use super::input_latency::InputKind;
 use super::kv::{KvError, commit_outcome};
-use super::lookups;
-use super::node::{Inner, Node};
+use super::linearizable_reads;
+use super::node::{Node, NodeState};
 use super::peers;
 use crate::config::Peer;
 use crate::core::machine::MACHINE_PREFIX;
@@ -31,7 +31,7 @@
 /// Stored records that a new leader reads in one step.
 const ROWS_PER_STEP: usize = 250;
 /// How long a worker has to answer orders.
-const ORDERS_LIMIT: Millis = Millis(2_000);
+const ORDERS_TIMEOUT: Millis = Millis(2_000);
 
 /// Keeps the machine kinds known: from the state service, or (the leader) from the cloud.
 pub async fn learn_types(node: Arc<Node>) {
@@ -99,7 +99,12 @@
         inner.election.read(asked_at, now, Revision(revision));
         inner.scheduler = Some(leader);
     }
-    tokio::join!(tick(&node, term), follow(&node, term, revision), watch_cloud(&node, term), tell_peers(&node, term));
+    tokio::join!(
+        tick(&node, term),
+        follow(&node, term, revision),
+        watch_cloud(&node, term),
+        send_peer_heartbeats(&node, term)
+    );
 }
 
 /// Gives a new leader what is stored, a part at a time: renewals, users and heartbeats are served in between.
@@ -150,7 +155,7 @@
 
 /// Has the cluster state, if there is one, take an input, and notes how long that took.
 fn step_measured<T>(
-    inner: &mut Inner,
+    inner: &mut NodeState,
     now: MonotonicTime,
     input_kind: InputKind,
     input: impl FnOnce(&mut Scheduler) -> T,
@@ -203,7 +208,7 @@
             step(&node, InputKind::Plan, |scheduler| scheduler.on_plan(now, &peer, plan));
         }
         Effect::LookUp(ids) => {
-            let outcomes = lookups::outcomes(&node, &ids).await;
+            let outcomes = linearizable_reads::outcomes(&node, &ids).await;
             notify_scheduler(&node, |scheduler, now| scheduler.on_looked_up(now, &outcomes));
             perform_pending(&node);
         }
@@ -226,7 +231,7 @@
 async fn send_orders(node: &Node, endpoint: &str, orders: &DirectOrders) -> OrdersResult {
     let body = serde_json::to_vec(orders).unwrap_or_default();
     let heartbeat = |body: &[u8]| serde_json::from_slice::<Heartbeat>(body).ok();
-    match node.orders.call(Method::POST, endpoint, "/orders", body, ORDERS_LIMIT).await {
+    match node.orders.call(Method::POST, endpoint, "/orders", body, ORDERS_TIMEOUT).await {
         Ok((200, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Executed),
         Ok((409, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Rejected),
         Ok((status, _)) => {
@@ -336,7 +341,7 @@
 }
 
 /// Tells the peers how many tasks of each job run, for polls that reach them.
-async fn tell_peers(node: &Arc<Node>, term: Term) {
+async fn send_peer_heartbeats(node: &Arc<Node>, term: Term) {
     let mut suspicion = 0;
     while still_leads(node, term) {
         let mut peer_heartbeat = peers::peer_heartbeat(node);
@@ -353,9 +358,9 @@
             inner.take_counts(&peer_heartbeat.counts);
         }
         let answers = peers::ask_all(node, &peer_heartbeat, Millis(800)).await;
-        note_forwarding(node, &answers);
-        suspicion = judge(node, &answers, peer_heartbeat.suspected.len(), machines, suspicion);
-        relieve(node, &answers);
+        record_relay_peers(node, &answers);
+        suspicion = detect_unreachable_leader(node, &answers, peer_heartbeat.suspected.len(), machines, suspicion);
+        hand_over_if_overloaded(node, &answers);
         let pause = if suspicion > 0 { Millis(300) } else { Millis(1_000) };
         tokio::time::sleep(pause.to_std()).await;
     }
@@ -363,12 +368,12 @@
 }
 
 /// Names a successor if this controller has been too slow for a while and a peer can take over.
-fn relieve(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
+fn hand_over_if_overloaded(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
     let now = node.now();
     let mut inner = node.lock();
     let Some(leader) = inner.scheduler.as_ref().filter(|scheduler| scheduler.settled(now)) else { return };
     let lag = leader.lag();
-    let able = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.forwards);
+    let able = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
     let able: Vec<&Peer> = able.map(|(peer, _)| peer).collect();
     let Some(peer) = able.choose(&mut rand::rng()) else { return };
     if inner.overload.note(now, lag) {
@@ -378,31 +383,37 @@
 }
 
 /// Notes which peers can pass workers' heartbeats on.
-fn note_forwarding(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
-    let forwards = peers::answered(node, answers).filter(|(_, answer)| answer.forwards);
-    let peers = forwards.map(|(peer, _)| peer.clone()).collect();
-    node.lock().offloading.set_peers(peers);
+fn record_relay_peers(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
+    let relays_heartbeats = peers::answered(node, answers).filter(|(_, answer)| answer.relays_heartbeats);
+    let peers = relays_heartbeats.map(|(peer, _)| peer.clone()).collect();
+    node.lock().heartbeat_balancer.set_peers(peers);
 }
 
 /// Takes in what the peers have said, and names an successor if it is this controller that the workers
 /// can't reach. Once may be chance, as workers that have just lost their leader stray for a moment:
 /// returns how often in a row it looked so.
-fn judge(node: &Node, answers: &[Option<PeerHeartbeatResponse>], suspected: usize, all: usize, before: u32) -> u32 {
+fn detect_unreachable_leader(
+    node: &Node,
+    answers: &[Option<PeerHeartbeatResponse>],
+    suspected: usize,
+    all: usize,
+    before: u32,
+) -> u32 {
     let now = node.now();
     let mut inner = node.lock();
     let Some(scheduler) = &mut inner.scheduler else { return 0 };
     // Workers go round the controllers, so no single peer hears all of them at once.
-    let mut misdirected: BTreeSet<&str> = BTreeSet::new();
+    let mut redirected: BTreeSet<&str> = BTreeSet::new();
     let mut successor: Option<(usize, &str)> = None;
     for (peer, a) in peers::answered(node, answers) {
         scheduler.peer_answered(now, &peer.name);
-        misdirected.extend(a.misdirected.iter().map(String::as_str));
+        redirected.extend(a.redirected.iter().map(String::as_str));
         if a.store_ok {
-            successor = successor.max(Some((a.misdirected.len(), &peer.name)));
+            successor = successor.max(Some((a.redirected.len(), &peer.name)));
         }
     }
     let Some((1.., name)) = successor else { return 0 };
-    if !scheduler.settled(now) || !should_hand_over(suspected, misdirected.len(), all) {
+    if !scheduler.settled(now) || !should_hand_over(suspected, redirected.len(), all) {
         return 0;
     }
     let name = name.to_string();
--- a/src/net/lookups.rs
+++ b/src/net/linearizable_reads.rs
@@ -14,7 +14,7 @@
 }
 
 /// Users wait 2 s for the answer to a poll.
-pub const LOOK_UP_LIMIT: Millis = Millis(1_400);
+pub const READ_TIMEOUT: Millis = Millis(1_400);
 
 /// What the state service holds of a job now. A job goes from live to over and never back, so
 /// reading in this order misses nothing.
@@ -27,7 +27,7 @@
     if node.store_unreachable() {
         return Err(KvError::Unknown("silent for long".into()));
     }
-    let limited = tokio::time::timeout(LOOK_UP_LIMIT.to_std(), reading).await;
+    let limited = tokio::time::timeout(READ_TIMEOUT.to_std(), reading).await;
     limited.unwrap_or_else(|_| Err(KvError::Unknown("too slow".into())))
 }
 
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -5,7 +5,7 @@
 
 use super::http::Http;
 use super::node::Node;
-use super::{detours, election, forwarding, leader_loop, peers, server};
+use super::{election, heartbeat_relay, leader_loop, peers, relay_routes, server};
 use crate::config::{Peer, Settings, Tuning, sample_settings};
 use crate::core::cancellations::Cancellations;
 use crate::core::election::{LEADER_KEY, SUCCESSOR_KEY};
@@ -241,8 +241,8 @@
     world.lock().unwrap().worker = stand_in(world, Part::Worker).to_string();
     let c = Client { http: Http::new(16), addr: settings.listen.to_string() };
     let node = Node::new(settings, Tuning::default());
-    tokio::spawn(forwarding::run(node.clone()));
-    tokio::spawn(detours::run(node.clone()));
+    tokio::spawn(heartbeat_relay::run(node.clone()));
+    tokio::spawn(relay_routes::run(node.clone()));
     tokio::spawn(server::serve(node.settings.listen, server::public(&node), 64));
     (node, c)
 }
@@ -505,7 +505,7 @@
         "shift": 1, "tally": 1, "baton": 0});
     assert_eq!(c.post("/v1/report", r.clone()).await, (421, json!({"steward": "plinth-1"})));
     assert_eq!(c.post("/v1/report", r).await, (421, json!({"steward": "plinth-1"})), "it may be about to start");
-    let sent = |at| node.lock().note_misdirected("m-000010", MonotonicTime(at), Some("plinth-1".into())).is_some();
+    let sent = |at| node.lock().record_redirect("m-000010", MonotonicTime(at), Some("plinth-1".into())).is_some();
     assert_eq!([20_000, 21_000, 26_000, 40_000].map(sent), [true, true, false, true]);
 
     world.lock().unwrap().store.clear();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,19 +2,19 @@
 
 pub mod cloud;
 pub mod dependency_check;
-pub mod detours;
 pub mod election;
-pub mod forwarding;
+pub mod heartbeat_balancing;
+pub mod heartbeat_relay;
 pub mod heartbeats;
 pub mod http;
 pub mod input_latency;
 pub mod kv;
 pub mod leader_loop;
-pub mod lookups;
+pub mod linearizable_reads;
 pub mod node;
-pub mod offloading;
 pub mod peers;
-pub mod rare_log;
+pub mod rate_limited_log;
+pub mod relay_routes;
 pub mod server;
 pub mod users;
 
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -2,13 +2,13 @@
 
 use super::cloud::CloudClient;
 use super::dependency_check::DependencyCheckCache;
-use super::detours::Detours;
-use super::forwarding::{Forwarding, RelayWakeup};
+use super::heartbeat_balancing::HeartbeatBalancer;
+use super::heartbeat_relay::{HeartbeatRelay, RelayWakeup};
 use super::http::Http;
 use super::input_latency::InputLatency;
 use super::kv::{KvClient, KvError};
-use super::offloading::Offloading;
-use super::rare_log::RareLog;
+use super::rate_limited_log::RateLimitedLog;
+use super::relay_routes::RelayRoutes;
 use crate::config::{Settings, Tuning};
 use crate::core::cancellations::Cancellations;
 use crate::core::election::Election;
@@ -36,10 +36,10 @@
     /// Says that a heartbeat waits to be passed on to the leader.
     pub relay_wakeup: RelayWakeup,
     started: Instant,
-    inner: Mutex<Inner>,
+    inner: Mutex<NodeState>,
 }
 
-pub struct Inner {
+pub struct NodeState {
     pub election: Election,
     /// The cluster state, while leading and once it is loaded.
     pub scheduler: Option<Scheduler>,
@@ -61,19 +61,19 @@
     /// Who leads, by the word of a peer that the state service answers.
     pub leader_per_peers: Option<String>,
     /// Machines that have reported here while another led, and when.
-    misdirected: HashMap<String, Misdirected>,
+    redirected: HashMap<String, Redirected>,
     /// Machines that the leader has said it doesn't hear from.
     pub suspected: HashSet<String>,
     /// The peer that this controller should hand over to.
     pub successor: Option<String>,
     /// Workers' heartbeats on their way to the leader.
-    pub forwarding: Forwarding,
+    pub heartbeat_relay: HeartbeatRelay,
     /// Messages of peers that can't be read, are too large or of another version.
-    pub bad_messages: RareLog,
+    pub bad_messages: RateLimitedLog,
     /// While another leads and can't be reached: the peers that reach it.
-    pub detours: Detours,
+    pub relay_routes: RelayRoutes,
     /// While leading: the peers that take workers' heartbeats.
-    pub offloading: Offloading,
+    pub heartbeat_balancer: HeartbeatBalancer,
     /// While leading: whether this controller is too slow for it.
     pub overload: Overload,
     pub input_latency: InputLatency,
@@ -82,27 +82,27 @@
 /// Workers wait this long for an answer (PROTOCOL).
 const WORKER_RESPONSE_TIMEOUT: Millis = Millis(4_000);
 
-struct Misdirected {
+struct Redirected {
     at: MonotonicTime,
     /// Whom it was sent to.
     sent_to: Option<String>,
 }
 
 /// A worker that has lost its leader may take this long to come round to a controller again.
-const MISDIRECTED_FOR: Millis = Millis(8_000);
+const REDIRECT_TTL: Millis = Millis(8_000);
 /// Far more machines than any fleet served has; a fleet beyond it only loses track of misdirected.
-const MAX_MISDIRECTED: usize = 65_536;
+const MAX_REDIRECTED: usize = 65_536;
 
-impl Inner {
+impl NodeState {
     /// Notes that a machine tried to report here, and says which controller to send it to. One that
     /// has waited there in vain and comes back can't reach it, and would only be sent to and fro. One
     /// that was turned away at once is sent again: that controller may be about to start.
-    pub fn note_misdirected(&mut self, machine: &str, now: MonotonicTime, leader: Option<String>) -> Option<String> {
-        if self.misdirected.len() >= MAX_MISDIRECTED {
-            self.misdirected.clear();
+    pub fn record_redirect(&mut self, machine: &str, now: MonotonicTime, leader: Option<String>) -> Option<String> {
+        if self.redirected.len() >= MAX_REDIRECTED {
+            self.redirected.clear();
         }
-        let before = self.misdirected.insert(machine.into(), Misdirected { at: now, sent_to: leader.clone() });
-        let waited = |b: &Misdirected| (WORKER_RESPONSE_TIMEOUT..=MISDIRECTED_FOR).contains(&(now - b.at));
+        let before = self.redirected.insert(machine.into(), Redirected { at: now, sent_to: leader.clone() });
+        let waited = |b: &Redirected| (WORKER_RESPONSE_TIMEOUT..=REDIRECT_TTL).contains(&(now - b.at));
         leader.filter(|l| before.is_none_or(|b| !waited(&b) || b.sent_to.as_ref() != Some(l)))
     }
 
@@ -112,9 +112,9 @@
     }
 
     /// Of these machines, those that have lately tried to report here.
-    pub fn misdirected_among(&mut self, machines: &[String], now: MonotonicTime) -> Vec<String> {
-        self.misdirected.retain(|_, s| now - s.at <= MISDIRECTED_FOR);
-        machines.iter().filter(|m| self.misdirected.contains_key(*m)).cloned().collect()
+    pub fn redirected_among(&mut self, machines: &[String], now: MonotonicTime) -> Vec<String> {
+        self.redirected.retain(|_, s| now - s.at <= REDIRECT_TTL);
+        machines.iter().filter(|m| self.redirected.contains_key(*m)).cloned().collect()
     }
 }
 
@@ -145,14 +145,14 @@
 /// Bad messages of peers are logged this often.
 const BAD_MESSAGES_INTERVAL: Millis = Millis(10_000);
 
-const SILENT_AFTER: Millis = Millis(1_500);
+const UNREACHABLE_TIMEOUT: Millis = Millis(1_500);
 
 impl Node {
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
         let cloud = CloudClient::new(settings.services.cloud.to_string(), settings.cluster.cloud.rps);
         let sockets = settings.sockets();
         let kv = KvClient::new(settings.services.state.to_string());
-        let inner = Inner {
+        let inner = NodeState {
             election: Election::new(settings.state_ttl(), settings.read_ttl()),
             scheduler: None,
             leader_name: None,
@@ -167,13 +167,13 @@
             peer_reaches_store: false,
             no_peer_answers: false,
             leader_per_peers: None,
-            misdirected: HashMap::new(),
+            redirected: HashMap::new(),
             suspected: HashSet::new(),
             successor: None,
-            forwarding: Forwarding::default(),
-            bad_messages: RareLog::new(BAD_MESSAGES_INTERVAL),
-            detours: Detours::default(),
-            offloading: Offloading::default(),
+            heartbeat_relay: HeartbeatRelay::default(),
+            bad_messages: RateLimitedLog::new(BAD_MESSAGES_INTERVAL),
+            relay_routes: RelayRoutes::default(),
+            heartbeat_balancer: HeartbeatBalancer::default(),
             overload: Overload::default(),
             input_latency: InputLatency::default(),
         };
@@ -200,7 +200,7 @@
     }
 
     /// Never held over an await.
-    pub fn lock(&self) -> MutexGuard<'_, Inner> {
+    pub fn lock(&self) -> MutexGuard<'_, NodeState> {
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -237,6 +237,6 @@
     /// make the user wait; the election keeps asking.
     pub fn store_unreachable(&self) -> bool {
         let now = self.now();
-        self.lock().store_unreachable_since.is_some_and(|t| now - t > SILENT_AFTER)
+        self.lock().store_unreachable_since.is_some_and(|t| now - t > UNREACHABLE_TIMEOUT)
     }
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -83,12 +83,12 @@
     let now = node.now();
     let mut guard = node.lock();
     let inner = &mut *guard;
-    let misdirected = inner.misdirected_among(&peer_heartbeat.suspected, now);
+    let redirected = inner.redirected_among(&peer_heartbeat.suspected, now);
     if peer_heartbeat.leading && !peer_heartbeat.asks_extension {
         inner.suspected = peer_heartbeat.suspected.into_iter().collect();
         inner.take_counts(&peer_heartbeat.counts);
-        inner.forwarding.heard_leader(&peer_heartbeat.from, Term(peer_heartbeat.term), now);
-        if !inner.forwarding.is_proven() && inner.election.active_term(now).is_none() {
+        inner.heartbeat_relay.heard_leader(&peer_heartbeat.from, Term(peer_heartbeat.term), now);
+        if !inner.heartbeat_relay.is_leader_confirmed() && inner.election.active_term(now).is_none() {
             node.relay_wakeup.notify_one();
         }
     }
@@ -97,7 +97,7 @@
     }
     let mut answer = PeerHeartbeatResponse {
         version: VERSION,
-        misdirected,
+        redirected,
         store_ok: !inner.election.is_refused_by_store(),
         ..Default::default()
     };
@@ -112,7 +112,7 @@
         answer.pledge_ms = p.span.0;
         answer.cancelled = p.cancelled.iter().map(JobId::to_string).collect();
     }
-    answer.forwards = inner.forwarding.has_capacity(now);
+    answer.relays_heartbeats = inner.heartbeat_relay.has_capacity(now);
     answer.leader = inner.leader_name.clone().filter(|_| answer.store_ok).unwrap_or_default();
     Some(answer.encode_to_vec())
 }
--- a/src/net/rare_log.rs
+++ b/src/net/rate_limited_log.rs
@@ -3,16 +3,16 @@
 use crate::time::{Millis, MonotonicTime};
 
 /// Events of one kind since they were last logged.
-pub struct RareLog {
+pub struct RateLimitedLog {
     /// At most one line in this time.
     interval: Millis,
     unlogged: u64,
     logged_at: Option<MonotonicTime>,
 }
 
-impl RareLog {
-    pub fn new(interval: Millis) -> RareLog {
-        RareLog { interval, unlogged: 0, logged_at: None }
+impl RateLimitedLog {
+    pub fn new(interval: Millis) -> RateLimitedLog {
+        RateLimitedLog { interval, unlogged: 0, logged_at: None }
     }
 
     /// Counts one more. How many there were since the last time, if it is time to log them.
--- a/src/net/rare_log/tests.rs
+++ b/src/net/rate_limited_log/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn bad_messages_are_counted_and_logged_seldom() {
-    let mut bad = RareLog::new(INTERVAL);
+    let mut bad = RateLimitedLog::new(INTERVAL);
     assert_eq!(bad.note(MonotonicTime(5)), Some(1));
     assert!((0..50).all(|n| bad.note(MonotonicTime(6 + n)).is_none()));
     assert_eq!(bad.note(MonotonicTime(5) + INTERVAL), Some(51));
--- a/src/net/detours.rs
+++ b/src/net/relay_routes.rs
@@ -8,17 +8,17 @@
 use std::sync::Arc;
 
 /// Peers are asked this often while the leader can't be reached.
-const ASK_INTERVAL: Millis = Millis(1_000);
-const ASK_LIMIT: Millis = Millis(700);
+const REFRESH_INTERVAL: Millis = Millis(1_000);
+const REFRESH_TIMEOUT: Millis = Millis(700);
 
 /// The peers that pass heartbeats on to the leader, as of their last answers.
 #[derive(Default)]
-pub struct Detours {
+pub struct RelayRoutes {
     peers: Vec<String>,
     taken: usize,
 }
 
-impl Detours {
+impl RelayRoutes {
     pub fn set(&mut self, peers: Vec<String>) {
         self.peers = peers;
     }
@@ -35,28 +35,28 @@
 /// runs.
 pub async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(ASK_INTERVAL.to_std()).await;
-        look_for(&node).await;
+        tokio::time::sleep(REFRESH_INTERVAL.to_std()).await;
+        refresh(&node).await;
     }
 }
 
 /// Asks the peers for detours, if they are needed now.
-pub async fn look_for(node: &Arc<Node>) {
-    let names = if needs_detours(node) { ask_peers(node).await } else { Vec::new() };
-    node.lock().detours.set(names);
+pub async fn refresh(node: &Arc<Node>) {
+    let names = if needs_relay_routes(node) { ask_peers(node).await } else { Vec::new() };
+    node.lock().relay_routes.set(names);
 }
 
-fn needs_detours(node: &Node) -> bool {
+fn needs_relay_routes(node: &Node) -> bool {
     let now = node.now();
     let inner = node.lock();
     let another_leads = inner.leader_name.as_ref().is_some_and(|name| *name != node.settings.name);
-    another_leads && !inner.forwarding.is_open(now)
+    another_leads && !inner.heartbeat_relay.is_open(now)
 }
 
 async fn ask_peers(node: &Arc<Node>) -> Vec<String> {
-    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), ASK_LIMIT).await;
-    let forwards = peers::answered(node, &answers).filter(|(_, answer)| answer.forwards);
-    forwards.map(|(peer, _)| peer.name.clone()).collect()
+    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), REFRESH_TIMEOUT).await;
+    let relays_heartbeats = peers::answered(node, &answers).filter(|(_, answer)| answer.relays_heartbeats);
+    relays_heartbeats.map(|(peer, _)| peer.name.clone()).collect()
 }
 
 #[cfg(test)]
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -3,7 +3,7 @@
 
 use super::dependency_check::{self, DependencyStatus};
 use super::kv::KvError;
-use super::lookups::{Found, look_up, record_outcome};
+use super::linearizable_reads::{Found, look_up, record_outcome};
 use super::node::Node;
 use super::peers;
 use crate::core::records::{
@@ -240,12 +240,12 @@
 }
 
 /// Most tries to cancel a job that changes meanwhile.
-const CANCEL_TRIES: usize = 3;
+const MAX_CANCEL_ATTEMPTS: usize = 3;
 
 /// Cancels a job that was live a moment ago, unless it has ended since.
 async fn cancel(node: &Arc<Node>, id: &JobId, row: KeyValue) -> Reply {
     let mut row = row;
-    for _ in 0..CANCEL_TRIES {
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
         // A record that can't be read is never overwritten.
         let Ok(live) = serde_json::from_value::<LiveRecord>(row.value) else {
             return Reply::later("the job's record can't be read");
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -60,7 +60,7 @@
     pub pledge_ms: u64,
     /// Of the machines that the asking leader doesn't hear, those that have lately tried here.
     #[prost(string, repeated, tag = "4")]
-    pub misdirected: Vec<String>,
+    pub redirected: Vec<String>,
     /// Who leads, as far as the answering controller has read it from the state service.
     #[prost(string, tag = "5")]
     pub leader: String,
@@ -70,7 +70,7 @@
     pub cancelled: Vec<String>,
     /// The answering controller can pass workers' heartbeats on to the asking leader.
     #[prost(bool, tag = "7")]
-    pub forwards: bool,
+    pub relays_heartbeats: bool,
 }
 
 /// Workers' heartbeats that a controller has taken in for the leader, each as the worker wrote it.
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -55,15 +55,18 @@
         version: 3,
         store_ok: true,
         pledge_ms: 3500,
-        misdirected: vec!["m-000231".into()],
+        redirected: vec!["m-000231".into()],
         leader: "plinth-2".into(),
         cancelled: vec!["req-000007".into(), "req-000008".into()],
-        forwards: true,
+        relays_heartbeats: true,
     };
     assert_samples(&[
         ("hello_answer", full),
         ("hello_answer_state_ok", PeerHeartbeatResponse { store_ok: true, ..PeerHeartbeatResponse::default() }),
-        ("hello_answer_forwards", PeerHeartbeatResponse { forwards: true, ..PeerHeartbeatResponse::default() }),
+        (
+            "hello_answer_forwards",
+            PeerHeartbeatResponse { relays_heartbeats: true, ..PeerHeartbeatResponse::default() },
+        ),
     ]);
 }
 
