--- a/src/config.rs
+++ b/src/config.rs
@@ -184,11 +184,11 @@
                 return Err(format!("cluster.{name} must be above 0, not {x}"));
             }
         }
-        if c.limits.sockets < LEAST_SOCKETS {
-            return Err(format!("cluster.limits.fd_limit must be at least {LEAST_SOCKETS}, not {}", c.limits.sockets));
+        if c.limits.sockets < MIN_SOCKETS {
+            return Err(format!("cluster.limits.fd_limit must be at least {MIN_SOCKETS}, not {}", c.limits.sockets));
         }
-        if state.txn_ops < LEAST_CHANGES {
-            return Err(format!("cluster.state.txn_ops must be at least {LEAST_CHANGES}, now and in next"));
+        if state.txn_ops < MIN_TRANSACTION_OPS {
+            return Err(format!("cluster.state.txn_ops must be at least {MIN_TRANSACTION_OPS}, now and in next"));
         }
         if c.workers.cancel_s <= c.workers.lease_s + self.state_ttl().as_secs_f64() + 2.0 {
             return Err("cluster.workers.cancel_s leaves no room for lease_s and a change of leader".into());
@@ -267,9 +267,9 @@
 }
 
 /// The most changes that any one step of a controller needs in a transaction, with some to spare.
-const LEAST_CHANGES: usize = 4;
+const MIN_TRANSACTION_OPS: usize = 4;
 /// With fewer there is none left for users and workers.
-const LEAST_SOCKETS: usize = 32;
+const MIN_SOCKETS: usize = 32;
 
 /// What the platform's limit on sockets is spent on. Each worker keeps one connection to the leader;
 /// orders go over connections of their own, which are few enough to leave the workers theirs.
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Longer than the longest pause between two tries of a job that fails.
-const FAULT_LASTS: Millis = Millis(150_000);
+const FAULT_TTL: Millis = Millis(150_000);
 
 /// One start of a whole gang.
 #[derive(Clone, Debug)]
@@ -166,7 +166,7 @@
     /// A job that fails on several machines is itself at fault; one that hasn't failed for long may just
     /// have met machines that did.
     pub fn at_fault(&self, now: MonotonicTime) -> bool {
-        self.done_count == 0 && self.error_machines.values().filter(|t| now - **t < FAULT_LASTS).count() >= 2
+        self.done_count == 0 && self.error_machines.values().filter(|t| now - **t < FAULT_TTL).count() >= 2
     }
 
     /// Whether it keeps off a machine on which it has failed.
--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -18,7 +18,7 @@
             if let JobOutcome::Done(Some(at)) = outcome {
                 job.startable_at = job.startable_at.max(at);
             }
-            self.dirty = true;
+            self.round_needed = true;
         }
     }
 
--- a/src/core/scheduler/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -37,7 +37,7 @@
         self.use_reservations(now);
         self.consolidate_replicas(now);
         self.close_round(now);
-        let news = self.dirty || now - self.round_at >= Millis(1_000);
+        let news = self.round_needed || now - self.round_at >= Millis(1_000);
         if self.open_round.is_none() && now - self.round_at >= due && news && !self.in_doubt {
             self.round(now, wall);
         }
@@ -58,7 +58,7 @@
 
     /// Past its lease a worker that nobody answered has killed everything.
     pub(super) fn expire_leases(&mut self, now: MonotonicTime) {
-        let lease = self.p.lease.plus_clock_drift() + Millis(300);
+        let lease = self.limits.lease.plus_clock_drift() + Millis(300);
         let mut dead = Vec::new();
         for (id, m) in &mut self.machines {
             // Before this leader, answers may have been given until it was elected.
@@ -68,7 +68,7 @@
             }
             if !m.reconciled {
                 m.reconciled = true;
-                self.dirty = true;
+                self.round_needed = true;
             }
             if !m.lease_expired {
                 m.lease_expired = true;
@@ -101,15 +101,15 @@
         let strained = self.lag_ms >= STRAINED_LAG_MS;
         let silent_after = |route: &Option<HeartbeatRoute>| {
             let excused = strained || mass_suspicion.everywhere || mass_suspicion.routes.contains(route);
-            self.p.lease.mul_f64(if excused { 3.0 } else { 0.55 })
+            self.limits.lease.mul_f64(if excused { 3.0 } else { 0.55 })
         };
         // The same for machines that answers don't reach.
-        let unacknowledged_after = self.p.lease;
+        let unacknowledged_after = self.limits.lease;
         let is_unacknowledged = |m: &Machine| m.unacknowledged_since.is_some_and(|t| now - t > unacknowledged_after);
         let deaf = self.machines.values().filter(|m| is_unacknowledged(m)).count();
         self.many_unacknowledged = many(deaf, up);
         let many_unacknowledged = self.many_unacknowledged;
-        let lease = self.p.lease;
+        let lease = self.limits.lease;
         let mut returns: Vec<MachineId> = Vec::new();
         let mut idle: Vec<MachineId> = Vec::new();
         for (id, m) in &mut self.machines {
@@ -117,7 +117,7 @@
             let t_gpus = self.types[m.kind].gpus > 0.0;
             if !m.retiring {
                 let t = &self.types[m.kind];
-                let boot = Millis::from_secs_f64((t.boot_s * 3.5).max(60.0)) + self.p.list_lag;
+                let boot = Millis::from_secs_f64((t.boot_s * 3.5).max(60.0)) + self.limits.list_lag;
                 let silent = now - m.last_heartbeat.max(self.since);
                 // A worker may need some seconds to find a new leader: one that hasn't yet is no
                 // more silent than its lease is long.
@@ -198,13 +198,13 @@
     /// Leading for long enough that workers which can find this leader have done so. Before that,
     /// silence proves nothing, and two leaders would hand over to and fro.
     pub fn settled(&self, now: MonotonicTime) -> bool {
-        now - self.since > self.p.lease
+        now - self.since > self.limits.lease
     }
 
     /// Machines that should report but don't, and how many should.
     pub fn suspected_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
         // Less than what makes a machine unusable: a cut leaves little time to find another leader.
-        let limit = self.p.heartbeat.mul_f64(1.25) + Millis(500);
+        let limit = self.limits.heartbeat.mul_f64(1.25) + Millis(500);
         let ours = || self.machines.iter().filter(|(_, m)| m.registration == Registration::Registered && !m.retiring);
         // Those on their way to a new leader must still be sent to it.
         let settled = self.settled(now);
@@ -215,7 +215,7 @@
 
     /// A worker that hasn't reported for longer gets no new tasks.
     pub(super) fn heartbeat_timeout(&self) -> Millis {
-        self.p.heartbeat.mul_f64(2.0) + Millis(500)
+        self.limits.heartbeat.mul_f64(2.0) + Millis(500)
     }
 
     /// The cloud has carried out a return, or it isn't known.
@@ -240,7 +240,7 @@
             if registered {
                 self.forget.insert(id.clone());
             }
-            self.dirty = true;
+            self.round_needed = true;
         }
         while self.terminated.len() > 4096 {
             self.terminated.pop_first();
@@ -276,7 +276,7 @@
             if l.phase == ListPhase::Running {
                 // It may be gone already, as the list is late, or about to report.
                 let first = *self.never_heard.entry(id.clone()).or_insert(now);
-                if now - first < Millis(60_000) + self.p.list_lag {
+                if now - first < Millis(60_000) + self.limits.list_lag {
                     continue;
                 }
                 m.retiring = true;
@@ -284,7 +284,7 @@
             }
             info!("machine {id} is in the cloud's list: kind={} zone={}", l.kind, l.zone);
             self.machines.insert(id, m);
-            self.dirty = true;
+            self.round_needed = true;
         }
     }
 
@@ -325,7 +325,7 @@
                 r.again_at = now + Millis(2_000);
             }
         }
-        self.dirty = true;
+        self.round_needed = true;
     }
 
     pub(super) fn describe(&self, m: InstancePool) -> String {
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -55,7 +55,7 @@
 
 const MAX_RECENTLY_TERMINATED: usize = 1024;
 /// What the leader takes of the state service's rate of changes.
-const SHARE_OF_WRITES: f64 = 0.6;
+const SCHEDULER_WRITE_SHARE: f64 = 0.6;
 
 /// What the edges must do for the leader.
 #[derive(Clone, Debug, PartialEq)]
@@ -119,7 +119,7 @@
     Tidy(Vec<String>),
 }
 
-struct Params {
+struct ProtocolLimits {
     heartbeat: Millis,
     lease: Millis,
     txn_ops: usize,
@@ -130,7 +130,7 @@
 }
 
 pub struct Scheduler {
-    p: Params,
+    limits: ProtocolLimits,
     settings: Settings,
     tuning: Tuning,
     term: Term,
@@ -173,7 +173,7 @@
     tokens_at: MonotonicTime,
     bitmaps_written_at: MonotonicTime,
     commit_pause: MonotonicTime,
-    dirty: bool,
+    round_needed: bool,
     round_at: MonotonicTime,
     rounds: u64,
     provision_requests: u64,
@@ -303,14 +303,14 @@
                 zones.push(z.clone());
             }
         }
-        let limits = c.state.lowest();
-        let p = Params {
+        let store = c.state.lowest();
+        let limits = ProtocolLimits {
             heartbeat: Millis::from_secs_f64(c.workers.report_s),
             lease: Millis::from_secs_f64(c.workers.lease_s),
-            txn_ops: limits.txn_ops,
+            txn_ops: store.txn_ops,
             value_bytes: c.state.value_bytes(),
             // The rest is for submissions and cancellations on all controllers.
-            write_rps: limits.write_rps * SHARE_OF_WRITES,
+            write_rps: store.write_rps * SCHEDULER_WRITE_SHARE,
             layout: BitmapLayout::new(&c.state),
             list_lag: Millis::from_secs_f64(c.cloud.list_lag_s),
         };
@@ -318,8 +318,8 @@
         let peers = settings.peers.iter().map(|p| p.name.clone());
         let shards = ShardAssignment::new(&settings.name, peers, team_names.len() as u32, now);
         Scheduler {
-            tokens: p.write_rps,
-            p,
+            tokens: limits.write_rps,
+            limits,
             spot_lives: SpotLives { mu: tuning.spot_median_s.ln(), sigma: tuning.spot_sigma, seen: 0.0 },
             settings,
             tuning,
@@ -352,7 +352,7 @@
             tokens_at: now,
             bitmaps_written_at: now,
             commit_pause: now,
-            dirty: true,
+            round_needed: true,
             round_at: now,
             rounds: 0,
             provision_requests: 0,
@@ -491,7 +491,7 @@
             self.orphaned_bitmaps.push(row.key);
             return;
         };
-        if !self.p.layout.read(&mut job.durably_done, number, &row.value) {
+        if !self.limits.layout.read(&mut job.durably_done, number, &row.value) {
             warn!("state: {} can't be read", row.key);
         }
         let done: Vec<usize> = job.durably_done.ones().collect();
@@ -549,7 +549,7 @@
         let job = Job::new(record, revision, team as u32);
         self.dependencies.add(*id, &job.depends_on, |dependency| self.jobs.contains_key(dependency));
         self.jobs.insert(*id, job);
-        self.dirty = true;
+        self.round_needed = true;
     }
 
     /// The watch has missed changes: what is no longer listed is over.
@@ -578,9 +578,9 @@
         }
         self.settle_dependents(id, outcome);
         let Some(job) = self.jobs.remove(id) else { return };
-        self.dirty = true;
+        self.round_needed = true;
         self.dependencies.remove(id, &job.depends_on);
-        let rows = self.p.layout.chunks(job.spec.tasks);
+        let rows = self.limits.layout.chunks(job.spec.tasks);
         let stored = rows.iter().filter(|row| row.members(&job.durably_done).next().is_some());
         self.orphaned_bitmaps.extend(stored.map(|row| row.key(id)));
         for (index, machine, attempt) in job.places() {
@@ -601,7 +601,7 @@
 }
 
 /// Most orders in one message, which has a limit of 64 KiB.
-const MAX_ORDERS: usize = 500;
+const MAX_ORDERS_PER_MESSAGE: usize = 500;
 
 /// Tells a worker to stop a task; the cluster state keeps it until it is proven gone.
 fn stop_allocation(m: &mut Machine, key: &TaskAttempt, leeway: f64) {
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -5,17 +5,17 @@
 use super::*;
 
 /// Planners are told the ages of machines in steps of this.
-const AGE_STEP_S: f64 = 30.0;
+const AGE_GRANULARITY_S: f64 = 30.0;
 /// Seconds until a machine that has come up gets its first order.
-const SETTLING_S: f64 = 0.3;
+const REGISTRATION_DELAY_S: f64 = 0.3;
 /// A machine that should be up by now may take this many seconds more.
-const LEAST_BOOT_S: f64 = 3.0;
+const MIN_REMAINING_BOOT_S: f64 = 3.0;
 /// Work that is not urgent causes rentals only if the fleet needs longer than this for all that waits.
 const SCALE_OUT_BACKLOG_S: f64 = 8.0;
 /// Stands for "no limit" in messages.
 const UNLIMITED: f64 = 1e12;
 /// Most machines that one offer stands for.
-const OFFERED: u32 = 50;
+const MAX_INSTANCES_PER_OFFER: u32 = 50;
 
 /// A planner's input, and what its keys stand for.
 pub(super) struct PlannerView {
@@ -154,8 +154,8 @@
             let age_s = (now - m.since).as_secs_f64();
             let ready_s = match (usable, settling) {
                 (true, _) => 0.0,
-                (false, true) => SETTLING_S,
-                (false, false) => (t.boot_s - age_s).max(LEAST_BOOT_S),
+                (false, true) => REGISTRATION_DELAY_S,
+                (false, false) => (t.boot_s - age_s).max(MIN_REMAINING_BOOT_S),
             };
             let view = self.machine_view(now, id, m, &free);
             all.push(Some(id.clone()), MachineView { up: usable, ready_s, ..view });
@@ -175,7 +175,7 @@
             kind: m.kind as u32,
             zone: m.zone,
             spot: m.spot,
-            age_s: (age_s / AGE_STEP_S).floor() * AGE_STEP_S,
+            age_s: (age_s / AGE_GRANULARITY_S).floor() * AGE_GRANULARITY_S,
             free_cpus: free.cpus,
             free_gpus: free.gpus,
             free_memory_gb: free.memory_gb,
@@ -348,7 +348,12 @@
                     let pool = InstancePool { kind, zone: zone as u32, spot };
                     let asked = self.provisioner.requests.values().any(|r| r.pool == pool);
                     if self.provisioner.open(pool, now) && !asked && self.provisioner.has_capacity() {
-                        offers.push(ProvisionOffer { kind: kind as u32, zone: zone as u32, spot, most: OFFERED });
+                        offers.push(ProvisionOffer {
+                            kind: kind as u32,
+                            zone: zone as u32,
+                            spot,
+                            most: MAX_INSTANCES_PER_OFFER,
+                        });
                     }
                 }
             }
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -9,7 +9,7 @@
     /// Starts a round: each controller plans for the teams of its share, all on the same view.
     pub(super) fn round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.round_at = now;
-        self.dirty = false;
+        self.round_needed = false;
         self.rounds += 1;
         // First, or the round would give away what has just become free.
         self.reserve_for_large_gangs(now, wall);
@@ -95,7 +95,7 @@
     pub fn abandon_round(&mut self) {
         if let Some(round) = self.open_round.take() {
             info!("round {} is abandoned: term={}", round.view.input.round, self.term);
-            self.dirty = true;
+            self.round_needed = true;
         }
     }
 
--- a/src/core/scheduler/workers.rs
+++ b/src/core/scheduler/workers.rs
@@ -34,7 +34,7 @@
             self.machines.insert(id.clone(), Machine::new(r.endpoint.clone(), kind, zone, r.spot, now));
         }
         let heartbeat_timeout = self.heartbeat_timeout();
-        let unacknowledged_after = self.p.lease;
+        let unacknowledged_after = self.limits.lease;
         let m = self.machines.get_mut(&id)?;
         if r.agent_epoch < m.agent_epoch || (r.agent_epoch, r.sequence) <= m.latest_heartbeat {
             // Of an agent epoch that has ended, or a copy: nobody waits for an answer to it, and it is
@@ -61,7 +61,7 @@
         // The answer renews the lease, so it carries every stop, whatever else is under way: a worker
         // that lives on by it must not keep a cancelled task.
         let mut orders = m.pending_stops();
-        if orders.len() > MAX_ORDERS {
+        if orders.len() > MAX_ORDERS_PER_MESSAGE {
             warn!("machine {id} has stops={} due, too many for an answer", orders.len());
             self.flush_machine(&id);
             return None;
@@ -69,7 +69,7 @@
         m.outbox.retain(|o| !matches!(o, Order::Stop { .. }));
         if newer && m.in_flight.is_none() {
             // Runs only go out directly, where an answer proves them; clears may ride along.
-            let room = MAX_ORDERS - orders.len();
+            let room = MAX_ORDERS_PER_MESSAGE - orders.len();
             let (clears, mut rest): (Vec<Order>, Vec<Order>) =
                 m.outbox.drain(..).partition(|o| matches!(o, Order::Clear { .. }));
             rest.extend_from_slice(clears.get(room..).unwrap_or_default());
@@ -149,7 +149,7 @@
         let fence = FencingToken::new(self.term, m.fence);
         if m.fencing && r.token >= fence {
             m.fencing = false;
-            self.dirty = true;
+            self.round_needed = true;
         }
         if let Some(s) = r.notice_s
             && !m.spot_notice
@@ -193,7 +193,7 @@
         if r.token >= own && !(m.reconciled && m.token_acknowledged) {
             m.reconciled = true;
             m.token_acknowledged = true;
-            self.dirty = true;
+            self.round_needed = true;
         }
         // What is not listed is gone, if the worker has listed it before, has answered its order,
         // or will refuse the order because it has seen a higher fence since.
@@ -216,7 +216,7 @@
         }
         let Some(m) = self.machines.get_mut(id) else { return false };
         if m.registration == Registration::Unregistered && !m.retiring {
-            self.dirty = true;
+            self.round_needed = true;
         }
         true
     }
@@ -243,7 +243,7 @@
         s.pending_run = None;
         if listed.phase == TaskPhase::Running && before != Some(TaskPhase::Running) {
             s.running_since.get_or_insert(now);
-            self.dirty |= before == Some(TaskPhase::Pulling);
+            self.round_needed |= before == Some(TaskPhase::Pulling);
         }
         if listed.phase != TaskPhase::Exited {
             if over {
@@ -259,7 +259,7 @@
             return;
         }
         if before != Some(TaskPhase::Exited) {
-            self.dirty = true;
+            self.round_needed = true;
             let ran = s.running_since.filter(|_| s.fully_observed).map(|t| (now - t).as_secs_f64());
             let stopped = s.stop.is_some();
             self.on_task_exited(now, id, key, listed, ran, stopped);
@@ -415,7 +415,7 @@
         let Some(allocation) = m.allocations.remove(key) else { return };
         let run = Order::Run { task: key.0, attempt: key.1 };
         m.outbox.retain(|o| *o != run);
-        self.dirty = true;
+        self.round_needed = true;
         if allocation.has_exited() {
             return;
         }
@@ -519,7 +519,7 @@
             Order::Stop { .. } => 1,
             Order::Run { .. } => 2,
         });
-        m.outbox = orders.split_off(orders.len().min(MAX_ORDERS));
+        m.outbox = orders.split_off(orders.len().min(MAX_ORDERS_PER_MESSAGE));
         let token = FencingToken::new(self.term, m.fence);
         let mut runs = Vec::new();
         for o in &orders {
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Most transactions under way at once.
-const MAX_COMMITS: usize = 6;
+const MAX_COMMITS_IN_FLIGHT: usize = 6;
 
 impl Scheduler {
     pub(super) fn fence_precondition(&self) -> Precondition {
@@ -20,9 +20,9 @@
     /// Writes what must be durable, most urgent first, within the share of writes.
     pub(super) fn write(&mut self, now: MonotonicTime, wall: WallTime) {
         let dt = (now - self.tokens_at).as_secs_f64();
-        self.tokens = (self.tokens + dt * self.p.write_rps).min(self.p.write_rps);
+        self.tokens = (self.tokens + dt * self.limits.write_rps).min(self.limits.write_rps);
         self.tokens_at = now;
-        if now < self.commit_pause || self.commits.len() >= MAX_COMMITS {
+        if now < self.commit_pause || self.commits.len() >= MAX_COMMITS_IN_FLIGHT {
             return;
         }
         if self.fence_refresh != FenceRefresh::Idle {
@@ -61,7 +61,11 @@
         let mut mutations = Vec::new();
         let mut registration = Vec::new();
         for (id, m) in &mut self.machines {
-            if mutations.len() < self.p.txn_ops && m.up && m.registration == Registration::Unregistered && !m.retiring {
+            if mutations.len() < self.limits.txn_ops
+                && m.up
+                && m.registration == Registration::Unregistered
+                && !m.retiring
+            {
                 m.registration = Registration::InFlight;
                 let record = MachineRecord {
                     endpoint: m.endpoint.clone(),
@@ -73,7 +77,7 @@
                 registration.push(id.clone());
             }
         }
-        let room = self.p.txn_ops - mutations.len();
+        let room = self.limits.txn_ops - mutations.len();
         let forget: Vec<MachineId> = self.forget.iter().take(room).cloned().collect();
         mutations.extend(forget.iter().map(|id| Mutation::delete(machine_key(id))));
         if !mutations.is_empty() {
@@ -88,7 +92,7 @@
         if self.tokens < 1.0 || under_way {
             return;
         }
-        let most = (self.p.txn_ops / MUTATIONS_PER_TERMINATION).max(1);
+        let most = (self.limits.txn_ops / MUTATIONS_PER_TERMINATION).max(1);
         let cascade_cancelled = self.dependencies.cascade_cancelled().filter_map(|id| Some((*id, self.jobs.get(id)?)));
         let mut preconditions = vec![self.fence_precondition()];
         let mut mutations = Vec::new();
@@ -109,7 +113,7 @@
         let mut finished: Vec<JobId> = finished.map(|(id, _)| *id).collect();
         finished.sort_by_key(|id| !self.dependencies.has_dependents(id));
         for id in finished {
-            if self.tokens < 1.0 || self.commits.len() >= MAX_COMMITS {
+            if self.tokens < 1.0 || self.commits.len() >= MAX_COMMITS_IN_FLIGHT {
                 break;
             }
             let guard = self.fence_precondition();
@@ -127,17 +131,17 @@
         let changed =
             |j: &Job| j.done_count > 0 && !j.all_done() && !j.bitmap_write_in_flight && j.durably_done != j.done;
         let dirty: Vec<JobId> = self.jobs.iter().filter(|(_, j)| changed(j)).map(|(id, _)| *id).collect();
-        let every = Millis::from_secs_f64((dirty.len() as f64 / (self.p.write_rps * 0.4)).max(1.5));
+        let every = Millis::from_secs_f64((dirty.len() as f64 / (self.limits.write_rps * 0.4)).max(1.5));
         if dirty.is_empty() || now - self.bitmaps_written_at < every || self.tokens < 2.0 {
             return false;
         }
         self.bitmaps_written_at = now;
-        let room = self.p.txn_ops.min(self.tokens as usize);
+        let room = self.limits.txn_ops.min(self.tokens as usize);
         let mut mutations = Vec::new();
         let mut which = Vec::new();
         for id in dirty {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let mut rows = self.p.layout.chunks(job.spec.tasks);
+            let mut rows = self.limits.layout.chunks(job.spec.tasks);
             rows.retain(|row| row.differs(&job.done, &job.durably_done));
             if mutations.len() + rows.len() > room && !mutations.is_empty() {
                 break;
@@ -166,7 +170,7 @@
         }
         self.shards_unsaved = false;
         let value = serde_json::json!(self.shards.to_record(&self.team_names));
-        if value.to_string().len() > self.p.value_bytes {
+        if value.to_string().len() > self.limits.value_bytes {
             // They save moves after a change of leader, and nothing rests on them.
             warn!("{SHARDS_KEY} has too many teams for a value and isn't kept");
             return false;
@@ -184,7 +188,7 @@
         if self.orphaned_bitmaps.is_empty() || !self.has_writes_to_spare() {
             return;
         }
-        let n = self.orphaned_bitmaps.len().min(self.p.txn_ops).min(4);
+        let n = self.orphaned_bitmaps.len().min(self.limits.txn_ops).min(4);
         let keys: Vec<String> = self.orphaned_bitmaps.drain(..n).collect();
         let mutations = keys.iter().map(Mutation::delete).collect();
         let transaction = Transaction { preconditions: vec![self.fence_precondition()], mutations };
@@ -192,7 +196,7 @@
     }
 
     fn has_writes_to_spare(&self) -> bool {
-        self.tokens >= self.p.write_rps * 0.7 && self.commits.is_empty()
+        self.tokens >= self.limits.write_rps * 0.7 && self.commits.is_empty()
     }
 
     /// The leader's key has this revision now; none: it isn't known, or no longer this leader's.
@@ -224,7 +228,7 @@
         {
             self.fence_refresh = FenceRefresh::Due;
         }
-        self.dirty = true;
+        self.round_needed = true;
         match purpose {
             Purpose::Machines { registration, forget } => {
                 for id in registration {
