--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -109,15 +109,15 @@
     fn perform(&mut self, effect: Effect) {
         let now = MonotonicTime(self.now);
         match effect {
-            Effect::Orders { ticket, endpoint, body } => {
+            Effect::Orders { request, endpoint, body } => {
                 let worker = &mut self.workers[endpoint.parse::<usize>().expect("a worker's number")];
                 worker.obey(self.now, body.token, &body.orders);
                 let result = OrdersResult::Executed(worker.next_heartbeat());
-                self.observe(Input::Answer, |leader| leader.on_orders_result(now, ticket, result));
+                self.observe(Input::Answer, |leader| leader.on_orders_result(now, request, result));
             }
-            Effect::Commit { ticket, .. } => {
+            Effect::Commit { request, .. } => {
                 self.commits += 1;
-                self.observe(Input::Answer, |leader| leader.on_committed(now, ticket, CommitOutcome::Committed));
+                self.observe(Input::Answer, |leader| leader.on_committed(now, request, CommitOutcome::Committed));
             }
             Effect::Provision(request) => {
                 self.observe(Input::Answer, |leader| {
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -61,12 +61,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Orders {
-        ticket: u64,
+        request: u64,
         endpoint: String,
         body: DirectOrders,
     },
     Commit {
-        ticket: u64,
+        request: u64,
         transaction: Transaction,
     },
     /// Writes the leader's key anew and says which revision it has then.
@@ -163,7 +163,7 @@
     provisioner: Provisioner,
     times: ClassTimes,
     attempts: u64,
-    tickets: u64,
+    last_request: u64,
     orders: HashMap<u64, (MachineId, Vec<TaskAttempt>)>,
     /// Writes under way, each with its guard.
     commits: HashMap<u64, (Purpose, Revision)>,
@@ -344,7 +344,7 @@
             provisioner: Provisioner::default(),
             times: ClassTimes::default(),
             attempts: 0,
-            tickets: 0,
+            last_request: 0,
             orders: HashMap::new(),
             commits: HashMap::new(),
             forget: BTreeSet::new(),
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -240,7 +240,7 @@
             for a in self.leader.take_effects() {
                 let now = MonotonicTime(self.now);
                 match a {
-                    Effect::Orders { ticket, endpoint, body } => {
+                    Effect::Orders { request, endpoint, body } => {
                         let result = match self.workers.get_mut(&endpoint) {
                             Some(r) if !self.deaf.contains(&endpoint) => {
                                 r.sequence.0 += 1;
@@ -254,16 +254,16 @@
                             }
                             _ => OrdersResult::Unknown,
                         };
-                        self.leader.on_orders_result(now, ticket, result);
+                        self.leader.on_orders_result(now, request, result);
                     }
-                    Effect::Commit { ticket, transaction } => match &mut self.unanswered {
+                    Effect::Commit { request, transaction } => match &mut self.unanswered {
                         Some(l) => {
                             l.push(transaction);
-                            self.leader.on_committed(now, ticket, CommitOutcome::Unknown);
+                            self.leader.on_committed(now, request, CommitOutcome::Unknown);
                         }
                         None => {
                             self.commit(transaction);
-                            self.leader.on_committed(now, ticket, CommitOutcome::Committed);
+                            self.leader.on_committed(now, request, CommitOutcome::Committed);
                         }
                     },
                     Effect::RefreshFence(_) => {
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -299,13 +299,13 @@
         self.digest.effect(&effect);
         let now = MonotonicTime(self.now);
         match effect {
-            Effect::Orders { ticket, endpoint, body } => {
+            Effect::Orders { request, endpoint, body } => {
                 let result = self.execute(&endpoint, &body);
-                self.leader.on_orders_result(now, ticket, result);
+                self.leader.on_orders_result(now, request, result);
             }
-            Effect::Commit { ticket, transaction } => {
+            Effect::Commit { request, transaction } => {
                 let result = self.commit(&transaction);
-                self.leader.on_committed(now, ticket, result);
+                self.leader.on_committed(now, request, result);
             }
             Effect::RefreshFence(_) => {
                 self.revision += 1;
--- a/src/core/scheduler/workers.rs
+++ b/src/core/scheduler/workers.rs
@@ -80,10 +80,10 @@
         Some(HeartbeatResponse { token, orders })
     }
 
-    pub fn on_orders_result(&mut self, now: MonotonicTime, ticket: u64, result: OrdersResult) {
-        let Some((id, sent)) = self.orders.remove(&ticket) else { return };
+    pub fn on_orders_result(&mut self, now: MonotonicTime, request: u64, result: OrdersResult) {
+        let Some((id, sent)) = self.orders.remove(&request) else { return };
         let Some(m) = self.machines.get_mut(&id) else { return };
-        if m.in_flight == Some(ticket) {
+        if m.in_flight == Some(request) {
             m.in_flight = None;
         }
         match result {
@@ -531,10 +531,10 @@
                 runs.push(key);
             }
         }
-        self.tickets += 1;
-        m.in_flight = Some(self.tickets);
-        self.orders.insert(self.tickets, (id.clone(), runs));
+        self.last_request += 1;
+        m.in_flight = Some(self.last_request);
+        self.orders.insert(self.last_request, (id.clone(), runs));
         let body = DirectOrders { token, agent_epoch: m.agent_epoch, orders };
-        self.effects.push(Effect::Orders { ticket: self.tickets, endpoint: m.endpoint.clone(), body });
+        self.effects.push(Effect::Orders { request: self.last_request, endpoint: m.endpoint.clone(), body });
     }
 }
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -11,10 +11,10 @@
     }
 
     pub(super) fn commit(&mut self, purpose: Purpose, transaction: Transaction) {
-        self.tickets += 1;
+        self.last_request += 1;
         self.tokens -= transaction.mutations.len() as f64;
-        self.commits.insert(self.tickets, (purpose, self.fence_revision));
-        self.effects.push(Effect::Commit { ticket: self.tickets, transaction });
+        self.commits.insert(self.last_request, (purpose, self.fence_revision));
+        self.effects.push(Effect::Commit { request: self.last_request, transaction });
     }
 
     /// Writes what must be durable, most urgent first, within the share of writes.
@@ -214,8 +214,8 @@
         }
     }
 
-    pub fn on_committed(&mut self, now: MonotonicTime, ticket: u64, result: CommitOutcome) {
-        let Some((purpose, guard)) = self.commits.remove(&ticket) else { return };
+    pub fn on_committed(&mut self, now: MonotonicTime, request: u64, result: CommitOutcome) {
+        let Some((purpose, guard)) = self.commits.remove(&request) else { return };
         let ok = result == CommitOutcome::Committed;
         if matches!(result, CommitOutcome::Rejected | CommitOutcome::Unknown) {
             self.commit_pause = now + Millis(300);
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -48,15 +48,15 @@
 
     pub(in crate::core) fn effect(&mut self, effect: &Effect) {
         match effect {
-            Effect::Orders { ticket, endpoint, body } => {
+            Effect::Orders { request, endpoint, body } => {
                 self.tag(Tag::Orders);
-                self.number(*ticket);
+                self.number(*request);
                 self.part(endpoint.as_bytes());
                 self.json(body);
             }
-            Effect::Commit { ticket, transaction } => {
+            Effect::Commit { request, transaction } => {
                 self.tag(Tag::Commit);
-                self.number(*ticket);
+                self.number(*request);
                 self.json(transaction);
             }
             Effect::RefreshFence(transaction) => {
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -86,7 +86,7 @@
     },
     Orders {
         leader: u64,
-        ticket: u64,
+        request: u64,
         worker: usize,
         token: FencingToken,
         agent_epoch: AgentEpoch,
@@ -94,17 +94,17 @@
     },
     OrdersResult {
         leader: u64,
-        ticket: u64,
+        request: u64,
         result: OrdersResult,
     },
     Commit {
         leader: u64,
-        ticket: u64,
+        request: u64,
         transaction: Transaction,
     },
     Committed {
         leader: u64,
-        ticket: u64,
+        request: u64,
         result: CommitOutcome,
     },
     FenceRefresh {
@@ -329,23 +329,23 @@
         for a in effects {
             self.digest.effect(&a);
             match a {
-                Effect::Orders { ticket, endpoint, body } => {
+                Effect::Orders { request, endpoint, body } => {
                     let worker: usize = endpoint.parse().expect("an endpoint that was reported");
                     let delay = self.delay();
                     if delay > 2_000 {
                         let result = OrdersResult::Unknown;
-                        self.post(2_000, Mail::OrdersResult { leader, ticket, result });
+                        self.post(2_000, Mail::OrdersResult { leader, request, result });
                     }
                     let (token, agent_epoch, orders) = (body.token, body.agent_epoch, body.orders);
-                    self.post(delay, Mail::Orders { leader, ticket, worker, token, agent_epoch, orders });
+                    self.post(delay, Mail::Orders { leader, request, worker, token, agent_epoch, orders });
                 }
-                Effect::Commit { ticket, transaction } => {
+                Effect::Commit { request, transaction } => {
                     let delay = self.delay();
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { delay };
                     if delay > 1_200 {
-                        self.post(1_200, Mail::Committed { leader, ticket, result: CommitOutcome::Unknown });
+                        self.post(1_200, Mail::Committed { leader, request, result: CommitOutcome::Unknown });
                     }
-                    self.post(delay, Mail::Commit { leader, ticket, transaction });
+                    self.post(delay, Mail::Commit { leader, request, transaction });
                 }
                 Effect::RefreshFence(transaction) => {
                     let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { self.delay() };
@@ -553,20 +553,20 @@
                 w.answered_sent = w.answered_sent.max(sent);
                 self.execute(worker, &answer.orders);
             }
-            Mail::Orders { leader, ticket, worker, token, agent_epoch, orders } => {
+            Mail::Orders { leader, request, worker, token, agent_epoch, orders } => {
                 let w = &self.workers[worker];
                 if w.dead || self.now < w.up_at {
                     return;
                 }
                 if self.now < w.deaf_until {
-                    self.post(2_000, Mail::OrdersResult { leader, ticket, result: OrdersResult::Unknown });
+                    self.post(2_000, Mail::OrdersResult { leader, request, result: OrdersResult::Unknown });
                     return;
                 }
                 if self.now < w.hangs_until.max(w.cut_until) {
                     // Held back, and delivered after all.
                     let later = w.hangs_until.max(w.cut_until) - self.now + 10;
-                    self.post(later, Mail::Orders { leader, ticket, worker, token, agent_epoch, orders });
-                    self.post(2_000, Mail::OrdersResult { leader, ticket, result: OrdersResult::Unknown });
+                    self.post(later, Mail::Orders { leader, request, worker, token, agent_epoch, orders });
+                    self.post(2_000, Mail::OrdersResult { leader, request, result: OrdersResult::Unknown });
                     return;
                 }
                 let w = &mut self.workers[worker];
@@ -577,27 +577,27 @@
                 }
                 let heartbeat = self.heartbeat(worker);
                 if self.lost() {
-                    self.post(2_000, Mail::OrdersResult { leader, ticket, result: OrdersResult::Unknown });
+                    self.post(2_000, Mail::OrdersResult { leader, request, result: OrdersResult::Unknown });
                     return;
                 }
                 let result = if ok { OrdersResult::Executed(heartbeat) } else { OrdersResult::Rejected(heartbeat) };
                 let delay = self.delay();
                 if delay > 1_900 {
-                    self.post(2_000, Mail::OrdersResult { leader, ticket, result: OrdersResult::Unknown });
+                    self.post(2_000, Mail::OrdersResult { leader, request, result: OrdersResult::Unknown });
                 } else {
-                    self.post(delay, Mail::OrdersResult { leader, ticket, result });
+                    self.post(delay, Mail::OrdersResult { leader, request, result });
                 }
             }
-            Mail::OrdersResult { leader, ticket, result } if leader == current => {
+            Mail::OrdersResult { leader, request, result } if leader == current => {
                 if let Some(l) = &mut self.leader {
-                    l.on_orders_result(now, ticket, result);
+                    l.on_orders_result(now, request, result);
                 }
             }
-            Mail::Commit { leader, ticket, transaction } => {
+            Mail::Commit { leader, request, transaction } => {
                 let result = self.commit(&transaction);
                 let result = if self.lost() { CommitOutcome::Unknown } else { result };
                 let delay = self.rng.random_range(1..20);
-                self.post(delay, Mail::Committed { leader, ticket, result });
+                self.post(delay, Mail::Committed { leader, request, result });
             }
             Mail::FenceRefresh { leader, transaction } => {
                 if self.commit(&transaction) == CommitOutcome::Committed {
@@ -619,9 +619,9 @@
                     l.on_fence_refreshed(now, revision);
                 }
             }
-            Mail::Committed { leader, ticket, result } if leader == current => {
+            Mail::Committed { leader, request, result } if leader == current => {
                 if let Some(l) = &mut self.leader {
-                    l.on_committed(now, ticket, result);
+                    l.on_committed(now, request, result);
                 }
             }
             Mail::Rented { leader, name, result } if leader == current => {
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -184,17 +184,17 @@
     let now = node.now();
     let active_term = node.lock().election.active_term(now) == Some(term);
     match effect {
-        Effect::Orders { ticket, endpoint, body } => {
+        Effect::Orders { request, endpoint, body } => {
             let result = if active_term { send_orders(&node, &endpoint, &body).await } else { OrdersResult::Unknown };
-            notify_scheduler(&node, |scheduler, now| scheduler.on_orders_result(now, ticket, result));
+            notify_scheduler(&node, |scheduler, now| scheduler.on_orders_result(now, request, result));
             perform_pending(&node);
         }
-        Effect::Commit { ticket, transaction } => {
+        Effect::Commit { request, transaction } => {
             let result = match active_term {
                 true => commit_outcome(&node.track_store(node.kv.commit(&node.http, &transaction)).await),
                 false => CommitOutcome::Rejected,
             };
-            notify_scheduler(&node, |scheduler, now| scheduler.on_committed(now, ticket, result));
+            notify_scheduler(&node, |scheduler, now| scheduler.on_committed(now, request, result));
             perform_pending(&node);
         }
         Effect::RefreshFence(transaction) => {
