--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -28,16 +28,32 @@
     need: Resources,
 }
 
+/// Where the search for replicas to move goes on.
+pub(super) struct Consolidation {
+    pub next_move_at: MonotonicTime,
+    /// Machines that the last search began with, in vain, before its budget was spent.
+    pub sources_tried: usize,
+}
+
+impl Consolidation {
+    pub fn new(now: MonotonicTime) -> Consolidation {
+        Consolidation { next_move_at: now, sources_tried: 0 }
+    }
+}
+
 impl Scheduler {
     /// Moves a replica off a machine that does nothing else, onto one that is busy anyway, so that the
     /// former can go back. One at a time, and only while nothing waits.
     pub(super) fn consolidate_replicas(&mut self, now: MonotonicTime) {
-        if now < self.move_at || !self.reservations.is_empty() || self.jobs.values().any(|j| j.startable_tasks() > 0) {
+        if now < self.consolidation.next_move_at
+            || !self.reservations.is_empty()
+            || self.jobs.live.values().any(|j| j.startable_tasks() > 0)
+        {
             return;
         }
-        self.move_at = now + REPLICA_MOVE_INTERVAL;
+        self.consolidation.next_move_at = now + REPLICA_MOVE_INTERVAL;
         let (found, tried) = self.find_move(now);
-        self.move_sources_tried = tried;
+        self.consolidation.sources_tried = tried;
         let Some(Move { from, to, allocation, need }) = found else { return };
         info!("moving {} from {from} to {to}", allocation.0);
         self.stop_task(&from, &allocation);
@@ -47,16 +63,16 @@
     /// A replica to move, and how many machines have been tried in vain if the search isn't through.
     fn find_move(&self, now: MonotonicTime) -> (Option<Move>, usize) {
         let heartbeat_timeout = self.heartbeat_timeout();
-        let usable = self.machines.iter().filter(|(_, m)| m.usable(now, heartbeat_timeout) && m.busy());
+        let usable = self.machines.known.iter().filter(|(_, m)| m.usable(now, heartbeat_timeout) && m.busy());
         let mut loaded: Vec<Loaded> = usable.map(|(id, m)| self.loaded(id, m)).collect();
         // The fullest first.
         loaded.sort_by(|a, b| b.share.total_cmp(&a.share).then(b.id.cmp(a.id)));
         let mut sources: Vec<&Loaded> = loaded.iter().filter(|l| self.may_be_emptied(l)).collect();
-        let waste = |l: &Loaded| self.types[l.machine.kind].price * (1.0 - l.share);
+        let waste = |l: &Loaded| self.catalog.types[l.machine.kind].price * (1.0 - l.share);
         sources.sort_by(|a, b| waste(b).total_cmp(&waste(a)).then(a.id.cmp(b.id)));
-        let mut operations = self.machines.len();
-        let most = MIN_OPERATIONS + OPERATIONS_PER_MACHINE * self.machines.len();
-        let tried = self.move_sources_tried.min(sources.len());
+        let mut operations = self.machines.known.len();
+        let most = MIN_OPERATIONS + OPERATIONS_PER_MACHINE * self.machines.known.len();
+        let tried = self.consolidation.sources_tried.min(sources.len());
         let mut result = (None, 0);
         for (at, source) in sources.iter().enumerate().skip(tried) {
             if operations > most {
@@ -74,7 +90,7 @@
     }
 
     fn loaded<'a>(&self, id: &'a MachineId, machine: &'a Machine) -> Loaded<'a> {
-        let t = &self.types[machine.kind];
+        let t = &self.catalog.types[machine.kind];
         let used = machine.used();
         let share = (used.cpus / t.cpus.max(0.1)).max(used.memory_gb / t.memory_gb.max(0.1));
         let mut free = Resources::of_type(t);
@@ -84,7 +100,7 @@
 
     /// Whether a machine does nothing but run a few replicas.
     fn may_be_emptied(&self, l: &Loaded) -> bool {
-        let is_service = |k: &TaskAttempt| self.jobs.get(&k.0.job).is_some_and(|j| j.spec.kind == Kind::Service);
+        let is_service = |k: &TaskAttempt| self.jobs.live.get(&k.0.job).is_some_and(|j| j.spec.kind == Kind::Service);
         let stays = |(k, s): (&TaskAttempt, &Allocation)| !s.has_exited() && s.stop.is_none() && is_service(k);
         l.share < MAX_SOURCE_UTILIZATION && l.machine.in_flight.is_none() && l.machine.allocations.iter().all(stays)
     }
@@ -97,16 +113,16 @@
         loaded: &[Loaded],
         operations: &mut usize,
     ) -> Option<Move> {
-        let from_gpus = self.types[source.machine.kind].gpus > 0.0;
+        let from_gpus = self.catalog.types[source.machine.kind].gpus > 0.0;
         for (key, allocation) in &source.machine.allocations {
-            let Some(job) = self.jobs.get(&key.0.job) else { continue };
-            let mut zones = zone_counts(job, &self.machines);
+            let Some(job) = self.jobs.live.get(&key.0.job) else { continue };
+            let mut zones = zone_counts(job, &self.machines.known);
             zones.iter_mut().filter(|z| z.zone == source.machine.zone).for_each(|z| z.count -= 1);
             let spec = &job.spec;
             let fits = |l: &&Loaded| {
                 l.free.covers(&allocation.need)
                     && l.id != source.id
-                    && self.types[l.machine.kind].gpus <= 0.0
+                    && self.catalog.types[l.machine.kind].gpus <= 0.0
                     && l.machine.image_ready_in_s(allocation.image, now) == Some(0.0)
                     && self.permits(spec, l.machine)
                     && placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &zones, l.machine.zone)
--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -12,33 +12,33 @@
 impl Scheduler {
     /// What the end of a job means to those that await it.
     pub(super) fn settle_dependents(&mut self, id: &JobId, outcome: JobOutcome) {
-        for successor in self.dependencies.ended(id, outcome) {
-            let Some(job) = self.jobs.get_mut(&successor) else { continue };
+        for successor in self.jobs.dependencies.ended(id, outcome) {
+            let Some(job) = self.jobs.live.get_mut(&successor) else { continue };
             job.depends_on.remove(id);
             if let JobOutcome::Done(Some(at)) = outcome {
                 job.startable_at = job.startable_at.max(at);
             }
-            self.round_needed = true;
+            self.rounds.needed = true;
         }
     }
 
     /// Has the state service asked how awaited jobs have ended.
     pub(super) fn look_up_dependencies(&mut self, now: MonotonicTime) {
-        if self.looking_up || now < self.look_up_at {
+        if self.jobs.lookup_in_flight || now < self.jobs.next_lookup_at {
             return;
         }
-        let ids = self.dependencies.next_unresolved(MAX_LOOKUPS);
+        let ids = self.jobs.dependencies.next_unresolved(MAX_LOOKUPS);
         if !ids.is_empty() {
-            self.looking_up = true;
+            self.jobs.lookup_in_flight = true;
             self.effects.push(Effect::LookUp(ids));
         }
     }
 
     /// What the state service holds of jobs that were to be looked up; those that aren't over are left out.
     pub fn on_looked_up(&mut self, now: MonotonicTime, outcomes: &[(JobId, JobOutcome)]) {
-        self.looking_up = false;
+        self.jobs.lookup_in_flight = false;
         if outcomes.is_empty() {
-            self.look_up_at = now + LOOKUP_RETRY_INTERVAL;
+            self.jobs.next_lookup_at = now + LOOKUP_RETRY_INTERVAL;
         }
         for (id, outcome) in outcomes {
             self.on_job_terminated(id, *outcome);
@@ -47,8 +47,8 @@
 
     /// Takes over priorities, deadlines and ranks from the jobs that need a job.
     pub(super) fn inherit(&mut self, wall: WallTime) {
-        let mut inherited = self.dependencies.inherit(|id| self.job_timing(wall, id));
-        for (id, job) in &mut self.jobs {
+        let mut inherited = self.jobs.dependencies.inherit(|id| self.job_timing(wall, id));
+        for (id, job) in &mut self.jobs.live {
             let before = job.priority();
             job.inherited = inherited.remove(id);
             let priority = job.priority();
@@ -57,7 +57,8 @@
             }
             for (index, machine, attempt) in job.places() {
                 let key = (TaskId { job: *id, index }, attempt);
-                if let Some(allocation) = self.machines.get_mut(machine).and_then(|m| m.allocations.get_mut(&key)) {
+                if let Some(allocation) = self.machines.known.get_mut(machine).and_then(|m| m.allocations.get_mut(&key))
+                {
                     allocation.priority = priority;
                 }
             }
@@ -65,9 +66,9 @@
     }
 
     fn job_timing(&self, wall: WallTime, id: &JobId) -> Option<JobTiming> {
-        let job = self.jobs.get(id)?;
+        let job = self.jobs.live.get(id)?;
         let spec = &job.spec;
-        let run_s = self.times.expect(&spec.class, spec.estimate_s);
+        let run_s = self.jobs.class_times.expect(&spec.class, spec.estimate_s);
         let ages = job_ages(wall, job);
         Some(JobTiming {
             priority: spec.priority,
@@ -80,7 +81,7 @@
 
     /// The mean rate at which the machine types open to a job fetch images, in GB per second.
     fn mean_fetch_rate(&self, spec: &JobSpec) -> f64 {
-        let rates = self.types.iter().filter(|t| submissions::type_allows(spec, t)).map(|t| t.fetch_gb_per_s);
+        let rates = self.catalog.types.iter().filter(|t| submissions::type_allows(spec, t)).map(|t| t.fetch_gb_per_s);
         let (count, sum) = rates.fold((0.0, 0.0), |(count, sum), rate| (count + 1.0, sum + rate));
         if sum > 0.0 { sum / count } else { 1.0 }
     }
--- a/src/core/scheduler/machines.rs
+++ b/src/core/scheduler/machines.rs
@@ -23,8 +23,8 @@
 impl Scheduler {
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         self.note_lag(now);
-        if now - self.reviewed_at >= REVIEW_INTERVAL {
-            self.reviewed_at = now;
+        if now - self.machines.reviewed_at >= REVIEW_INTERVAL {
+            self.machines.reviewed_at = now;
             self.expire_leases(now);
             self.review_machines(now);
         }
@@ -32,13 +32,13 @@
         self.write(now, wall);
         // Rounds are the bulk of the work: where ticks come late, rounds come seldom, and each
         // decides more.
-        let due = Millis((self.tuning.round_ms + 6.0 * self.lag_ms).min(MAX_ROUND_INTERVAL_MS) as u64);
+        let due = Millis((self.tuning.round_ms + 6.0 * self.load.lag_ms).min(MAX_ROUND_INTERVAL_MS) as u64);
         self.rebalance_shards(now);
         self.use_reservations(now);
         self.consolidate_replicas(now);
         self.close_round(now);
-        let news = self.round_needed || now - self.round_at >= Millis(1_000);
-        if self.open_round.is_none() && now - self.round_at >= due && news && !self.in_doubt {
+        let news = self.rounds.needed || now - self.rounds.last_at >= Millis(1_000);
+        if self.rounds.open.is_none() && now - self.rounds.last_at >= due && news && !self.in_doubt {
             self.round(now, wall);
         }
         self.flush_orders();
@@ -46,21 +46,21 @@
 
     /// By how much ticks come late on average: a measure of the processor's load.
     pub fn lag(&self) -> Millis {
-        Millis(self.lag_ms as u64)
+        Millis(self.load.lag_ms as u64)
     }
 
     /// Averages by how much ticks come later than they should.
     fn note_lag(&mut self, now: MonotonicTime) {
-        let late = (now - self.ticked_at).0.saturating_sub(TICK_INTERVAL.0) as f64;
-        self.ticked_at = now;
-        self.lag_ms += 0.1 * (late - self.lag_ms);
+        let late = (now - self.load.ticked_at).0.saturating_sub(TICK_INTERVAL.0) as f64;
+        self.load.ticked_at = now;
+        self.load.lag_ms += 0.1 * (late - self.load.lag_ms);
     }
 
     /// Past its lease a worker that nobody answered has killed everything.
     pub(super) fn expire_leases(&mut self, now: MonotonicTime) {
         let lease = self.limits.lease.plus_clock_drift() + Millis(300);
         let mut dead = Vec::new();
-        for (id, m) in &mut self.machines {
+        for (id, m) in &mut self.machines.known {
             // Before this leader, answers may have been given until it was elected.
             let answered = m.last_heartbeat.max(self.since);
             if now - answered.max(m.agent_epoch_first_heard) <= lease {
@@ -68,7 +68,7 @@
             }
             if !m.reconciled {
                 m.reconciled = true;
-                self.round_needed = true;
+                self.rounds.needed = true;
             }
             if !m.lease_expired {
                 m.lease_expired = true;
@@ -76,7 +76,7 @@
             }
         }
         for id in dead {
-            let Some(m) = self.machines.get_mut(&id) else { continue };
+            let Some(m) = self.machines.known.get_mut(&id) else { continue };
             if !m.allocations.is_empty() {
                 info!("machine {id} is silent past its lease, tasks={}", m.allocations.len());
             }
@@ -96,9 +96,9 @@
     }
 
     pub(super) fn review_machines(&mut self, now: MonotonicTime) {
-        let up = self.machines.values().filter(|m| m.up && m.registration == Registration::Registered).count();
+        let up = self.machines.known.values().filter(|m| m.up && m.registration == Registration::Registered).count();
         let mass_suspicion = self.mass_suspicion(now);
-        let strained = self.lag_ms >= STRAINED_LAG_MS;
+        let strained = self.load.lag_ms >= STRAINED_LAG_MS;
         let silent_after = |route: &Option<HeartbeatRoute>| {
             let excused = strained || mass_suspicion.everywhere || mass_suspicion.routes.contains(route);
             self.limits.lease.mul_f64(if excused { 3.0 } else { 0.55 })
@@ -106,17 +106,17 @@
         // The same for machines that answers don't reach.
         let unacknowledged_after = self.limits.lease;
         let is_unacknowledged = |m: &Machine| m.unacknowledged_since.is_some_and(|t| now - t > unacknowledged_after);
-        let deaf = self.machines.values().filter(|m| is_unacknowledged(m)).count();
-        self.many_unacknowledged = many(deaf, up);
-        let many_unacknowledged = self.many_unacknowledged;
+        let deaf = self.machines.known.values().filter(|m| is_unacknowledged(m)).count();
+        self.machines.many_unacknowledged = many(deaf, up);
+        let many_unacknowledged = self.machines.many_unacknowledged;
         let lease = self.limits.lease;
         let mut returns: Vec<MachineId> = Vec::new();
         let mut idle: Vec<MachineId> = Vec::new();
-        for (id, m) in &mut self.machines {
+        for (id, m) in &mut self.machines.known {
             let busy = m.busy();
-            let t_gpus = self.types[m.kind].gpus > 0.0;
+            let t_gpus = self.catalog.types[m.kind].gpus > 0.0;
             if !m.retiring {
-                let t = &self.types[m.kind];
+                let t = &self.catalog.types[m.kind];
                 let boot = Millis::from_secs_f64((t.boot_s * 3.5).max(60.0)) + self.limits.list_lag;
                 let silent = now - m.last_heartbeat.max(self.since);
                 // A worker may need some seconds to find a new leader: one that hasn't yet is no
@@ -158,7 +158,7 @@
             }
         }
         for id in idle {
-            if let Some(m) = self.machines.get_mut(&id) {
+            if let Some(m) = self.machines.known.get_mut(&id) {
                 info!("machine {id} is idle and goes back");
                 m.retiring = true;
                 returns.push(id);
@@ -167,7 +167,7 @@
         returns.truncate(100);
         if !returns.is_empty() {
             for id in &returns {
-                if let Some(m) = self.machines.get_mut(id) {
+                if let Some(m) = self.machines.known.get_mut(id) {
                     m.termination_in_flight = true;
                 }
             }
@@ -180,7 +180,7 @@
     fn mass_suspicion(&self, now: MonotonicTime) -> MassSuspicion {
         let heartbeat_timeout = self.heartbeat_timeout();
         let mut counts: BTreeMap<Option<HeartbeatRoute>, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.registration == Registration::Registered) {
+        for m in self.machines.known.values().filter(|m| m.registration == Registration::Registered) {
             let (up, silent) = counts.entry(m.route).or_default();
             *up += usize::from(m.up);
             *silent += usize::from(now - m.last_heartbeat > heartbeat_timeout);
@@ -205,7 +205,8 @@
     pub fn suspected_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
         // Less than what makes a machine unusable: a cut leaves little time to find another leader.
         let limit = self.limits.heartbeat.mul_f64(1.25) + Millis(500);
-        let ours = || self.machines.iter().filter(|(_, m)| m.registration == Registration::Registered && !m.retiring);
+        let ours =
+            || self.machines.known.iter().filter(|(_, m)| m.registration == Registration::Registered && !m.retiring);
         // Those on their way to a new leader must still be sent to it.
         let settled = self.settled(now);
         let silent =
@@ -222,51 +223,51 @@
     pub fn on_terminated(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) {
         for id in ids {
             if !ok {
-                if let Some(m) = self.machines.get_mut(id) {
+                if let Some(m) = self.machines.known.get_mut(id) {
                     m.termination_in_flight = false;
                     m.terminate_after = now + Millis(1_000);
                 }
                 continue;
             }
-            let Some(m) = self.machines.get(id) else { continue };
+            let Some(m) = self.machines.known.get(id) else { continue };
             let keys: Vec<TaskAttempt> = m.allocations.keys().cloned().collect();
             let (spot, registered) = (m.spot, m.registration != Registration::Unregistered);
             self.provisioner.on_capacity_freed(InstancePool { kind: m.kind, zone: m.zone, spot }, now);
             for k in keys {
                 self.remove_lost_task(id, &k, spot);
             }
-            self.machines.remove(id);
-            self.terminated.insert(id.clone());
+            self.machines.known.remove(id);
+            self.machines.terminated.insert(id.clone());
             if registered {
-                self.forget.insert(id.clone());
+                self.writes.machines_to_delete.insert(id.clone());
             }
-            self.round_needed = true;
+            self.rounds.needed = true;
         }
-        while self.terminated.len() > 4096 {
-            self.terminated.pop_first();
+        while self.machines.terminated.len() > 4096 {
+            self.machines.terminated.pop_first();
         }
     }
 
     pub fn on_list(&mut self, now: MonotonicTime, list: &[ListedMachine]) {
         for l in list {
             let Some(id) = MachineId::parse(&l.id) else { continue };
-            if self.terminated.contains(&id) {
+            if self.machines.terminated.contains(&id) {
                 continue;
             }
             if l.phase == ListPhase::Failed {
                 // Stopped of its own accord; returning it proves that nothing is left on it.
                 let place = self.place_of(&l.kind, &l.zone);
-                if let (None, Some((kind, zone))) = (self.machines.get(&id), place) {
+                if let (None, Some((kind, zone))) = (self.machines.known.get(&id), place) {
                     let m = Machine::new(String::new(), kind, zone, l.spot, now);
-                    self.machines.insert(id.clone(), m);
+                    self.machines.known.insert(id.clone(), m);
                 }
-                if let Some(m) = self.machines.get_mut(&id) {
+                if let Some(m) = self.machines.known.get_mut(&id) {
                     m.retiring = true;
                 }
                 continue;
             }
-            if self.machines.contains_key(&id) {
-                self.never_heard.remove(&id);
+            if self.machines.known.contains_key(&id) {
+                self.machines.never_heard.remove(&id);
                 continue;
             }
             let Some((kind, zone)) = self.place_of(&l.kind, &l.zone) else { continue };
@@ -275,16 +276,16 @@
             m.since = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(l.age_s).0));
             if l.phase == ListPhase::Running {
                 // It may be gone already, as the list is late, or about to report.
-                let first = *self.never_heard.entry(id.clone()).or_insert(now);
+                let first = *self.machines.never_heard.entry(id.clone()).or_insert(now);
                 if now - first < Millis(60_000) + self.limits.list_lag {
                     continue;
                 }
                 m.retiring = true;
-                self.never_heard.remove(&id);
+                self.machines.never_heard.remove(&id);
             }
             info!("machine {id} is in the cloud's list: kind={} zone={}", l.kind, l.zone);
-            self.machines.insert(id, m);
-            self.round_needed = true;
+            self.machines.known.insert(id, m);
+            self.rounds.needed = true;
         }
     }
 
@@ -302,8 +303,9 @@
                     self.provisioner.on_granted(pool);
                 }
                 for id in names.iter().filter_map(|n| MachineId::parse(n)) {
-                    if !self.terminated.contains(&id) {
+                    if !self.machines.terminated.contains(&id) {
                         self.machines
+                            .known
                             .entry(id)
                             .or_insert_with(|| Machine::new(String::new(), pool.kind, pool.zone, pool.spot, now));
                     }
@@ -325,18 +327,18 @@
                 r.again_at = now + Millis(2_000);
             }
         }
-        self.round_needed = true;
+        self.rounds.needed = true;
     }
 
     pub(super) fn describe(&self, m: InstancePool) -> String {
-        format!("kind={} zone={} spot={}", self.types[m.kind].name, self.zones[m.zone as usize], m.spot)
+        format!("kind={} zone={} spot={}", self.catalog.types[m.kind].name, self.catalog.zones[m.zone as usize], m.spot)
     }
 
     pub(super) fn scale_out(&mut self, now: MonotonicTime, scale_out: &[ScaleOutRequest]) {
         let mut loads: BTreeMap<InstancePool, f64> = BTreeMap::new();
         for w in scale_out {
             let m = InstancePool { kind: w.kind as usize, zone: w.zone, spot: w.spot };
-            if m.kind < self.types.len() && (m.zone as usize) < self.zones.len() {
+            if m.kind < self.catalog.types.len() && (m.zone as usize) < self.catalog.zones.len() {
                 *loads.entry(m).or_default() += w.load.clamp(0.0, 1.0);
             }
         }
@@ -356,8 +358,8 @@
                 r.in_flight = true;
                 send.push(ProvisionRequest {
                     name: name.clone(),
-                    kind: self.types[r.pool.kind].name.clone(),
-                    zone: self.zones[r.pool.zone as usize].clone(),
+                    kind: self.catalog.types[r.pool.kind].name.clone(),
+                    zone: self.catalog.zones[r.pool.zone as usize].clone(),
                     spot: r.pool.spot,
                     number: r.number,
                 });
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -2,23 +2,42 @@
 //! to send to workers, cloud and state service. A state machine: the edges feed it inputs and
 //! carry out the actions it leaves behind.
 
+mod catalog;
 mod consolidation;
 mod dependencies;
+mod effects;
 mod gpu_demand;
+mod gpu_lending;
+mod job_table;
+mod load;
+mod loading;
+mod machine_table;
 mod machines;
 mod planner_view;
 mod preemption;
 mod preemption_index;
+mod quota;
 mod reservations;
 mod rounds;
+mod spot_lives;
 #[cfg(test)]
 mod tests;
 mod workers;
 mod writes;
 
-use self::gpu_demand::GpuDemand;
-use self::planner_view::PlannerView;
+use self::catalog::Catalog;
+use self::consolidation::Consolidation;
+pub use self::effects::{CommitOutcome, Effect, OrdersResult, ProvisionOutcome};
+use self::gpu_lending::GpuLending;
+use self::job_table::JobTable;
+use self::load::LoadMeter;
+pub use self::loading::StoredState;
+use self::machine_table::MachineTable;
+use self::quota::{QuotaTracker, QuotaUsage};
 use self::reservations::Reservations;
+use self::rounds::Rounds;
+use self::spot_lives::SpotLives;
+use self::writes::WriteQueue;
 use crate::config::{JobAges, Settings, Team, Tuning, next_slo_deadline};
 use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
@@ -53,72 +72,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-const MAX_RECENTLY_TERMINATED: usize = 1024;
 /// What the leader takes of the state service's rate of changes.
 const SCHEDULER_WRITE_SHARE: f64 = 0.6;
 
-/// What the edges must do for the leader.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Effect {
-    Orders {
-        request: u64,
-        endpoint: String,
-        body: DirectOrders,
-    },
-    Commit {
-        request: u64,
-        transaction: Transaction,
-    },
-    /// Writes the leader's key anew and says which revision it has then.
-    RefreshFence(Transaction),
-    Provision(ProvisionRequest),
-    Terminate(Vec<MachineId>),
-    /// Reads how these jobs have ended.
-    LookUp(Vec<JobId>),
-    /// Has a peer plan for its share.
-    Plan {
-        node: String,
-        input: Arc<PlanInput>,
-    },
-}
-
-#[derive(Clone, Debug)]
-pub enum OrdersResult {
-    Executed(Heartbeat),
-    Rejected(Heartbeat),
-    /// Perhaps executed, perhaps yet to be.
-    Unknown,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum CommitOutcome {
-    Committed,
-    Conflict(Vec<String>),
-    /// Not carried out, nor will it be.
-    Rejected,
-    /// Perhaps carried out, perhaps yet to be.
-    Unknown,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum ProvisionOutcome {
-    Provisioned(Vec<String>),
-    NoCapacity,
-    /// Refused for good: the request itself was wrong.
-    Malformed,
-    /// Perhaps carried out.
-    Unknown,
-}
-
-enum Purpose {
-    Machines { registration: Vec<MachineId>, forget: Vec<MachineId> },
-    CompletionBitmaps(Vec<(JobId, FixedBitSet)>),
-    Finish(JobId, WallTime),
-    Cancel(Vec<JobId>),
-    ShardAssignment,
-    Tidy(Vec<String>),
-}
-
 struct ProtocolLimits {
     heartbeat: Millis,
     lease: Millis,
@@ -129,128 +85,40 @@
     list_lag: Millis,
 }
 
+/// The scheduler that the leader runs. Each part keeps its own state; the scheduler composes them.
 pub struct Scheduler {
     limits: ProtocolLimits,
     settings: Settings,
     tuning: Tuning,
     term: Term,
     record: LeaderRecord,
-    /// The revision of the leader's key that guards all writes: the term, until a write goes
-    /// unanswered. It may be carried out at any time, over newer ones; so the key is written anew, and
-    /// what is guarded by an older revision of it never will be.
-    fence_revision: Revision,
-    fence_refresh: FenceRefresh,
-    /// The state service doesn't answer, and may answer others: users may have been told of
+    /// The key-value store doesn't answer, and may answer others: users may have been told of
     /// cancellations that aren't known here.
     in_doubt: bool,
-    /// When the cluster state was loaded: no answer to a heartbeat that it doesn't know of is later than that.
+    /// When the cluster state was loaded: no response to a heartbeat that it doesn't know of is later than that.
     since: MonotonicTime,
-    types: Vec<MachineType>,
-    zones: Vec<String>,
-    images: HashMap<String, u32>,
-    jobs: BTreeMap<JobId, Job>,
-    dependencies: DependencyGraph,
-    /// The state service is being asked how awaited jobs have ended; otherwise it isn't before then.
-    looking_up: bool,
-    look_up_at: MonotonicTime,
-    /// The latest jobs that are over.
-    recently_terminated: VecDeque<JobId>,
-    machines: BTreeMap<MachineId, Machine>,
-    /// Returned for good; late heartbeats of theirs mean nothing.
-    terminated: BTreeSet<MachineId>,
-    /// Listed as running by the cloud, but never heard of: since when.
-    never_heard: BTreeMap<MachineId, MonotonicTime>,
+    catalog: Catalog,
+    jobs: JobTable,
+    machines: MachineTable,
+    quota: QuotaTracker,
+    writes: WriteQueue,
+    rounds: Rounds,
+    gpus: GpuLending,
+    reservations: Reservations,
+    /// The last job whose reservations were tried: the next ones have their turn.
+    reservations_tried_to: Option<JobId>,
+    consolidation: Consolidation,
     provisioner: Provisioner,
-    times: ClassTimes,
+    provision_requests: u64,
+    spot_lives: SpotLives,
+    shards: ShardAssignment,
+    load: LoadMeter,
     attempts: u64,
     last_request: u64,
     orders: HashMap<u64, (MachineId, Vec<TaskAttempt>)>,
-    /// Writes under way, each with its guard.
-    commits: HashMap<u64, (Purpose, Revision)>,
-    forget: BTreeSet<MachineId>,
-    orphaned_bitmaps: Vec<String>,
-    tokens: f64,
-    tokens_at: MonotonicTime,
-    bitmaps_written_at: MonotonicTime,
-    commit_pause: MonotonicTime,
-    round_needed: bool,
-    round_at: MonotonicTime,
-    rounds: u64,
-    provision_requests: u64,
-    shards: ShardAssignment,
-    shards_unsaved: bool,
-    team_names: Vec<String>,
-    /// For each type the most that a GPU job has asked of it.
-    gpu_needs: Vec<Resources>,
-    gpu_demand: GpuDemand,
-    /// GPU machines that plain work may fill, as of the last round.
-    lendable: BTreeSet<MachineId>,
-    open_round: Option<Round>,
-    reservations: Reservations,
-    /// The last job whose reservations were tried: the next ones have their turn.
-    reservations_tried_to: Option<JobId>,
-    move_at: MonotonicTime,
-    /// Machines that the last search for a replica to move began with, in vain, before its budget was spent.
-    move_sources_tried: usize,
-    /// The jobs within their team's guarantee, as of the last round.
-    within_guarantee: BTreeSet<JobId>,
-    /// Where machines may not be accounted for yet, as of the last round; none is added after the load.
-    unreconciled: BTreeSet<InstancePool>,
-    /// So many machines don't confirm what they are told that it is rather this controller that
-    /// is slow or cut off.
-    many_unacknowledged: bool,
-    /// When the machines were last looked through.
-    reviewed_at: MonotonicTime,
-    /// The last tick, and how far the ticks fall behind: a measure of the processor's load.
-    ticked_at: MonotonicTime,
-    lag_ms: f64,
-    /// What each team possibly uses: counted when it is needed, kept up by starts, and dropped
-    /// whenever a heartbeat may have added to it.
-    usage: Option<QuotaUsage>,
     effects: Vec<Effect>,
-    /// What this leader has worked through since it began.
+    /// What this scheduler has worked through since it began.
     cost: CostMeter,
-    spot_lives: SpotLives,
-}
-
-#[derive(Clone, Copy, PartialEq)]
-enum FenceRefresh {
-    Idle,
-    Due,
-    InFlight,
-}
-
-/// What is possibly on machines, by team.
-struct QuotaUsage {
-    teams: Vec<Resources>,
-    /// All of every machine whose tasks aren't known: it may hold any team's.
-    unreconciled: Resources,
-}
-
-/// The log-normal of spot machines' lives: starts at the settings' median and shifts with what is
-/// seen (ours: the paper leaves the fit to "historical data").
-struct SpotLives {
-    mu: f64,
-    sigma: f64,
-    seen: f64,
-}
-
-impl SpotLives {
-    fn ended(&mut self, age_s: f64) {
-        self.seen += 1.0;
-        let weight = 1.0 / (20.0 + self.seen.min(200.0));
-        let mu = self.mu + weight * (age_s.max(1.0).ln() - self.mu);
-        self.mu = mu.clamp(60f64.ln(), 1e6f64.ln());
-    }
-}
-
-/// A round whose parts are planned by several controllers.
-struct Round {
-    view: PlannerView,
-    outputs: Vec<PlanOutput>,
-    /// Peers that haven't answered, with their parts.
-    missing: BTreeMap<String, Arc<PlanInput>>,
-    until: MonotonicTime,
 }
 
 /// The edges call [`Scheduler::tick`] this often.
@@ -259,34 +127,6 @@
 /// How long a round waits for its parts.
 const PLAN_TIMEOUT: Millis = Millis(250);
 
-/// Everything kept in the state service, as read by a new leader.
-#[derive(Default)]
-pub struct StoredState {
-    pub live: Vec<KeyValue>,
-    pub bitmaps: Vec<KeyValue>,
-    pub machines: Vec<KeyValue>,
-    pub shards: Option<Value>,
-}
-
-impl StoredState {
-    /// The same in parts of at most so many rows, done sets after all jobs.
-    pub fn into_parts(self, rows: usize) -> Vec<StoredState> {
-        let StoredState { live, bitmaps, machines, shards } = self;
-        let live = in_chunks(live, rows).map(|live| StoredState { live, ..StoredState::default() });
-        let bitmaps = in_chunks(bitmaps, rows).map(|bitmaps| StoredState { bitmaps, ..StoredState::default() });
-        let machines = in_chunks(machines, rows).map(|machines| StoredState { machines, ..StoredState::default() });
-        let shards = shards.map(|shards| StoredState { shards: Some(shards), ..StoredState::default() });
-        live.chain(bitmaps).chain(machines).chain(shards).collect()
-    }
-}
-
-fn in_chunks(rows: Vec<KeyValue>, most: usize) -> impl Iterator<Item = Vec<KeyValue>> {
-    let mut rows = rows.into_iter();
-    std::iter::from_fn(move || {
-        Some(rows.by_ref().take(most).collect::<Vec<KeyValue>>()).filter(|chunk| !chunk.is_empty())
-    })
-}
-
 impl Scheduler {
     pub fn new(
         settings: Settings,
@@ -318,75 +158,45 @@
         let peers = settings.peers.iter().map(|p| p.name.clone());
         let shards = ShardAssignment::new(&settings.name, peers, team_names.len() as u32, now);
         Scheduler {
-            tokens: limits.write_rps,
-            limits,
-            spot_lives: SpotLives { mu: tuning.spot_median_s.ln(), sigma: tuning.spot_sigma, seen: 0.0 },
-            settings,
-            tuning,
-            term,
-            record,
-            fence_revision: Revision(term.0),
-            fence_refresh: FenceRefresh::Idle,
+            spot_lives: SpotLives::new(tuning.spot_median_s, tuning.spot_sigma),
             in_doubt: false,
             since: now,
-            gpu_demand: GpuDemand::new(zones.len(), now),
-            lendable: BTreeSet::new(),
-            zones,
-            images: HashMap::new(),
-            jobs: BTreeMap::new(),
-            dependencies: DependencyGraph::default(),
-            looking_up: false,
-            look_up_at: now,
-            recently_terminated: VecDeque::new(),
-            machines: BTreeMap::new(),
-            terminated: BTreeSet::new(),
-            never_heard: BTreeMap::new(),
+            gpus: GpuLending::new(types.len(), zones.len(), now),
+            catalog: Catalog::new(types, zones),
+            jobs: JobTable::new(now),
+            machines: MachineTable::new(now),
+            quota: QuotaTracker::new(team_names),
+            writes: WriteQueue::new(term, limits.write_rps, now),
+            rounds: Rounds::new(now),
+            reservations: Reservations::default(),
+            reservations_tried_to: None,
+            consolidation: Consolidation::new(now),
             provisioner: Provisioner::default(),
-            times: ClassTimes::default(),
+            provision_requests: 0,
+            shards,
+            load: LoadMeter::new(now),
             attempts: 0,
             last_request: 0,
             orders: HashMap::new(),
-            commits: HashMap::new(),
-            forget: BTreeSet::new(),
-            orphaned_bitmaps: Vec::new(),
-            tokens_at: now,
-            bitmaps_written_at: now,
-            commit_pause: now,
-            round_needed: true,
-            round_at: now,
-            rounds: 0,
-            provision_requests: 0,
-            shards,
-            shards_unsaved: true,
-            team_names,
-            gpu_needs: vec![Resources::default(); types.len()],
-            types,
-            open_round: None,
-            reservations: Reservations::default(),
-            reservations_tried_to: None,
-            move_at: now,
-            move_sources_tried: 0,
-            within_guarantee: BTreeSet::new(),
-            unreconciled: BTreeSet::new(),
-            many_unacknowledged: false,
-            reviewed_at: now,
-            ticked_at: now,
-            lag_ms: 0.0,
-            usage: None,
             effects: Vec::new(),
             cost: CostMeter::default(),
+            limits,
+            settings,
+            tuning,
+            term,
+            record,
         }
     }
 
     /// The revision of the leader's key that guards its writes.
     pub fn fence_revision(&self) -> Revision {
-        self.fence_revision
+        self.writes.fence_revision
     }
 
     /// Whether a worker may be sent to another controller now: answers reach it, and this leader is not
     /// just gathering its machines.
     pub fn may_move(&self, now: MonotonicTime, id: &MachineId) -> bool {
-        self.settled(now) && self.machines.get(id).is_some_and(|m| m.token_acknowledged)
+        self.settled(now) && self.machines.known.get(id).is_some_and(|m| m.token_acknowledged)
     }
 
     /// In doubt nothing is started: what users have been told meanwhile isn't known.
@@ -401,14 +211,14 @@
 
     /// Figures for the log: how much there is to do, and what waits for answers.
     pub fn load_summary(&self) -> String {
-        let ready: usize = self.jobs.values().map(Job::startable_tasks).sum();
-        let (jobs, machines) = (self.jobs.len(), self.machines.len());
-        let unreconciled = self.machines.values().filter(|m| !m.reconciled).count();
-        let (reservations, orders, writes) = (self.reservations.len(), self.orders.len(), self.commits.len());
+        let ready: usize = self.jobs.live.values().map(Job::startable_tasks).sum();
+        let (jobs, machines) = (self.jobs.live.len(), self.machines.known.len());
+        let unreconciled = self.machines.known.values().filter(|m| !m.reconciled).count();
+        let (reservations, orders, writes) = (self.reservations.len(), self.orders.len(), self.writes.in_flight.len());
         format!(
             "round={} jobs={jobs} ready={ready} machines={machines} unaccounted={unreconciled} \
              reservations={reservations} orders={orders} writes={writes} lag={} ms in_doubt={}",
-            self.rounds,
+            self.rounds.count,
             self.lag().0,
             self.in_doubt
         )
@@ -421,7 +231,7 @@
     /// Live jobs with their counts of done tasks and of tasks that run.
     pub fn counts(&self) -> Vec<JobCount> {
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for m in self.machines.values() {
+        for m in self.machines.known.values() {
             for ((task, _), s) in &m.allocations {
                 if matches!(s.phase, Some(TaskPhase::Running | TaskPhase::Flushing)) {
                     *running.entry(&task.job).or_default() += 1;
@@ -433,163 +243,27 @@
             done: j.done_count,
             running: running.get(id).copied().unwrap_or(0),
         };
-        self.jobs.iter().map(count).filter(|c| c.done + c.running > 0).collect()
+        self.jobs.live.iter().map(count).filter(|c| c.done + c.running > 0).collect()
+    }
+
+    fn place_of(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
+        let kind = self.catalog.types.iter().position(|t| t.name == kind)?;
+        let zone = self.catalog.zones.iter().position(|z| z == zone)?;
+        Some((kind, zone as u32))
     }
 
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         // Prices may move; the kinds themselves stay in their places.
         for t in types {
-            match self.types.iter_mut().find(|o| o.name == t.name) {
+            match self.catalog.types.iter_mut().find(|o| o.name == t.name) {
                 Some(o) => *o = t,
                 None => {
-                    self.types.push(t);
-                    self.gpu_needs.push(Resources::default());
+                    self.catalog.types.push(t);
+                    self.gpus.needs.push(Resources::default());
                 }
             }
         }
     }
-
-    // ---- becoming leader
-
-    /// What the state service holds, in one go.
-    pub fn load(&mut self, now: MonotonicTime, stored: StoredState) {
-        self.load_part(now, stored);
-        self.finish_load(now);
-    }
-
-    /// Some of what the state service holds; done sets come after their jobs. A row that can't be read is
-    /// left alone.
-    pub fn load_part(&mut self, now: MonotonicTime, stored: StoredState) {
-        self.cost.add_jobs(stored.live.len() + stored.bitmaps.len());
-        self.cost.add_machines(stored.machines.len());
-        stored.live.into_iter().for_each(|row| self.load_job(row));
-        stored.bitmaps.into_iter().for_each(|row| self.load_completion_bitmap(row));
-        stored.machines.into_iter().for_each(|row| self.load_machine(now, row));
-        if let Some(kept) = stored.shards.and_then(|v| serde_json::from_value(v).ok()) {
-            self.shards.restore(&kept, &self.team_names);
-            self.shards_unsaved = false;
-        }
-    }
-
-    /// All that the state service holds has been loaded.
-    pub fn finish_load(&mut self, now: MonotonicTime) {
-        // Until now reports were answered without the cluster state, which renewed workers' leases.
-        self.since = now;
-        info!("cluster state loaded: term={} jobs={} machines={}", self.term, self.jobs.len(), self.machines.len());
-    }
-
-    fn load_job(&mut self, row: KeyValue) {
-        match row.key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) {
-            Some(id) => self.on_job_accepted(&id, &row.value, Revision(row.revision)),
-            None => warn!("state: key {} is no job", row.key),
-        }
-    }
-
-    fn load_completion_bitmap(&mut self, row: KeyValue) {
-        let parsed = completion_bitmap::parse_key(&row.key);
-        let Some((job, number)) = parsed.and_then(|(id, number)| Some((self.jobs.get_mut(&id)?, number))) else {
-            self.orphaned_bitmaps.push(row.key);
-            return;
-        };
-        if !self.limits.layout.read(&mut job.durably_done, number, &row.value) {
-            warn!("state: {} can't be read", row.key);
-        }
-        let done: Vec<usize> = job.durably_done.ones().collect();
-        for i in done {
-            job.set_done(i as u32);
-        }
-    }
-
-    fn load_machine(&mut self, now: MonotonicTime, row: KeyValue) {
-        let id = row.key.strip_prefix(MACHINE_PREFIX).and_then(MachineId::parse);
-        let record = serde_json::from_value::<MachineRecord>(row.value);
-        let (Some(id), Ok(r)) = (id, record) else {
-            return warn!("state: {} can't be read", row.key);
-        };
-        let Some((kind, zone)) = self.place_of(&r.kind, &r.zone) else {
-            return warn!("state: machine {id} is of unknown kind {} or zone {}", r.kind, r.zone);
-        };
-        let mut m = Machine::new(r.endpoint, kind, zone, r.spot, now);
-        m.registration = Registration::Registered;
-        // It may hold anything until it reports under this leader's token.
-        m.reconciled = false;
-        self.unreconciled.insert(m.pool());
-        self.machines.insert(id, m);
-    }
-
-    fn place_of(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
-        let kind = self.types.iter().position(|t| t.name == kind)?;
-        let zone = self.zones.iter().position(|z| z == zone)?;
-        Some((kind, zone as u32))
-    }
-
-    // ---- jobs
-
-    /// A job was accepted (or seen again).
-    pub fn on_job_accepted(&mut self, id: &JobId, value: &Value, revision: Revision) {
-        // The watch may tell of a job's start after its end came by another way.
-        if self.jobs.contains_key(id) || self.recently_terminated.contains(id) {
-            return;
-        }
-        let record = match serde_json::from_value::<LiveRecord>(value.clone()) {
-            Ok(r) => r,
-            Err(e) => return warn!("state: job {id} can't be read: {e}"),
-        };
-        let Some(team) = self.settings.cluster.teams.iter().position(|t| t.name == record.spec.team) else {
-            return warn!("state: job {id} is of unknown team {}", record.spec.team);
-        };
-        let s = &record.spec;
-        if s.gpus > 0.0 {
-            for (t, need) in self.types.iter().zip(&mut self.gpu_needs).filter(|(t, _)| submissions::type_allows(s, t))
-            {
-                need.cpus = need.cpus.max(s.cpus).min(t.cpus);
-                need.memory_gb = need.memory_gb.max(s.memory_gb).min(t.memory_gb);
-            }
-        }
-        let job = Job::new(record, revision, team as u32);
-        self.dependencies.add(*id, &job.depends_on, |dependency| self.jobs.contains_key(dependency));
-        self.jobs.insert(*id, job);
-        self.round_needed = true;
-    }
-
-    /// The watch has missed changes: what is no longer listed is over.
-    pub fn resync_live_jobs(&mut self, rows: Vec<KeyValue>, revision: u64) {
-        let mut listed = BTreeSet::new();
-        for row in rows {
-            if let Some(id) = row.key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) {
-                self.on_job_accepted(&id, &row.value, Revision(row.revision));
-                listed.insert(id);
-            }
-        }
-        let gone = |(id, j): &(&JobId, &Job)| !listed.contains(*id) && j.revision.0 <= revision;
-        let over: Vec<JobId> = self.jobs.iter().filter(gone).map(|(id, _)| *id).collect();
-        for id in over {
-            self.on_job_terminated(&id, JobOutcome::Unknown);
-        }
-    }
-
-    /// The job is over: done, or cancelled by its user. Whatever of it is on machines must go.
-    pub fn on_job_terminated(&mut self, id: &JobId, outcome: JobOutcome) {
-        if !self.recently_terminated.contains(id) {
-            self.recently_terminated.push_back(*id);
-            if self.recently_terminated.len() > MAX_RECENTLY_TERMINATED {
-                self.recently_terminated.pop_front();
-            }
-        }
-        self.settle_dependents(id, outcome);
-        let Some(job) = self.jobs.remove(id) else { return };
-        self.round_needed = true;
-        self.dependencies.remove(id, &job.depends_on);
-        let rows = self.limits.layout.chunks(job.spec.tasks);
-        let stored = rows.iter().filter(|row| row.members(&job.durably_done).next().is_some());
-        self.orphaned_bitmaps.extend(stored.map(|row| row.key(id)));
-        for (index, machine, attempt) in job.places() {
-            if let Some(m) = self.machines.get_mut(machine) {
-                stop_allocation(m, &(TaskId { job: *id, index }, attempt), 0.0);
-                self.flush_machine(machine);
-            }
-        }
-    }
 }
 
 /// The answer of a leader that is still reading its cluster state: it can't tell which tasks are cancelled, so
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -70,12 +70,12 @@
 impl Scheduler {
     /// The fleet and the ready tasks as the planner sees them, with what its keys stand for.
     pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
-        self.cost.add_jobs(self.jobs.len());
-        self.cost.add_machines(self.machines.len());
-        self.usage = None;
+        self.cost.add_jobs(self.jobs.live.len());
+        self.cost.add_machines(self.machines.known.len());
+        self.quota.usage = None;
         self.update_unreconciled();
         let waits = |j: &Job| j.startable_tasks() > 0 && j.pause_until <= now && !j.finishing && !self.held_back(j);
-        let waiting: BTreeSet<JobId> = self.jobs.iter().filter(|(_, j)| waits(j)).map(|(id, _)| *id).collect();
+        let waiting: BTreeSet<JobId> = self.jobs.live.iter().filter(|(_, j)| waits(j)).map(|(id, _)| *id).collect();
         self.update_lendable_gpu_machines(now, &waiting);
         let mut machines = self.machine_views(now, self.smallest_demand(&waiting));
         self.add_requested(&mut machines);
@@ -99,8 +99,8 @@
         let input = PlanInput {
             version: VERSION,
             term: self.term.0,
-            round: self.rounds,
-            types: self.types.iter().map(type_view).collect(),
+            round: self.rounds.count,
+            types: self.catalog.types.iter().map(type_view).collect(),
             machines: machines.views,
             jobs: job_views,
             teams,
@@ -110,21 +110,21 @@
             spot_mu: self.spot_lives.mu,
             spot_sigma: self.spot_lives.sigma,
         };
-        self.within_guarantee = guaranteed;
+        self.quota.within_guarantee = guaranteed;
         PlannerView { input, jobs, machines: machines.ids }
     }
 
     /// Notes where machines are left whose tasks aren't known.
     fn update_unreconciled(&mut self) {
-        if !self.unreconciled.is_empty() {
-            let machines = self.machines.values().filter(|m| !m.reconciled);
-            self.unreconciled = machines.map(Machine::pool).collect();
+        if !self.machines.unreconciled.is_empty() {
+            let machines = self.machines.known.values().filter(|m| !m.reconciled);
+            self.machines.unreconciled = machines.map(Machine::pool).collect();
         }
     }
 
     /// The least that any waiting task needs of a machine.
     fn smallest_demand(&self, waiting: &BTreeSet<JobId>) -> Option<Resources> {
-        let needs = waiting.iter().filter_map(|id| self.jobs.get(id)).map(|j| Resources::of_task(&j.spec));
+        let needs = waiting.iter().filter_map(|id| self.jobs.live.get(id)).map(|j| Resources::of_task(&j.spec));
         needs.reduce(|least, need| Resources {
             cpus: least.cpus.min(need.cpus),
             gpus: least.gpus.min(need.gpus),
@@ -136,8 +136,8 @@
     fn machine_views(&self, now: MonotonicTime, least: Option<Resources>) -> MachineViews {
         let heartbeat_timeout = self.heartbeat_timeout();
         let mut all = MachineViews::default();
-        for (id, m) in &self.machines {
-            let t = &self.types[m.kind];
+        for (id, m) in &self.machines.known {
+            let t = &self.catalog.types[m.kind];
             let usable = m.usable(now, heartbeat_timeout);
             let booting = !m.up && !m.retiring && m.registration == Registration::Unregistered;
             let settling = m.up && !m.retiring && m.reconciled && m.registration != Registration::Registered;
@@ -165,7 +165,7 @@
 
     fn machine_view(&self, now: MonotonicTime, id: &MachineId, m: &Machine, free: &Resources) -> MachineView {
         let urgent_headroom = self.urgent_headroom(m);
-        let rest = self.preemptible_headroom(m, !m.up || self.lendable.contains(id));
+        let rest = self.preemptible_headroom(m, !m.up || self.gpus.lendable.contains(id));
         let age_s = (now - m.since).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
@@ -193,7 +193,7 @@
     /// Machines that the cloud has been asked for.
     fn add_requested(&self, all: &mut MachineViews) {
         for r in self.provisioner.requests.values() {
-            let t = &self.types[r.pool.kind];
+            let t = &self.catalog.types[r.pool.kind];
             let view = MachineView {
                 kind: r.pool.kind as u32,
                 zone: r.pool.zone,
@@ -216,7 +216,7 @@
     /// What each team may still use.
     fn team_headrooms(&mut self) -> Vec<TeamHeadroom> {
         self.quota_usage();
-        let Some(usage) = &self.usage else { return Vec::new() };
+        let Some(usage) = &self.quota.usage else { return Vec::new() };
         let left = |most: f64, used: f64, unreconciled: f64| {
             if most > 0.0 { (most - used - unreconciled).max(0.0) } else { UNLIMITED }
         };
@@ -230,9 +230,10 @@
 
     /// Seconds that so many processors need for all that waits.
     fn drain_s(&self, cpus_up: f64) -> f64 {
-        let work =
-            |j: &Job| j.startable_tasks() as f64 * j.spec.cpus * self.times.expect(&j.spec.class, j.spec.estimate_s);
-        let backlog: f64 = self.jobs.values().map(work).sum();
+        let work = |j: &Job| {
+            j.startable_tasks() as f64 * j.spec.cpus * self.jobs.class_times.expect(&j.spec.class, j.spec.estimate_s)
+        };
+        let backlog: f64 = self.jobs.live.values().map(work).sum();
         if cpus_up > 0.0 { backlog / cpus_up } else { f64::INFINITY }
     }
 
@@ -246,10 +247,10 @@
             planned.push(PlannedJob { id, reclaimed });
         };
         for id in context.waiting {
-            let Some(job) = self.jobs.get(id) else { continue };
+            let Some(job) = self.jobs.live.get(id) else { continue };
             let Some(ready) = self.ready_tasks(id, job) else { continue };
-            let next = self.images.len() as u32;
-            let image = *self.images.entry(job.spec.image.clone()).or_insert(next);
+            let next = self.catalog.images.len() as u32;
+            let image = *self.catalog.images.entry(job.spec.image.clone()).or_insert(next);
             let base = JobView { image, ..self.job_view(context, id, job) };
             if base.gang || ready.reclaimed == 0 || ready.reclaimed == ready.all {
                 let new_spot = base.new_spot && ready.reclaimed == 0;
@@ -285,7 +286,7 @@
         let age_s = ages.startable_s;
         let run_s = match service {
             true => self.tuning.service_horizon_s,
-            false => self.times.expect(&spec.class, spec.estimate_s).max(0.1),
+            false => self.jobs.class_times.expect(&spec.class, spec.estimate_s).max(0.1),
         };
         // An aim on starting that can still be met is a deadline too.
         let aim = self.settings.start_slo_s(&spec.class, guaranteed);
@@ -319,7 +320,7 @@
             service,
             age_s,
             overspent: job.overspent,
-            placed: zone_counts(job, &self.machines),
+            placed: zone_counts(job, &self.machines.known),
             avoid: if at_fault { Vec::new() } else { avoided(job, context) },
             guaranteed,
             may_scale_out: !at_fault && (job.priority() <= Priority::High || context.drain_s > SCALE_OUT_BACKLOG_S),
@@ -330,20 +331,20 @@
     /// The numbers of the types that a job names; one that no type has stands for none that is known.
     fn allowed_types(&self, spec: &JobSpec) -> Vec<u32> {
         let Some(names) = &spec.types else { return Vec::new() };
-        let number = |name: &String| self.types.iter().position(|t| t.name == *name).map(|i| i as u32);
+        let number = |name: &String| self.catalog.types.iter().position(|t| t.name == *name).map(|i| i as u32);
         let known: Vec<u32> = names.iter().filter_map(number).collect();
         if known.is_empty() { vec![u32::MAX] } else { known }
     }
 
     /// A zone's number; one that no zone has if it isn't known.
     fn zone_number(&self, zone: &String) -> u32 {
-        self.zones.iter().position(|known| known == zone).map_or(u32::MAX, |i| i as u32)
+        self.catalog.zones.iter().position(|known| known == zone).map_or(u32::MAX, |i| i as u32)
     }
 
     fn offers(&self, now: MonotonicTime) -> Vec<ProvisionOffer> {
         let mut offers = Vec::new();
-        for (kind, t) in self.types.iter().enumerate() {
-            for zone in t.zones.iter().filter_map(|z| self.zones.iter().position(|o| o == z)) {
+        for (kind, t) in self.catalog.types.iter().enumerate() {
+            for zone in t.zones.iter().filter_map(|z| self.catalog.zones.iter().position(|o| o == z)) {
                 for spot in [false, true] {
                     let pool = InstancePool { kind, zone: zone as u32, spot };
                     let asked = self.provisioner.requests.values().any(|r| r.pool == pool);
@@ -364,7 +365,7 @@
     /// Jobs that fit into their team's guarantee together with the team's earlier ones.
     fn guaranteed(&self) -> BTreeSet<JobId> {
         let mut by_team: BTreeMap<u32, Vec<(&JobId, &Job)>> = BTreeMap::new();
-        for (id, j) in self.jobs.iter().filter(|(_, j)| !j.is_waiting()) {
+        for (id, j) in self.jobs.live.iter().filter(|(_, j)| !j.is_waiting()) {
             by_team.entry(j.team).or_default().push((id, j));
         }
         let mut set = BTreeSet::new();
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -86,7 +86,7 @@
             let Some(view) = view.input.jobs.get(w.job as usize) else { continue };
             self.review_spot_wait(now, id, view, w);
             if self.may_preempt(id, view, w) {
-                let last_searched_round = self.jobs.get(id).map_or(0, |j| j.last_preemption_round);
+                let last_searched_round = self.jobs.live.get(id).map_or(0, |j| j.last_preemption_round);
                 preemptors.push(Preemptor {
                     id: *id,
                     urgency: (view.priority, !view.guaranteed),
@@ -117,7 +117,7 @@
     /// The paper's second fall-back: gives up on spot machines that don't come.
     fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, w: &Waiting) {
         let window_s = self.tuning.spot_window_s;
-        let Some(j) = self.jobs.get_mut(id) else { return };
+        let Some(j) = self.jobs.live.get_mut(id) else { return };
         if !w.on_spot {
             j.spot_wait_since = None;
             return;
@@ -136,13 +136,13 @@
     fn may_preempt(&self, id: &JobId, view: &JobView, w: &Waiting) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
         // Work is only stopped for a job that would start too late otherwise.
-        let aim = self.jobs.get(id).and_then(|j| self.settings.start_slo_s(&j.spec.class, view.guaranteed));
+        let aim = self.jobs.live.get(id).and_then(|j| self.settings.start_slo_s(&j.spec.class, view.guaranteed));
         urgent && !aim.is_some_and(|aim| w.ready_s > 0.0 && view.age_s + w.ready_s <= aim)
     }
 
     fn preempt_for(&mut self, now: MonotonicTime, preemptor: &Preemptor, search: &mut PreemptionSearch) {
-        let Some(j) = self.jobs.get_mut(&preemptor.id) else { return };
-        j.last_preemption_round = self.rounds;
+        let Some(j) = self.jobs.live.get_mut(&preemptor.id) else { return };
+        j.last_preemption_round = self.rounds.count;
         if j.spec.kind == Kind::Gang {
             // All of it or nothing: work is stopped only where that is enough.
             self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
@@ -153,8 +153,8 @@
 
     /// What urgent work without GPUs may still take of a GPU machine.
     pub(super) fn urgent_headroom(&self, m: &Machine) -> Resources {
-        let mut urgent_headroom = Resources::of_type(&self.types[m.kind]);
-        urgent_headroom.sub(&self.gpu_needs[m.kind]);
+        let mut urgent_headroom = Resources::of_type(&self.catalog.types[m.kind]);
+        urgent_headroom.sub(&self.gpus.needs[m.kind]);
         let fixed = |s: &&Allocation| !s.has_exited() && s.need.gpus <= 0.0 && s.priority <= Priority::High;
         m.allocations.values().filter(fixed).for_each(|s| urgent_headroom.sub(&s.need));
         urgent_headroom
@@ -164,32 +164,34 @@
     /// wanted lately, and those first that do such work already. Filled as they come free, they
     /// would be cleared for the next GPU job, and what ran there would start over each time.
     pub(super) fn update_lendable_gpu_machines(&mut self, now: MonotonicTime, waiting: &BTreeSet<JobId>) {
-        let mut there = vec![0.0; self.zones.len()];
-        let mut in_use = vec![0.0; self.zones.len()];
+        let mut there = vec![0.0; self.catalog.zones.len()];
+        let mut in_use = vec![0.0; self.catalog.zones.len()];
         let mut idle: Vec<(f64, &MachineId, &Machine)> = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| m.up && !m.retiring && self.types[m.kind].gpus > 0.0) {
-            there[m.zone as usize] += self.types[m.kind].gpus;
+        for (id, m) in
+            self.machines.known.iter().filter(|(_, m)| m.up && !m.retiring && self.catalog.types[m.kind].gpus > 0.0)
+        {
+            there[m.zone as usize] += self.catalog.types[m.kind].gpus;
             let used = m.used();
             in_use[m.zone as usize] += used.gpus;
             if used.gpus <= 0.0 {
                 idle.push((used.cpus, id, m));
             }
         }
-        let jobs = waiting.iter().filter_map(|id| self.jobs.get(id));
+        let jobs = waiting.iter().filter_map(|id| self.jobs.live.get(id));
         let dependency: f64 = jobs.map(|j| j.startable_tasks() as f64 * j.spec.gpus).sum();
-        let mut unwanted = self.gpu_demand.update(now, there, &in_use, dependency);
+        let mut unwanted = self.gpus.demand.update(now, there, &in_use, dependency);
         idle.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
-        let lent = idle.into_iter().filter(|(_, _, m)| unwanted.take(m.zone, self.types[m.kind].gpus));
+        let lent = idle.into_iter().filter(|(_, _, m)| unwanted.take(m.zone, self.catalog.types[m.kind].gpus));
         let lent = lent.map(|(_, id, _)| id.clone()).collect();
-        self.lendable = lent;
+        self.gpus.lendable = lent;
     }
 
     /// What work without GPUs that can be stopped for GPU jobs may still take of a GPU machine.
     pub(super) fn preemptible_headroom(&self, m: &Machine, lent: bool) -> Resources {
-        let mut rest = m.free(&self.types[m.kind]);
+        let mut rest = m.free(&self.catalog.types[m.kind]);
         let gpu_work = m.allocations.values().any(|s| !s.has_exited() && s.need.gpus > 0.0);
         if !lent && !gpu_work {
-            rest.sub(&self.gpu_needs[m.kind]);
+            rest.sub(&self.gpus.needs[m.kind]);
         }
         rest
     }
@@ -198,20 +200,20 @@
     /// each other they may all give the same machine what is left there.
     pub(super) fn preserves_gpu_headroom(&self, j: &Job, id: &MachineId, m: &Machine) -> bool {
         let s = &j.spec;
-        if self.types[m.kind].gpus <= 0.0 || s.gpus > 0.0 || s.kind == Kind::Service {
+        if self.catalog.types[m.kind].gpus <= 0.0 || s.gpus > 0.0 || s.kind == Kind::Service {
             return true;
         }
         let part = if j.priority() <= Priority::High {
             self.urgent_headroom(m)
         } else {
-            self.preemptible_headroom(m, self.lendable.contains(id))
+            self.preemptible_headroom(m, self.gpus.lendable.contains(id))
         };
         part.cpus + 1e-6 >= s.cpus && part.memory_gb + 1e-6 >= s.memory_gb
     }
 
     /// What of a machine is neither used nor reserved, but for one job's reservations if that is named.
     pub(super) fn unreserved_capacity(&self, id: &MachineId, m: &Machine, but_for: Option<&JobId>) -> Resources {
-        let mut free = m.free(&self.types[m.kind]);
+        let mut free = m.free(&self.catalog.types[m.kind]);
         let reservations = self.reservations.on(id).filter(|r| but_for != Some(&r.job));
         reservations.for_each(|r| free.sub(&r.need));
         free
@@ -225,7 +227,7 @@
         self.reservations_tried_to = jobs.last().copied();
         for job in jobs {
             self.cost.add_reservations(self.reservations.count_of(&job));
-            let Some(j) = self.jobs.get(&job) else {
+            let Some(j) = self.jobs.live.get(&job) else {
                 done.insert(job);
                 continue;
             };
@@ -246,7 +248,7 @@
                 continue;
             }
             for machine in machines {
-                let Some(index) = self.jobs.get(&job).and_then(|j| j.ready.first().copied()) else {
+                let Some(index) = self.jobs.live.get(&job).and_then(|j| j.ready.first().copied()) else {
                     done.insert(job);
                     break;
                 };
@@ -276,7 +278,7 @@
             let Some(at) = candidates.pop() else { break };
             let indexed = &search.index(self, now).machines[at];
             let (machine, zone) = (indexed.id.clone(), indexed.pool.zone);
-            let Some(j) = self.jobs.get(id) else { break };
+            let Some(j) = self.jobs.live.get(id) else { break };
             let Some(eviction) = self.eviction_for(now, (id, j), &machine, *target, &zones) else { continue };
             if candidates.has_better_than(eviction.loss) {
                 // Something else has been stopped or reserved there since.
@@ -287,7 +289,7 @@
             zones.push(ZoneCount { zone, count: 1 });
             made += 1;
             search.refresh(self, now, &machine);
-            let Some(j) = self.jobs.get(id) else { break };
+            let Some(j) = self.jobs.live.get(id) else { break };
             if let Some(next) = self.eviction_for(now, (id, j), &machine, *target, &zones) {
                 candidates.push(next.loss, at);
             }
@@ -297,7 +299,7 @@
     }
 
     fn reservations_exhausted(&self) -> bool {
-        self.reservations.len() >= MIN_RESERVATIONS + RESERVATIONS_PER_MACHINE * self.machines.len()
+        self.reservations.len() >= MIN_RESERVATIONS + RESERVATIONS_PER_MACHINE * self.machines.known.len()
     }
 
     /// The machines where stopping work makes room for a task of a job: all of them in small fleets, in large
@@ -311,7 +313,7 @@
     ) -> Candidates {
         let mut candidates = Candidates::default();
         let PreemptionRequest { job: id, target, zone, .. } = request;
-        let Some(j) = self.jobs.get(id) else { return candidates };
+        let Some(j) = self.jobs.live.get(id) else { return candidates };
         let (need, urgency) = (Resources::of_task(&j.spec), self.urgency(id, j));
         let mut permitted = self.permitted_pools(&j.spec);
         permitted.retain(|pool| zone.is_none_or(|zone| pool.zone == zone));
@@ -327,7 +329,7 @@
             machine.reclaimable_by(urgency).covers(&need) && promising.contains(&machine.pool)
         };
         let count = index.machines.len();
-        let first = (self.rounds as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
+        let first = (self.rounds.count as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
         // A gang was found to have room on all of them together.
         let most = if j.spec.kind == Kind::Gang { count } else { MAX_CANDIDATES };
         for at in (first..count).chain(0..first).filter(suited).take(most) {
@@ -341,9 +343,9 @@
 
     /// The zones in which a job's tasks are placed, or room is being made for them.
     fn zones_of(&self, id: &JobId) -> Vec<ZoneCount> {
-        let Some(j) = self.jobs.get(id).filter(|j| j.spec.spread || j.spec.one_zone) else { return Vec::new() };
-        let mut zones = zone_counts(j, &self.machines);
-        let coming = self.reservations.of(id).filter_map(|r| self.machines.get(&r.machine));
+        let Some(j) = self.jobs.live.get(id).filter(|j| j.spec.spread || j.spec.one_zone) else { return Vec::new() };
+        let mut zones = zone_counts(j, &self.machines.known);
+        let coming = self.reservations.of(id).filter_map(|r| self.machines.known.get(&r.machine));
         zones.extend(coming.map(|m| ZoneCount { zone: m.zone, count: 1 }));
         self.cost.add_tasks(j.placed.len() + zones.len());
         zones
@@ -358,7 +360,7 @@
         target: PlacementTarget,
         zones: &[ZoneCount],
     ) -> Option<Eviction> {
-        let m = self.machines.get(machine)?;
+        let m = self.machines.known.get(machine)?;
         let spec = &j.spec;
         let allowed = placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, zones, m.zone);
         (allowed && self.is_eligible(now, j, machine, m)).then(|| self.eviction(now, (id, j), (machine, m), target))?
@@ -366,7 +368,7 @@
 
     /// Stops tasks on a machine and keeps the room for a task of a job.
     fn evict(&mut self, now: MonotonicTime, id: &JobId, machine: &MachineId, victims: Vec<TaskAttempt>) {
-        let Some(need) = self.jobs.get(id).map(|j| Resources::of_task(&j.spec)) else { return };
+        let Some(need) = self.jobs.live.get(id).map(|j| Resources::of_task(&j.spec)) else { return };
         if !victims.is_empty() {
             debug!("making room for {id} on {machine}: tasks={}", victims.len());
         }
@@ -385,10 +387,10 @@
         target: PlacementTarget,
     ) -> Option<Eviction> {
         let spec = &j.spec;
-        let t = &self.types[m.kind];
+        let t = &self.catalog.types[m.kind];
         let need = Resources::of_task(spec);
         let service = spec.kind == Kind::Service;
-        let image = self.images.get(&spec.image).copied().unwrap_or(u32::MAX);
+        let image = self.catalog.images.get(&spec.image).copied().unwrap_or(u32::MAX);
         let ready = m.image_ready_in_s(image, now);
         if target == PlacementTarget::ImageHolders && ready != Some(0.0) {
             return None;
@@ -434,10 +436,10 @@
         now: MonotonicTime,
         target: PlacementTarget,
     ) -> Vec<(&'a TaskAttempt, &'a Allocation)> {
-        let guaranteed = self.within_guarantee.contains(id);
+        let guaranteed = self.quota.within_guarantee.contains(id);
         let may_be_stopped = |(key, allocation): &(&TaskAttempt, &Allocation)| {
             // A team's guarantee goes before what other teams run beyond theirs.
-            let beyond = allocation.team != Some(j.team) && !self.within_guarantee.contains(&key.0.job);
+            let beyond = allocation.team != Some(j.team) && !self.quota.within_guarantee.contains(&key.0.job);
             let lower =
                 allocation.priority > j.priority() || guaranteed && allocation.priority == j.priority() && beyond;
             // Stopping one task of a gang stops it whole: too dear for an image.
@@ -454,7 +456,7 @@
 
     /// How many tasks end when one of the job's is stopped.
     fn gang_size(&self, id: &JobId) -> f64 {
-        self.jobs.get(id).filter(|j| j.spec.kind == Kind::Gang).map_or(1.0, |j| f64::from(j.spec.tasks))
+        self.jobs.live.get(id).filter(|j| j.spec.kind == Kind::Gang).map_or(1.0, |j| f64::from(j.spec.tasks))
     }
 
     /// Whether a job's tasks may be on the machine, room and the job's other tasks aside.
@@ -479,16 +481,16 @@
         };
         // Of a class only the largest, down to half of the most: smaller ones find room anyway.
         let mut most: BTreeMap<&str, u32> = BTreeMap::new();
-        for j in self.jobs.values().filter(|j| j.spec.kind == Kind::Gang) {
+        for j in self.jobs.live.values().filter(|j| j.spec.kind == Kind::Gang) {
             let m = most.entry(&j.spec.class).or_default();
             *m = j.spec.tasks.max(*m);
         }
         let large = |j: &Job| most.get(&*j.spec.class).is_some_and(|m| j.spec.tasks.saturating_mul(2) >= *m);
         let size = |j: &Job| (j.priority(), std::cmp::Reverse(j.spec.tasks), j.submitted);
         let mut waiting: Vec<_> =
-            self.jobs.iter().filter(|(_, j)| waits(j) && large(j)).map(|(id, j)| (size(j), *id)).collect();
+            self.jobs.live.iter().filter(|(_, j)| waits(j) && large(j)).map(|(id, j)| (size(j), *id)).collect();
         waiting.sort();
-        let mut search = PreemptionSearch::new(self.machines.len());
+        let mut search = PreemptionSearch::new(self.machines.known.len());
         for (_, id) in waiting {
             if search.budget.is_spent() || self.reserve_for_gang(now, &mut search, &id, PartialCapacity::Reserve) {
                 break;
@@ -504,13 +506,13 @@
         id: &JobId,
         partial: PartialCapacity,
     ) -> bool {
-        let Some(j) = self.jobs.get(id) else { return false };
+        let Some(j) = self.jobs.live.get(id) else { return false };
         let (team, tasks, need) = (j.team, j.spec.tasks, Resources::of_task(&j.spec));
         if !self.fits_quota(team, &need, f64::from(tasks)) {
             return false;
         }
         let before = self.cost.read();
-        let held_in = self.reservations.of(id).next().and_then(|r| self.machines.get(&r.machine)).map(|m| m.zone);
+        let held_in = self.reservations.of(id).next().and_then(|r| self.machines.known.get(&r.machine)).map(|m| m.zone);
         let best = self
             .gang_capacity(now, search, id)
             .into_iter()
@@ -540,7 +542,7 @@
         id: &JobId,
     ) -> BTreeMap<u32, GangCapacity> {
         let mut zones: BTreeMap<u32, GangCapacity> = BTreeMap::new();
-        let Some(j) = self.jobs.get(id) else { return zones };
+        let Some(j) = self.jobs.live.get(id) else { return zones };
         let need = Resources::of_task(&j.spec);
         let urgency = Urgency { guaranteed: false, ..self.urgency(id, j) };
         let permitted = self.permitted_pools(&j.spec);
@@ -563,7 +565,7 @@
                 room.free.push((machine.id.clone(), free));
             }
             room.soon += tasks_that_fit(&soon, &need);
-            room.most += tasks_that_fit(&Resources::of_type(&self.types[machine.pool.kind]), &need);
+            room.most += tasks_that_fit(&Resources::of_type(&self.catalog.types[machine.pool.kind]), &need);
         }
         zones
     }
@@ -576,7 +578,7 @@
         id: &JobId,
         room: &GangCapacity,
     ) -> u32 {
-        let Some(j) = self.jobs.get(id) else { return 0 };
+        let Some(j) = self.jobs.live.get(id) else { return 0 };
         let (tasks, need) = (j.spec.tasks, Resources::of_task(&j.spec));
         let mut changed: BTreeSet<MachineId> = self.reservations.of(id).map(|r| r.machine.clone()).collect();
         self.reservations.release(id);
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -142,7 +142,7 @@
     pub fn refresh(&mut self, leader: &Scheduler, now: MonotonicTime, id: &MachineId) {
         let Some(index) = &mut self.index else { return };
         let Some(at) = index.position(id) else { return };
-        if let Some(machine) = leader.machines.get(id).and_then(|m| leader.index_machine(now, id, m)) {
+        if let Some(machine) = leader.machines.known.get(id).and_then(|m| leader.index_machine(now, id, m)) {
             index.machines[at] = machine;
         }
     }
@@ -193,8 +193,8 @@
 impl Scheduler {
     /// All machines that may get tasks now, and what each could yield.
     fn build_preemption_index(&self, now: MonotonicTime) -> PreemptionIndex {
-        self.cost.add_machines(self.machines.len());
-        let indexed = self.machines.iter().filter_map(|(id, m)| self.index_machine(now, id, m));
+        self.cost.add_machines(self.machines.known.len());
+        let indexed = self.machines.known.iter().filter_map(|(id, m)| self.index_machine(now, id, m));
         PreemptionIndex::new(indexed.collect())
     }
 
@@ -211,7 +211,7 @@
             // What is already told to stop will be free soon, for anyone.
             let first_served = if allocation.stop.is_some() { PRIORITIES } else { priority };
             reclaimable[..first_served].iter_mut().for_each(|room| room.add(&allocation.need));
-            if allocation.stop.is_none() && !self.within_guarantee.contains(&key.0.job) {
+            if allocation.stop.is_none() && !self.quota.within_guarantee.contains(&key.0.job) {
                 over_guarantee[priority].add(&allocation.need);
             }
         }
@@ -220,6 +220,9 @@
 
     /// How urgent a job's work is that seeks room.
     pub(super) fn urgency(&self, id: &JobId, j: &Job) -> Urgency {
-        Urgency { priority: priority_number(j.priority()) as usize, guaranteed: self.within_guarantee.contains(id) }
+        Urgency {
+            priority: priority_number(j.priority()) as usize,
+            guaranteed: self.quota.within_guarantee.contains(id),
+        }
     }
 }
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -5,12 +5,37 @@
 use super::preemption_index::PreemptionSearch;
 use super::*;
 
+/// A round whose parts are planned by several controllers.
+pub(super) struct Round {
+    pub view: PlannerView,
+    pub outputs: Vec<PlanOutput>,
+    /// Peers that haven't answered, with their parts.
+    pub missing: BTreeMap<String, Arc<PlanInput>>,
+    pub until: MonotonicTime,
+}
+
+/// The rounds of this leader.
+pub(super) struct Rounds {
+    /// Something has changed since the last round.
+    pub needed: bool,
+    pub last_at: MonotonicTime,
+    pub count: u64,
+    /// The round whose parts are being planned.
+    pub open: Option<Round>,
+}
+
+impl Rounds {
+    pub fn new(now: MonotonicTime) -> Rounds {
+        Rounds { needed: true, last_at: now, count: 0, open: None }
+    }
+}
+
 impl Scheduler {
     /// Starts a round: each controller plans for the teams of its share, all on the same view.
     pub(super) fn round(&mut self, now: MonotonicTime, wall: WallTime) {
-        self.round_at = now;
-        self.round_needed = false;
-        self.rounds += 1;
+        self.rounds.last_at = now;
+        self.rounds.needed = false;
+        self.rounds.count += 1;
         // First, or the round would give away what has just become free.
         self.reserve_for_large_gangs(now, wall);
         self.inherit(wall);
@@ -33,13 +58,13 @@
         }
         let outputs = vec![placement::plan_metered(&own, &self.cost)];
         let until = now + PLAN_TIMEOUT;
-        self.open_round = Some(Round { view, outputs, missing, until });
+        self.rounds.open = Some(Round { view, outputs, missing, until });
         self.close_round(now);
     }
 
     /// A peer's plan. One of another round, term or version is dropped.
     pub fn on_plan(&mut self, now: MonotonicTime, node: &str, plan: Option<PlanOutput>) {
-        let Some(round) = &mut self.open_round else { return };
+        let Some(round) = &mut self.rounds.open else { return };
         match plan {
             Some(p) if (p.version, p.term, p.round) == (VERSION, self.term.0, round.view.input.round) => {
                 if round.missing.remove(node).is_some() {
@@ -55,10 +80,10 @@
 
     /// Commits the round once all parts are there, or the leader has planned the missing ones.
     pub(super) fn close_round(&mut self, now: MonotonicTime) {
-        if self.open_round.as_ref().is_none_or(|r| !r.missing.is_empty() && now < r.until) {
+        if self.rounds.open.as_ref().is_none_or(|r| !r.missing.is_empty() && now < r.until) {
             return;
         }
-        let Some(mut round) = self.open_round.take() else { return };
+        let Some(mut round) = self.rounds.open.take() else { return };
         // One part for each input: planning for all peers at once would hold up everything else.
         if let Some((node, part)) = round.missing.pop_first() {
             debug!("{node} is silent, its share is planned here");
@@ -66,7 +91,7 @@
             round.outputs.push(placement::plan_metered(&part, &self.cost));
         }
         if !round.missing.is_empty() {
-            self.open_round = Some(round);
+            self.rounds.open = Some(round);
             return;
         }
         let mut out = PlanOutput::default();
@@ -87,15 +112,15 @@
 
     /// Whether a round waits for the plans of peers.
     pub fn has_open_round(&self) -> bool {
-        self.open_round.is_some()
+        self.rounds.open.is_some()
     }
 
     /// The leader may not act for now: the open round is given up, so that what it was planned on is not
     /// acted on later.
     pub fn abandon_round(&mut self) {
-        if let Some(round) = self.open_round.take() {
+        if let Some(round) = self.rounds.open.take() {
             info!("round {} is abandoned: term={}", round.view.input.round, self.term);
-            self.round_needed = true;
+            self.rounds.needed = true;
         }
     }
 
@@ -105,14 +130,14 @@
 
     pub(super) fn rebalance_shards(&mut self, now: MonotonicTime) {
         for (team, from, to) in self.shards.rebalance(now) {
-            info!("share moved: team={} from={from} to={to}", self.team_names[team as usize]);
-            self.shards_unsaved = true;
+            info!("share moved: team={} from={from} to={to}", self.quota.team_names[team as usize]);
+            self.writes.shards_unsaved = true;
         }
     }
 
     /// Checks a plan against the cluster state and commits what still holds.
     pub(super) fn commit_plan(&mut self, now: MonotonicTime, view: &PlannerView, out: &PlanOutput) {
-        let mut search = PreemptionSearch::new(self.machines.len());
+        let mut search = PreemptionSearch::new(self.machines.known.len());
         let mut gangs: BTreeMap<u32, Vec<(MachineId, u32)>> = BTreeMap::new();
         for p in &out.placements {
             // Keys beyond the view are a peer's mistake, and dropped.
@@ -121,7 +146,7 @@
             else {
                 continue;
             };
-            let Some(j) = self.jobs.get_mut(job) else { continue };
+            let Some(j) = self.jobs.live.get_mut(job) else { continue };
             j.overspent += p.extra;
             if j.spec.kind == Kind::Gang {
                 gangs.entry(p.job).or_default().push((machine.clone(), p.count));
@@ -133,7 +158,7 @@
                     PreemptionRequest { job: *job, target: PlacementTarget::ImageHolders, tasks: count, zone: None };
                 count -= self.preempt_tasks(now, &mut search, &request);
             }
-            let Some(j) = self.jobs.get(job) else { continue };
+            let Some(j) = self.jobs.live.get(job) else { continue };
             let from = if *reclaimed { &j.reclaimed } else { &j.ready };
             let picked: Vec<u32> = from
                 .iter()
@@ -143,7 +168,7 @@
                 .copied()
                 .collect();
             for index in picked {
-                let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { break };
+                let (Some(j), Some(m)) = (self.jobs.live.get(job), self.machines.known.get(machine)) else { break };
                 if !self.preserves_gpu_headroom(j, machine, m) || !self.may_place(now, job, machine, 1.0) {
                     break;
                 }
@@ -154,13 +179,14 @@
         for (key, parts) in gangs {
             let job = &view.jobs[key as usize].id;
             let total: u32 = parts.iter().map(|(_, n)| n).sum();
-            if self.jobs.get(job).is_some_and(|j| j.spec.tasks == total && j.placed.is_empty() && j.gang.is_none()) {
+            if self.jobs.live.get(job).is_some_and(|j| j.spec.tasks == total && j.placed.is_empty() && j.gang.is_none())
+            {
                 self.start_gang(now, job, &parts);
             }
         }
         self.scale_out(now, &out.scale_out);
         // Tasks have been placed since the last survey.
-        self.preempt_for_waiting(now, view, out, &mut PreemptionSearch::new(self.machines.len()));
+        self.preempt_for_waiting(now, view, out, &mut PreemptionSearch::new(self.machines.known.len()));
         self.flush_orders();
     }
 
@@ -173,10 +199,13 @@
         machine: &MachineId,
         view: Option<&JobView>,
     ) -> bool {
-        let (Some(j), Some(m), Some(v)) = (self.jobs.get(job), self.machines.get(machine), view) else { return false };
-        let image = self.images.get(&j.spec.image).copied().unwrap_or(u32::MAX);
-        let fetch_s =
-            m.image_ready_in_s(image, now).unwrap_or(j.spec.image_gb / self.types[m.kind].fetch_gb_per_s.max(0.01));
+        let (Some(j), Some(m), Some(v)) = (self.jobs.live.get(job), self.machines.known.get(machine), view) else {
+            return false;
+        };
+        let image = self.catalog.images.get(&j.spec.image).copied().unwrap_or(u32::MAX);
+        let fetch_s = m
+            .image_ready_in_s(image, now)
+            .unwrap_or(j.spec.image_gb / self.catalog.types[m.kind].fetch_gb_per_s.max(0.01));
         let aim = self.settings.start_slo_s(&j.spec.class, v.guaranteed);
         // A replica that is lost later is as urgent as a first one.
         let age_s = if j.spec.kind == Kind::Service { 0.0 } else { v.age_s };
@@ -192,7 +221,7 @@
     /// of it starts, whoever has planned it, until all those that could hold its tasks are.
     pub(super) fn held_back(&self, j: &Job) -> bool {
         let from_before = j.revision.0 <= self.term.0;
-        from_before && self.unreconciled.iter().any(|pool| self.permits_pool(&j.spec, *pool))
+        from_before && self.machines.unreconciled.iter().any(|pool| self.permits_pool(&j.spec, *pool))
     }
 
     /// Whether a job permits a machine's type, zone and kind, whatever is on it.
@@ -201,15 +230,15 @@
     }
 
     fn permits_pool(&self, s: &JobSpec, pool: InstancePool) -> bool {
-        submissions::type_allows(s, &self.types[pool.kind])
-            && s.zone.as_ref().is_none_or(|zone| *zone == self.zones[pool.zone as usize])
+        submissions::type_allows(s, &self.catalog.types[pool.kind])
+            && s.zone.as_ref().is_none_or(|zone| *zone == self.catalog.zones[pool.zone as usize])
             && (s.spot || !pool.spot)
     }
 
     /// The markets whose machines a job permits.
     pub(super) fn permitted_pools(&self, s: &JobSpec) -> BTreeSet<InstancePool> {
-        let kinds = 0..self.types.len();
-        let zones = 0..self.zones.len() as u32;
+        let kinds = 0..self.catalog.types.len();
+        let zones = 0..self.catalog.zones.len() as u32;
         let pools = kinds.flat_map(|kind| {
             zones.clone().flat_map(move |zone| [false, true].map(|spot| InstancePool { kind, zone, spot }))
         });
@@ -218,11 +247,11 @@
 
     /// The leader's own check of one start, whoever planned it.
     pub(super) fn may_place(&mut self, now: MonotonicTime, job: &JobId, machine: &MachineId, n: f64) -> bool {
-        let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
+        let (Some(j), Some(m)) = (self.jobs.live.get(job), self.machines.known.get(machine)) else { return false };
         let s = &j.spec;
         let need = Resources::of_task(s);
         let free = self.unreserved_capacity(machine, m, Some(job));
-        let placed = zone_counts(j, &self.machines);
+        let placed = zone_counts(j, &self.machines.known);
         let team = j.team;
         !self.in_doubt
             && !j.is_waiting()
@@ -236,19 +265,19 @@
 
     /// Counts everything possibly on a machine, and all of a machine that isn't accounted for.
     pub(super) fn quota_usage(&mut self) -> &QuotaUsage {
-        self.usage.get_or_insert_with(|| {
+        self.quota.usage.get_or_insert_with(|| {
             let mut u = QuotaUsage {
                 teams: vec![Resources::default(); self.settings.cluster.teams.len()],
                 unreconciled: Resources::default(),
             };
-            for m in self.machines.values() {
+            for m in self.machines.known.values() {
                 for s in m.allocations.values().filter(|s| !s.has_exited()) {
                     if let Some(t) = s.team.and_then(|t| u.teams.get_mut(t as usize)) {
                         t.add(&s.need);
                     }
                 }
                 if !m.reconciled || m.has_unknown_usage() {
-                    u.unreconciled.add(&Resources::of_type(&self.types[m.kind]));
+                    u.unreconciled.add(&Resources::of_type(&self.catalog.types[m.kind]));
                 }
             }
             u
@@ -270,7 +299,7 @@
 
     pub(super) fn start_gang(&mut self, now: MonotonicTime, job: &JobId, parts: &[(MachineId, u32)]) {
         let attempt = self.next_attempt();
-        let Some(j) = self.jobs.get_mut(job) else { return };
+        let Some(j) = self.jobs.live.get_mut(job) else { return };
         j.gang = Some(GangRun { attempt, broken: false });
         let total = j.spec.tasks;
         let mut index = 0;
@@ -288,13 +317,13 @@
     }
 
     pub(super) fn take_back(&mut self, job: &JobId) {
-        let Some(j) = self.jobs.get_mut(job) else { return };
+        let Some(j) = self.jobs.live.get_mut(job) else { return };
         j.gang = None;
         let places: Vec<(u32, MachineId, Attempt)> = j.places().map(|(i, m, a)| (i, m.clone(), a)).collect();
         j.placed.clear();
         for (index, machine, attempt) in places {
             let key = (TaskId { job: *job, index }, attempt);
-            if let Some(m) = self.machines.get_mut(&machine) {
+            if let Some(m) = self.machines.known.get_mut(&machine) {
                 m.allocations.remove(&key);
                 let run = Order::Run { task: key.0, attempt };
                 m.outbox.retain(|o| *o != run);
@@ -305,10 +334,10 @@
 
     /// Enters a task in the cluster state and queues its order; the cluster state always comes first.
     pub(super) fn start(&mut self, now: MonotonicTime, job: &JobId, index: u32, machine: &MachineId, attempt: Attempt) {
-        let (Some(j), Some(m)) = (self.jobs.get_mut(job), self.machines.get_mut(machine)) else { return };
-        let t = &self.types[m.kind];
+        let (Some(j), Some(m)) = (self.jobs.live.get_mut(job), self.machines.known.get_mut(machine)) else { return };
+        let t = &self.catalog.types[m.kind];
         let s = &j.spec;
-        let image = self.images.get(&s.image).copied().unwrap_or(u32::MAX);
+        let image = self.catalog.images.get(&s.image).copied().unwrap_or(u32::MAX);
         let fetch_s = match m.image_ready_in_s(image, now) {
             Some(left) => left,
             None => s.image_gb / t.fetch_gb_per_s.max(0.01),
@@ -328,10 +357,10 @@
             stop: None,
             image,
             fetch_s,
-            run_s: self.times.expect(&s.class, s.estimate_s),
+            run_s: self.jobs.class_times.expect(&s.class, s.estimate_s),
         };
         j.place(index, machine, attempt);
-        if let Some(u) = &mut self.usage {
+        if let Some(u) = &mut self.quota.usage {
             u.teams[j.team as usize].add(&allocation.need);
         }
         debug!("start {task} try {attempt} on {machine}");
--- a/src/core/scheduler/tests/dependencies.rs
+++ b/src/core/scheduler/tests/dependencies.rs
@@ -113,10 +113,12 @@
     let later = rig.submit(202, of_team(array(3, 1), 6.0));
     rig.run(10_000);
     let view = rig.leader.planner_view(MonotonicTime(rig.now), WallTime(rig.now));
-    assert!(rig.leader.within_guarantee.contains(&later) && !rig.leader.within_guarantee.contains(&waiting));
+    assert!(
+        rig.leader.quota.within_guarantee.contains(&later) && !rig.leader.quota.within_guarantee.contains(&waiting)
+    );
     assert!(view.input.jobs.is_empty(), "nothing can start");
     finish_all(&mut rig);
-    let job = &rig.leader.jobs[&waiting];
+    let job = &rig.leader.jobs.live[&waiting];
     assert!(job.startable_at >= WallTime(12_000) && job.submitted < WallTime(3_000));
     assert_eq!(rig.runs(&waiting), 1);
 }
@@ -137,7 +139,7 @@
     let last = JobSpec { priority: Priority::High, deadline_s: Some(60.0), estimate_s: 5.0, ..array(4, 1) };
     rig.submit_after(203, last, &[middle]);
     rig.leader.inherit(WallTime(rig.now));
-    let inherited = rig.leader.jobs[&first].inherited.clone().unwrap();
+    let inherited = rig.leader.jobs.live[&first].inherited.clone().unwrap();
     // 60 s less the runs of 10 and 5 s, and a second for each image.
     assert_eq!((inherited.priority, inherited.due_s), (Priority::High, Some(60.0 - 17.0)));
     assert_eq!(inherited.rank_s, 17.0);
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -101,7 +101,7 @@
     rig.run(3_000);
     assert_eq!(rig.runs(&id), 2, "nothing is started twice");
     let machine = MachineId::parse(&held.machine).unwrap();
-    assert!(!rig.leader.machines[&machine].reconciled);
+    assert!(!rig.leader.machines.known[&machine].reconciled);
     // And after newer ones.
     rig.mute.clear();
     rig.run(2_000);
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -32,7 +32,7 @@
     (w.agent_epoch, w.sequence) = (AgentEpoch(2), SequenceNumber(0));
     w.tasks.clear();
     rig.heartbeat("w0");
-    assert_eq!(rig.leader.jobs[&id].ready.len(), 1, "to be started anew");
+    assert_eq!(rig.leader.jobs.live[&id].ready.len(), 1, "to be started anew");
 }
 
 #[test]
@@ -115,7 +115,7 @@
     rig.run(3_000);
     let copy = rig.workers.remove("w0").unwrap();
     rig.cloud_down = true;
-    let job = |rig: &Rig| rig.leader.jobs[&id].placed.len();
+    let job = |rig: &Rig| rig.leader.jobs.live[&id].placed.len();
     for _ in 0..10 {
         rig.run(1_000);
         assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &copy), None);
@@ -142,7 +142,7 @@
         TaskStatus { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
     ghost.tasks.push(listed);
     assert_eq!(rig.leader.on_heartbeat(MonotonicTime(10), &ghost), None);
-    assert!(rig.leader.jobs[&old].placed.is_empty());
+    assert!(rig.leader.jobs.live[&old].placed.is_empty());
     // A copy that reaches a new leader before the machine itself tells nothing of now.
     let mut copy = Rig::fresh(0);
     (copy.sequence, copy.token) = (SequenceNumber(3), FencingToken::new(Term(40), 0));
@@ -157,7 +157,7 @@
     rig.leader.on_heartbeat(MonotonicTime(rig.now), &ghost);
     let id = MachineId::parse("m-000008").unwrap();
     rig.run(1_000);
-    assert!(!rig.leader.machines[&id].usable(MonotonicTime(rig.now), Millis(5_000)));
+    assert!(!rig.leader.machines.known[&id].usable(MonotonicTime(rig.now), Millis(5_000)));
 }
 
 #[test]
@@ -209,7 +209,7 @@
     assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
     // Also in the answer to a heartbeat that other news has overtaken.
     r.sequence.0 += 5;
-    rig.leader.machines.values_mut().for_each(|m| m.sequence = SequenceNumber(r.sequence.0 + 1));
+    rig.leader.machines.known.values_mut().for_each(|m| m.sequence = SequenceNumber(r.sequence.0 + 1));
     assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
 }
 
@@ -252,7 +252,7 @@
     rig.run(5_000);
     assert_eq!(rig.runs(&id), 0, "avoided for a while");
     rig.run(70_000);
-    assert_eq!(rig.runs(&id), 4 - rig.leader.jobs[&id].done_count as usize);
-    let job = &rig.leader.jobs[&id];
+    assert_eq!(rig.runs(&id), 4 - rig.leader.jobs.live[&id].done_count as usize);
+    let job = &rig.leader.jobs.live[&id];
     assert!(!job.at_fault(MonotonicTime(rig.now + 200_000)));
 }
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -86,7 +86,9 @@
     rig.run(2_000);
     let job = rig.submit(300, spec("req-000001", Kind::Array, 2_400, 1.0));
     let other = rig.submit(300, spec("req-000002", Kind::Array, 1, 1.0));
-    for (n, name) in rig.leader.machines.keys().cloned().collect::<Vec<_>>().iter().cycle().take(2_400).enumerate() {
+    for (n, name) in
+        rig.leader.machines.known.keys().cloned().collect::<Vec<_>>().iter().cycle().take(2_400).enumerate()
+    {
         let of = if n == 0 { other } else { job };
         rig.leader.reservations.add(
             MonotonicTime(rig.now),
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -94,19 +94,19 @@
     // Plain work filled every GPU machine that came free and was cleared off it again: nearly half
     // of all starts were of tasks that had been stopped so.
     let mut l = Scheduler::new(sample_settings(), Tuning::default(), kinds(), Term(1), holder(), MonotonicTime(0));
-    let gpu = l.types.iter().position(|t| t.gpus > 0.0).expect("there is a GPU kind");
+    let gpu = l.catalog.types.iter().position(|t| t.gpus > 0.0).expect("there is a GPU kind");
     for i in 0..4 {
         let mut m = Machine::new(String::new(), gpu, 0, false, MonotonicTime(0));
         m.up = true;
-        l.machines.insert(MachineId::parse(&format!("m-{i}")).unwrap(), m);
+        l.machines.known.insert(MachineId::parse(&format!("m-{i}")).unwrap(), m);
     }
     let lent = |l: &mut Scheduler, at: MonotonicTime, waiting: &BTreeSet<JobId>| {
         l.update_lendable_gpu_machines(at, waiting);
-        l.lendable.len()
+        l.gpus.lendable.len()
     };
     assert_eq!(lent(&mut l, MonotonicTime(0), &BTreeSet::new()), 4, "nobody wants GPUs");
     let mut s = spec("req-000001", Kind::Gang, 3, 1.0);
-    s.gpus = l.types[gpu].gpus;
+    s.gpus = l.catalog.types[gpu].gpus;
     let id = JobId::parse(&s.id).unwrap();
     l.on_job_accepted(&id, &json!(LiveRecord { at: WallTime(0), spec: s, depends_on: Vec::new() }), Revision(1));
     let waiting = BTreeSet::from([id]);
--- a/src/core/scheduler/workers.rs
+++ b/src/core/scheduler/workers.rs
@@ -16,10 +16,10 @@
         route: HeartbeatRoute,
     ) -> Option<HeartbeatResponse> {
         let id = MachineId::parse(&r.machine)?;
-        if self.terminated.contains(&id) {
+        if self.machines.terminated.contains(&id) {
             return None;
         }
-        if !self.machines.contains_key(&id) {
+        if !self.machines.known.contains_key(&id) {
             if !r.tasks.is_empty() {
                 // Machines are recorded before their first order and until their return is proven,
                 // so what lists tasks without a record is a late copy of one that is gone.
@@ -31,11 +31,11 @@
                 return None;
             };
             // Nobody has ordered anything here: orders come after the machine's record.
-            self.machines.insert(id.clone(), Machine::new(r.endpoint.clone(), kind, zone, r.spot, now));
+            self.machines.known.insert(id.clone(), Machine::new(r.endpoint.clone(), kind, zone, r.spot, now));
         }
         let heartbeat_timeout = self.heartbeat_timeout();
         let unacknowledged_after = self.limits.lease;
-        let m = self.machines.get_mut(&id)?;
+        let m = self.machines.known.get_mut(&id)?;
         if r.agent_epoch < m.agent_epoch || (r.agent_epoch, r.sequence) <= m.latest_heartbeat {
             // Of an agent epoch that has ended, or a copy: nobody waits for an answer to it, and it is
             // no sign of life.
@@ -47,10 +47,12 @@
             m.allocations.values_mut().for_each(|s| s.fully_observed = false);
         }
         let newer = self.apply_heartbeat(now, &id, r);
-        let m = self.machines.get_mut(&id)?;
+        let m = self.machines.known.get_mut(&id)?;
         if r.token >= FencingToken::new(self.term, m.fence) {
             m.unacknowledged_since = None;
-        } else if now - *m.unacknowledged_since.get_or_insert(now) > unacknowledged_after && !self.many_unacknowledged {
+        } else if now - *m.unacknowledged_since.get_or_insert(now) > unacknowledged_after
+            && !self.machines.many_unacknowledged
+        {
             // Answers don't reach it. Without them its lease runs out, which proves it empty.
             return None;
         }
@@ -82,7 +84,7 @@
 
     pub fn on_orders_result(&mut self, now: MonotonicTime, request: u64, result: OrdersResult) {
         let Some((id, sent)) = self.orders.remove(&request) else { return };
-        let Some(m) = self.machines.get_mut(&id) else { return };
+        let Some(m) = self.machines.known.get_mut(&id) else { return };
         if m.in_flight == Some(request) {
             m.in_flight = None;
         }
@@ -119,7 +121,7 @@
 
     /// Takes in what a worker lists. False: something newer was known.
     pub(super) fn apply_heartbeat(&mut self, now: MonotonicTime, id: &MachineId, r: &Heartbeat) -> bool {
-        let Some(m) = self.machines.get_mut(id) else { return false };
+        let Some(m) = self.machines.known.get_mut(id) else { return false };
         if (r.agent_epoch, r.sequence) <= (m.agent_epoch, m.sequence) {
             return false;
         }
@@ -140,7 +142,7 @@
             }
         }
         let own = FencingToken::new(self.term, 0);
-        let Some(m) = self.machines.get_mut(id) else { return false };
+        let Some(m) = self.machines.known.get_mut(id) else { return false };
         if r.agent_epoch > m.agent_epoch || m.sequence == SequenceNumber(0) {
             m.agent_epoch_first_heard = now;
         }
@@ -149,7 +151,7 @@
         let fence = FencingToken::new(self.term, m.fence);
         if m.fencing && r.token >= fence {
             m.fencing = false;
-            self.round_needed = true;
+            self.rounds.needed = true;
         }
         if let Some(s) = r.notice_s
             && !m.spot_notice
@@ -161,7 +163,7 @@
             }
             self.drain(now, id, s);
         }
-        let Some(m) = self.machines.get_mut(id) else { return false };
+        let Some(m) = self.machines.known.get_mut(id) else { return false };
         m.heartbeats_applied += 1;
         self.cost.add_tasks(m.allocations.len() + r.tasks.len());
         let mut news: Vec<(TaskAttempt, &TaskStatus)> = Vec::new();
@@ -172,7 +174,7 @@
             };
             let key = (task, listed.attempt);
             // Most of what workers list, they have listed before.
-            let job = self.jobs.get(&task.job);
+            let job = self.jobs.live.get(&task.job);
             match m.allocations.get_mut(&key) {
                 Some(s) if s.is_unchanged(listed.phase) && job.is_some_and(|j| j.goes_on(&key)) => {
                     s.last_listed = m.heartbeats_applied
@@ -189,11 +191,11 @@
         for (key, listed) in news {
             self.apply_task_status(now, id, &key, listed);
         }
-        let Some(m) = self.machines.get_mut(id) else { return false };
+        let Some(m) = self.machines.known.get_mut(id) else { return false };
         if r.token >= own && !(m.reconciled && m.token_acknowledged) {
             m.reconciled = true;
             m.token_acknowledged = true;
-            self.round_needed = true;
+            self.rounds.needed = true;
         }
         // What is not listed is gone, if the worker has listed it before, has answered its order,
         // or will refuse the order because it has seen a higher fence since.
@@ -214,9 +216,9 @@
         for k in missing {
             self.remove_lost_task(id, &k, false);
         }
-        let Some(m) = self.machines.get_mut(id) else { return false };
+        let Some(m) = self.machines.known.get_mut(id) else { return false };
         if m.registration == Registration::Unregistered && !m.retiring {
-            self.round_needed = true;
+            self.rounds.needed = true;
         }
         true
     }
@@ -230,12 +232,12 @@
         listed: &TaskStatus,
     ) {
         let (task, attempt) = key;
-        let known = self.machines.get(id).is_some_and(|m| m.allocations.contains_key(key));
+        let known = self.machines.known.get(id).is_some_and(|m| m.allocations.contains_key(key));
         if !known {
             self.adopt_task(now, id, key, listed);
         }
-        let over = !self.jobs.contains_key(&task.job);
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let over = !self.jobs.live.contains_key(&task.job);
+        let Some(m) = self.machines.known.get_mut(id) else { return };
         let Some(s) = m.allocations.get_mut(key) else { return };
         let before = s.phase;
         s.last_listed = m.heartbeats_applied;
@@ -243,7 +245,7 @@
         s.pending_run = None;
         if listed.phase == TaskPhase::Running && before != Some(TaskPhase::Running) {
             s.running_since.get_or_insert(now);
-            self.round_needed |= before == Some(TaskPhase::Pulling);
+            self.rounds.needed |= before == Some(TaskPhase::Pulling);
         }
         if listed.phase != TaskPhase::Exited {
             if over {
@@ -253,23 +255,23 @@
                 if listed.phase != TaskPhase::Flushing || leeway == 0.0 {
                     stop_allocation(m, key, leeway);
                 }
-            } else if self.jobs.get(&task.job).is_some_and(|j| !j.goes_on(key)) {
+            } else if self.jobs.live.get(&task.job).is_some_and(|j| !j.goes_on(key)) {
                 stop_allocation(m, key, 0.0);
             }
             return;
         }
         if before != Some(TaskPhase::Exited) {
-            self.round_needed = true;
+            self.rounds.needed = true;
             let ran = s.running_since.filter(|_| s.fully_observed).map(|t| (now - t).as_secs_f64());
             let stopped = s.stop.is_some();
             self.on_task_exited(now, id, key, listed, ran, stopped);
         }
         // The worker may forget it once a done task is durably so; other ends need no keeping.
-        let durably_done = match self.jobs.get(&task.job) {
+        let durably_done = match self.jobs.live.get(&task.job) {
             Some(j) if listed.is_done() => j.is_durably_done(task.index),
             _ => true,
         };
-        if durably_done && let Some(m) = self.machines.get_mut(id) {
+        if durably_done && let Some(m) = self.machines.known.get_mut(id) {
             m.queue_order(Order::Clear { task: *task, attempt: *attempt });
         }
     }
@@ -277,8 +279,8 @@
     /// Enters a listed task that the cluster state doesn't have.
     pub(super) fn adopt_task(&mut self, now: MonotonicTime, id: &MachineId, key: &TaskAttempt, listed: &TaskStatus) {
         let (task, attempt) = key;
-        self.usage = None;
-        let Some(m) = self.machines.get_mut(id) else { return };
+        self.quota.usage = None;
+        let Some(m) = self.machines.known.get_mut(id) else { return };
         let mut allocation = Allocation {
             need: Resources::default(),
             team: None,
@@ -294,7 +296,7 @@
             fetch_s: 0.0,
             run_s: 0.0,
         };
-        if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| task.index < j.spec.tasks) {
+        if let Some(job) = self.jobs.live.get_mut(&task.job).filter(|j| task.index < j.spec.tasks) {
             if let Some(places) = job.placed.get(&task.index)
                 && listed.phase != TaskPhase::Exited
             {
@@ -306,10 +308,10 @@
             allocation.need = Resources::of_task(s);
             allocation.team = Some(job.team);
             allocation.priority = job.priority();
-            allocation.run_s = self.times.expect(&s.class, s.estimate_s);
-            let next = self.images.len() as u32;
-            allocation.image = *self.images.entry(s.image.clone()).or_insert(next);
-            m.cache_image(allocation.image, s.image_gb, self.types[m.kind].cache_gb);
+            allocation.run_s = self.jobs.class_times.expect(&s.class, s.estimate_s);
+            let next = self.catalog.images.len() as u32;
+            allocation.image = *self.catalog.images.entry(s.image.clone()).or_insert(next);
+            m.cache_image(allocation.image, s.image_gb, self.catalog.types[m.kind].cache_gb);
             if listed.phase != TaskPhase::Exited {
                 let gang = s.kind == Kind::Gang;
                 job.place(task.index, id, *attempt);
@@ -337,8 +339,8 @@
     ) {
         let (task, attempt) = key;
         let cause = listed.cause.unwrap_or(Cause::Other);
-        let reclaimed = self.machines.get(id).is_some_and(|m| m.spot_notice);
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let reclaimed = self.machines.known.get(id).is_some_and(|m| m.spot_notice);
+        let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.unplace(task.index, id, *attempt);
         let alone = job.spec.kind != Kind::Gang;
         match cause {
@@ -346,7 +348,7 @@
                 if let Some(s) = ran
                     && alone
                 {
-                    self.times.learn(&job.spec.class, job.spec.estimate_s, s);
+                    self.jobs.class_times.learn(&job.spec.class, job.spec.estimate_s, s);
                 }
                 if alone {
                     job.set_done(task.index);
@@ -360,7 +362,7 @@
                     job.ran = (job.ran.0 + 1, job.ran.1 + s);
                     (job.ran.0 > 4).then(|| s / (job.ran.1 / f64::from(job.ran.0)).max(0.1))
                 });
-                if let Some(m) = self.machines.get_mut(id)
+                if let Some(m) = self.machines.known.get_mut(id)
                     && ratio.is_some_and(|r| m.record_slowdown(r))
                     && m.quarantined_until <= now
                 {
@@ -368,7 +370,7 @@
                     info!("machine {id} is slow and is avoided, slowness={:.1}", m.slowness);
                     m.quarantined_until = now + QUARANTINE_PERIOD;
                     m.errors = 2;
-                } else if let Some(m) = self.machines.get_mut(id)
+                } else if let Some(m) = self.machines.known.get_mut(id)
                     && m.quarantined_until <= now
                 {
                     m.errors = 0;
@@ -384,7 +386,7 @@
                     job.pause_until = now + pause;
                 }
                 debug!("task {task} failed on {id}, errors={}", job.errors);
-                if !fault && let Some(m) = self.machines.get_mut(id) {
+                if !fault && let Some(m) = self.machines.known.get_mut(id) {
                     m.errors += 1;
                     if m.errors >= 2 && m.quarantined_until <= now {
                         m.quarantined_until = now + QUARANTINE_PERIOD;
@@ -411,16 +413,16 @@
 
     /// A task is proven to be gone without its worker's word on how it ended.
     pub(super) fn remove_lost_task(&mut self, id: &MachineId, key: &TaskAttempt, reclaimed: bool) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = m.allocations.remove(key) else { return };
         let run = Order::Run { task: key.0, attempt: key.1 };
         m.outbox.retain(|o| *o != run);
-        self.round_needed = true;
+        self.rounds.needed = true;
         if allocation.has_exited() {
             return;
         }
         let (task, attempt) = key;
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.unplace(task.index, id, *attempt);
         job.requeue(task.index, reclaimed);
         if job.spec.kind == Kind::Gang {
@@ -430,7 +432,7 @@
 
     /// The rest of a gang's attempt goes; a new attempt starts once all are gone.
     pub(super) fn break_gang(&mut self, id: &JobId, attempt: Attempt) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.live.get_mut(id) else { return };
         if job.placed.is_empty() {
             // Whatever attempt the last one was of.
             job.gang = None;
@@ -440,7 +442,7 @@
         g.broken = true;
         let placed: Vec<(u32, MachineId, Attempt)> = job.places().map(|(i, m, a)| (i, m.clone(), a)).collect();
         for (index, machine, attempt) in placed {
-            if let Some(m) = self.machines.get_mut(&machine) {
+            if let Some(m) = self.machines.known.get_mut(&machine) {
                 stop_allocation(m, &(TaskId { job: *id, index }, attempt), 0.0);
             }
             self.flush_machine(&machine);
@@ -449,14 +451,14 @@
 
     /// Stops a task, or the whole gang that it belongs to, leaving it time to save.
     pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
-        let Some(job) = self.jobs.get(&key.0.job) else { return };
+        let Some(job) = self.jobs.live.get(&key.0.job) else { return };
         let leeway = if job.saves() { job.spec.save_s + 0.5 } else { 0.0 };
         let mut which = vec![(id.clone(), *key)];
         if job.spec.kind == Kind::Gang {
             which = job.places().map(|(index, m, a)| (m.clone(), (TaskId { job: key.0.job, index }, a))).collect();
         }
         for (id, k) in which {
-            if let Some(m) = self.machines.get_mut(&id) {
+            if let Some(m) = self.machines.known.get_mut(&id) {
                 stop_allocation(m, &k, leeway);
             }
         }
@@ -464,7 +466,7 @@
 
     /// The cloud takes the machine soon: what can save does, what can't finish starts elsewhere.
     pub(super) fn drain(&mut self, now: MonotonicTime, id: &MachineId, left_s: f64) {
-        let Some(m) = self.machines.get(id) else { return };
+        let Some(m) = self.machines.known.get(id) else { return };
         let go: Vec<TaskAttempt> = m
             .allocations
             .iter()
@@ -472,7 +474,7 @@
             .filter(|((task, _), s)| {
                 let ran = s.running_since.map(|t| (now - t).as_secs_f64());
                 let left = ran.map_or(f64::INFINITY, |r| s.run_s - r);
-                let service = self.jobs.get(&task.job).is_some_and(|j| j.spec.kind == Kind::Service);
+                let service = self.jobs.live.get(&task.job).is_some_and(|j| j.spec.kind == Kind::Service);
                 service || left > left_s * 0.7
             })
             .map(|(k, _)| *k)
@@ -484,9 +486,10 @@
 
     /// Sends what is in the outboxes of machines that have no orders under way.
     pub(super) fn flush_orders(&mut self) {
-        self.cost.add_machines(self.machines.len());
+        self.cost.add_machines(self.machines.known.len());
         let waiting = |m: &Machine| !m.outbox.is_empty() && m.in_flight.is_none();
-        let ids: Vec<MachineId> = self.machines.iter().filter(|(_, m)| waiting(m)).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<MachineId> =
+            self.machines.known.iter().filter(|(_, m)| waiting(m)).map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.flush_machine(&id);
         }
@@ -494,7 +497,7 @@
 
     /// The same for one machine; reports, which are many, need no look at the others.
     pub(super) fn flush_machine(&mut self, id: &MachineId) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.known.get_mut(id) else { return };
         if m.outbox.is_empty() || m.in_flight.is_some() || m.fencing || !m.up {
             return;
         }
@@ -507,7 +510,7 @@
             let unsent: Vec<TaskAttempt> = m.outbox.iter().filter_map(unsent).collect();
             unsent.iter().for_each(|k| self.remove_lost_task(id, k, false));
         }
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.machines.known.get_mut(id) else { return };
         // Clears can wait for the next heartbeat.
         if m.outbox.iter().all(|o| matches!(o, Order::Clear { .. })) {
             return;
