--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,5 +1,7 @@
+use super::estimates::estimate;
+use super::job_selection::{MAX_ESTIMATES, MIN_JOBS_PER_ROUND};
 use super::*;
-use crate::peer::{ImageView, MachineView, ProvisionOffer, TeamHeadroom, TypeView};
+use crate::peer::{ImageView, JobView, MachineView, ProvisionOffer, TeamHeadroom, TypeView};
 
 fn kind(cpus: f64, gpus: f64, price: f64) -> TypeView {
     let spot_price = price / 3.0;
@@ -41,12 +43,12 @@
     }
 }
 
-fn put(out: &PlanOutput) -> Vec<(u32, u32, u32)> {
+fn placements(out: &PlanOutput) -> Vec<(u32, u32, u32)> {
     out.placements.iter().map(|p| (p.job, p.machine, p.count)).collect()
 }
 
 #[test]
-fn reliability_is_one_minus_the_log_normal() {
+fn log_normal_cdf_agrees_with_the_tables_of_the_normal_distribution() {
     let mu = 5400f64.ln();
     // At the median one half; one sigma below it 0.1587 (tables of the normal distribution).
     assert!((log_normal_cdf(5400.0, mu, 1.0) - 0.5).abs() < 1e-9);
@@ -55,30 +57,30 @@
 }
 
 #[test]
-fn time_and_cost_follow_the_formulas() {
+fn estimate_of_running_booting_and_new_machines_follows_the_formulas() {
     let mut booting = machine(1, 8.0);
     (booting.up, booting.ready_s, booting.spot) = (false, 12.0, true);
-    let mut i = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
-    i.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 1 }];
+    let mut view = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
+    view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 1 }];
     let meter = CostMeter::default();
-    let p = Planner::new(&i, &meter);
+    let planner = Planner::new(&view, &meter);
     // Running: 1 GB at 0.5 GB/s, then 36 s, on a quarter of a machine at 1.0 an hour.
-    let up = p.estimate(&i.jobs[0], 0).unwrap();
+    let up = estimate(&view, &view.jobs[0], &planner.candidates()[0]).unwrap();
     assert_eq!((up.finish_s, up.start_s, up.reliability), (38.0, 2.0, 1.0));
     assert!((up.cost - 0.25 * 38.0 / 3600.0).abs() < 1e-12);
     // Booting and spot: 12 s later, a third of the price, less reliable.
-    let boot = p.estimate(&i.jobs[0], 1).unwrap();
+    let boot = estimate(&view, &view.jobs[0], &planner.candidates()[1]).unwrap();
     assert_eq!(boot.finish_s, 50.0);
     assert!((boot.cost - 0.25 * 38.0 / 3600.0 / 3.0).abs() < 1e-12);
-    assert!((boot.reliability - (1.0 - log_normal_cdf(50.0, i.spot_mu, 1.0))).abs() < 1e-12);
+    assert!((boot.reliability - (1.0 - log_normal_cdf(50.0, view.spot_mu, 1.0))).abs() < 1e-12);
     // New: the one task that asks for it pays the whole boot.
-    let new = p.estimate(&i.jobs[0], 2).unwrap();
+    let new = estimate(&view, &view.jobs[0], &planner.candidates()[2]).unwrap();
     assert_eq!(new.finish_s, 68.0);
     assert!((new.cost - (0.25 * 38.0 + 30.0) / 3600.0).abs() < 1e-12);
 }
 
 #[test]
-fn quality_adds_up_three_parts() {
+fn quality_is_the_sum_of_time_cost_and_reliability() {
     let c = |finish_s, cost, reliability| Estimate { finish_s, start_s: 0.0, cost, reliability, spot: false };
     let (lo, hi) = (c(10.0, 1.0, 0.0), c(30.0, 5.0, 0.0));
     assert!((quality(&c(15.0, 4.0, 0.9), &lo, &hi) - (0.75 + 0.25 + 0.9)).abs() < 1e-12);
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn spot_loses_the_run_time_of_its_sub_deadline_and_an_unfilled_request_ends() {
+fn sub_deadline_on_spot_is_a_run_earlier_and_an_unfilled_spot_request_ends() {
     assert_eq!((sub_deadline(100.0, 30.0, true), sub_deadline(100.0, 30.0, false)), (70.0, 100.0));
     // Sub-deadline 70, finish 50: 20 s of slack against a slip of 8 s and a window of 10 s.
     assert!(!spot_wait_is_over(70.0, 50.0, 8.0, 10.0));
@@ -94,125 +96,125 @@
 }
 
 #[test]
-fn the_cost_filter_holds_until_the_budget_is_spent() {
+fn cost_filter_holds_until_the_budget_is_spent() {
     // Two kinds, one five times as dear; the dear machine holds the image.
     let mut dear = machine(1, 8.0);
     dear.kind = 1;
     dear.images = vec![ImageView { image: 0, ready_s: 0.0 }];
-    let mut i = input(vec![machine(0, 8.0), dear], vec![job(0, 4)]);
-    i.types.push(kind(8.0, 0.0, 5.0));
-    i.budget_share = 0.0;
-    assert_eq!(put(&plan(&i)), [(0, 0, 4)], "no budget beyond the cheapest");
+    let mut view = input(vec![machine(0, 8.0), dear], vec![job(0, 4)]);
+    view.types.push(kind(8.0, 0.0, 5.0));
+    view.budget_share = 0.0;
+    assert_eq!(placements(&plan(&view)), [(0, 0, 4)], "no budget beyond the cheapest");
     // With the whole range as its budget the job may choose by quality; both ends of time and
     // cost weigh the same, and the first of equals wins.
-    i.budget_share = 1.0;
-    i.jobs[0].due_s = Some(37.0);
-    assert_eq!(put(&plan(&i)), [(0, 1, 4)], "only the dear machine is in time");
+    view.budget_share = 1.0;
+    view.jobs[0].due_s = Some(37.0);
+    assert_eq!(placements(&plan(&view)), [(0, 1, 4)], "only the dear machine is in time");
 }
 
 #[test]
-fn when_nothing_passes_the_filters_the_best_of_all_is_taken() {
-    let mut i = input(vec![machine(0, 8.0)], vec![job(0, 1)]);
-    i.jobs[0].due_s = Some(-100.0);
-    assert_eq!(put(&plan(&i)), [(0, 0, 1)]);
+fn plan_takes_the_best_of_all_candidates_when_none_passes_the_filters() {
+    let mut view = input(vec![machine(0, 8.0)], vec![job(0, 1)]);
+    view.jobs[0].due_s = Some(-100.0);
+    assert_eq!(placements(&plan(&view)), [(0, 0, 1)]);
 }
 
 #[test]
-fn jobs_take_turns_and_the_urgent_go_first() {
-    let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4), job(1, 4), job(2, 1)]);
-    i.jobs[2].priority = 0;
-    let out = plan(&i);
-    assert_eq!(put(&out), [(2, 0, 1), (0, 0, 2), (1, 0, 1)]);
+fn plan_is_round_robin_over_the_jobs_after_the_urgent_ones() {
+    let mut view = input(vec![machine(0, 8.0)], vec![job(0, 4), job(1, 4), job(2, 1)]);
+    view.jobs[2].priority = 0;
+    let out = plan(&view);
+    assert_eq!(placements(&out), [(2, 0, 1), (0, 0, 2), (1, 0, 1)]);
     assert_eq!(out.waiting.iter().map(|w| w.count).sum::<u32>(), 5);
 }
 
 #[test]
-fn of_jobs_with_the_same_time_left_the_one_with_the_longest_way_to_go_begins() {
-    // Room for one task. Both are due at the same time, but one has more after it (eq. 1).
+fn turn_order_prefers_the_higher_rank_among_jobs_with_the_same_time_left() {
+    // Capacity for one task. Both are due at the same time, but one has more after it (eq. 1).
     let job_timing = |key: u32, successors_s: f64| JobView { slo_deadline_s: Some(80.0), successors_s, ..job(key, 1) };
-    let first = |jobs: Vec<JobView>| put(&plan(&input(vec![machine(0, 2.0)], jobs)));
+    let first = |jobs: Vec<JobView>| placements(&plan(&input(vec![machine(0, 2.0)], jobs)));
     assert_eq!(first(vec![job_timing(0, 5.0), job_timing(1, 30.0)]), [(1, 0, 1)]);
     assert_eq!(first(vec![job_timing(0, 30.0), job_timing(1, 5.0)]), [(0, 0, 1)]);
 }
 
 #[test]
-fn what_can_still_be_in_time_goes_first() {
-    let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4), job(1, 4)]);
-    i.jobs[0].missed = 1;
-    assert_eq!(put(&plan(&i)), [(1, 0, 4)]);
+fn urgency_class_puts_jobs_that_missed_fewer_slos_first() {
+    let mut view = input(vec![machine(0, 8.0)], vec![job(0, 4), job(1, 4)]);
+    view.jobs[0].missed = 1;
+    assert_eq!(placements(&plan(&view)), [(1, 0, 4)]);
 }
 
 #[test]
-fn a_long_queue_asks_for_machines_beyond_its_batch() {
+fn scale_out_requests_of_a_long_queue_go_beyond_the_batch() {
     // One machine is up; of 40 tasks, four to a machine, a batch of 4 starts.
-    let mut i = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
-    i.batch = 4;
-    i.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 50 }];
-    let out = plan(&i);
-    assert_eq!(put(&out), [(0, 0, 4)]);
+    let mut view = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
+    view.batch = 4;
+    view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 50 }];
+    let out = plan(&view);
+    assert_eq!(placements(&out), [(0, 0, 4)]);
     // Those that wait say how many machines they want: within the batch's outlook, all.
-    i.jobs[0].ready = 36;
-    i.machines.clear();
-    assert_eq!(plan(&i).scale_out.len(), 8, "32 tasks at 8 CPUs a machine");
+    view.jobs[0].ready = 36;
+    view.machines.clear();
+    assert_eq!(plan(&view).scale_out.len(), 8, "32 tasks at 8 CPUs a machine");
 }
 
 #[test]
-fn services_take_gpu_machines_only_where_nothing_else_is_up() {
+fn search_scope_of_a_service_takes_in_gpu_machines_last() {
     let mut gpu = machine(1, 8.0);
     (gpu.kind, gpu.urgent_cpus, gpu.urgent_memory_gb) = (1, 2.0, 8.0);
-    let mut i = input(vec![machine(0, 4.0), gpu], vec![job(0, 4)]);
-    i.types.push(kind(8.0, 2.0, 9.0));
-    (i.jobs[0].service, i.jobs[0].priority) = (true, 0);
-    // Two on the plain machine, one in the 2 CPUs that GPU jobs leave of the other, and the last
-    // where it can, as GPU jobs come after services.
-    assert_eq!(put(&plan(&i)), [(0, 0, 2), (0, 1, 2)]);
-    i.jobs[0].service = false;
-    assert_eq!(put(&plan(&i)), [(0, 0, 2), (0, 1, 1)], "other urgent work leaves them their room");
+    let mut view = input(vec![machine(0, 4.0), gpu], vec![job(0, 4)]);
+    view.types.push(kind(8.0, 2.0, 9.0));
+    (view.jobs[0].service, view.jobs[0].priority) = (true, 0);
+    // Two on the machine without GPUs, one in the headroom of 2 CPUs on the other, and the last
+    // beyond the headroom, as GPU jobs come after services.
+    assert_eq!(placements(&plan(&view)), [(0, 0, 2), (0, 1, 2)]);
+    view.jobs[0].service = false;
+    assert_eq!(placements(&plan(&view)), [(0, 0, 2), (0, 1, 1)], "other urgent work leaves GPU jobs their headroom");
 }
 
 #[test]
-fn a_gang_finds_the_zone_that_holds_it() {
+fn one_zone_gang_is_placed_in_the_zone_that_holds_it() {
     // The best place for one task is in zone 0, which can't hold three.
     let (mut a, mut b) = (machine(0, 4.0), machine(1, 8.0));
     (a.zone, b.zone) = (0, 1);
     a.images = vec![ImageView { image: 0, ready_s: 0.0 }];
     b.free_memory_gb = 8.0;
-    let mut i = input(vec![a, b], vec![job(0, 3)]);
-    (i.jobs[0].gang, i.jobs[0].one_zone) = (true, true);
-    assert_eq!(put(&plan(&i)), [(0, 1, 3)]);
+    let mut view = input(vec![a, b], vec![job(0, 3)]);
+    (view.jobs[0].gang, view.jobs[0].one_zone) = (true, true);
+    assert_eq!(placements(&plan(&view)), [(0, 1, 3)]);
 }
 
 #[test]
-fn gangs_go_whole_and_zones_are_minded() {
+fn gangs_are_placed_whole_and_by_the_rule_on_zones() {
     let mut other = machine(1, 8.0);
     other.zone = 1;
-    let mut i = input(vec![machine(0, 4.0), other], vec![job(0, 5)]);
-    i.jobs[0].gang = true;
-    assert_eq!(put(&plan(&i)), [(0, 0, 2), (0, 1, 3)]);
-    i.jobs[0].one_zone = true;
-    assert!(put(&plan(&i)).is_empty(), "no zone holds all five");
-    i.jobs[0] = JobView { spread: true, ..job(0, 3) };
-    let out = plan(&i);
+    let mut view = input(vec![machine(0, 4.0), other], vec![job(0, 5)]);
+    view.jobs[0].gang = true;
+    assert_eq!(placements(&plan(&view)), [(0, 0, 2), (0, 1, 3)]);
+    view.jobs[0].one_zone = true;
+    assert!(placements(&plan(&view)).is_empty(), "no zone holds all five");
+    view.jobs[0] = JobView { spread: true, ..job(0, 3) };
+    let out = plan(&view);
     assert!(out.placements.iter().all(|p| p.count <= 2), "at most half, rounded up, in a zone");
 }
 
 #[test]
-fn a_team_gets_no_more_than_is_left_to_it() {
-    let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
-    i.teams = vec![TeamHeadroom { team: 0, cpus: 5.0, gpus: 0.0 }];
-    assert_eq!(put(&plan(&i)), [(0, 0, 2)]);
+fn plan_stays_within_the_headroom_of_a_team() {
+    let mut view = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
+    view.teams = vec![TeamHeadroom { team: 0, cpus: 5.0, gpus: 0.0 }];
+    assert_eq!(placements(&plan(&view)), [(0, 0, 2)]);
 }
 
 #[test]
-fn a_view_that_refers_to_nothing_is_refused() {
-    let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
-    i.machines[0].kind = 7;
-    assert_eq!(plan(&i), PlanOutput::default());
+fn plan_of_an_inconsistent_view_is_empty() {
+    let mut view = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
+    view.machines[0].kind = 7;
+    assert_eq!(plan(&view), PlanOutput::default());
 }
 
 #[test]
-fn of_too_many_jobs_the_most_urgent_are_planned_for_and_the_others_in_turn() {
-    let candidates = MAX_ESTIMATES / MIN_JOBS;
+fn jobs_in_scope_are_the_most_urgent_and_the_others_in_turn() {
+    let candidates = MAX_ESTIMATES / MIN_JOBS_PER_ROUND;
     let full = (0..candidates as u32).map(|key| machine(key, 0.0)).collect();
     let urgent = |key: u32| key.is_multiple_of(25);
     let jobs = (0..400).map(|key| JobView { priority: if urgent(key) { 0 } else { 2 }, ..job(key, 1) }).collect();
@@ -221,13 +223,13 @@
     for round in 0..80 {
         input.round = round;
         let jobs = jobs_in_scope(&input);
-        assert_eq!(jobs.len(), MIN_JOBS, "the work of a round is bounded");
+        assert_eq!(jobs.len(), MIN_JOBS_PER_ROUND, "the work of a round is bounded");
         jobs.iter().for_each(|j| rounds_of[j.key as usize] += 1);
     }
     let (most_urgent, others): (Vec<_>, Vec<_>) =
         rounds_of.iter().enumerate().partition(|(key, _)| urgent(*key as u32));
     assert!(most_urgent.iter().all(|(_, rounds)| **rounds == 80));
     assert!(others.iter().all(|(_, rounds)| **rounds >= 1), "nobody starves: {others:?}");
-    input.jobs.truncate(MIN_JOBS);
-    assert_eq!(jobs_in_scope(&input).len(), MIN_JOBS);
+    input.jobs.truncate(MIN_JOBS_PER_ROUND);
+    assert_eq!(jobs_in_scope(&input).len(), MIN_JOBS_PER_ROUND);
 }
