--- a/src/config.rs
+++ b/src/config.rs
@@ -29,7 +29,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
     pub cloud: SocketAddr,
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -68,48 +69,57 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     pub lease_s: f64,
-    pub cancel_s: f64,
+    #[serde(rename = "cancel_s")]
+    pub cancellation_limit_s: f64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     pub rps: f64,
     pub write_rps: f64,
-    pub value_kb: f64,
-    pub txn_ops: usize,
+    #[serde(rename = "value_kb")]
+    pub max_value_kb: f64,
+    #[serde(rename = "txn_ops")]
+    pub max_transaction_ops: usize,
     /// Limits that will be in force from some moment on, without notice.
     #[serde(default, deserialize_with = "none_as_default")]
-    pub next: LaterLimits,
+    pub next: UpcomingStoreLimits,
 }
 
 /// Limits of the state service that change; those that aren't named stay.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct LaterLimits {
+pub struct UpcomingStoreLimits {
     pub rps: Option<f64>,
     pub write_rps: Option<f64>,
-    pub value_kb: Option<f64>,
-    pub txn_ops: Option<usize>,
+    #[serde(rename = "value_kb")]
+    pub max_value_kb: Option<f64>,
+    #[serde(rename = "txn_ops")]
+    pub max_transaction_ops: Option<usize>,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// What holds both now and later: whatever is written within these limits is taken at any time.
-    pub fn lowest(&self) -> StateLimits {
+    pub fn lowest(&self) -> StoreLimits {
         let lower = |now: f64, later: Option<f64>| later.map_or(now, |later| now.min(later));
-        StateLimits {
+        StoreLimits {
             rps: lower(self.rps, self.next.rps),
             write_rps: lower(self.write_rps, self.next.write_rps),
-            value_kb: lower(self.value_kb, self.next.value_kb),
-            txn_ops: self.next.txn_ops.map_or(self.txn_ops, |later| self.txn_ops.min(later)),
-            next: LaterLimits::default(),
+            max_value_kb: lower(self.max_value_kb, self.next.max_value_kb),
+            max_transaction_ops: self
+                .next
+                .max_transaction_ops
+                .map_or(self.max_transaction_ops, |later| self.max_transaction_ops.min(later)),
+            next: UpcomingStoreLimits::default(),
         }
     }
 
     /// The most bytes that a value may have, now and later.
     pub fn value_bytes(&self) -> usize {
-        (self.lowest().value_kb * 1024.0) as usize
+        (self.lowest().max_value_kb * 1024.0) as usize
     }
 }
 
@@ -122,7 +132,7 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
     #[serde(rename = "fd_limit")]
-    pub sockets: usize,
+    pub max_sockets: usize,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -133,7 +143,8 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     pub workers: Workers,
-    pub state: StateLimits,
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
     pub cloud: CloudLimits,
     pub limits: Limits,
 }
@@ -167,30 +178,33 @@
 
     fn check(&self) -> Result<(), String> {
         let c = &self.cluster;
-        let state = c.state.lowest();
+        let state = c.store.lowest();
         let positive = [
-            ("workers.report_s", c.workers.report_s),
+            ("workers.report_s", c.workers.heartbeat_interval_s),
             ("workers.lease_s", c.workers.lease_s),
-            ("workers.cancel_s", c.workers.cancel_s),
+            ("workers.cancel_s", c.workers.cancellation_limit_s),
             ("state.rps", state.rps),
             ("state.write_rps", state.write_rps),
-            ("state.value_kb", state.value_kb),
-            ("state.txn_ops", state.txn_ops as f64),
+            ("state.value_kb", state.max_value_kb),
+            ("state.txn_ops", state.max_transaction_ops as f64),
             ("cloud.rps", c.cloud.rps),
-            ("limits.fd_limit", c.limits.sockets as f64),
+            ("limits.fd_limit", c.limits.max_sockets as f64),
         ];
         for (name, x) in positive {
             if x.is_nan() || x <= 0.0 {
                 return Err(format!("cluster.{name} must be above 0, not {x}"));
             }
         }
-        if c.limits.sockets < MIN_SOCKETS {
-            return Err(format!("cluster.limits.fd_limit must be at least {MIN_SOCKETS}, not {}", c.limits.sockets));
+        if c.limits.max_sockets < MIN_SOCKETS {
+            return Err(format!(
+                "cluster.limits.fd_limit must be at least {MIN_SOCKETS}, not {}",
+                c.limits.max_sockets
+            ));
         }
-        if state.txn_ops < MIN_TRANSACTION_OPS {
+        if state.max_transaction_ops < MIN_TRANSACTION_OPS {
             return Err(format!("cluster.state.txn_ops must be at least {MIN_TRANSACTION_OPS}, now and in next"));
         }
-        if c.workers.cancel_s <= c.workers.lease_s + self.state_ttl().as_secs_f64() + 2.0 {
+        if c.workers.cancellation_limit_s <= c.workers.lease_s + self.state_ttl().as_secs_f64() + 2.0 {
             return Err("cluster.workers.cancel_s leaves no room for lease_s and a change of leader".into());
         }
         for (i, t) in c.teams.iter().enumerate() {
@@ -214,7 +228,7 @@
     /// carried out by the workers' leases alone.
     pub fn read_ttl(&self) -> Millis {
         let w = &self.cluster.workers;
-        Millis::from_secs_f64((w.cancel_s - w.lease_s) * 0.6)
+        Millis::from_secs_f64((w.cancellation_limit_s - w.lease_s) * 0.6)
     }
 
     /// Most seconds until a task of the class should have started, if an aim says so.
@@ -286,7 +300,7 @@
 
 impl Settings {
     pub fn sockets(&self) -> Sockets {
-        let all = self.cluster.limits.sockets;
+        let all = self.cluster.limits.max_sockets;
         let part = |percent: usize, least: usize| (all * percent / 100).max(least);
         // Two in a hundred are left for listeners, logs and the runtime.
         Sockets { public: part(64, 1), peers: part(3, 8), own: part(3, 8), orders: part(28, 4) }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -22,7 +22,7 @@
     let mut s = sample_settings();
     // The least that platforms have pledged for a fleet, with room for users.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
-        s.cluster.limits.sockets = limit;
+        s.cluster.limits.max_sockets = limit;
         let x = s.sockets();
         assert!(x.public > workers * 11 / 10);
         assert!(x.public + x.peers + x.own + x.orders <= limit * 98 / 100);
@@ -54,12 +54,12 @@
     let good = include_str!("../../tests/settings.json");
     let with =
         |next: &str| Settings::parse(&good.replace("\"txn_ops\": 12", &format!("\"txn_ops\": 12, \"next\": {next}")));
-    let limits = with(r#"{"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 4}"#).unwrap().cluster.state;
+    let limits = with(r#"{"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 4}"#).unwrap().cluster.store;
     let lowest = limits.lowest();
-    assert_eq!((lowest.rps, lowest.write_rps, lowest.value_kb, lowest.txn_ops), (100.0, 15.0, 2.0, 4));
+    assert_eq!((lowest.rps, lowest.write_rps, lowest.max_value_kb, lowest.max_transaction_ops), (100.0, 15.0, 2.0, 4));
     // What is stored was laid out by the limits of today.
-    assert_eq!((limits.value_kb, limits.value_bytes()), (8.0, 2_048));
-    assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.state.lowest().value_kb, 8.0);
+    assert_eq!((limits.max_value_kb, limits.value_bytes()), (8.0, 2_048));
+    assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.store.lowest().max_value_kb, 8.0);
     assert!(with("null").is_ok() && with("{}").is_ok());
     assert!(with(r#"{"txn_ops": 3}"#).is_err() && with(r#"{"write_rps": 0.0}"#).is_err());
 }
--- a/src/core/completion_bitmap.rs
+++ b/src/core/completion_bitmap.rs
@@ -6,7 +6,7 @@
 
 use super::records::BITMAP_PREFIX;
 use super::submissions::MAX_TASKS;
-use crate::config::StateLimits;
+use crate::config::StoreLimits;
 use crate::ids::JobId;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -36,13 +36,16 @@
 }
 
 /// Tasks in a row, so that its base64 stays well below a value's limit.
-fn tasks_per_chunk(value_kb: f64) -> u32 {
-    ((value_kb * 1024.0 * 0.5) as u32 * 6).clamp(MIN_TASKS_PER_CHUNK, MAX_TASKS)
+fn tasks_per_chunk(max_value_kb: f64) -> u32 {
+    ((max_value_kb * 1024.0 * 0.5) as u32 * 6).clamp(MIN_TASKS_PER_CHUNK, MAX_TASKS)
 }
 
 impl BitmapLayout {
-    pub fn new(limits: &StateLimits) -> BitmapLayout {
-        BitmapLayout { size: tasks_per_chunk(limits.lowest().value_kb), earlier_size: tasks_per_chunk(limits.value_kb) }
+    pub fn new(limits: &StoreLimits) -> BitmapLayout {
+        BitmapLayout {
+            size: tasks_per_chunk(limits.lowest().max_value_kb),
+            earlier_size: tasks_per_chunk(limits.max_value_kb),
+        }
     }
 
     /// The rows of a job with so many tasks.
--- a/src/core/completion_bitmap/tests.rs
+++ b/src/core/completion_bitmap/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::config::LaterLimits;
+use crate::config::UpcomingStoreLimits;
 use serde_json::json;
 
-fn limits(value_kb: f64, later_kb: Option<f64>) -> StateLimits {
-    let next = LaterLimits { value_kb: later_kb, ..LaterLimits::default() };
-    StateLimits { rps: 100.0, write_rps: 20.0, value_kb, txn_ops: 12, next }
+fn limits(max_value_kb: f64, later_kb: Option<f64>) -> StoreLimits {
+    let next = UpcomingStoreLimits { max_value_kb: later_kb, ..UpcomingStoreLimits::default() };
+    StoreLimits { rps: 100.0, write_rps: 20.0, max_value_kb, max_transaction_ops: 12, next }
 }
 
 fn large_set() -> FixedBitSet {
@@ -14,8 +14,8 @@
 }
 
 /// Rows as the version before this one wrote them: numbered from 0, cut by the limit then in force.
-fn rows_of_earlier_version(set: &FixedBitSet, value_kb: f64) -> Vec<Value> {
-    let size = ((value_kb * 1024.0 * 0.5) as usize * 6).clamp(64, 100_000);
+fn rows_of_earlier_version(set: &FixedBitSet, max_value_kb: f64) -> Vec<Value> {
+    let size = ((max_value_kb * 1024.0 * 0.5) as usize * 6).clamp(64, 100_000);
     let row = |first: usize| {
         let mut bytes = vec![0u8; (set.len().min(first + size) - first).div_ceil(8)];
         set.ones().filter(|i| (first..first + size).contains(i)).for_each(|i| {
@@ -48,10 +48,10 @@
 #[test]
 fn rows_of_an_earlier_version_are_read_and_not_overwritten() {
     let set = large_set();
-    for value_kb in [8.0, 32.0] {
-        let layout = BitmapLayout::new(&limits(value_kb, Some(2.0)));
+    for max_value_kb in [8.0, 32.0] {
+        let layout = BitmapLayout::new(&limits(max_value_kb, Some(2.0)));
         let mut back = FixedBitSet::with_capacity(MAX_TASKS as usize);
-        let earlier = rows_of_earlier_version(&set, value_kb);
+        let earlier = rows_of_earlier_version(&set, max_value_kb);
         for (number, value) in earlier.iter().enumerate() {
             assert!(layout.read(&mut back, number as u32, value));
             assert!(layout.chunks(MAX_TASKS).iter().all(|row| row.number != number as u32));
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -143,15 +143,15 @@
                 zones.push(z.clone());
             }
         }
-        let store = c.state.lowest();
+        let store = c.store.lowest();
         let limits = ProtocolLimits {
-            heartbeat: Millis::from_secs_f64(c.workers.report_s),
+            heartbeat: Millis::from_secs_f64(c.workers.heartbeat_interval_s),
             lease: Millis::from_secs_f64(c.workers.lease_s),
-            txn_ops: store.txn_ops,
-            value_bytes: c.state.value_bytes(),
+            txn_ops: store.max_transaction_ops,
+            value_bytes: c.store.value_bytes(),
             // The rest is for submissions and cancellations on all controllers.
             write_rps: store.write_rps * SCHEDULER_WRITE_SHARE,
-            layout: BitmapLayout::new(&c.state),
+            layout: BitmapLayout::new(&c.store),
             list_lag: Millis::from_secs_f64(c.cloud.list_lag_s),
         };
         let team_names: Vec<String> = c.teams.iter().map(|t| t.name.clone()).collect();
--- a/src/core/scheduler/tests/dependencies.rs
+++ b/src/core/scheduler/tests/dependencies.rs
@@ -82,7 +82,9 @@
         assert_eq!((rig.outcome(id), rig.runs(id)), (Some(JobOutcome::Cancelled), 0), "{id}");
     }
     assert!(
-        rig.committed.iter().all(|transaction| transaction.mutations.len() <= sample_settings().cluster.state.txn_ops)
+        rig.committed
+            .iter()
+            .all(|transaction| transaction.mutations.len() <= sample_settings().cluster.store.max_transaction_ops)
     );
     finish_all(&mut rig);
     assert_eq!((rig.outcome(&unhurt), rig.runs(&unhurt)), (None, 1));
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -23,7 +23,7 @@
 
     /// What workers were told to forget stays durably done while its job is live.
     pub(super) fn check_done_bits(&self) {
-        let layout = BitmapLayout::new(&self.settings.cluster.state);
+        let layout = BitmapLayout::new(&self.settings.cluster.store);
         for task in &self.cleared {
             if !self.store.contains_key(&live_key(&task.job)) {
                 continue;
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -260,7 +260,7 @@
             return CommitOutcome::Conflict(failed);
         }
         assert!(
-            transaction.mutations.len() <= self.settings.cluster.state.txn_ops,
+            transaction.mutations.len() <= self.settings.cluster.store.max_transaction_ops,
             "too many changes in a transaction"
         );
         self.epoch += 1;
@@ -271,7 +271,7 @@
             };
             match &value {
                 Some(v) => {
-                    assert!(v.to_string().len() as f64 <= self.settings.cluster.state.value_kb * 1024.0);
+                    assert!(v.to_string().len() as f64 <= self.settings.cluster.store.max_value_kb * 1024.0);
                     self.store.insert(key.clone(), (v.clone(), self.epoch));
                 }
                 None => {
--- a/src/net/dependency_check.rs
+++ b/src/net/dependency_check.rs
@@ -90,7 +90,7 @@
     if record.depends_on.is_empty() || depth == 0 {
         return Ok(Checked { dependency_status, at: now });
     }
-    let within = Millis::from_secs_f64(node.settings.cluster.workers.cancel_s * CHECK_VALIDITY_SHARE);
+    let within = Millis::from_secs_f64(node.settings.cluster.workers.cancellation_limit_s * CHECK_VALIDITY_SHARE);
     let known = node.lock().dependency_check_cache.checked_at(&id, now, within);
     if let Some(at) = known {
         return Ok(Checked { dependency_status, at });
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -236,7 +236,7 @@
 
 pub(super) fn start(world: &Arc<Mutex<World>>, mut settings: Settings) -> (Arc<Node>, Client) {
     settings.listen = free_addr();
-    settings.services.state = stand_in(world, Part::State(settings.name.clone()));
+    settings.services.store = stand_in(world, Part::State(settings.name.clone()));
     settings.services.cloud = stand_in(world, Part::Cloud);
     world.lock().unwrap().worker = stand_in(world, Part::Worker).to_string();
     let c = Client { http: Http::new(16), addr: settings.listen.to_string() };
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -151,7 +151,7 @@
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
         let cloud = CloudClient::new(settings.services.cloud.to_string(), settings.cluster.cloud.rps);
         let sockets = settings.sockets();
-        let kv = KvClient::new(settings.services.state.to_string());
+        let kv = KvClient::new(settings.services.store.to_string());
         let inner = NodeState {
             election: Election::new(settings.state_ttl(), settings.read_ttl()),
             scheduler: None,
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -128,7 +128,7 @@
     let types = node.lock().types.clone().ok_or(Rejection::Later("machine types are not known yet"))?;
     check_possible(&spec, &node.settings.cluster.teams, &types).map_err(Rejection::Refused)?;
     let mut record = LiveRecord { at: node.wall_time(), spec, depends_on };
-    if json!(record).to_string().len() > node.settings.cluster.state.value_bytes() {
+    if json!(record).to_string().len() > node.settings.cluster.store.value_bytes() {
         let too_large = "the job takes more than the state service holds in a value".to_string();
         return Err(Rejection::Refused(Refusal::Impossible(too_large)));
     }
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -10,7 +10,7 @@
 fn a_controllers_own_settings_are_read() {
     let Settings { name, listen, peer_listen, peers, services, cluster: _ } = settings();
     assert_eq!(name, "plinth-0");
-    let addresses = [listen, peer_listen, services.cloud, services.state].map(|address| address.to_string());
+    let addresses = [listen, peer_listen, services.cloud, services.store].map(|address| address.to_string());
     assert_eq!(addresses, ["10.0.0.1:8080", "10.0.0.1:8081", "10.2.0.2:8443", "10.2.0.1:2379"]);
     let peer = |peer: &Peer| (peer.name.clone(), peer.zone.clone(), peer.addr.to_string());
     let expected = [
@@ -38,15 +38,15 @@
 fn settings_of_limits_are_read() {
     let cluster = settings().cluster;
     let workers = cluster.workers;
-    assert_eq!([workers.report_s, workers.lease_s, workers.cancel_s], [1.5, 10.0, 30.0]);
-    let state = cluster.state;
-    assert_eq!([state.rps, state.write_rps, state.value_kb], [100.0, 20.0, 8.0]);
-    assert_eq!(state.txn_ops, 12);
+    assert_eq!([workers.heartbeat_interval_s, workers.lease_s, workers.cancellation_limit_s], [1.5, 10.0, 30.0]);
+    let state = cluster.store;
+    assert_eq!([state.rps, state.write_rps, state.max_value_kb], [100.0, 20.0, 8.0]);
+    assert_eq!(state.max_transaction_ops, 12);
     let next = state.next;
-    assert_eq!([next.rps, next.write_rps, next.value_kb], [Some(90.0), Some(15.0), Some(4.0)]);
-    assert_eq!(next.txn_ops, Some(6));
+    assert_eq!([next.rps, next.write_rps, next.max_value_kb], [Some(90.0), Some(15.0), Some(4.0)]);
+    assert_eq!(next.max_transaction_ops, Some(6));
     assert_eq!([cluster.cloud.rps, cluster.cloud.list_lag_s], [4.0, 11.0]);
-    assert_eq!(cluster.limits.sockets, 1000);
+    assert_eq!(cluster.limits.max_sockets, 1000);
 }
 
 #[test]
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -5,7 +5,7 @@
 use fixedbitset::FixedBitSet;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use wallstile::config::{LaterLimits, StateLimits};
+use wallstile::config::{StoreLimits, UpcomingStoreLimits};
 use wallstile::core::completion_bitmap::{BitmapLayout, parse_key};
 use wallstile::core::election::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
@@ -110,8 +110,8 @@
 
 /// Rows of 150 tasks, which become the limit later; today's rows hold 306.
 fn layout() -> BitmapLayout {
-    let next = LaterLimits { value_kb: Some(0.05), ..LaterLimits::default() };
-    BitmapLayout::new(&StateLimits { rps: 100.0, write_rps: 20.0, value_kb: 0.1, txn_ops: 12, next })
+    let next = UpcomingStoreLimits { max_value_kb: Some(0.05), ..UpcomingStoreLimits::default() };
+    BitmapLayout::new(&StoreLimits { rps: 100.0, write_rps: 20.0, max_value_kb: 0.1, max_transaction_ops: 12, next })
 }
 
 fn set_of(tasks: usize, done: &[usize]) -> FixedBitSet {
