--- a/src/config.rs
+++ b/src/config.rs
@@ -204,7 +204,7 @@
         if state.max_transaction_ops < MIN_TRANSACTION_OPS {
             return Err(format!("cluster.state.txn_ops must be at least {MIN_TRANSACTION_OPS}, now and in next"));
         }
-        if c.workers.cancellation_limit_s <= c.workers.lease_s + self.state_ttl().as_secs_f64() + 2.0 {
+        if c.workers.cancellation_limit_s <= c.workers.lease_s + self.leader_lease_ttl().as_secs_f64() + 2.0 {
             return Err("cluster.workers.cancel_s leaves no room for lease_s and a change of leader".into());
         }
         for (i, t) in c.teams.iter().enumerate() {
@@ -220,13 +220,13 @@
 
     /// Life of the leader's lease at the state service: short against the workers' lease, so that
     /// a new leader is there before workers give up.
-    pub fn state_ttl(&self) -> Millis {
+    pub fn leader_lease_ttl(&self) -> Millis {
         Millis::from_secs_f64((self.cluster.workers.lease_s * 0.35).clamp(2.0, 6.0))
     }
 
     /// How long a leader may act on what it has last read: a cancellation that it hasn't read must be
     /// carried out by the workers' leases alone.
-    pub fn read_ttl(&self) -> Millis {
+    pub fn reading_validity(&self) -> Millis {
         let w = &self.cluster.workers;
         Millis::from_secs_f64((w.cancellation_limit_s - w.lease_s) * 0.6)
     }
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -61,7 +61,7 @@
             .fold(f64::INFINITY, f64::min);
         // The average time over the candidates stands for the average execution time of eq. 1.
         let known_count = known().count().max(1) as f64;
-        let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.successors_s;
+        let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_s;
         // Budget = cheapest + B x (dearest - cheapest) for all tasks (ours), less what was spent.
         let spare_budget = if cheapest_cost.is_finite() {
             (input.budget_share * (dearest_cost - cheapest_cost) * job.tasks as f64 - job.overspent).max(0.0)
--- a/src/core/placement/job_selection.rs
+++ b/src/core/placement/job_selection.rs
@@ -21,7 +21,7 @@
 
 impl UrgencyClass {
     pub(super) fn of(job: &JobView) -> UrgencyClass {
-        UrgencyClass { priority: job.priority, outside_guarantee: !job.guaranteed, missed_slos: job.missed }
+        UrgencyClass { priority: job.priority, outside_guarantee: !job.guaranteed, missed_slos: job.missed_slos }
     }
 }
 
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -131,7 +131,7 @@
 #[test]
 fn turn_order_prefers_the_higher_rank_among_jobs_with_the_same_time_left() {
     // Capacity for one task. Both are due at the same time, but one has more after it (eq. 1).
-    let job_timing = |key: u32, successors_s: f64| JobView { slo_deadline_s: Some(80.0), successors_s, ..job(key, 1) };
+    let job_timing = |key: u32, dependents_s: f64| JobView { slo_deadline_s: Some(80.0), dependents_s, ..job(key, 1) };
     let first = |jobs: Vec<JobView>| placements(&plan(&input(vec![machine(0, 2.0)], jobs)));
     assert_eq!(first(vec![job_timing(0, 5.0), job_timing(1, 30.0)]), [(1, 0, 1)]);
     assert_eq!(first(vec![job_timing(0, 30.0), job_timing(1, 5.0)]), [(0, 0, 1)]);
@@ -140,7 +140,7 @@
 #[test]
 fn urgency_class_puts_jobs_that_missed_fewer_slos_first() {
     let mut view = input(vec![machine(0, 8.0)], vec![job(0, 4), job(1, 4)]);
-    view.jobs[0].missed = 1;
+    view.jobs[0].missed_slos = 1;
     assert_eq!(placements(&plan(&view)), [(1, 0, 4)]);
 }
 
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -86,7 +86,7 @@
 
 async fn stand_for_election(node: &Arc<Node>) -> Option<(LeaderLease, LeaderRecord)> {
     let asked_at = node.now();
-    let lease = node.track_store(node.kv.grant(&node.http, node.settings.state_ttl())).await.ok()?;
+    let lease = node.track_store(node.kv.grant(&node.http, node.settings.leader_lease_ttl())).await.ok()?;
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: node.incarnation, lease };
     {
         let now = node.now();
@@ -139,7 +139,7 @@
 async fn keep_leading(node: &Arc<Node>, leader_lease: LeaderLease, record: LeaderRecord) {
     info!("leading: term={}", leader_lease.term);
     let work = tokio::spawn(leader_loop::run(node.clone(), leader_lease.term, record));
-    let ttl = node.settings.state_ttl();
+    let ttl = node.settings.leader_lease_ttl();
     let mut active_term = true;
     let mut pledged = false;
     loop {
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -267,7 +267,7 @@
 /// Follows the live jobs: new ones, and those that their users have cancelled.
 async fn follow(node: &Arc<Node>, term: Term, mut since: u64) {
     // Several answers must fit into the time for which what has been read may be acted on.
-    let block = Millis(3_000).min(node.settings.read_ttl().mul_f64(0.25));
+    let block = Millis(3_000).min(node.settings.reading_validity().mul_f64(0.25));
     while still_leads(node, term) {
         let asked_at = node.now();
         let log = node.kv.follow(&node.http, LIVE_PREFIX, since, block).await;
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -307,7 +307,7 @@
     })
     .await;
     // It goes on for longer than its lease, as the other has pledged.
-    while since.elapsed() < leader.settings.state_ttl().mul_f64(2.0).to_std() {
+    while since.elapsed() < leader.settings.leader_lease_ttl().mul_f64(2.0).to_std() {
         heartbeat().await;
         tokio::time::sleep(Millis(300).to_std()).await;
     }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -153,7 +153,7 @@
         let sockets = settings.sockets();
         let kv = KvClient::new(settings.services.store.to_string());
         let inner = NodeState {
-            election: Election::new(settings.state_ttl(), settings.read_ttl()),
+            election: Election::new(settings.leader_lease_ttl(), settings.reading_validity()),
             scheduler: None,
             leader_name: None,
             types: None,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -250,10 +250,10 @@
     pub may_scale_out: bool,
     /// How many of its class's aims it can't meet any more.
     #[prost(uint32, tag = "28")]
-    pub missed: u32,
+    pub missed_slos: u32,
     /// The part of its rank that comes from the jobs that need it (eq. 1), in seconds.
     #[prost(double, tag = "29")]
-    pub successors_s: f64,
+    pub dependents_s: f64,
 }
 
 #[derive(Clone, PartialEq, Message)]
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -10,16 +10,16 @@
     #[prost(double, optional, tag = "19")]
     due_s: Option<f64>,
     #[prost(uint32, tag = "28")]
-    missed: u32,
+    missed_slos: u32,
 }
 
 #[test]
 fn an_earlier_version_plans_for_a_job_with_successors_and_the_other_way_round() {
-    let job = JobView { priority: 1, due_s: Some(30.0), missed: 2, successors_s: 12.0, ..Default::default() };
-    let earlier = EarlierJobView { priority: 1, due_s: Some(30.0), missed: 2 };
+    let job = JobView { priority: 1, due_s: Some(30.0), missed_slos: 2, dependents_s: 12.0, ..Default::default() };
+    let earlier = EarlierJobView { priority: 1, due_s: Some(30.0), missed_slos: 2 };
     assert_eq!(EarlierJobView::decode(&*job.encode_to_vec()).unwrap(), earlier);
     let read = JobView::decode(&*earlier.encode_to_vec()).unwrap();
-    assert_eq!(read, JobView { successors_s: 0.0, ..job });
+    assert_eq!(read, JobView { dependents_s: 0.0, ..job });
     // A raised version would keep the two from speaking to each other at all.
     assert_eq!(VERSION, 3);
 }
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -153,8 +153,8 @@
         service: true,
         slo_deadline_s: Some(9.5),
         may_scale_out: true,
-        missed: 44,
-        successors_s: 10.5,
+        missed_slos: 44,
+        dependents_s: 10.5,
     }
 }
 
