--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -4,6 +4,7 @@
 use super::preemption::{PlacementTarget, PreemptionRequest};
 use super::preemption_index::PreemptionSearch;
 use super::*;
+use crate::core::shards::ShardMove;
 
 /// A round whose parts are planned by several controllers.
 pub(super) struct Round {
@@ -129,7 +130,7 @@
     }
 
     pub(super) fn rebalance_shards(&mut self, now: MonotonicTime) {
-        for (team, from, to) in self.shards.rebalance(now) {
+        for ShardMove { team, from, to } in self.shards.rebalance(now) {
             info!("share moved: team={} from={from} to={to}", self.quota.team_names[team as usize]);
             self.writes.shards_unsaved = true;
         }
--- a/src/core/shards/tests.rs
+++ b/src/core/shards/tests.rs
@@ -1,49 +1,52 @@
 use super::*;
 
-fn shards() -> ShardAssignment {
+fn assignment() -> ShardAssignment {
     ShardAssignment::new("a", ["b", "c"].map(String::from).into_iter(), 6, MonotonicTime(0))
 }
 
 #[test]
-fn only_controllers_that_answer_plan() {
-    let mut s = shards();
-    assert_eq!(s.planner_for(1, MonotonicTime(100)), None, "never heard of");
-    s.mark_responsive("b", MonotonicTime(100));
-    assert_eq!(s.planner_for(0, MonotonicTime(200)), None, "the leader's own");
-    assert_eq!(s.planner_for(1, MonotonicTime(200)), Some("b"));
-    assert_eq!(s.planner_for(1, MonotonicTime(2_700)), None);
-    s.mark_responsive("b", MonotonicTime(3_000));
-    s.mark_unresponsive("b");
-    assert_eq!(s.planner_for(1, MonotonicTime(3_100)), None);
+fn planner_for_is_the_leader_unless_the_owner_has_responded() {
+    let mut shards = assignment();
+    assert_eq!(shards.planner_for(1, MonotonicTime(100)), None, "never heard of");
+    shards.mark_responsive("b", MonotonicTime(100));
+    assert_eq!(shards.planner_for(0, MonotonicTime(200)), None, "the leader's own");
+    assert_eq!(shards.planner_for(1, MonotonicTime(200)), Some("b"));
+    assert_eq!(shards.planner_for(1, MonotonicTime(2_700)), None);
+    shards.mark_responsive("b", MonotonicTime(3_000));
+    shards.mark_unresponsive("b");
+    assert_eq!(shards.planner_for(1, MonotonicTime(3_100)), None);
 }
 
 #[test]
-fn shares_leave_the_silent_and_follow_the_load() {
-    let mut s = shards();
-    s.mark_responsive("b", MonotonicTime(9_000));
-    let moves = s.rebalance(MonotonicTime(10_000));
+fn rebalance_moves_teams_from_unresponsive_controllers_and_by_load() {
+    let mut shards = assignment();
+    shards.mark_responsive("b", MonotonicTime(9_000));
+    let moves = shards.rebalance(MonotonicTime(10_000));
     assert_eq!(moves.len(), 2, "both teams of c");
-    assert!(moves.iter().all(|(_, from, to)| from == "c" && to != "c"));
+    assert!(moves.iter().all(|moved| moved.from == "c" && moved.to != "c"));
     for _ in 0..200 {
-        s.record_load(1, 50);
-        s.record_load(4, 40);
+        shards.record_load(1, 50);
+        shards.record_load(4, 40);
     }
-    s.mark_responsive("b", MonotonicTime(20_000));
-    let moves = s.rebalance(MonotonicTime(20_500));
-    assert!(moves.len() == 1 && moves[0].1 == "b" && moves[0].2 == "a", "{moves:?}");
-    s.mark_responsive("b", MonotonicTime(30_500));
-    assert!(s.rebalance(MonotonicTime(31_000)).is_empty(), "even enough");
+    shards.mark_responsive("b", MonotonicTime(20_000));
+    let moves = shards.rebalance(MonotonicTime(20_500));
+    assert!(moves.len() == 1 && moves[0].from == "b" && moves[0].to == "a", "{moves:?}");
+    shards.mark_responsive("b", MonotonicTime(30_500));
+    assert!(shards.rebalance(MonotonicTime(31_000)).is_empty(), "even enough");
 }
 
 #[test]
-fn kept_shares_come_back_and_strangers_are_ignored() {
+fn restore_takes_over_stored_owners_and_ignores_unknown_controllers() {
     let names: Vec<String> = (0..6).map(|i| format!("t{i}")).collect();
-    let mut s = shards();
-    let mut to_record = s.to_record(&names);
-    to_record.insert("t0".into(), "c".into());
-    to_record.insert("t1".into(), "gone".into());
-    s.restore(&to_record, &names);
-    s.mark_responsive("c", MonotonicTime(0));
-    s.mark_responsive("b", MonotonicTime(0));
-    assert_eq!((s.planner_for(0, MonotonicTime(1)), s.planner_for(1, MonotonicTime(1))), (Some("c"), Some("b")));
+    let mut shards = assignment();
+    let mut record = shards.to_record(&names);
+    record.insert("t0".into(), "c".into());
+    record.insert("t1".into(), "gone".into());
+    shards.restore(&record, &names);
+    shards.mark_responsive("c", MonotonicTime(0));
+    shards.mark_responsive("b", MonotonicTime(0));
+    assert_eq!(
+        (shards.planner_for(0, MonotonicTime(1)), shards.planner_for(1, MonotonicTime(1))),
+        (Some("c"), Some("b"))
+    );
 }
