--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -236,7 +236,7 @@
 
 pub(super) fn start(world: &Arc<Mutex<World>>, mut settings: Settings) -> (Arc<Node>, Client) {
     settings.listen = free_addr();
-    settings.services.state = stand_in(world, Part::State(settings.name.clone()));
+    settings.services.store = stand_in(world, Part::State(settings.name.clone()));
     settings.services.cloud = stand_in(world, Part::Cloud);
     world.lock().unwrap().worker = stand_in(world, Part::Worker).to_string();
     let c = Client { http: Http::new(16), addr: settings.listen.to_string() };
@@ -307,7 +307,7 @@
     })
     .await;
     // It goes on for longer than its lease, as the other has pledged.
-    while since.elapsed() < leader.settings.state_ttl().mul_f64(2.0).to_std() {
+    while since.elapsed() < leader.settings.leader_lease_ttl().mul_f64(2.0).to_std() {
         heartbeat().await;
         tokio::time::sleep(Millis(300).to_std()).await;
     }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -151,9 +151,9 @@
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
         let cloud = CloudClient::new(settings.services.cloud.to_string(), settings.cluster.cloud.rps);
         let sockets = settings.sockets();
-        let kv = KvClient::new(settings.services.state.to_string());
+        let kv = KvClient::new(settings.services.store.to_string());
         let inner = NodeState {
-            election: Election::new(settings.state_ttl(), settings.read_ttl()),
+            election: Election::new(settings.leader_lease_ttl(), settings.reading_validity()),
             scheduler: None,
             leader_name: None,
             types: None,
