--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -89,7 +89,7 @@
         self.jobs.dependencies.remove(id, &job.depends_on);
         let rows = self.limits.layout.chunks(job.spec.tasks);
         let stored = rows.iter().filter(|row| row.members(&job.durably_done).next().is_some());
-        self.writes.orphaned_bitmaps.extend(stored.map(|row| row.key(id)));
+        self.writes.delete_bitmaps(stored.map(|row| row.key(id)));
         for (index, machine, attempt) in job.places() {
             if let Some(m) = self.machines.known.get_mut(machine) {
                 stop_allocation(m, &(TaskId { job: *id, index }, attempt), 0.0);
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -47,7 +47,7 @@
         stored.machines.into_iter().for_each(|row| self.load_machine(now, row));
         if let Some(kept) = stored.shards.and_then(|v| serde_json::from_value(v).ok()) {
             self.shards.restore(&kept, &self.quota.team_names);
-            self.writes.shards_unsaved = false;
+            self.writes.set_shards_saved();
         }
     }
 
@@ -73,7 +73,7 @@
     fn load_completion_bitmap(&mut self, row: KeyValue) {
         let parsed = completion_bitmap::parse_key(&row.key);
         let Some((job, number)) = parsed.and_then(|(id, number)| Some((self.jobs.live.get_mut(&id)?, number))) else {
-            self.writes.orphaned_bitmaps.push(row.key);
+            self.writes.delete_bitmaps([row.key]);
             return;
         };
         if !self.limits.layout.read(&mut job.durably_done, number, &row.value) {
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -42,19 +42,16 @@
 use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::dependencies::{DependencyGraph, JobTiming};
-use crate::core::election::{LEADER_KEY, LeaderRecord};
+use crate::core::election::LeaderRecord;
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::machine::{
     Allocation, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD, Registration,
-    Resources, TaskAttempt, machine_key,
+    Resources, TaskAttempt,
 };
 use crate::core::placement;
 use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
-use crate::core::records::{
-    JobOutcome, LIVE_PREFIX, LiveRecord, MUTATIONS_PER_TERMINATION, TerminalRecord, live_key, live_precondition,
-    termination_mutations,
-};
-use crate::core::shards::{SHARDS_KEY, ShardAssignment};
+use crate::core::records::{JobOutcome, LIVE_PREFIX, LiveRecord};
+use crate::core::shards::ShardAssignment;
 use crate::core::submissions;
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::{
@@ -64,9 +61,8 @@
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
     Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType,
-    Mutation, Order, Precondition, Priority, ProvisionRequest, TaskPhase, TaskStatus, Transaction,
+    Order, Priority, ProvisionRequest, TaskPhase, TaskStatus,
 };
-use fixedbitset::FixedBitSet;
 use log::{debug, info, warn};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -190,7 +186,7 @@
 
     /// The revision of the leader's key that guards its writes.
     pub fn fence_revision(&self) -> Revision {
-        self.writes.fence_revision
+        self.writes.fence_revision()
     }
 
     /// Whether a worker may be sent to another controller now: answers reach it, and this leader is not
@@ -214,7 +210,7 @@
         let ready: usize = self.jobs.live.values().map(Job::startable_tasks).sum();
         let (jobs, machines) = (self.jobs.live.len(), self.machines.known.len());
         let unreconciled = self.machines.known.values().filter(|m| !m.reconciled).count();
-        let (reservations, orders, writes) = (self.reservations.len(), self.orders.len(), self.writes.in_flight.len());
+        let (reservations, orders, writes) = (self.reservations.len(), self.orders.len(), self.writes.in_flight());
         format!(
             "round={} jobs={jobs} ready={ready} machines={machines} unaccounted={unreconciled} \
              reservations={reservations} orders={orders} writes={writes} lag={} ms in_doubt={}",
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -10,9 +10,9 @@
 use super::planner_view::partition_view;
 use super::*;
 use crate::config::sample_settings;
-use crate::core::records::{BITMAP_PREFIX, TERMINAL_PREFIX, terminal_key};
+use crate::core::records::{BITMAP_PREFIX, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key};
 use crate::ids::{AgentEpoch, LeaseId, SequenceNumber};
-use crate::wire::JobSpec;
+use crate::wire::{JobSpec, Mutation, Transaction};
 use serde_json::json;
 
 struct Rig {
--- /dev/null
+++ b/src/core/scheduler/writes/results.rs
@@ -0,0 +1,100 @@
+//! What the result of a write means for the cluster state, by the purpose of the write.
+
+use super::queue::WritePurpose;
+use crate::core::election::LEADER_KEY;
+use crate::core::machine::Registration;
+use crate::core::records::{JobOutcome, live_key};
+use crate::core::scheduler::{CommitOutcome, Scheduler};
+use crate::ids::{JobId, MachineId, Revision};
+use crate::time::{MonotonicTime, WallTime};
+use fixedbitset::FixedBitSet;
+use log::{debug, info};
+
+impl Scheduler {
+    /// The result of an [`Effect::RefreshFence`](crate::core::scheduler::Effect::RefreshFence): the revision
+    /// that the leader's key has now; none: it isn't known, or the key is no longer this leader's.
+    pub fn on_fence_refreshed(&mut self, now: MonotonicTime, revision: Option<Revision>) {
+        if self.writes.on_fence_refreshed(now, revision) {
+            debug!("fence revision refreshed: revision={}", self.writes.fence_revision());
+        }
+    }
+
+    /// The result of an [`Effect::Commit`](crate::core::scheduler::Effect::Commit). An unknown request is
+    /// ignored.
+    pub fn on_committed(&mut self, now: MonotonicTime, request: u64, result: CommitOutcome) {
+        let Some(purpose) = self.writes.finish(now, request, &result) else { return };
+        self.rounds.needed = true;
+        let committed = result == CommitOutcome::Committed;
+        match purpose {
+            WritePurpose::Machines { register, delete } => self.on_machines_written(register, &delete, &result),
+            WritePurpose::CompletionBitmaps(jobs) => self.on_completion_bitmaps_written(jobs, committed),
+            WritePurpose::Finish(id, at) => self.on_finish_written(&id, at, &result),
+            WritePurpose::Cancel(ids) => self.on_cancellations_written(&ids, &result),
+            WritePurpose::ShardAssignment if committed => {}
+            WritePurpose::ShardAssignment => self.writes.set_shards_unsaved(),
+            WritePurpose::DeleteBitmaps(_) if committed => {}
+            WritePurpose::DeleteBitmaps(keys) => self.writes.delete_bitmaps(keys),
+        }
+    }
+
+    fn on_machines_written(&mut self, register: Vec<MachineId>, delete: &[MachineId], result: &CommitOutcome) {
+        let committed = *result == CommitOutcome::Committed;
+        for id in register {
+            if let Some(machine) = self.machines.known.get_mut(&id) {
+                machine.registration = if committed { Registration::Registered } else { Registration::Unregistered };
+            } else if *result != CommitOutcome::Rejected {
+                // The machine has gone meanwhile, and its record may be stored or may still come to be.
+                self.writes.delete_machine(id);
+            }
+        }
+        if committed {
+            self.writes.machines_deleted(delete);
+        }
+    }
+
+    fn on_completion_bitmaps_written(&mut self, jobs: Vec<(JobId, FixedBitSet)>, committed: bool) {
+        // Workers are told to forget what is durably done now as they list it again.
+        for (id, durably_done) in jobs {
+            let Some(job) = self.jobs.live.get_mut(&id) else { continue };
+            job.bitmap_write_in_flight = false;
+            if committed {
+                job.durably_done = durably_done;
+            }
+        }
+    }
+
+    fn on_finish_written(&mut self, id: &JobId, at: WallTime, result: &CommitOutcome) {
+        match result {
+            CommitOutcome::Committed => {
+                info!("job done: job={id}");
+                self.on_job_terminated(id, JobOutcome::Done(Some(at)));
+            }
+            // The job's key has changed: the job was cancelled, or an earlier try was carried out. The
+            // watch says which; until then no task of it starts, as all are done.
+            CommitOutcome::Conflict(_) if !result.conflicts_on(LEADER_KEY) => {}
+            CommitOutcome::Conflict(_) | CommitOutcome::Rejected | CommitOutcome::Unknown => {
+                if let Some(job) = self.jobs.live.get_mut(id) {
+                    job.finishing = false;
+                }
+            }
+        }
+    }
+
+    fn on_cancellations_written(&mut self, ids: &[JobId], result: &CommitOutcome) {
+        match result {
+            CommitOutcome::Committed => {
+                for id in ids {
+                    info!("job cancelled with a dependency: job={id}");
+                    self.on_job_terminated(id, JobOutcome::Cancelled);
+                }
+            }
+            // These jobs are over already. How they ended isn't known here: the watch says only that they did.
+            CommitOutcome::Conflict(failed) => {
+                for id in ids.iter().filter(|id| failed.contains(&live_key(id))) {
+                    self.on_job_terminated(id, JobOutcome::Unknown);
+                }
+            }
+            CommitOutcome::Rejected | CommitOutcome::Unknown => {}
+        }
+    }
+}
