--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -93,7 +93,7 @@
                 worker.report_at = self.now + REPORT_MS;
                 let heartbeat = worker.next_heartbeat();
                 let answer = self.observe(Input::Heartbeat, |leader| leader.on_heartbeat(now, &heartbeat));
-                if let Some(answer) = answer {
+                if let Ok(answer) = answer {
                     self.workers[at].obey(self.now, answer.token, &answer.orders);
                 }
             }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -8,11 +8,14 @@
 mod effects;
 mod gpu_demand;
 mod gpu_lending;
+mod heartbeats;
 mod job_table;
 mod load;
 mod loading;
 mod machine_table;
 mod machines;
+mod orders;
+mod outstanding_orders;
 mod planner_view;
 mod preemption;
 mod preemption_index;
@@ -20,19 +23,23 @@
 mod reservations;
 mod rounds;
 mod spot_lives;
+mod task_exit;
+mod task_status;
 #[cfg(test)]
 mod tests;
-mod workers;
 mod writes;
 
 use self::catalog::Catalog;
 use self::consolidation::Consolidation;
 pub use self::effects::{CommitOutcome, Effect, OrdersResult, ProvisionOutcome};
 use self::gpu_lending::GpuLending;
+pub use self::heartbeats::{HeartbeatRejection, response_before_load};
 use self::job_table::JobTable;
 use self::load::LoadMeter;
 pub use self::loading::StoredState;
 use self::machine_table::MachineTable;
+use self::orders::stop_allocation;
+use self::outstanding_orders::OutstandingOrders;
 use self::quota::{QuotaTracker, QuotaUsage};
 use self::reservations::Reservations;
 use self::rounds::Rounds;
@@ -45,8 +52,8 @@
 use crate::core::election::{LEADER_KEY, LeaderRecord};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::machine::{
-    Allocation, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD, Registration,
-    Resources, TaskAttempt, machine_key,
+    Allocation, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, Registration, Resources, TaskAttempt,
+    machine_key,
 };
 use crate::core::placement;
 use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
@@ -56,15 +63,15 @@
 };
 use crate::core::shards::{SHARDS_KEY, ShardAssignment};
 use crate::core::submissions;
-use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
+use crate::ids::{Attempt, JobId, MachineId, Revision, TaskId, Term};
 use crate::peer::{
     ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom,
     TypeView, VERSION, Waiting, ZoneCount,
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType,
-    Mutation, Order, Precondition, Priority, ProvisionRequest, TaskPhase, TaskStatus, Transaction,
+    JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType, Mutation, Order, Precondition, Priority,
+    ProvisionRequest, TaskPhase, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use log::{debug, info, warn};
@@ -115,7 +122,7 @@
     load: LoadMeter,
     attempts: u64,
     last_request: u64,
-    orders: HashMap<u64, (MachineId, Vec<TaskAttempt>)>,
+    orders: OutstandingOrders,
     effects: Vec<Effect>,
     /// What this scheduler has worked through since it began.
     cost: CostMeter,
@@ -177,7 +184,7 @@
             load: LoadMeter::new(now),
             attempts: 0,
             last_request: 0,
-            orders: HashMap::new(),
+            orders: OutstandingOrders::default(),
             effects: Vec::new(),
             cost: CostMeter::default(),
             limits,
@@ -265,31 +272,3 @@
         }
     }
 }
-
-/// The answer of a leader that is still reading its cluster state: it can't tell which tasks are cancelled, so
-/// it renews no lease over any. An answer without a token is dropped, but keeps the worker here.
-pub fn response_before_load(term: Term, heartbeat: &Heartbeat) -> HeartbeatResponse {
-    let empty = heartbeat.tasks.iter().all(|l| l.phase == TaskPhase::Exited);
-    let token = if empty { FencingToken::new(term, 0) } else { FencingToken::NONE };
-    HeartbeatResponse { token, orders: Vec::new() }
-}
-
-/// Most orders in one message, which has a limit of 64 KiB.
-const MAX_ORDERS_PER_MESSAGE: usize = 500;
-
-/// Tells a worker to stop a task; the cluster state keeps it until it is proven gone.
-fn stop_allocation(m: &mut Machine, key: &TaskAttempt, leeway: f64) {
-    let Some(s) = m.allocations.get_mut(key) else { return };
-    if s.has_exited() {
-        return;
-    }
-    s.stop = Some(s.stop.map_or(leeway, |l| l.min(leeway)));
-    let run = Order::Run { task: key.0, attempt: key.1 };
-    if let Some(at) = m.outbox.iter().position(|o| *o == run) {
-        // Not sent yet: the order is turned into nothing, and the next heartbeat shows it absent.
-        m.outbox.remove(at);
-        s.pending_run = Some(PendingRun { token: FencingToken(0), answered: true });
-        return;
-    }
-    m.queue_order(Order::Stop { task: key.0, attempt: key.1, leeway_s: leeway });
-}
--- /dev/null
+++ b/src/core/scheduler/orders.rs
@@ -0,0 +1,180 @@
+//! Orders to workers: the outboxes, what is sent and comes of it, and stopping and draining.
+
+use super::Scheduler;
+use super::effects::{Effect, OrdersResult};
+use super::outstanding_orders::{RequestId, SentOrders};
+use crate::core::machine::{Machine, PendingRun, TaskAttempt};
+use crate::ids::{FencingToken, MAX_FENCE, MachineId, TaskId};
+use crate::time::MonotonicTime;
+use crate::wire::{DirectOrders, Kind, Order};
+use log::debug;
+
+/// Orders in one message at most: messages are limited to 64 KiB.
+pub(super) const MAX_ORDERS_PER_MESSAGE: usize = 500;
+
+/// What a task gets beyond the time that it takes to save, in seconds.
+const SAVE_LEEWAY_MARGIN_S: f64 = 0.5;
+
+/// The part of a spot notice in which a task must be expected to end, to be left running.
+const DRAIN_FRACTION: f64 = 0.7;
+
+impl Scheduler {
+    /// The result of the orders that were sent as `request`.
+    pub fn on_orders_result(&mut self, now: MonotonicTime, request: u64, result: OrdersResult) {
+        let Some(SentOrders { machine: id, runs }) = self.orders.take(RequestId(request)) else { return };
+        let Some(machine) = self.machines.known.get_mut(&id) else { return };
+        if machine.in_flight == Some(request) {
+            machine.in_flight = None;
+        }
+        match result {
+            OrdersResult::Executed(heartbeat) => {
+                for key in &runs {
+                    if let Some(run) = machine.allocations.get_mut(key).and_then(|a| a.pending_run.as_mut()) {
+                        run.answered = true;
+                    }
+                }
+                self.apply_heartbeat(now, &id, &heartbeat);
+            }
+            OrdersResult::Rejected(heartbeat) => {
+                // Nothing of it was carried out, nor will it be.
+                self.remove_lost_tasks(&id, runs, false);
+                self.apply_heartbeat(now, &id, &heartbeat);
+            }
+            OrdersResult::Unknown => {
+                // The orders may be carried out at any time within the agent epoch, so the fence
+                // rises: once the worker has stated it in a heartbeat, it refuses them.
+                if machine.fence >= MAX_FENCE {
+                    machine.retiring = true;
+                } else {
+                    machine.fence += 1;
+                }
+                machine.fencing = true;
+                debug!("machine {id}: orders unanswered, fence={}", machine.fence);
+            }
+        }
+        self.flush_machine(&id);
+    }
+
+    /// Stops a task, or the whole gang that it belongs to, leaving it time to save.
+    pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
+        let Some(job) = self.jobs.live.get(&key.0.job) else { return };
+        let leeway_s = if job.saves() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
+        let mut stopped = vec![(id.clone(), *key)];
+        if job.spec.kind == Kind::Gang {
+            stopped = job
+                .places()
+                .map(|(index, machine, attempt)| (machine.clone(), (TaskId { job: key.0.job, index }, attempt)))
+                .collect();
+        }
+        for (id, key) in stopped {
+            if let Some(machine) = self.machines.known.get_mut(&id) {
+                stop_allocation(machine, &key, leeway_s);
+            }
+        }
+    }
+
+    /// Graceful eviction from a machine that the cloud reclaims in `left_s` seconds: services and tasks
+    /// that can't be expected to end in time are stopped, so that they save and start elsewhere.
+    pub(super) fn drain(&mut self, now: MonotonicTime, id: &MachineId, left_s: f64) {
+        let Some(machine) = self.machines.known.get(id) else { return };
+        let evicted: Vec<TaskAttempt> = machine
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| !allocation.has_exited() && allocation.stop.is_none())
+            .filter(|((task, _), allocation)| {
+                let ran_s = allocation.running_since.map(|since| (now - since).as_secs_f64());
+                let task_left_s = ran_s.map_or(f64::INFINITY, |ran_s| allocation.run_s - ran_s);
+                let is_service = self.jobs.live.get(&task.job).is_some_and(|job| job.spec.kind == Kind::Service);
+                is_service || task_left_s > left_s * DRAIN_FRACTION
+            })
+            .map(|(key, _)| *key)
+            .collect();
+        for key in evicted {
+            self.stop_task(id, &key);
+        }
+    }
+
+    /// Sends what is in the outboxes of machines that have no orders under way.
+    pub(super) fn flush_orders(&mut self) {
+        self.cost.add_machines(self.machines.known.len());
+        let has_unsent = |machine: &Machine| !machine.outbox.is_empty() && machine.in_flight.is_none();
+        let ids: Vec<MachineId> =
+            self.machines.known.iter().filter(|(_, machine)| has_unsent(machine)).map(|(id, _)| id.clone()).collect();
+        for id in ids {
+            self.flush_machine(&id);
+        }
+    }
+
+    /// Sends what is in one machine's outbox: a heartbeat, of which there are many, must not cost a pass
+    /// over all machines.
+    pub(super) fn flush_machine(&mut self, id: &MachineId) {
+        let Some(machine) = self.machines.known.get_mut(id) else { return };
+        if machine.outbox.is_empty() || machine.in_flight.is_some() || machine.fencing || !machine.up {
+            return;
+        }
+        if machine.retiring {
+            // It gets no new tasks, but stops are still sent: its termination may take long.
+            let unsent_runs: Vec<TaskAttempt> = runs_in(&machine.outbox);
+            self.remove_lost_tasks(id, unsent_runs, false);
+        }
+        let Some(machine) = self.machines.known.get_mut(id) else { return };
+        // Clears can wait for the next heartbeat.
+        if machine.outbox.iter().all(|order| matches!(order, Order::Clear { .. })) {
+            return;
+        }
+        let orders = take_first_orders(&mut machine.outbox);
+        let token = FencingToken::new(self.term, machine.fence);
+        let runs = runs_in(&orders);
+        for key in &runs {
+            if let Some(allocation) = machine.allocations.get_mut(key) {
+                allocation.pending_run = Some(PendingRun { token, answered: false });
+            }
+        }
+        self.last_request += 1;
+        let request = self.last_request;
+        machine.in_flight = Some(request);
+        self.orders.sent(RequestId(request), SentOrders { machine: id.clone(), runs });
+        let body = DirectOrders { token, agent_epoch: machine.agent_epoch, orders };
+        self.effects.push(Effect::Orders { request, endpoint: machine.endpoint.clone(), body });
+    }
+}
+
+/// The task attempts that these orders start, in the orders' order.
+fn runs_in(orders: &[Order]) -> Vec<TaskAttempt> {
+    let run = |order: &Order| match order {
+        Order::Run { task, attempt } => Some((*task, *attempt)),
+        Order::Stop { .. } | Order::Clear { .. } => None,
+    };
+    orders.iter().filter_map(run).collect()
+}
+
+/// Takes as many orders out of an outbox as one message may carry: what frees capacity goes before what
+/// needs it.
+fn take_first_orders(outbox: &mut Vec<Order>) -> Vec<Order> {
+    let mut orders = std::mem::take(outbox);
+    orders.sort_by_key(|order| match order {
+        Order::Clear { .. } => 0,
+        Order::Stop { .. } => 1,
+        Order::Run { .. } => 2,
+    });
+    *outbox = orders.split_off(orders.len().min(MAX_ORDERS_PER_MESSAGE));
+    orders
+}
+
+/// Orders a worker to stop a task within `leeway_s` seconds; the cluster state keeps the task until it is
+/// proven gone.
+pub(super) fn stop_allocation(machine: &mut Machine, key: &TaskAttempt, leeway_s: f64) {
+    let Some(allocation) = machine.allocations.get_mut(key) else { return };
+    if allocation.has_exited() {
+        return;
+    }
+    allocation.stop = Some(allocation.stop.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
+    let run = Order::Run { task: key.0, attempt: key.1 };
+    if let Some(at) = machine.outbox.iter().position(|order| *order == run) {
+        // Not sent yet: the order is dropped, and the next heartbeat shows the task absent.
+        machine.outbox.remove(at);
+        allocation.pending_run = Some(PendingRun { token: FencingToken(0), answered: true });
+        return;
+    }
+    machine.queue_order(Order::Stop { task: key.0, attempt: key.1, leeway_s });
+}
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -11,8 +11,8 @@
 use super::*;
 use crate::config::sample_settings;
 use crate::core::records::{BITMAP_PREFIX, TERMINAL_PREFIX, terminal_key};
-use crate::ids::{AgentEpoch, LeaseId, SequenceNumber};
-use crate::wire::JobSpec;
+use crate::ids::{AgentEpoch, FencingToken, LeaseId, SequenceNumber};
+use crate::wire::{Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, TaskStatus};
 use serde_json::json;
 
 struct Rig {
@@ -212,7 +212,7 @@
     fn heartbeat(&mut self, name: &str) -> bool {
         let Some(r) = self.workers.get_mut(name) else { return false };
         r.sequence.0 += 1;
-        let answer = self.leader.on_heartbeat(MonotonicTime(self.now), r);
+        let answer = self.leader.on_heartbeat(MonotonicTime(self.now), r).ok();
         if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.deaf.contains(name)) {
             r.token = a.token;
             Rig::execute(r, &a.orders);
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -239,10 +239,11 @@
             worker.step(now, &self.services);
             worker.report_at = now + REPORT_MS;
             let heartbeat = worker.next_heartbeat();
-            let answer = match index % 3 {
+            let response = match index % 3 {
                 0 => self.leader.on_heartbeat_via(MonotonicTime(now), &heartbeat, HeartbeatRoute::via_peer(0)),
                 _ => self.leader.on_heartbeat(MonotonicTime(now), &heartbeat),
             };
+            let answer = response.ok();
             self.digest.answer(answer.as_ref());
             if let Some(answer) = answer {
                 worker.obey(now, answer.token, &answer.orders);
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -97,7 +97,7 @@
     // It arrives at the new leader before any other of its machine: an empty list, which isn't true.
     let mut late = held.clone();
     late.sequence.0 += 1;
-    rig.leader.on_heartbeat(MonotonicTime(rig.now), &late);
+    let _ = rig.leader.on_heartbeat(MonotonicTime(rig.now), &late);
     rig.run(3_000);
     assert_eq!(rig.runs(&id), 2, "nothing is started twice");
     let machine = MachineId::parse(&held.machine).unwrap();
@@ -105,9 +105,9 @@
     // And after newer ones.
     rig.mute.clear();
     rig.run(2_000);
-    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &late).is_none());
+    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &late).is_err());
     let old = Heartbeat { agent_epoch: AgentEpoch(0), sequence: SequenceNumber(900), ..held };
-    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &old).is_none(), "of an earlier session");
+    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &old).is_err(), "of an earlier session");
     rig.run(1_000);
     assert_eq!(rig.runs(&id), 2);
 }
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -62,7 +62,7 @@
     for name in &via_peer {
         let heartbeat = rig.workers.get_mut(name).unwrap();
         heartbeat.sequence.0 += 1;
-        assert!(rig.leader.on_heartbeat_via(MonotonicTime(rig.now), heartbeat, HeartbeatRoute::via_peer(0)).is_some());
+        assert!(rig.leader.on_heartbeat_via(MonotonicTime(rig.now), heartbeat, HeartbeatRoute::via_peer(0)).is_ok());
     }
     rig.mute = via_peer.clone();
     rig.run(9_000);
@@ -118,7 +118,7 @@
     let job = |rig: &Rig| rig.leader.jobs.live[&id].placed.len();
     for _ in 0..10 {
         rig.run(1_000);
-        assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &copy), None);
+        assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &copy), Err(HeartbeatRejection::Superseded));
     }
     assert_eq!(job(&rig), 2, "the lease may still run");
     rig.run(1_500);
@@ -126,7 +126,7 @@
     // After the cluster state has ended the agent epoch, a copy with a later sequence revives nothing either.
     let mut later = copy;
     later.sequence.0 += 100;
-    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &later), None);
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &later), Err(HeartbeatRejection::Superseded));
     assert_eq!(job(&rig), 1);
 }
 
@@ -141,20 +141,20 @@
     let listed =
         TaskStatus { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
     ghost.tasks.push(listed);
-    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(10), &ghost), None);
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(10), &ghost), Err(HeartbeatRejection::NoRecord { tasks: 1 }));
     assert!(rig.leader.jobs.live[&old].placed.is_empty());
     // A copy that reaches a new leader before the machine itself tells nothing of now.
     let mut copy = Rig::fresh(0);
     (copy.sequence, copy.token) = (SequenceNumber(3), FencingToken::new(Term(40), 0));
     rig.workers.remove("w0");
-    rig.leader.on_heartbeat(MonotonicTime(20), &copy);
+    assert!(rig.leader.on_heartbeat(MonotonicTime(20), &copy).is_ok());
     rig.run(5_000);
     assert_eq!(rig.runs(&old), 0, "a copy accounts for nothing");
     // An empty report of a ghost: nothing is ordered there until it has confirmed the token.
-    rig.leader.on_heartbeat(MonotonicTime(rig.now), &Rig::fresh(8));
+    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &Rig::fresh(8)).is_ok());
     ghost = Rig::fresh(8);
     ghost.sequence = SequenceNumber(1);
-    rig.leader.on_heartbeat(MonotonicTime(rig.now), &ghost);
+    assert!(rig.leader.on_heartbeat(MonotonicTime(rig.now), &ghost).is_ok());
     let id = MachineId::parse("m-000008").unwrap();
     rig.run(1_000);
     assert!(!rig.leader.machines.known[&id].usable(MonotonicTime(rig.now), Millis(5_000)));
@@ -206,11 +206,11 @@
         (l.phase, l.cause) = (TaskPhase::Running, None);
     }
     r.sequence.0 += 1;
-    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Ok(2));
     // Also in the answer to a heartbeat that other news has overtaken.
     r.sequence.0 += 5;
     rig.leader.machines.known.values_mut().for_each(|m| m.sequence = SequenceNumber(r.sequence.0 + 1));
-    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Some(2));
+    assert_eq!(rig.leader.on_heartbeat(MonotonicTime(rig.now), r).as_ref().map(stops), Ok(2));
 }
 
 #[test]
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -201,7 +201,7 @@
     /// What the leader answers to a heartbeat, if the answer can reach the worker.
     pub(super) fn answer(&mut self, worker: usize, sent: u64, heartbeat: &Heartbeat) -> Option<Mail> {
         let leader = self.leader.as_mut()?;
-        let answer = leader.on_heartbeat(MonotonicTime(self.now), heartbeat);
+        let answer = leader.on_heartbeat(MonotonicTime(self.now), heartbeat).ok();
         self.digest.answer(answer.as_ref());
         let answer = answer?;
         let w = &self.workers[worker];
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -79,7 +79,7 @@
     leader_loop::step(node, InputKind::Heartbeats, |leader| {
         let decide_one = |(heartbeat, moved): (&Heartbeat, Option<String>)| match moved {
             Some(peer) => redirect(Some(&peer)),
-            None => decided(leader.on_heartbeat_via(now, heartbeat, route)),
+            None => decided(leader.on_heartbeat_via(now, heartbeat, route).ok()),
         };
         heartbeats.iter().zip(moves).map(decide_one).collect()
     })
