--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -14,8 +14,10 @@
 use crate::core::records::{
     BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
 };
-use crate::ids::{AgentEpoch, LeaseId, SequenceNumber};
-use crate::wire::{JobSpec, KeyValue, Mutation, Transaction};
+use crate::ids::{AgentEpoch, FencingToken, LeaseId, SequenceNumber};
+use crate::wire::{
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Mutation, TaskStatus, Transaction,
+};
 use serde_json::{Value, json};
 
 struct Rig {
@@ -215,7 +217,7 @@
     fn heartbeat(&mut self, name: &str) -> bool {
         let Some(r) = self.workers.get_mut(name) else { return false };
         r.sequence.0 += 1;
-        let answer = self.leader.on_heartbeat(MonotonicTime(self.now), r);
+        let answer = self.leader.on_heartbeat(MonotonicTime(self.now), r).ok();
         if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.deaf.contains(name)) {
             r.token = a.token;
             Rig::execute(r, &a.orders);
