--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -13,6 +13,8 @@
 mod loading;
 mod machine_table;
 mod machines;
+mod placement_checks;
+mod plan_commit;
 mod planner_view;
 mod preemption;
 mod preemption_index;
@@ -20,6 +22,7 @@
 mod reservations;
 mod rounds;
 mod spot_lives;
+mod starts;
 #[cfg(test)]
 mod tests;
 mod workers;
@@ -33,12 +36,12 @@
 use self::load::LoadMeter;
 pub use self::loading::StoredState;
 use self::machine_table::MachineTable;
-use self::quota::{QuotaTracker, QuotaUsage};
+use self::quota::QuotaTracker;
 use self::reservations::Reservations;
 use self::rounds::Rounds;
 use self::spot_lives::SpotLives;
 use self::writes::WriteQueue;
-use crate::config::{JobAges, Settings, Team, Tuning, next_slo_deadline};
+use crate::config::{JobAges, Settings, Tuning, next_slo_deadline};
 use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::dependencies::{DependencyGraph, JobTiming};
@@ -58,8 +61,8 @@
 use crate::core::submissions;
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom,
-    TypeView, VERSION, Waiting, ZoneCount,
+    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TypeView,
+    VERSION, Waiting, ZoneCount,
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
@@ -70,7 +73,6 @@
 use log::{debug, info, warn};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use std::sync::Arc;
 
 /// What the leader takes of the state service's rate of changes.
 const SCHEDULER_WRITE_SHARE: f64 = 0.6;
@@ -154,9 +156,8 @@
             layout: BitmapLayout::new(&c.state),
             list_lag: Millis::from_secs_f64(c.cloud.list_lag_s),
         };
-        let team_names: Vec<String> = c.teams.iter().map(|t| t.name.clone()).collect();
         let peers = settings.peers.iter().map(|p| p.name.clone());
-        let shards = ShardAssignment::new(&settings.name, peers, team_names.len() as u32, now);
+        let shards = ShardAssignment::new(&settings.name, peers, c.teams.len() as u32, now);
         Scheduler {
             spot_lives: SpotLives::new(tuning.spot_median_s, tuning.spot_sigma),
             in_doubt: false,
@@ -165,7 +166,7 @@
             catalog: Catalog::new(types, zones),
             jobs: JobTable::new(now),
             machines: MachineTable::new(now),
-            quota: QuotaTracker::new(team_names),
+            quota: QuotaTracker::new(&settings.cluster.teams),
             writes: WriteQueue::new(term, limits.write_rps, now),
             rounds: Rounds::new(now),
             reservations: Reservations::default(),
--- /dev/null
+++ b/src/core/scheduler/placement_checks.rs
@@ -0,0 +1,69 @@
+//! The leader's own checks of a placement, whoever planned it.
+
+use super::Scheduler;
+use super::planner_view::zone_counts;
+use crate::core::jobs::Job;
+use crate::core::machine::{Machine, Resources};
+use crate::core::provisioning::InstancePool;
+use crate::core::{placement, submissions};
+use crate::ids::{JobId, MachineId};
+use crate::time::MonotonicTime;
+use crate::wire::JobSpec;
+use std::collections::BTreeSet;
+
+impl Scheduler {
+    /// Whether a task of the job may start on the machine now: the leader isn't in doubt, the job waits for
+    /// nothing, the machine is usable, has the capacity and is permitted, and the team's limit lets `tasks`
+    /// tasks start.
+    pub(super) fn may_place(&mut self, now: MonotonicTime, job_id: &JobId, machine_id: &MachineId, tasks: f64) -> bool {
+        let (Some(job), Some(machine)) = (self.jobs.live.get(job_id), self.machines.known.get(machine_id)) else {
+            return false;
+        };
+        let spec = &job.spec;
+        let need = Resources::of_task(spec);
+        let free = self.unreserved_capacity(machine_id, machine, Some(job_id));
+        let placed = zone_counts(job, &self.machines.known);
+        let team = job.team;
+        !self.in_doubt
+            && !job.is_waiting()
+            && machine.usable(now, self.heartbeat_timeout())
+            && !self.held_back(job)
+            && free.covers(&need)
+            && self.permits(spec, machine)
+            && placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &placed, machine.zone)
+            && self.fits_quota(team, &need, tasks)
+    }
+
+    /// Whether the team's limit lets so many more tasks of this need start.
+    pub(super) fn fits_quota(&mut self, team: u32, need: &Resources, tasks: f64) -> bool {
+        self.quota.fits(team, need, tasks, &self.machines.known, &self.catalog.types)
+    }
+
+    /// A job from before this leader may have tasks on machines that aren't reconciled: nothing
+    /// of it starts, whoever has planned it, until all those that could hold its tasks are.
+    pub(super) fn held_back(&self, job: &Job) -> bool {
+        let from_before = job.revision.0 <= self.term.0;
+        from_before && self.machines.unreconciled.iter().any(|pool| self.permits_pool(&job.spec, *pool))
+    }
+
+    /// Whether a job permits a machine's type, zone and kind, whatever is on it.
+    pub(super) fn permits(&self, spec: &JobSpec, machine: &Machine) -> bool {
+        self.permits_pool(spec, machine.pool())
+    }
+
+    fn permits_pool(&self, spec: &JobSpec, pool: InstancePool) -> bool {
+        submissions::type_allows(spec, &self.catalog.types[pool.kind])
+            && spec.zone.as_ref().is_none_or(|zone| *zone == self.catalog.zones[pool.zone as usize])
+            && (spec.spot || !pool.spot)
+    }
+
+    /// The instance pools whose machines a job permits.
+    pub(super) fn permitted_pools(&self, spec: &JobSpec) -> BTreeSet<InstancePool> {
+        let kinds = 0..self.catalog.types.len();
+        let zones = 0..self.catalog.zones.len() as u32;
+        let pools = kinds.flat_map(|kind| {
+            zones.clone().flat_map(move |zone| [false, true].map(|spot| InstancePool { kind, zone, spot }))
+        });
+        pools.filter(|pool| self.permits_pool(spec, *pool)).collect()
+    }
+}
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -12,8 +12,6 @@
 const MIN_REMAINING_BOOT_S: f64 = 3.0;
 /// Work that is not urgent causes rentals only if the fleet needs longer than this for all that waits.
 const SCALE_OUT_BACKLOG_S: f64 = 8.0;
-/// Stands for "no limit" in messages.
-const UNLIMITED: f64 = 1e12;
 /// Most machines that one offer stands for.
 const MAX_INSTANCES_PER_OFFER: u32 = 50;
 
@@ -53,7 +51,6 @@
     now: MonotonicTime,
     wall: WallTime,
     waiting: &'a BTreeSet<JobId>,
-    guaranteed: &'a BTreeSet<JobId>,
     /// The keys of the view's machines.
     keys: &'a HashMap<&'a MachineId, u32>,
     /// Seconds that the fleet needs for all that waits.
@@ -72,7 +69,7 @@
     pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
         self.cost.add_jobs(self.jobs.live.len());
         self.cost.add_machines(self.machines.known.len());
-        self.quota.usage = None;
+        self.quota.invalidate_usage();
         self.update_unreconciled();
         let waits = |j: &Job| j.startable_tasks() > 0 && j.pause_until <= now && !j.finishing && !self.held_back(j);
         let waiting: BTreeSet<JobId> = self.jobs.live.iter().filter(|(_, j)| waits(j)).map(|(id, _)| *id).collect();
@@ -80,18 +77,11 @@
         let mut machines = self.machine_views(now, self.smallest_demand(&waiting));
         self.add_requested(&mut machines);
         let offers = self.offers(now);
-        let guaranteed = self.guaranteed();
-        let teams = self.team_headrooms();
+        self.quota.update_guaranteed_jobs(&self.jobs.live);
+        let teams = self.quota.headrooms(&self.machines.known, &self.catalog.types);
         let named = machines.ids.iter().enumerate().filter_map(|(key, id)| Some((id.as_ref()?, key as u32)));
         let keys: HashMap<&MachineId, u32> = named.collect();
-        let context = JobContext {
-            now,
-            wall,
-            waiting: &waiting,
-            guaranteed: &guaranteed,
-            keys: &keys,
-            drain_s: self.drain_s(machines.cpus_up),
-        };
+        let context = JobContext { now, wall, waiting: &waiting, keys: &keys, drain_s: self.drain_s(machines.cpus_up) };
         let (job_views, jobs) = self.job_views(&context);
         // Batches widen with the load.
         let wanted: u32 = job_views.iter().map(|j| j.ready).sum();
@@ -110,7 +100,6 @@
             spot_mu: self.spot_lives.mu,
             spot_sigma: self.spot_lives.sigma,
         };
-        self.quota.within_guarantee = guaranteed;
         PlannerView { input, jobs, machines: machines.ids }
     }
 
@@ -213,21 +202,6 @@
         }
     }
 
-    /// What each team may still use.
-    fn team_headrooms(&mut self) -> Vec<TeamHeadroom> {
-        self.quota_usage();
-        let Some(usage) = &self.quota.usage else { return Vec::new() };
-        let left = |most: f64, used: f64, unreconciled: f64| {
-            if most > 0.0 { (most - used - unreconciled).max(0.0) } else { UNLIMITED }
-        };
-        let team = |(i, (t, used)): (usize, (&Team, &Resources))| TeamHeadroom {
-            team: i as u32,
-            cpus: left(t.cpus_max, used.cpus, usage.unreconciled.cpus),
-            gpus: left(t.gpus_max, used.gpus, usage.unreconciled.gpus),
-        };
-        self.settings.cluster.teams.iter().zip(&usage.teams).enumerate().map(team).collect()
-    }
-
     /// Seconds that so many processors need for all that waits.
     fn drain_s(&self, cpus_up: f64) -> f64 {
         let work = |j: &Job| {
@@ -281,7 +255,7 @@
     fn job_view(&self, context: &JobContext, id: &JobId, job: &Job) -> JobView {
         let spec = &job.spec;
         let service = spec.kind == Kind::Service;
-        let guaranteed = context.guaranteed.contains(id);
+        let guaranteed = self.quota.is_within_guarantee(id);
         let ages = job_ages(context.wall, job);
         let age_s = ages.startable_s;
         let run_s = match service {
@@ -361,32 +335,6 @@
         }
         offers
     }
-
-    /// Jobs that fit into their team's guarantee together with the team's earlier ones.
-    fn guaranteed(&self) -> BTreeSet<JobId> {
-        let mut by_team: BTreeMap<u32, Vec<(&JobId, &Job)>> = BTreeMap::new();
-        for (id, j) in self.jobs.live.iter().filter(|(_, j)| !j.is_waiting()) {
-            by_team.entry(j.team).or_default().push((id, j));
-        }
-        let mut set = BTreeSet::new();
-        for (team, mut jobs) in by_team {
-            let Some(t) = self.settings.cluster.teams.get(team as usize) else { continue };
-            if t.cpus <= 0.0 && t.gpus <= 0.0 {
-                continue;
-            }
-            jobs.sort_by_key(|(id, j)| (j.startable_at, *(*id)));
-            let (mut cpus, mut gpus) = (0.0, 0.0);
-            for (id, j) in jobs {
-                let n = f64::from(j.spec.tasks);
-                cpus += n * j.spec.cpus;
-                gpus += n * j.spec.gpus;
-                if cpus <= t.cpus + 1e-9 && gpus <= t.gpus + 1e-9 {
-                    set.insert(*id);
-                }
-            }
-        }
-        set
-    }
 }
 
 /// The keys of the machines on which a job's tasks have failed lately.
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -436,10 +436,10 @@
         now: MonotonicTime,
         target: PlacementTarget,
     ) -> Vec<(&'a TaskAttempt, &'a Allocation)> {
-        let guaranteed = self.quota.within_guarantee.contains(id);
+        let guaranteed = self.quota.is_within_guarantee(id);
         let may_be_stopped = |(key, allocation): &(&TaskAttempt, &Allocation)| {
             // A team's guarantee goes before what other teams run beyond theirs.
-            let beyond = allocation.team != Some(j.team) && !self.quota.within_guarantee.contains(&key.0.job);
+            let beyond = allocation.team != Some(j.team) && !self.quota.is_within_guarantee(&key.0.job);
             let lower =
                 allocation.priority > j.priority() || guaranteed && allocation.priority == j.priority() && beyond;
             // Stopping one task of a gang stops it whole: too dear for an image.
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -211,7 +211,7 @@
             // What is already told to stop will be free soon, for anyone.
             let first_served = if allocation.stop.is_some() { PRIORITIES } else { priority };
             reclaimable[..first_served].iter_mut().for_each(|room| room.add(&allocation.need));
-            if allocation.stop.is_none() && !self.quota.within_guarantee.contains(&key.0.job) {
+            if allocation.stop.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
                 over_guarantee[priority].add(&allocation.need);
             }
         }
@@ -220,9 +220,6 @@
 
     /// How urgent a job's work is that seeks room.
     pub(super) fn urgency(&self, id: &JobId, j: &Job) -> Urgency {
-        Urgency {
-            priority: priority_number(j.priority()) as usize,
-            guaranteed: self.quota.within_guarantee.contains(id),
-        }
+        Urgency { priority: priority_number(j.priority()) as usize, guaranteed: self.quota.is_within_guarantee(id) }
     }
 }
--- /dev/null
+++ b/src/core/scheduler/quota/tests.rs
@@ -0,0 +1,155 @@
+use super::*;
+use crate::core::machine::Allocation;
+use crate::core::records::LiveRecord;
+use crate::ids::{Attempt, Revision, TaskId, Term};
+use crate::time::{MonotonicTime, WallTime};
+use crate::wire::{JobSpec, Kind, Priority, TaskPhase};
+
+const LIMITED: u32 = 0;
+const UNBOUNDED: u32 = 1;
+
+fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
+    Team { name: name.into(), cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 }
+}
+
+fn tracker() -> QuotaTracker {
+    QuotaTracker::new(&[team("limited", 8.0, 16.0), team("unbounded", 0.0, 0.0)])
+}
+
+fn types() -> Vec<MachineType> {
+    vec![MachineType {
+        name: "plain".into(),
+        cpus: 8.0,
+        gpus: 0.0,
+        memory_gb: 64.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.4,
+        boot_s: 10.0,
+        zones: vec!["a".into()],
+    }]
+}
+
+fn cpus(cpus: f64) -> Resources {
+    Resources { cpus, gpus: 0.0, memory_gb: 1.0 }
+}
+
+fn job_id(number: u32) -> JobId {
+    JobId::parse(&format!("req-{number:06}")).unwrap()
+}
+
+fn allocation(team: Option<u32>, phase: TaskPhase) -> Allocation {
+    Allocation {
+        need: cpus(4.0),
+        team,
+        priority: Priority::Normal,
+        phase: Some(phase),
+        pending_run: None,
+        last_listed: 0,
+        placed_at: MonotonicTime(0),
+        running_since: None,
+        fully_observed: true,
+        stop: None,
+        image: 0,
+        fetch_s: 0.0,
+        run_s: 1.0,
+    }
+}
+
+/// One machine with these allocations, each of a job of its own.
+fn fleet(allocations: Vec<Allocation>) -> BTreeMap<MachineId, Machine> {
+    let mut machine = Machine::new("w0".into(), 0, 0, false, MonotonicTime(0));
+    for (number, allocation) in allocations.into_iter().enumerate() {
+        let task = TaskId { job: job_id(number as u32), index: 0 };
+        machine.allocations.insert((task, Attempt::new(Term(100), number as u64)), allocation);
+    }
+    BTreeMap::from([(MachineId::parse("m-1").unwrap(), machine)])
+}
+
+fn job(team: u32, tasks: u32, submitted: u64) -> Job {
+    let spec = JobSpec {
+        id: "req-000001".into(),
+        class: "any".into(),
+        team: "limited".into(),
+        kind: Kind::Array,
+        priority: Priority::Normal,
+        tasks,
+        cpus: 1.0,
+        gpus: 0.0,
+        memory_gb: 1.0,
+        image: "img".into(),
+        image_gb: 1.0,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: false,
+        estimate_s: 20.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+    };
+    Job::new(LiveRecord { at: WallTime(submitted), spec, depends_on: Vec::new() }, Revision(1), team)
+}
+
+#[test]
+fn fits_counts_what_is_possibly_on_machines_against_the_limit() {
+    let fleet = fleet(vec![
+        allocation(Some(LIMITED), TaskPhase::Running),
+        allocation(Some(LIMITED), TaskPhase::Exited),
+        allocation(Some(UNBOUNDED), TaskPhase::Running),
+    ]);
+    let mut quota = tracker();
+    assert!(quota.fits(LIMITED, &cpus(4.0), 3.0, &fleet, &types()), "4 used and 12 more are the limit of 16");
+    assert!(!quota.fits(LIMITED, &cpus(4.0), 4.0, &fleet, &types()));
+    assert!(quota.fits(UNBOUNDED, &cpus(4.0), 1_000.0, &fleet, &types()), "no limit is set");
+    assert!(!quota.fits(2, &cpus(1.0), 1.0, &fleet, &types()), "an unknown team starts nothing");
+}
+
+#[test]
+fn an_unreconciled_machine_counts_whole_against_every_limit() {
+    for unreconciled in [true, false] {
+        let stray = if unreconciled { None } else { Some(UNBOUNDED) };
+        let mut fleet = fleet(vec![allocation(stray, TaskPhase::Running)]);
+        let mut quota = tracker();
+        assert_eq!(quota.fits(LIMITED, &cpus(16.0), 1.0, &fleet, &types()), !unreconciled);
+        fleet.values_mut().for_each(|machine| machine.reconciled = false);
+        quota.invalidate_usage();
+        assert!(!quota.fits(LIMITED, &cpus(9.0), 1.0, &fleet, &types()));
+        assert!(quota.fits(LIMITED, &cpus(8.0), 1.0, &fleet, &types()));
+    }
+}
+
+#[test]
+fn starts_count_at_once_and_other_changes_after_an_invalidation() {
+    let mut quota = tracker();
+    let empty = fleet(Vec::new());
+    assert!(quota.fits(LIMITED, &cpus(16.0), 1.0, &empty, &types()));
+    quota.record_start(LIMITED, &cpus(4.0));
+    assert!(!quota.fits(LIMITED, &cpus(13.0), 1.0, &empty, &types()));
+    let headrooms = quota.headrooms(&empty, &types());
+    assert_eq!((headrooms[0].cpus, headrooms[0].gpus), (12.0, UNLIMITED));
+    assert_eq!((headrooms[1].cpus, headrooms[1].gpus), (UNLIMITED, UNLIMITED));
+    quota.invalidate_usage();
+    assert_eq!(quota.headrooms(&empty, &types())[0].cpus, 16.0, "counted anew from the machines");
+}
+
+#[test]
+fn a_guarantee_covers_the_earliest_jobs_that_fit_together() {
+    let mut quota = tracker();
+    let mut waiting = job(LIMITED, 8, 0);
+    waiting.depends_on.insert(job_id(9));
+    let jobs = BTreeMap::from([
+        (job_id(1), job(LIMITED, 5, 300)),
+        (job_id(2), job(LIMITED, 6, 100)),
+        (job_id(3), job(LIMITED, 2, 200)),
+        (job_id(4), waiting),
+        (job_id(5), job(UNBOUNDED, 1, 0)),
+    ]);
+    quota.update_guaranteed_jobs(&jobs);
+    let guaranteed: Vec<JobId> = jobs.keys().filter(|id| quota.is_within_guarantee(id)).copied().collect();
+    assert_eq!(guaranteed, [job_id(2), job_id(3)], "8 of 8; the third is beyond, and no guarantee is set for the last");
+    quota.update_guaranteed_jobs(&BTreeMap::new());
+    assert!(!quota.is_within_guarantee(&job_id(2)), "only the jobs of the last round");
+}
