--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -1,19 +1,26 @@
-//! Jobs that await others: when they may start, when they are cancelled with one that they need, and what
-//! they hand on to the jobs before them.
+//! Jobs that depend on others: when they may start, when they are cancelled with one that they need, and what
+//! the jobs before them inherit.
 
-use super::planner_view::elapsed_s;
-use super::*;
+use super::Scheduler;
+use super::ages::job_ages;
+use super::effects::Effect;
+use crate::core::dependencies::JobTiming;
+use crate::core::records::JobOutcome;
+use crate::core::submissions;
+use crate::ids::{JobId, TaskId};
+use crate::time::{Millis, MonotonicTime, WallTime};
+use crate::wire::JobSpec;
 
-/// Most jobs that the state service is asked about at once.
+/// Most jobs that the key-value store is asked about at once.
 const MAX_LOOKUPS: usize = 16;
-/// Jobs whose ending is still not known are asked about again after this long.
+/// Jobs whose outcome is still not known are asked about again after this long.
 const LOOKUP_RETRY_INTERVAL: Millis = Millis(500);
 
 impl Scheduler {
-    /// What the end of a job means to those that await it.
+    /// What the end of a job means to its dependents.
     pub(super) fn settle_dependents(&mut self, id: &JobId, outcome: JobOutcome) {
-        for successor in self.jobs.dependencies.ended(id, outcome) {
-            let Some(job) = self.jobs.live.get_mut(&successor) else { continue };
+        for dependent in self.jobs.dependencies.ended(id, outcome) {
+            let Some(job) = self.jobs.live.get_mut(&dependent) else { continue };
             job.depends_on.remove(id);
             if let JobOutcome::Done(Some(at)) = outcome {
                 job.startable_at = job.startable_at.max(at);
@@ -22,7 +29,7 @@
         }
     }
 
-    /// Has the state service asked how awaited jobs have ended.
+    /// Has the key-value store asked how dependencies have ended.
     pub(super) fn look_up_dependencies(&mut self, now: MonotonicTime) {
         if self.jobs.lookup_in_flight || now < self.jobs.next_lookup_at {
             return;
@@ -34,7 +41,7 @@
         }
     }
 
-    /// What the state service holds of jobs that were to be looked up; those that aren't over are left out.
+    /// What the key-value store holds of jobs that were to be looked up; those that haven't ended are left out.
     pub fn on_looked_up(&mut self, now: MonotonicTime, outcomes: &[(JobId, JobOutcome)]) {
         self.jobs.lookup_in_flight = false;
         if outcomes.is_empty() {
@@ -86,9 +93,3 @@
         if sum > 0.0 { sum / count } else { 1.0 }
     }
 }
-
-/// How old a job is, for its deadline and for its other aims, which count from when it could start.
-pub(super) fn job_ages(wall: WallTime, job: &Job) -> JobAges {
-    let startable_s = if job.is_waiting() { 0.0 } else { elapsed_s(wall, job.startable_at) };
-    JobAges { submitted_s: elapsed_s(wall, job.submitted), startable_s }
-}
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -2,10 +2,13 @@
 //! to send to workers, cloud and state service. A state machine: the edges feed it inputs and
 //! carry out the actions it leaves behind.
 
+mod ages;
 mod catalog;
 mod consolidation;
 mod dependencies;
 mod effects;
+mod eviction;
+mod gang_reservations;
 mod gpu_demand;
 mod gpu_lending;
 mod job_table;
@@ -41,10 +44,10 @@
 use self::rounds::Rounds;
 use self::spot_lives::SpotLives;
 use self::writes::WriteQueue;
-use crate::config::{JobAges, Settings, Tuning, next_slo_deadline};
+use crate::config::{Settings, Tuning, next_slo_deadline};
 use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
-use crate::core::dependencies::{DependencyGraph, JobTiming};
+use crate::core::dependencies::DependencyGraph;
 use crate::core::election::{LEADER_KEY, LeaderRecord};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::machine::{
@@ -61,8 +64,7 @@
 use crate::core::submissions;
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
 use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TypeView,
-    VERSION, Waiting, ZoneCount,
+    ImageView, JobCount, JobView, MachineView, PlanInput, ProvisionOffer, ScaleOutRequest, TypeView, VERSION, ZoneCount,
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
@@ -107,8 +109,6 @@
     rounds: Rounds,
     gpus: GpuLending,
     reservations: Reservations,
-    /// The last job whose reservations were tried: the next ones have their turn.
-    reservations_tried_to: Option<JobId>,
     consolidation: Consolidation,
     provisioner: Provisioner,
     provision_requests: u64,
@@ -170,7 +170,6 @@
             writes: WriteQueue::new(term, limits.write_rps, now),
             rounds: Rounds::new(now),
             reservations: Reservations::default(),
-            reservations_tried_to: None,
             consolidation: Consolidation::new(now),
             provisioner: Provisioner::default(),
             provision_requests: 0,
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -1,8 +1,8 @@
 //! Checks a plan against the cluster state and commits what still holds.
 
 use super::Scheduler;
+use super::eviction::PlacementTarget;
 use super::planner_view::{PlannedJob, PlannerView};
-use super::preemption::{PlacementTarget, PreemptionRequest};
 use super::preemption_index::PreemptionSearch;
 use super::starts::GangPart;
 use crate::ids::{JobId, MachineId};
@@ -79,13 +79,7 @@
         if search.budget.is_spent() || !self.starts_late(now, &planned.job.id, planned.machine, planned.view) {
             return 0;
         }
-        let request = PreemptionRequest {
-            job: planned.job.id,
-            target: PlacementTarget::ImageHolders,
-            tasks: planned.tasks,
-            zone: None,
-        };
-        self.preempt_tasks(now, search, &request)
+        self.preempt_in_permitted_pools(now, search, &planned.job.id, PlacementTarget::ImageHolders, planned.tasks)
     }
 
     /// Starts so many of a job's ready tasks on the planned machine, as far as it may take them.
@@ -104,7 +98,7 @@
             let (Some(job), Some(machine)) = (self.jobs.live.get(id), self.machines.known.get(planned.machine)) else {
                 break;
             };
-            if !self.preserves_gpu_headroom(job, planned.machine, machine)
+            if !self.gpus.preserves_headroom(job, planned.machine, machine, &self.catalog.types[machine.kind])
                 || !self.may_place(now, id, planned.machine, 1.0)
             {
                 break;
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -1,7 +1,7 @@
 //! What planners are told of a round: the machines with room, the jobs that wait and what may be rented, and
 //! how this is dealt out among several planners.
 
-use super::dependencies::job_ages;
+use super::ages::job_ages;
 use super::*;
 
 /// Planners are told the ages of machines in steps of this.
@@ -153,8 +153,9 @@
     }
 
     fn machine_view(&self, now: MonotonicTime, id: &MachineId, m: &Machine, free: &Resources) -> MachineView {
-        let urgent_headroom = self.urgent_headroom(m);
-        let rest = self.preemptible_headroom(m, !m.up || self.gpus.lendable.contains(id));
+        let machine_type = &self.catalog.types[m.kind];
+        let urgent_headroom = self.gpus.urgent_headroom(m, machine_type);
+        let rest = self.gpus.preemptible_headroom(m, machine_type, !m.up || self.gpus.is_lendable(id));
         let age_s = (now - m.since).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
@@ -400,10 +401,6 @@
     }
 }
 
-pub(super) fn elapsed_s(now: WallTime, then: WallTime) -> f64 {
-    now.0.saturating_sub(then.0) as f64 / 1000.0
-}
-
 /// How many of a job's tasks are possibly in each zone.
 pub(super) fn zone_counts(j: &Job, machines: &BTreeMap<MachineId, Machine>) -> Vec<ZoneCount> {
     if !j.spec.spread && !j.spec.one_zone {
--- a/src/core/scheduler/starts.rs
+++ b/src/core/scheduler/starts.rs
@@ -28,15 +28,15 @@
         self.catalog.images.get(&spec.image).copied().unwrap_or(UNKNOWN_IMAGE)
     }
 
-    /// Seconds that a machine which doesn't have a job's image needs to fetch it.
-    pub(super) fn full_fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
-        spec.image_gb / self.catalog.types[machine.kind].fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+    /// The rate at which a machine fetches images, in GB per second.
+    pub(super) fn fetch_rate(&self, machine: &Machine) -> f64 {
+        self.catalog.types[machine.kind].fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
 
     /// Seconds until a machine can have a job's image.
     pub(super) fn image_fetch_s(&self, now: MonotonicTime, spec: &JobSpec, machine: &Machine) -> f64 {
         let remaining_s = machine.image_ready_in_s(self.image_number(spec), now);
-        remaining_s.unwrap_or_else(|| self.full_fetch_s(spec, machine))
+        remaining_s.unwrap_or_else(|| spec.image_gb / self.fetch_rate(machine))
     }
 
     /// Starts a gang on these machines, or nothing of it if one of them can't take its part any more.
