--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -1,7 +1,6 @@
 //! What jobs inherit from the jobs that depend on them: priorities, deadlines and ranks.
 
 use super::Scheduler;
-use crate::config::JobAges;
 use crate::core::dependencies::JobTiming;
 use crate::core::jobs::Job;
 use crate::core::submissions;
@@ -46,8 +45,3 @@
         if sum > 0.0 { sum / count } else { 1.0 }
     }
 }
-
-/// The older path of [`Job::ages`].
-pub(super) fn job_ages(wall: WallTime, job: &Job) -> JobAges {
-    job.ages(wall)
-}
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -2,10 +2,13 @@
 //! to send to workers, cloud and state service. A state machine: the edges feed it inputs and
 //! carry out the actions it leaves behind.
 
+mod ages;
 mod catalog;
 mod consolidation;
 mod dependencies;
 mod effects;
+mod eviction;
+mod gang_reservations;
 mod gpu_demand;
 mod gpu_lending;
 mod heartbeats;
@@ -17,6 +20,8 @@
 mod machines;
 mod orders;
 mod outstanding_orders;
+mod placement_checks;
+mod plan_commit;
 mod planner_view;
 mod preemption;
 mod preemption_index;
@@ -24,6 +29,7 @@
 mod reservations;
 mod rounds;
 mod spot_lives;
+mod starts;
 mod task_exit;
 mod task_status;
 #[cfg(test)]
@@ -41,31 +47,28 @@
 use self::machine_table::MachineTable;
 use self::orders::stop_allocation;
 use self::outstanding_orders::OutstandingOrders;
-use self::quota::{QuotaTracker, QuotaUsage};
+use self::quota::QuotaTracker;
 use self::reservations::Reservations;
 use self::rounds::Rounds;
 use self::spot_lives::SpotLives;
 use self::writes::WriteQueue;
-use crate::config::{Settings, Team, Tuning, next_slo_deadline};
+use crate::config::{Settings, Tuning, next_slo_deadline};
 use crate::core::completion_bitmap::BitmapLayout;
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::election::LeaderRecord;
-use crate::core::jobs::{GangRun, Job, priority_number};
+use crate::core::jobs::{Job, priority_number};
 use crate::core::machine::{Allocation, HeartbeatRoute, Machine, Registration, Resources, TaskAttempt};
 use crate::core::placement;
 use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
 use crate::core::shards::ShardAssignment;
-use crate::core::submissions;
-use crate::ids::{Attempt, JobId, MachineId, Revision, TaskId, Term};
+use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom,
-    TypeView, VERSION, Waiting, ZoneCount,
+    ImageView, JobCount, JobView, MachineView, PlanInput, ProvisionOffer, ScaleOutRequest, TypeView, VERSION, ZoneCount,
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
-use crate::wire::{JobSpec, Kind, ListPhase, ListedMachine, MachineType, Order, Priority, ProvisionRequest, TaskPhase};
-use log::{debug, info, warn};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use std::sync::Arc;
+use crate::wire::{JobSpec, Kind, ListPhase, ListedMachine, MachineType, Priority, ProvisionRequest, TaskPhase};
+use log::{info, warn};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What the leader takes of the state service's rate of changes.
 const SCHEDULER_WRITE_SHARE: f64 = 0.6;
@@ -100,8 +103,6 @@
     rounds: Rounds,
     gpus: GpuLending,
     reservations: Reservations,
-    /// The last job whose reservations were tried: the next ones have their turn.
-    reservations_tried_to: Option<JobId>,
     consolidation: Consolidation,
     provisioner: Provisioner,
     provision_requests: u64,
@@ -149,9 +150,8 @@
             layout: BitmapLayout::new(&c.store),
             list_lag: Millis::from_secs_f64(c.cloud.list_lag_s),
         };
-        let team_names: Vec<String> = c.teams.iter().map(|t| t.name.clone()).collect();
         let peers = settings.peers.iter().map(|p| p.name.clone());
-        let shards = ShardAssignment::new(&settings.name, peers, team_names.len() as u32, now);
+        let shards = ShardAssignment::new(&settings.name, peers, c.teams.len() as u32, now);
         Scheduler {
             spot_lives: SpotLives::new(tuning.spot_median_s, tuning.spot_sigma),
             in_doubt: false,
@@ -160,11 +160,10 @@
             catalog: Catalog::new(types, zones),
             jobs: JobTable::new(now),
             machines: MachineTable::new(now),
-            quota: QuotaTracker::new(team_names),
+            quota: QuotaTracker::new(&settings.cluster.teams),
             writes: WriteQueue::new(term, limits.write_rps, now),
             rounds: Rounds::new(now),
             reservations: Reservations::default(),
-            reservations_tried_to: None,
             consolidation: Consolidation::new(now),
             provisioner: Provisioner::default(),
             provision_requests: 0,
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -14,9 +14,9 @@
 use crate::core::records::{
     BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
 };
-use crate::ids::{AgentEpoch, FencingToken, LeaseId, SequenceNumber};
+use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, SequenceNumber, TaskId};
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Mutation, TaskStatus, Transaction,
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Mutation, Order, TaskStatus, Transaction,
 };
 use serde_json::{Value, json};
 
