--- a/src/core/election_simulation.rs
+++ b/src/core/election_simulation.rs
@@ -220,7 +220,7 @@
             let c = &mut self.controllers[p];
             let clock = c.clock(self.now);
             let pledge = c.election.pledge_to(clock, leader_lease.term, leader_lease.read_through, &c.cancellations);
-            pledges.push(pledge.filter(|_| !lost && self.now >= c.frozen_until).map(|p| (p.span, p.cancelled)));
+            pledges.push(pledge.ok().filter(|_| !lost && self.now >= c.frozen_until).map(|p| (p.span, p.cancelled)));
         }
         let at = self.now + self.rng.random_range(1..700);
         let began = self.controllers[n].began;
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -376,7 +376,7 @@
     let able = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
     let able: Vec<&Peer> = able.map(|(peer, _)| peer).collect();
     let Some(peer) = able.choose(&mut rand::rng()) else { return };
-    if inner.overload.note(now, lag) {
+    if inner.overload.observe(now, lag) {
         warn!("handing over: ticks are late by {} ms, successor={}", lag.0, peer.name);
         inner.successor = Some(peer.name.clone());
     }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -102,7 +102,7 @@
         ..Default::default()
     };
     if peer_heartbeat.asks_extension
-        && let Some(p) = inner.election.pledge_to(
+        && let Ok(p) = inner.election.pledge_to(
             now,
             Term(peer_heartbeat.term),
             Revision(peer_heartbeat.read_through),
