--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -1,160 +1,224 @@
-//! Runs for leader, keeps it, and gives it up in time.
+//! Drives [`Election`](crate::core::election::Election): stands for leader, keeps the lease, and gives it up in
+//! time.
 
 use super::kv::{CommitError, KvError};
 use super::leader_loop;
 use super::node::{Node, NodeState};
 use super::peers;
-use crate::core::election::{INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, SUCCESSOR_BACKOFF, SUCCESSOR_KEY};
+use crate::core::election::{
+    INITIALIZED_KEY, LEADER_KEY, LeaderLease, LeaderRecord, Pledge, SUCCESSOR_BACKOFF, SUCCESSOR_KEY,
+};
 use crate::core::records::JobOutcome;
-use crate::ids::{Revision, Term};
-use crate::peer::PeerHeartbeatResponse;
-use crate::time::Millis;
-use crate::wire::{Mutation, Precondition, Transaction};
+use crate::ids::{LeaseId, Revision, Term};
+use crate::peer::{PeerHeartbeat, PeerHeartbeatResponse};
+use crate::time::{Millis, MonotonicTime};
+use crate::wire::{KeyValue, Mutation, Precondition, Transaction};
 use log::{info, warn};
 use serde_json::json;
 use std::sync::Arc;
 
+/// How often the leader's key is read.
 const POLL_INTERVAL: Millis = Millis(350);
+/// How long the store may take to drop the key of a lease that was revoked.
+const REVOKE_PAUSE: Millis = Millis(20);
+/// Controllers that failed to be elected try again after a random part of this time.
+const MAX_CANDIDACY_BACKOFF_MS: u64 = 200;
+const RENEW_TIMEOUT: Millis = Millis(900);
+/// A renewal that takes longer is followed by the next one at once.
+const SLOW_RENEWAL: Millis = Millis(1_000);
+const SLOW_RENEWAL_PAUSE: Millis = Millis(100);
+/// How often the lease is renewed within its length.
+const RENEWALS_PER_TTL: u64 = 6;
+const PROBE_TIMEOUT: Millis = Millis(700);
+const EXTENSION_TIMEOUT: Millis = Millis(800);
+const HAND_OVER_TIMEOUT: Millis = Millis(300);
 
+/// Takes part in the election for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
-    let mut initialized = true;
-    // Whoever has held the key until just now has no pledge to keep: pledges are made to the
-    // holder of the key.
-    let mut held_it = false;
+    let mut follower = Follower { initialized: true, held_key: false };
     loop {
-        if !node.lock().cancellations.is_known()
-            && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
-        {
-            node.lock().cancellations.at_revision(revision);
-        }
-        let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await;
-        match row {
-            Ok(Some(row)) => {
-                let record = serde_json::from_value::<LeaderRecord>(row.value).ok();
-                let name = record.as_ref().map(|r| r.node.clone());
-                let mine = record.filter(|r| r.node == node.settings.name);
-                node.lock().leader_name = name;
-                held_it = false;
-                if let Some(r) = mine {
-                    // An earlier process here led, and there is only ever one at an address: the
-                    // lease can be ended for it. Its late bids and answers are outranked.
-                    info!("ending the lease of an earlier process here");
-                    let ended = node.track_store(node.kv.revoke(&node.http, r.lease)).await;
-                    held_it = ended.is_ok();
-                    tokio::time::sleep(Millis(20).to_std()).await;
-                    continue;
-                }
+        learn_store_revision(&node).await;
+        let next = match node.track_store(node.kv.get(&node.http, LEADER_KEY)).await {
+            Ok(Some(row)) => follower.on_key_held(&node, row).await,
+            Ok(None) => follower.on_key_absent(&node).await,
+            Err(KvError::Refused | KvError::Unknown(_)) => {
+                probe_peers(&node).await;
+                Next::Wait
             }
-            Ok(None) => {
-                node.lock().leader_name = None;
-                if initialized {
-                    let f = node.track_store(node.kv.get(&node.http, INITIALIZED_KEY)).await;
-                    initialized = !matches!(f, Ok(None));
-                }
-                let may = {
-                    let now = node.now();
-                    node.lock().election.may_stand(now, initialized && !held_it)
-                };
-                if may && !must_back_off(&node).await {
-                    held_it = false;
-                    if let Some((leader_lease, record)) = stand_for_election(&node).await {
-                        initialized = true;
-                        keep_leading(&node, leader_lease, record).await;
-                        continue;
-                    }
-                    tokio::time::sleep(Millis(rand::random::<u64>() % 200).to_std()).await;
-                }
-            }
-            Err(KvError::Refused | KvError::Unknown(_)) => probe_peers(&node).await,
-            Err(_) => {}
+            Err(KvError::Busy | KvError::TooLarge | KvError::Status(_)) => Next::Wait,
+        };
+        match next {
+            Next::Wait => tokio::time::sleep(POLL_INTERVAL.to_std()).await,
+            Next::ReadAgain => {}
         }
-        tokio::time::sleep(POLL_INTERVAL.to_std()).await;
     }
 }
 
-/// Whether a peer is served, which makes this controller the one to avoid.
+/// What to do before the leader's key is read again.
+enum Next {
+    Wait,
+    ReadAgain,
+}
+
+/// What a controller that doesn't lead remembers between two readings of the leader's key.
+struct Follower {
+    /// Somebody has led before, as far as is known.
+    initialized: bool,
+    /// An earlier process here has held the key until just now. Then there is no pledge to keep, as pledges are
+    /// made to the holder of the key.
+    held_key: bool,
+}
+
+impl Follower {
+    async fn on_key_held(&mut self, node: &Node, row: KeyValue) -> Next {
+        let record = serde_json::from_value::<LeaderRecord>(row.value).ok();
+        node.lock().leader_name = record.as_ref().map(|record| record.node.clone());
+        self.held_key = false;
+        let Some(own) = record.filter(|record| record.node == node.settings.name) else { return Next::Wait };
+        // An earlier process here led, and there is only ever one at an address: the lease can be ended for it.
+        // Its late candidacies and answers are outranked.
+        info!("ending the lease of an earlier process here");
+        let revoked = node.track_store(node.kv.revoke(&node.http, own.lease)).await;
+        self.held_key = revoked.is_ok();
+        tokio::time::sleep(REVOKE_PAUSE.to_std()).await;
+        Next::ReadAgain
+    }
+
+    async fn on_key_absent(&mut self, node: &Arc<Node>) -> Next {
+        node.lock().leader_name = None;
+        if self.initialized {
+            let row = node.track_store(node.kv.get(&node.http, INITIALIZED_KEY)).await;
+            self.initialized = !matches!(row, Ok(None));
+        }
+        let may_stand = {
+            let now = node.now();
+            node.lock().election.may_stand(now, self.initialized && !self.held_key)
+        };
+        if !may_stand || must_back_off(node).await {
+            return Next::Wait;
+        }
+        self.held_key = false;
+        if let Some((lease, record)) = stand_for_election(node).await {
+            self.initialized = true;
+            lead(node, lease, record).await;
+            return Next::ReadAgain;
+        }
+        tokio::time::sleep(Millis(rand::random::<u64>() % MAX_CANDIDACY_BACKOFF_MS).to_std()).await;
+        Next::Wait
+    }
+}
+
+/// Learns the first revision that this process sees, from which on it knows what it tells users.
+async fn learn_store_revision(node: &Node) {
+    if !node.lock().cancellations.is_known()
+        && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
+    {
+        node.lock().cancellations.at_revision(revision);
+    }
+}
+
+/// Asks the peers whether the store serves them and who leads, as it doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
-    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), Millis(700)).await;
-    record_peer_answers(&mut node.lock(), &answers);
+    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), PROBE_TIMEOUT).await;
+    node.lock().store_health.record_peer_answers(&answers);
 }
 
-fn record_peer_answers(inner: &mut NodeState, answers: &[Option<PeerHeartbeatResponse>]) {
-    inner.peer_reaches_store = answers.iter().flatten().any(|a| a.store_ok);
-    inner.no_peer_answers = !answers.is_empty() && answers.iter().all(Option::is_none);
-    inner.leader_per_peers = answers.iter().flatten().map(|a| a.leader.clone()).find(|l| !l.is_empty());
+/// Whether a leader that has just handed over named somebody else.
+async fn must_back_off(node: &Node) -> bool {
+    let row = node.track_store(node.kv.get(&node.http, SUCCESSOR_KEY)).await;
+    matches!(row, Ok(Some(row)) if row.value.as_str() != Some(&node.settings.name))
 }
 
-async fn stand_for_election(node: &Arc<Node>) -> Option<(LeaderLease, LeaderRecord)> {
+/// Stands for election. None: another controller was elected, or it couldn't be tried.
+async fn stand_for_election(node: &Node) -> Option<(LeaderLease, LeaderRecord)> {
     let asked_at = node.now();
     let lease = node.track_store(node.kv.grant(&node.http, node.settings.state_ttl())).await.ok()?;
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: node.incarnation, lease };
     {
         let now = node.now();
-        let mut inner = node.lock();
+        let mut state = node.lock();
         // A pledge may have been given since.
-        if !inner.election.may_stand(now, false) {
+        if !state.election.may_stand(now, false) {
             return None;
         }
-        inner.election.candidacy_sent();
+        state.election.candidacy_sent();
     }
-    let transaction = Transaction {
+    let term = match node.commit(&candidacy(&record)).await {
+        Ok(revision) => Some(Term(revision.0)),
+        Err(CommitError::Conflict(_) | CommitError::Store(KvError::Refused | KvError::Busy | KvError::Status(_))) => {
+            None
+        }
+        Err(CommitError::Store(KvError::Unknown(_) | KvError::TooLarge)) => {
+            settle_unknown_candidacy(node, lease, &record).await
+        }
+    };
+    let mut state = node.lock();
+    state.election.candidacy_settled();
+    state.election.elected(term?, lease, asked_at);
+    state.leader_name = Some(node.settings.name.clone());
+    Some((state.election.lease()?, record))
+}
+
+/// The transaction that makes a controller the leader if nobody leads.
+fn candidacy(record: &LeaderRecord) -> Transaction {
+    Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: 0 }],
         mutations: vec![
-            Mutation::Put { key: LEADER_KEY.into(), value: json!(record), lease: Some(lease.0) },
+            Mutation::Put { key: LEADER_KEY.into(), value: json!(record), lease: Some(record.lease.0) },
             Mutation::put(INITIALIZED_KEY, json!(true)),
         ],
-    };
-    let result = node.commit(&transaction).await;
-    let mut term = None;
-    match result {
-        Ok(revision) => term = Some(Term(revision.0)),
-        Err(CommitError::Conflict(_) | CommitError::Store(KvError::Refused | KvError::Busy | KvError::Status(_))) => {}
-        Err(CommitError::Store(KvError::Unknown(_) | KvError::TooLarge)) => {
-            // Perhaps carried out, perhaps yet to be: the key says, or the lease is ended so that
-            // it never can be.
-            loop {
-                let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await;
-                if let Ok(Some(row)) = &row
-                    && serde_json::from_value::<LeaderRecord>(row.value.clone()).ok().as_ref() == Some(&record)
-                {
-                    term = Some(Term(row.revision));
-                    break;
-                }
-                if row.is_ok() && node.kv.revoke(&node.http, lease).await.is_ok() {
-                    break;
-                }
-                tokio::time::sleep(POLL_INTERVAL.to_std()).await;
-            }
+    }
+}
+
+/// Waits until the result of a candidacy is certain: the key says that it was carried out, or its lease is ended
+/// so that it never can be. Returns the term in the first case.
+async fn settle_unknown_candidacy(node: &Node, lease: LeaseId, record: &LeaderRecord) -> Option<Term> {
+    loop {
+        let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await;
+        if let Ok(Some(row)) = &row
+            && serde_json::from_value::<LeaderRecord>(row.value.clone()).ok().as_ref() == Some(record)
+        {
+            return Some(Term(row.revision));
         }
+        if row.is_ok() && node.kv.revoke(&node.http, lease).await.is_ok() {
+            return None;
+        }
+        tokio::time::sleep(POLL_INTERVAL.to_std()).await;
+    }
+}
+
+/// Does a leader's work beside renewing the lease, until that is lost or handed over.
+async fn lead(node: &Arc<Node>, leader_lease: LeaderLease, record: LeaderRecord) {
+    let term = leader_lease.term;
+    info!("leading: term={term}");
+    let work = tokio::spawn(leader_loop::run(node.clone(), term, record));
+    keep_lease(node, leader_lease).await;
+    warn!("no longer leader: term={term}");
+    {
+        let mut state = node.lock();
+        state.election.step_down();
+        state.scheduler = None;
+        state.leader_name = None;
     }
-    let mut inner = node.lock();
-    inner.election.candidacy_settled();
-    let term = term?;
-    inner.election.elected(term, lease, asked_at);
-    inner.leader_name = Some(node.settings.name.clone());
-    Some((inner.election.lease()?, record))
+    work.abort();
 }
 
-/// Renews the lease until it is lost.
-async fn keep_leading(node: &Arc<Node>, leader_lease: LeaderLease, record: LeaderRecord) {
-    info!("leading: term={}", leader_lease.term);
-    let work = tokio::spawn(leader_loop::run(node.clone(), leader_lease.term, record));
-    let ttl = node.settings.state_ttl();
-    let mut active_term = true;
+/// Renews or extends the lease. Returns when it has ended or is handed over.
+async fn keep_lease(node: &Arc<Node>, leader_lease: LeaderLease) {
+    let mut was_active = true;
     let mut pledged = false;
     loop {
         let asked_at = node.now();
-        let renewed = node.track_store(node.kv.renew(&node.http, leader_lease.id, Millis(900))).await;
-        match renewed {
+        match node.track_store(node.kv.renew(&node.http, leader_lease.id, RENEW_TIMEOUT)).await {
             Ok(true) => {
-                let mut inner = node.lock();
-                inner.election.renewed(asked_at);
+                let mut state = node.lock();
+                state.election.renewed(asked_at);
                 pledged = false;
-                set_in_doubt(&mut inner, false);
+                set_in_doubt(&mut state, false);
             }
-            Ok(false) => break,
+            Ok(false) => return,
             Err(e) => {
-                warn!("the lease could not be renewed: {e}");
+                warn!("lease not renewed: term={} error={e}", leader_lease.term);
                 // Others may be served, and tell users of cancellations that can't be read here.
                 // What the peers have pledged last holds until they are asked again.
                 set_in_doubt(&mut node.lock(), !pledged);
@@ -164,49 +228,52 @@
         }
         let successor = node.lock().successor.take();
         if let Some(successor) = successor {
-            hand_over(node, leader_lease, successor).await;
-            break;
+            return hand_over(node, leader_lease, successor).await;
         }
         let now = node.now();
-        let acts = node.lock().election.active_term(now).is_some();
-        if acts != active_term {
-            active_term = acts;
-            info!("{}: term={}", if acts { "acting again" } else { "no longer acting" }, leader_lease.term);
+        let is_active = node.lock().election.active_term(now).is_some();
+        if is_active != was_active {
+            was_active = is_active;
+            let change = if is_active { "term active again" } else { "term no longer active" };
+            info!("{change}: term={}", leader_lease.term);
         }
-        let pause = if renewed_late(node, asked_at) { Millis(100) } else { Millis(ttl.0 / 6) };
-        tokio::time::sleep(pause.to_std()).await;
+        tokio::time::sleep(renewal_pause(node, asked_at).to_std()).await;
     }
-    warn!("no longer leader: term={}", leader_lease.term);
-    let mut inner = node.lock();
-    inner.election.step_down();
-    inner.scheduler = None;
-    inner.leader_name = None;
-    drop(inner);
-    work.abort();
 }
 
-/// Stops acting, tells the peers who is to come, and ends the lease.
+fn renewal_pause(node: &Node, asked_at: MonotonicTime) -> Millis {
+    let was_slow = node.now() - asked_at > SLOW_RENEWAL;
+    if was_slow { SLOW_RENEWAL_PAUSE } else { Millis(node.settings.state_ttl().0 / RENEWALS_PER_TTL) }
+}
+
+/// Starts wait while it isn't known what users have been told meanwhile.
+fn set_in_doubt(state: &mut NodeState, in_doubt: bool) {
+    if let Some(scheduler) = &mut state.scheduler {
+        scheduler.set_in_doubt(in_doubt);
+    }
+}
+
+/// Stops leading, names the successor to the peers, and ends the lease.
 async fn hand_over(node: &Arc<Node>, leader_lease: LeaderLease, successor: String) {
     let fence_revision = {
         let now = node.now();
-        let mut inner = node.lock();
-        inner.election.step_down();
-        inner.election.back_off_for_successor(now);
-        inner.leader_name = None;
-        inner.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
+        let mut state = node.lock();
+        state.election.step_down();
+        state.election.back_off_for_successor(now);
+        state.leader_name = None;
+        state.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
     };
-    let mut peer_heartbeat = peers::peer_heartbeat(node);
-    peer_heartbeat.successor = successor;
-    // A peer that the leader can't reach reads of it in the state service.
+    let heartbeat = PeerHeartbeat { successor, ..peers::peer_heartbeat(node) };
+    // A peer that the leader can't reach reads of it in the store.
     let _ = tokio::join!(
-        peers::ask_all(node, &peer_heartbeat, Millis(300)),
-        node.track_store(name_successor(node, fence_revision, &peer_heartbeat.successor))
+        peers::ask_all(node, &heartbeat, HAND_OVER_TIMEOUT),
+        node.track_store(name_successor(node, fence_revision, &heartbeat.successor))
     );
     // Unanswered, the lease ends by itself.
     let _ = node.track_store(node.kv.revoke(&node.http, leader_lease.id)).await;
 }
 
-async fn name_successor(node: &Arc<Node>, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
+async fn name_successor(node: &Node, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
     let lease = node.kv.grant(&node.http, SUCCESSOR_BACKOFF).await?;
     let transaction = Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: fence_revision.0 }],
@@ -219,52 +286,40 @@
     }
 }
 
-/// Whether a leader that has just handed over named somebody else.
-async fn must_back_off(node: &Arc<Node>) -> bool {
-    let row = node.track_store(node.kv.get(&node.http, SUCCESSOR_KEY)).await;
-    matches!(row, Ok(Some(row)) if row.value.as_str() != Some(&node.settings.name))
-}
-
-fn renewed_late(node: &Node, asked_at: crate::time::MonotonicTime) -> bool {
-    node.now() - asked_at > Millis(1_000)
-}
-
-/// Starts wait while it isn't known what users have been told meanwhile.
-fn set_in_doubt(inner: &mut NodeState, in_doubt: bool) {
-    if let Some(scheduler) = &mut inner.scheduler {
-        scheduler.set_in_doubt(in_doubt);
-    }
-}
-
-/// Refused by the state service: goes on leading only if every peer is refused, pledges not to run,
-/// and has passed on the cancellations that can't have been read here. True: all have.
+/// Extends the lease of a leader that the store refuses: only if every peer is refused too, pledges not to stand
+/// for election, and has passed on the cancellations that can't have been read here. Returns whether all have.
 async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
     let asked_at = node.now();
-    let mut peer_heartbeat = peers::peer_heartbeat(node);
-    peer_heartbeat.asks_extension = true;
-    peer_heartbeat.leading = true;
-    peer_heartbeat.term = term.0;
-    peer_heartbeat.read_through = node.lock().election.lease().map_or(0, |o| o.read_through.0);
-    let answers = peers::ask_all(node, &peer_heartbeat, Millis(800)).await;
-    // A pledge whose cancellations can't be read is none.
-    let pledged = |a: &Option<PeerHeartbeatResponse>| {
-        let a = a.as_ref().filter(|a| a.pledge_ms > 0)?;
-        Some((Millis(a.pledge_ms), peers::jobs(&a.cancelled)?))
+    let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
+    let heartbeat = PeerHeartbeat {
+        asks_extension: true,
+        leading: true,
+        term: term.0,
+        read_through,
+        ..peers::peer_heartbeat(node)
     };
-    let pledges: Vec<_> = answers.iter().map(pledged).collect();
-    let mut inner = node.lock();
-    record_peer_answers(&mut inner, &answers);
-    let Some(scheduler) = &mut inner.scheduler else { return false };
-    for (_, cancelled) in pledges.iter().flatten() {
-        cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
+    let answers = peers::ask_all(node, &heartbeat, EXTENSION_TIMEOUT).await;
+    let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| pledge(answer.as_ref()?)).collect();
+    let mut state = node.lock();
+    state.store_health.record_peer_answers(&answers);
+    let Some(scheduler) = &mut state.scheduler else { return false };
+    for pledge in pledges.iter().flatten() {
+        pledge.cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
     }
     // Without peers there is nobody to pledge.
-    let shortest = pledges.iter().map(|p| p.as_ref().map_or(Millis(0), |p| p.0)).min().unwrap_or_default();
+    let span = |pledge: &Option<Pledge>| pledge.as_ref().map_or(Millis(0), |pledge| pledge.span);
+    let shortest = pledges.iter().map(span).min().unwrap_or_default();
     let pledged = shortest > Millis(0);
     if pledged {
-        inner.election.extend_on_pledges(asked_at, shortest);
+        state.election.extend_on_pledges(asked_at, shortest);
     }
-    drop(inner);
+    drop(state);
     leader_loop::perform_pending(node);
     pledged
 }
+
+/// A peer's pledge; none: it doesn't pledge, or its cancellations can't be read.
+fn pledge(answer: &PeerHeartbeatResponse) -> Option<Pledge> {
+    let span = Some(Millis(answer.pledge_ms)).filter(|span| *span > Millis(0))?;
+    Some(Pledge { span, cancelled: peers::parse_job_ids(&answer.cancelled)? })
+}
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -114,9 +114,10 @@
     }
     // A worker that the leader doesn't hear would only wait there in vain. And a name read before the
     // state service fell silent may send it round in circles; peers may know.
-    let known = if inner.store_refused_since.is_some() { &inner.leader_per_peers } else { &inner.leader_name };
-    let known = if inner.suspected.contains(&heartbeat.machine) { None } else { known.clone() };
-    inner.record_redirect(&heartbeat.machine, now, known).filter(|name| *name != node.settings.name)
+    let health = &inner.store_health;
+    let known = if health.is_refused() { health.leader_per_peers() } else { inner.leader_name.as_ref() };
+    let known = if inner.suspected.contains(&heartbeat.machine) { None } else { known.cloned() };
+    inner.redirected_workers.record(&heartbeat.machine, now, known).filter(|name| *name != node.settings.name)
 }
 
 /// Decides on heartbeats that a peer has passed on; none: the message can't be read or is of another
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -505,7 +505,8 @@
         "shift": 1, "tally": 1, "baton": 0});
     assert_eq!(c.post("/v1/report", r.clone()).await, (421, json!({"steward": "plinth-1"})));
     assert_eq!(c.post("/v1/report", r).await, (421, json!({"steward": "plinth-1"})), "it may be about to start");
-    let sent = |at| node.lock().record_redirect("m-000010", MonotonicTime(at), Some("plinth-1".into())).is_some();
+    let sent =
+        |at| node.lock().redirected_workers.record("m-000010", MonotonicTime(at), Some("plinth-1".into())).is_some();
     assert_eq!([20_000, 21_000, 26_000, 40_000].map(sent), [true, true, false, true]);
 
     world.lock().unwrap().store.clear();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,10 +12,14 @@
 pub mod leader_loop;
 pub mod linearizable_reads;
 pub mod node;
+pub mod outcome_cache;
+pub mod peer_service;
 pub mod peers;
 pub mod rate_limited_log;
+pub mod redirected_workers;
 pub mod relay_routes;
 pub mod server;
+pub mod store_health;
 pub mod users;
 
 #[cfg(test)]
--- /dev/null
+++ b/src/net/peer_service.rs
@@ -0,0 +1,78 @@
+//! Answers the peers: their heartbeats, a leader's requests to extend its lease, and requests for plans.
+
+use super::input_latency::InputKind;
+use super::leader_loop;
+use super::node::{Node, NodeState};
+use super::peers;
+use crate::core::cost::CostMeter;
+use crate::core::placement;
+use crate::core::records::JobOutcome;
+use crate::ids::{JobId, Revision, Term};
+use crate::peer::{PeerHeartbeat, PeerHeartbeatResponse, PlanInput, VERSION};
+use crate::time::MonotonicTime;
+use bytes::Bytes;
+use prost::Message;
+use std::sync::Arc;
+use std::time::Instant;
+
+/// Answers a peer's heartbeat; none: the message can't be read or is of another version.
+pub fn respond_to_heartbeat(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
+    let heartbeat = PeerHeartbeat::decode(body).ok().filter(|heartbeat| heartbeat.version == VERSION)?;
+    let cancelled = peers::parse_job_ids(&heartbeat.cancelled)?;
+    if !cancelled.is_empty() {
+        leader_loop::step(node, InputKind::Result, |scheduler| {
+            cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled))
+        });
+    }
+    let now = node.now();
+    let mut guard = node.lock();
+    let state = &mut *guard;
+    let redirected = state.redirected_workers.among(&heartbeat.suspected, now);
+    if heartbeat.leading && !heartbeat.asks_extension {
+        take_leader_heartbeat(node, state, now, &heartbeat);
+    }
+    if !heartbeat.successor.is_empty() && heartbeat.successor != node.settings.name {
+        state.election.back_off_for_successor(now);
+    }
+    let mut response = PeerHeartbeatResponse {
+        version: VERSION,
+        redirected,
+        store_ok: !state.election.is_refused_by_store(),
+        ..Default::default()
+    };
+    if heartbeat.asks_extension {
+        pledge(state, now, &heartbeat, &mut response);
+    }
+    response.relays_heartbeats = state.heartbeat_relay.has_capacity(now);
+    response.leader = state.leader_name.clone().filter(|_| response.store_ok).unwrap_or_default();
+    Some(response.encode_to_vec())
+}
+
+/// Takes in what a leader tells its peers.
+fn take_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
+    state.suspected = heartbeat.suspected.iter().cloned().collect();
+    state.take_counts(&heartbeat.counts);
+    state.heartbeat_relay.heard_leader(&heartbeat.from, Term(heartbeat.term), now);
+    if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
+        node.relay_wakeup.notify_one();
+    }
+}
+
+/// Pledges to a leader that the store refuses, if this controller may.
+fn pledge(state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat, response: &mut PeerHeartbeatResponse) {
+    let (term, read_through) = (Term(heartbeat.term), Revision(heartbeat.read_through));
+    if let Ok(pledge) = state.election.pledge_to(now, term, read_through, &state.cancellations) {
+        response.pledge_ms = pledge.span.0;
+        response.cancelled = pledge.cancelled.iter().map(JobId::to_string).collect();
+    }
+}
+
+/// Plans for a leader, which checks every placement itself; none: the message can't be read or is of another
+/// version.
+pub fn plan(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
+    let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
+    let (now, started, meter) = (node.now(), Instant::now(), CostMeter::default());
+    let output = placement::plan_metered(&input, &meter);
+    node.lock().input_latency.record(now, InputKind::PlanForPeer, started.elapsed(), meter.read());
+    Some(output.encode_to_vec())
+}
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -3,7 +3,7 @@
 use super::heartbeats;
 use super::leader_loop;
 use super::node::Node;
-use super::peers;
+use super::{peer_service, peers};
 use super::users::{self, Reply};
 use bytes::Bytes;
 use salvo::http::header::{CONTENT_TYPE, HeaderValue};
@@ -72,9 +72,9 @@
                 let body = req.payload_with_max_size(MAX_PEER_BODY_BYTES).await.ok();
                 let answer = match (body, self.route) {
                     (None, _) => None,
-                    (Some(body), Route::Plan) => peers::plan(node, body),
+                    (Some(body), Route::Plan) => peer_service::plan(node, body),
                     (Some(body), Route::Heartbeats) => heartbeats::answer_batch(node, body).await,
-                    (Some(body), _) => peers::answer(node, body),
+                    (Some(body), _) => peer_service::respond_to_heartbeat(node, body),
                 };
                 match answer {
                     Some(answer) => {
--- a/src/net/users.rs
+++ b/src/net/users.rs
@@ -279,9 +279,5 @@
 pub fn healthy(node: &Node) -> bool {
     let now = node.now();
     let inner = node.lock();
-    // Refused alone, others serve users better; refused like all, nothing is gained by hiding.
-    let refused = inner.store_refused_since.is_some_and(|t| now - t > Millis(1_500)) && inner.peer_reaches_store;
-    // So does one that hears neither the state service nor any peer.
-    let cut_off = inner.store_unreachable_since.is_some_and(|t| now - t > Millis(1_500)) && inner.no_peer_answers;
-    inner.types.is_some() && !refused && !cut_off
+    inner.types.is_some() && !inner.store_health.is_isolated(now)
 }
