--- a/src/net/heartbeat_balancing/tests.rs
+++ b/src/net/heartbeat_balancing/tests.rs
@@ -5,34 +5,39 @@
 }
 
 /// Moves a worker, if it should be.
-fn move_one(offloading: &mut HeartbeatBalancer, now: MonotonicTime, zone: &str, by: Option<&str>) -> Option<String> {
-    let peer = offloading.better_peer(now, zone, by)?.to_string();
-    offloading.moved(now);
+fn move_one(
+    balancer: &mut HeartbeatBalancer,
+    now: MonotonicTime,
+    zone: &str,
+    relayed_by: Option<&str>,
+) -> Option<String> {
+    let peer = balancer.better_peer(now, zone, relayed_by)?.to_string();
+    balancer.moved(now);
     Some(peer)
 }
 
 #[test]
 fn workers_are_moved_to_peers_of_their_zone_in_turn_and_not_all_at_once() {
-    let mut offloading = HeartbeatBalancer::default();
-    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", None), None, "no peer passes reports on");
-    offloading.set_peers(vec![peer("one", "a"), peer("two", "b"), peer("three", "a")]);
-    let first = move_one(&mut offloading, MonotonicTime(2_000), "a", None).unwrap();
-    assert_eq!(move_one(&mut offloading, MonotonicTime(2_001), "a", None), None, "too soon");
-    let second = move_one(&mut offloading, MonotonicTime(2_000) + MOVE_INTERVAL, "a", None).unwrap();
+    let mut balancer = HeartbeatBalancer::default();
+    assert_eq!(move_one(&mut balancer, MonotonicTime(1_000), "a", None), None, "no peer relays heartbeats");
+    balancer.set_peers(vec![peer("one", "a"), peer("two", "b"), peer("three", "a")]);
+    let first = move_one(&mut balancer, MonotonicTime(2_000), "a", None).unwrap();
+    assert_eq!(move_one(&mut balancer, MonotonicTime(2_001), "a", None), None, "too soon");
+    let second = move_one(&mut balancer, MonotonicTime(2_000) + MOVE_INTERVAL, "a", None).unwrap();
     assert_eq!([&first[..], &second[..]], ["one", "three"]);
-    assert!(move_one(&mut offloading, MonotonicTime(3_000), "c", None).is_some(), "without one of its zone, any peer");
+    assert!(move_one(&mut balancer, MonotonicTime(3_000), "c", None).is_some(), "without one of its zone, any peer");
 }
 
 #[test]
 fn a_worker_stays_with_a_peer_of_its_zone_and_with_any_where_there_is_none() {
-    let mut offloading = HeartbeatBalancer::default();
-    offloading.set_peers(vec![peer("one", "a"), peer("two", "b")]);
-    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", Some("one")), None);
-    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "c", Some("one")), None);
-    assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "b", Some("one")).as_deref(), Some("two"));
-    offloading.set_peers(vec![peer("one", "a")]);
+    let mut balancer = HeartbeatBalancer::default();
+    balancer.set_peers(vec![peer("one", "a"), peer("two", "b")]);
+    assert_eq!(move_one(&mut balancer, MonotonicTime(1_000), "a", Some("one")), None);
+    assert_eq!(move_one(&mut balancer, MonotonicTime(1_000), "c", Some("one")), None);
+    assert_eq!(move_one(&mut balancer, MonotonicTime(1_000), "b", Some("one")).as_deref(), Some("two"));
+    balancer.set_peers(vec![peer("one", "a")]);
     assert_eq!(
-        move_one(&mut offloading, MonotonicTime(2_000), "b", Some("one")),
+        move_one(&mut balancer, MonotonicTime(2_000), "b", Some("one")),
         None,
         "the other does not answer any more"
     );
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -8,69 +8,69 @@
 const HEARD: MonotonicTime = MonotonicTime(10_000);
 
 fn open() -> HeartbeatRelay {
-    let mut heartbeat_relay = HeartbeatRelay::default();
-    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
-    heartbeat_relay.sent(Term(5), true);
-    heartbeat_relay
+    let mut relay = HeartbeatRelay::default();
+    relay.heard_leader("plinth-1", Term(5), HEARD);
+    relay.batch_sent(Term(5), true);
+    relay
 }
 
-fn destination(heartbeat_relay: &HeartbeatRelay) -> Option<&str> {
-    heartbeat_relay.destination(HEARD).map(|scheduler| scheduler.name.as_str())
+fn destination(relay: &HeartbeatRelay) -> Option<&str> {
+    relay.destination(HEARD).map(|leader| leader.name.as_str())
 }
 
 #[test]
-fn reports_go_to_the_latest_leader_and_only_while_it_is_heard() {
-    let mut heartbeat_relay = HeartbeatRelay::default();
-    assert_eq!(destination(&heartbeat_relay), None);
-    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
-    assert_eq!(destination(&heartbeat_relay), Some("plinth-1"));
-    heartbeat_relay.heard_leader("plinth-2", Term(4), HEARD);
-    assert_eq!(destination(&heartbeat_relay), Some("plinth-1"), "an earlier term is over");
-    heartbeat_relay.heard_leader("plinth-2", Term(6), HEARD);
-    assert_eq!(destination(&heartbeat_relay), Some("plinth-2"));
-    assert!(heartbeat_relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "silent for too long");
+fn heartbeats_go_to_the_latest_leader_and_only_while_it_is_heard() {
+    let mut relay = HeartbeatRelay::default();
+    assert_eq!(destination(&relay), None);
+    relay.heard_leader("plinth-1", Term(5), HEARD);
+    assert_eq!(destination(&relay), Some("plinth-1"));
+    relay.heard_leader("plinth-2", Term(4), HEARD);
+    assert_eq!(destination(&relay), Some("plinth-1"), "an earlier term is over");
+    relay.heard_leader("plinth-2", Term(6), HEARD);
+    assert_eq!(destination(&relay), Some("plinth-2"));
+    assert!(relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "silent for too long");
 }
 
 #[test]
 fn workers_wait_only_for_a_leader_that_has_answered_the_last_batch() {
-    let mut heartbeat_relay = HeartbeatRelay::default();
-    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
-    assert!(!heartbeat_relay.is_open(HEARD) && heartbeat_relay.admit(Bytes::new(), HEARD).is_none(), "not tried yet");
-    heartbeat_relay.sent(Term(5), true);
-    assert!(heartbeat_relay.admit(Bytes::from_static(b"{}"), HEARD).is_some());
-    assert_eq!(heartbeat_relay.take_waiting().len(), 1);
-    heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
-    assert!(heartbeat_relay.is_open(HEARD), "a heartbeat changes nothing");
-    heartbeat_relay.sent(Term(5), false);
-    assert!(!heartbeat_relay.is_open(HEARD));
-    heartbeat_relay.sent(Term(5), true);
-    heartbeat_relay.heard_leader("plinth-2", Term(6), HEARD);
-    assert!(!heartbeat_relay.is_open(HEARD), "another leader has yet to answer");
-    heartbeat_relay.sent(Term(5), true);
-    assert!(!heartbeat_relay.is_open(HEARD), "the one before has, late");
+    let mut relay = HeartbeatRelay::default();
+    relay.heard_leader("plinth-1", Term(5), HEARD);
+    assert!(!relay.is_open(HEARD) && relay.admit(Bytes::new(), HEARD).is_none(), "not tried yet");
+    relay.batch_sent(Term(5), true);
+    assert!(relay.admit(Bytes::from_static(b"{}"), HEARD).is_some());
+    assert_eq!(relay.take_waiting().len(), 1);
+    relay.heard_leader("plinth-1", Term(5), HEARD);
+    assert!(relay.is_open(HEARD), "a heartbeat changes nothing");
+    relay.batch_sent(Term(5), false);
+    assert!(!relay.is_open(HEARD));
+    relay.batch_sent(Term(5), true);
+    relay.heard_leader("plinth-2", Term(6), HEARD);
+    assert!(!relay.is_open(HEARD), "another leader has yet to answer");
+    relay.batch_sent(Term(5), true);
+    assert!(!relay.is_open(HEARD), "the one before has, late");
 }
 
 #[test]
 fn a_strained_controller_takes_no_more_workers_but_serves_those_it_has() {
-    let mut heartbeat_relay = open();
-    assert!(heartbeat_relay.has_capacity(HEARD));
-    (0..20).for_each(|_| heartbeat_relay.note_lag(Millis(400)));
-    assert!(!heartbeat_relay.has_capacity(HEARD) && heartbeat_relay.is_open(HEARD));
-    (0..20).for_each(|_| heartbeat_relay.note_lag(Millis(5)));
-    assert!(heartbeat_relay.has_capacity(HEARD));
+    let mut relay = open();
+    assert!(relay.has_capacity(HEARD));
+    (0..20).for_each(|_| relay.record_lag(Millis(400)));
+    assert!(!relay.has_capacity(HEARD) && relay.is_open(HEARD));
+    (0..20).for_each(|_| relay.record_lag(Millis(5)));
+    assert!(relay.has_capacity(HEARD));
 }
 
 #[test]
 fn what_waits_is_bounded_in_number_and_in_bytes() {
-    let mut heartbeat_relay = open();
-    let receivers: Vec<_> = (0..MAX_WAITING).map(|_| heartbeat_relay.admit(Bytes::new(), HEARD)).collect();
+    let mut relay = open();
+    let receivers: Vec<_> = (0..MAX_WAITING).map(|_| relay.admit(Bytes::new(), HEARD)).collect();
     assert!(receivers.iter().all(Option::is_some));
-    assert!(heartbeat_relay.admit(Bytes::new(), HEARD).is_none(), "too many wait");
-    assert_eq!(heartbeat_relay.take_waiting().len(), MAX_WAITING);
+    assert!(relay.admit(Bytes::new(), HEARD).is_none(), "too many wait");
+    assert_eq!(relay.take_waiting().len(), MAX_WAITING);
 
     let large = Bytes::from(vec![b' '; MAX_WAITING_BYTES]);
-    assert!(heartbeat_relay.admit(large, HEARD).is_some());
-    assert!(heartbeat_relay.admit(Bytes::new(), HEARD).is_none(), "too many bytes wait");
+    assert!(relay.admit(large, HEARD).is_some());
+    assert!(relay.admit(Bytes::new(), HEARD).is_none(), "too many bytes wait");
 }
 
 #[tokio::test]
@@ -78,8 +78,8 @@
     // Two zones could not reach each other: the first heartbeats waited for one time limit and those behind them
     // for two, and the workers then went round controllers beyond the cut until their leases ran out.
     let world = Arc::new(Mutex::new(World::default()));
-    let [(detour, _), (other, _)] = pair(&world);
-    tokio::spawn(server::serve(detour.settings.peer_listen, server::internal(&detour), 64));
+    let [(relaying, _), (other, _)] = pair(&world);
+    tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal(&relaying), 64));
     // The leader's machine is silent: it takes connections, and says nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = other.settings.clone();
@@ -90,11 +90,11 @@
     let client = Arc::new(client);
     tokio::time::sleep(Millis(200).to_std()).await;
     node.lock().leader_name = Some("plinth-9".into());
-    for node in [&detour, &node] {
+    for node in [&relaying, &node] {
         let now = node.now();
         let mut inner = node.lock();
         inner.heartbeat_relay.heard_leader("plinth-9", Term(5), now);
-        inner.heartbeat_relay.sent(Term(5), true);
+        inner.heartbeat_relay.batch_sent(Term(5), true);
     }
     let begun = std::time::Instant::now();
     let mut answers = Vec::new();
@@ -106,7 +106,7 @@
         tokio::time::sleep(Millis(500).to_std()).await;
     }
     for answer in answers {
-        assert_eq!(answer.await.unwrap(), (421, json!({"steward": detour.settings.name})));
+        assert_eq!(answer.await.unwrap(), (421, json!({"steward": relaying.settings.name})));
     }
     assert!(begun.elapsed() < (BATCH_TIMEOUT + Millis(1_000)).to_std(), "one time limit, not two");
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -15,6 +15,7 @@
 pub mod peers;
 pub mod rate_limited_log;
 pub mod relay_routes;
+mod round_robin;
 pub mod server;
 pub mod users;
 
--- a/src/net/relay_routes.rs
+++ b/src/net/relay_routes.rs
@@ -1,38 +1,41 @@
-//! Peers that reach the leader while this controller does not, as when two zones can't reach each other:
-//! workers that heartbeat here are sent to them. Naming the leader would only make those wait which are
-//! on this side of the cut.
+//! Relay routes: peers that reach the leader while this controller does not, as when two zones can't reach
+//! each other. Workers that heartbeat here are redirected to such a peer. The leader's own name would not
+//! help the workers on this side of the cut, which would wait for it in vain.
 
 use super::node::Node;
 use super::peers;
+use super::round_robin::RoundRobin;
 use crate::time::Millis;
 use std::sync::Arc;
 
-/// Peers are asked this often while the leader can't be reached.
+/// How often peers are asked while the leader can't be reached.
 const REFRESH_INTERVAL: Millis = Millis(1_000);
+/// How long a peer has to answer.
 const REFRESH_TIMEOUT: Millis = Millis(700);
 
-/// The peers that pass heartbeats on to the leader, as of their last answers.
+/// The peers that relay heartbeats to the leader, as of their last answers.
 #[derive(Default)]
 pub struct RelayRoutes {
     peers: Vec<String>,
-    taken: usize,
+    turns: RoundRobin,
 }
 
 impl RelayRoutes {
+    /// Replaces the peers; the turns go on.
     pub fn set(&mut self, peers: Vec<String>) {
         self.peers = peers;
     }
 
-    /// A peer to send a worker to; peers take turns.
+    /// The name of the peer that a worker should be redirected to, and ends that peer's turn; `None`: no peer
+    /// relays heartbeats.
     pub fn take_turn(&mut self) -> Option<String> {
-        let peer = self.peers.get(self.taken.checked_rem(self.peers.len())?)?;
-        self.taken += 1;
-        Some(peer.clone())
+        let peer = self.turns.current(&self.peers)?.clone();
+        self.turns.advance();
+        Some(peer)
     }
 }
 
-/// Looks for detours at regular intervals whenever another controller leads and can't be reached, for as long as the process
-/// runs.
+/// Refreshes the relay routes at regular intervals, for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(REFRESH_INTERVAL.to_std()).await;
@@ -40,12 +43,13 @@
     }
 }
 
-/// Asks the peers for detours, if they are needed now.
+/// Asks the peers whether they relay heartbeats, if relay routes are needed now; otherwise clears them.
 pub async fn refresh(node: &Arc<Node>) {
-    let names = if needs_relay_routes(node) { ask_peers(node).await } else { Vec::new() };
+    let names = if needs_relay_routes(node) { relaying_peers(node).await } else { Vec::new() };
     node.lock().relay_routes.set(names);
 }
 
+/// Whether another controller leads and heartbeats can't be passed on to it.
 fn needs_relay_routes(node: &Node) -> bool {
     let now = node.now();
     let inner = node.lock();
@@ -53,10 +57,11 @@
     another_leads && !inner.heartbeat_relay.is_open(now)
 }
 
-async fn ask_peers(node: &Arc<Node>) -> Vec<String> {
+/// Asks all peers, and returns the names of those that relay heartbeats.
+async fn relaying_peers(node: &Arc<Node>) -> Vec<String> {
     let answers = peers::ask_all(node, &peers::peer_heartbeat(node), REFRESH_TIMEOUT).await;
-    let relays_heartbeats = peers::answered(node, &answers).filter(|(_, answer)| answer.relays_heartbeats);
-    relays_heartbeats.map(|(peer, _)| peer.name.clone()).collect()
+    let relaying = peers::answered(node, &answers).filter(|(_, answer)| answer.relays_heartbeats);
+    relaying.map(|(peer, _)| peer.name.clone()).collect()
 }
 
 #[cfg(test)]
