--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -9,7 +9,7 @@
         "expect_s": 240.0, "mark_s": 30.0, "stow_s": 4.0, "due_s": 900.0, "later": {"unknown": 1}})
 }
 
-fn parse(v: &Value) -> Result<(JobId, Result<Submission, Refusal>), Refusal> {
+fn parse(v: &Value) -> Result<(JobId, Result<Submission, SubmissionError>), SubmissionError> {
     parse_submission(v.to_string().as_bytes())
 }
 
@@ -43,7 +43,7 @@
         let mut v = body();
         v[field] = value.clone();
         let (_, spec) = parse(&v).unwrap();
-        assert!(matches!(spec, Err(Refusal::Malformed(_))), "{field}={value}");
+        assert!(matches!(spec, Err(SubmissionError::Malformed(_))), "{field}={value}");
         v.as_object_mut().unwrap().remove(field);
         let (_, spec) = parse(&v).unwrap();
         // What may be null may be absent.
@@ -66,7 +66,7 @@
     let ok = |f: &dyn Fn(&mut JobSpec)| {
         let mut s = spec.clone();
         f(&mut s);
-        check_possible(&s, &teams, &types).is_ok()
+        check_satisfiable(&s, &teams, &types).is_ok()
     };
     assert!(ok(&|_| ()));
     assert!(!ok(&|s| s.team = "nobody".into()));
@@ -97,7 +97,44 @@
     let named = json!(["req-000405", "req-000398", "req-000405"]);
     assert_eq!(depends_on(named), Ok(vec!["req-000398".into(), "req-000405".into()]));
     for bad in [json!("req-000398"), json!([398]), json!([null]), json!({"req-000398": 1})] {
-        assert!(matches!(depends_on(bad.clone()), Err(Refusal::Malformed(_))), "{bad}");
+        assert!(matches!(depends_on(bad.clone()), Err(SubmissionError::Malformed(_))), "{bad}");
+    }
+    assert!(matches!(depends_on(json!(["job-1"])), Err(SubmissionError::Unsatisfiable(_))));
+}
+
+#[test]
+fn users_are_told_the_reason_in_the_words_of_the_wire() {
+    let malformed = |field: &str, value: Value| {
+        let mut v = body();
+        v[field] = value;
+        parse(&v).unwrap().1.unwrap_err().to_string()
+    };
+    assert_eq!(
+        parse_submission(b"{").unwrap_err().to_string(),
+        "not JSON: EOF while parsing an object at line 1 column 1"
+    );
+    assert_eq!(parse_submission(b"[]").unwrap_err().to_string(), "not an object");
+    assert_eq!(parse_submission(b"{}").unwrap_err().to_string(), "id is missing");
+    assert_eq!(parse_submission(br#"{"id":"job-1"}"#).unwrap_err().to_string(), "id has not the form req-000000");
+    assert_eq!(malformed("cores", json!(-1.0)), "cores is out of range");
+    assert_eq!(malformed("lots", json!(0)), "lots must be 1 to 100000");
+    assert_eq!(malformed("cast", json!("")), "cast must have 1 to 200 bytes");
+    assert_eq!(malformed("shape", json!(1)), serde_json::from_value::<Kind>(json!(1)).unwrap_err().to_string());
+    assert_eq!(malformed("awaits", json!([1])), "awaits: invalid type: integer `1`, expected a string");
+    assert_eq!(malformed("awaits", json!(["job-1"])), "awaits job-1, which was never accepted");
+
+    let unsatisfiable = [
+        (UnsatisfiableSubmission::UnknownTeam("x".into()), "unknown team x"),
+        (UnsatisfiableSubmission::FitsNoMachineType, "a task fits no allowed machine type"),
+        (UnsatisfiableSubmission::SpreadOverOneZone, "half of the gang at the most may be in the only zone it may use"),
+        (UnsatisfiableSubmission::BeyondTeamLimit, "the job needs more than its team's limit"),
+        (UnsatisfiableSubmission::RecordTooLarge, "the job takes more than the state service holds in a value"),
+        (
+            UnsatisfiableSubmission::DependsOnService(JobId::parse("req-000007").unwrap()),
+            "awaits req-000007, a service, which is never done",
+        ),
+    ];
+    for (error, message) in unsatisfiable {
+        assert_eq!(SubmissionError::from(error).to_string(), message);
     }
-    assert!(matches!(depends_on(json!(["job-1"])), Err(Refusal::Impossible(_))));
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,6 @@
 //! The edges: sockets and timers round the core.
 
+mod admission;
 pub mod cloud;
 pub mod dependency_check;
 pub mod election;
@@ -17,7 +18,7 @@
 pub mod relay_routes;
 mod round_robin;
 pub mod server;
-pub mod users;
+pub mod user_api;
 
 #[cfg(test)]
 mod loopback;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -4,7 +4,7 @@
 use super::leader_loop;
 use super::node::Node;
 use super::peers;
-use super::users::{self, Reply};
+use super::user_api::{self, Reply};
 use bytes::Bytes;
 use salvo::http::header::{CONTENT_TYPE, HeaderValue};
 use salvo::prelude::*;
@@ -43,23 +43,23 @@
         let node = &self.node;
         match self.route {
             Route::Health => {
-                let ok = users::healthy(node);
+                let ok = user_api::is_healthy(node);
                 send(res, if ok { 200 } else { 503 }, json!({ "ok": ok }).to_string());
             }
             Route::Submit => match req.payload_with_max_size(MAX_BODY_BYTES).await {
                 Ok(body) => {
                     let body = body.clone();
-                    reply(res, users::submit(node, &body).await);
+                    reply(res, user_api::submit(node, &body).await);
                 }
                 Err(_) => reply(res, Reply::error(400, "the body can't be read or is over 64 KiB")),
             },
             Route::Poll => {
                 let id = req.param::<String>("id").unwrap_or_default();
-                reply(res, users::poll(node, &id).await);
+                reply(res, user_api::poll(node, &id).await);
             }
             Route::Withdraw => {
                 let id = req.param::<String>("id").unwrap_or_default();
-                reply(res, users::withdraw(node, &id).await);
+                reply(res, user_api::withdraw(node, &id).await);
                 leader_loop::perform_pending(node);
             }
             Route::Heartbeat => {
--- /dev/null
+++ b/src/net/user_api/reply.rs
@@ -0,0 +1,92 @@
+//! What users are told: the status, and the JSON of a job or of an error.
+
+use crate::core::records::TerminalRecord;
+use crate::core::submissions::SubmissionError;
+use crate::ids::JobId;
+use crate::net::admission::TooManyRequests;
+use crate::wire::{JobPhase, JobStatus};
+use serde_json::json;
+
+/// An answer to a user.
+pub struct Reply {
+    /// The HTTP status.
+    pub status: u16,
+    /// JSON: the job's status, or an object with the field `error`.
+    pub body: String,
+    /// When the user should try again, in seconds, for the header `Retry-After`.
+    pub retry_after: Option<u32>,
+}
+
+impl Reply {
+    /// A job's phase and, where they are given, its counts of tasks.
+    fn job(status: u16, id: &JobId, phase: JobPhase, done: Option<u32>, running: Option<u32>) -> Reply {
+        let body = json!(JobStatus { id: &id.to_string(), phase, done, running }).to_string();
+        Reply { status, body, retry_after: None }
+    }
+
+    /// 201: a submitted job is stored.
+    pub(super) fn accepted(id: &JobId, phase: JobPhase) -> Reply {
+        Reply::job(201, id, phase, None, None)
+    }
+
+    /// A job that hasn't ended, with the leader's counts of its tasks.
+    pub(super) fn live(id: &JobId, done: u32, running: u32) -> Reply {
+        let phase = if running > 0 { JobPhase::Running } else { JobPhase::Queued };
+        Reply::job(200, id, phase, Some(done), Some(running))
+    }
+
+    /// A job that has ended.
+    pub(super) fn terminal(id: &JobId, record: TerminalRecord) -> Reply {
+        let done = (record.phase == JobPhase::Done).then_some(record.tasks);
+        Reply::job(200, id, record.phase, done, Some(0))
+    }
+
+    /// An error with its message.
+    pub fn error(status: u16, message: &str) -> Reply {
+        Reply { status, body: json!({ "error": message }).to_string(), retry_after: None }
+    }
+
+    /// 503 without waiting: the user is told to try again, and why.
+    pub fn later(message: &str) -> Reply {
+        Reply { retry_after: Some(1), ..Reply::error(503, message) }
+    }
+
+    /// 404: there is no such job, or the id isn't the name of a job.
+    pub(super) fn no_such_job() -> Reply {
+        Reply::error(404, "no such job")
+    }
+
+    /// 503: the key-value store doesn't answer, refuses, or a transaction was rejected and the reason is gone.
+    pub(super) fn store_unreachable() -> Reply {
+        Reply::later("the state service is out of reach")
+    }
+
+    /// 503: the cloud hasn't been asked yet since this controller started.
+    pub(super) fn machine_types_unknown() -> Reply {
+        Reply::later("machine types are not known yet")
+    }
+
+    /// 503: the stored record of the job is of no version that this one knows.
+    pub(super) fn unreadable_record() -> Reply {
+        Reply::later("the job's record can't be read")
+    }
+}
+
+impl From<TooManyRequests> for Reply {
+    fn from(_: TooManyRequests) -> Reply {
+        Reply::later("too many requests under way")
+    }
+}
+
+impl From<SubmissionError> for Reply {
+    fn from(error: SubmissionError) -> Reply {
+        let status = match error {
+            SubmissionError::Malformed(_) => 400,
+            SubmissionError::Unsatisfiable(_) => 422,
+        };
+        Reply::error(status, &error.to_string())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use wallstile::core::submissions::{Submission, parse_submission};
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber};
-use wallstile::net::users::Reply;
+use wallstile::net::user_api::Reply;
 use wallstile::wire::{
     Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobPhase, JobStatus, KeyValue, Kind, ListPhase, ListedMachine,
     MachineList, MachineNames, MachineType, MachineTypes, Mutation, Order, Precondition, Priority, ProvisionRequest,
