--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -1,4 +1,5 @@
-//! What the state service holds of jobs: linearizable reads, and what this controller remembers of them.
+//! What the key-value store holds of jobs: linearizable reads for users, and the outcomes that this controller
+//! remembers of them.
 
 use super::kv::KvError;
 use super::node::Node;
@@ -7,48 +8,78 @@
 use crate::time::Millis;
 use crate::wire::{JobPhase, KeyValue};
 
+/// What the key-value store holds of a job.
 pub enum Found {
+    /// Nothing: the job was never accepted.
     Absent,
+    /// The job hasn't ended; with its `live/` entry, whose record may be of another version.
     Live(KeyValue),
+    /// The job has ended.
     Terminal(TerminalRecord),
 }
 
-/// Users wait 2 s for the answer to a poll.
-pub const READ_TIMEOUT: Millis = Millis(1_400);
+/// Why a job couldn't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
+    /// The store hasn't answered for so long that it isn't asked for users.
+    #[error("the key-value store is unreachable")]
+    StoreUnreachable,
+    /// The read took longer than a user can wait.
+    #[error("not read within {} ms", READ_TIMEOUT.0)]
+    Timeout,
+    /// The store's answer to one call.
+    #[error(transparent)]
+    Store(#[from] KvError),
+    /// The record of a job that has ended is of no known form.
+    #[error("terminal record of {id} can't be read: {source}")]
+    UnreadableRecord {
+        /// The job.
+        id: JobId,
+        /// What the parser says.
+        source: serde_json::Error,
+    },
+}
+
+/// For how long a read may take. Users wait 2 s for the answer to a poll.
+const READ_TIMEOUT: Millis = Millis(1_400);
 
-/// What the state service holds of a job now. A job goes from live to over and never back, so
-/// reading in this order misses nothing.
-pub async fn look_up(node: &Node, id: &JobId) -> Result<Found, KvError> {
-    in_time(node, read(node, id)).await
+/// What the key-value store holds of a job now, read while the user still waits.
+pub async fn look_up(node: &Node, id: &JobId) -> Result<Found, ReadError> {
+    within_timeout(node, read(node, id)).await
 }
 
-/// Some reading for a user, given up while the user still waits.
-pub async fn in_time<T>(node: &Node, reading: impl Future<Output = Result<T, KvError>>) -> Result<T, KvError> {
+/// Gives up reads that take longer than a user can wait; not begun while the store is unreachable.
+pub(super) async fn within_timeout<T>(
+    node: &Node,
+    reads: impl Future<Output = Result<T, ReadError>>,
+) -> Result<T, ReadError> {
     if node.store_unreachable() {
-        return Err(KvError::Unknown("silent for long".into()));
+        return Err(ReadError::StoreUnreachable);
     }
-    let limited = tokio::time::timeout(READ_TIMEOUT.to_std(), reading).await;
-    limited.unwrap_or_else(|_| Err(KvError::Unknown("too slow".into())))
+    tokio::time::timeout(READ_TIMEOUT.to_std(), reads).await.unwrap_or(Err(ReadError::Timeout))
 }
 
-pub(super) async fn read(node: &Node, id: &JobId) -> Result<Found, KvError> {
+/// What the key-value store holds of a job, without a bound on the time. A job goes from live to terminal and
+/// never back, so reading in this order misses nothing.
+pub(super) async fn read(node: &Node, id: &JobId) -> Result<Found, ReadError> {
     let known = node.lock().outcomes.get(id);
     if let Some(record) = known {
         return Ok(Found::Terminal(record));
     }
-    let live = node.track_store(node.kv.get(&node.http, &live_key(id))).await;
-    if let Some(row) = live? {
+    let live = node.track_store(node.kv.get(&node.http, &live_key(id))).await?;
+    if let Some(row) = live {
         return Ok(Found::Live(row));
     }
-    let over = node.track_store(node.kv.get(&node.http, &terminal_key(id))).await;
-    let Some(row) = over? else { return Ok(Found::Absent) };
-    let record: TerminalRecord = serde_json::from_value(row.value).map_err(|e| KvError::Unknown(e.to_string()))?;
+    let terminal = node.track_store(node.kv.get(&node.http, &terminal_key(id))).await?;
+    let Some(row) = terminal else { return Ok(Found::Absent) };
+    let record: TerminalRecord =
+        serde_json::from_value(row.value).map_err(|source| ReadError::UnreadableRecord { id: *id, source })?;
     record_outcome(node, id, record, Revision(row.revision));
     Ok(Found::Terminal(record))
 }
 
-/// A user is about to be told how a job has ended. A leader must act on what it tells, even where its
-/// watch is late, and a leader that can't read it is told by pledge.
+/// Remembers how a job has ended, before a user is told of it. A leader must act on what it tells, even where
+/// its watch is late, and a leader that can't read the store learns of cancellations by pledges.
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut inner = node.lock();
     inner.outcomes.put(id, record);
@@ -60,7 +91,7 @@
     }
 }
 
-/// Those of the jobs that are over, and how they have ended.
+/// Those of the jobs that have ended, and how. Ends early at a read that fails.
 pub async fn outcomes(node: &Node, ids: &[JobId]) -> Vec<(JobId, JobOutcome)> {
     let mut outcomes = Vec::new();
     for id in ids {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,12 @@
-//! The edges: sockets and timers round the core.
+//! The edges: sockets and timers round the core. Nothing here decides about tasks and machines; that is the
+//! scheduler's alone, and the leader's.
+//!
+//! - Clients: `kv` (key-value store), `cloud`, `peers` (other controllers), all by way of `http`.
+//! - Services: `user_api` with `admission`, `linearizable_reads` and `dependency_check`; `heartbeats` with
+//!   `heartbeat_relay`, `relay_routes` and `heartbeat_balancing`; `election`; `leader_loop`, which gives the
+//!   scheduler its inputs and carries out its effects.
+//! - `server` maps the routes to the services, and `node` holds what the services share.
+//! - `input_latency` and `rate_limited_log` are for the log.
 
 mod admission;
 pub mod cloud;
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -10,8 +10,7 @@
 use crate::ids::JobId;
 use crate::net::admission::Admission;
 use crate::net::dependency_check::{self, DependencyStatus};
-use crate::net::kv::KvError;
-use crate::net::linearizable_reads::record_outcome;
+use crate::net::linearizable_reads::{ReadError, record_outcome};
 use crate::net::node::Node;
 use crate::wire::{JobPhase, Mutation, Transaction};
 use serde_json::{Value, json};
@@ -28,7 +27,7 @@
     MachineTypesUnknown,
     /// What the job depends on can't be read.
     #[error("a dependency can't be read: {0}")]
-    StoreUnreachable(#[from] KvError),
+    DependencyUnread(#[from] ReadError),
 }
 
 impl From<UnsatisfiableSubmission> for NotAccepted {
@@ -42,7 +41,7 @@
         match reason {
             NotAccepted::Refused(error) => error.into(),
             NotAccepted::MachineTypesUnknown => Reply::machine_types_unknown(),
-            NotAccepted::StoreUnreachable(_) => Reply::store_unreachable(),
+            NotAccepted::DependencyUnread(_) => Reply::store_unreachable(),
         }
     }
 }
