--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -9,8 +9,8 @@
         "expect_s": 240.0, "mark_s": 30.0, "stow_s": 4.0, "due_s": 900.0, "later": {"unknown": 1}})
 }
 
-fn parse(v: &Value) -> Result<(JobId, Result<Submission, SubmissionError>), SubmissionError> {
-    parse_submission(v.to_string().as_bytes())
+fn parse(submission: &Value) -> Result<(JobId, Result<Submission, SubmissionError>), SubmissionError> {
+    parse_submission(submission.to_string().as_bytes())
 }
 
 #[test]
@@ -40,57 +40,60 @@
         ("due_s", json!(-5)),
     ];
     for (field, value) in bad {
-        let mut v = body();
-        v[field] = value.clone();
-        let (_, spec) = parse(&v).unwrap();
+        let mut submission = body();
+        submission[field] = value.clone();
+        let (_, spec) = parse(&submission).unwrap();
         assert!(matches!(spec, Err(SubmissionError::Malformed(_))), "{field}={value}");
-        v.as_object_mut().unwrap().remove(field);
-        let (_, spec) = parse(&v).unwrap();
+        submission.as_object_mut().unwrap().remove(field);
+        let (_, spec) = parse(&submission).unwrap();
         // What may be null may be absent.
         assert_eq!(spec.is_ok(), field == "due_s", "without {field}");
     }
     for id in [json!("job-000412"), json!("req-1/2"), json!(7), json!(null)] {
-        let mut v = body();
-        v["id"] = id;
-        assert!(parse(&v).is_err());
+        let mut submission = body();
+        submission["id"] = id;
+        assert!(parse(&submission).is_err());
     }
 }
 
 #[test]
-fn what_can_never_run_is_refused() {
+fn unsatisfiable_submissions_are_refused() {
     let teams = sample_settings().cluster.teams;
     let g8 = json!({"sku": "g8", "cores": 16, "gpus": 2, "ram_gb": 128, "price": 1.0, "market_price": 0.5,
         "quays": ["a"]});
     let types: Vec<MachineType> = vec![serde_json::from_value(g8).unwrap()];
     let spec = parse(&body()).unwrap().1.unwrap().spec;
-    let ok = |f: &dyn Fn(&mut JobSpec)| {
-        let mut s = spec.clone();
-        f(&mut s);
-        check_satisfiable(&s, &teams, &types).is_ok()
+    let ok = |change: &dyn Fn(&mut JobSpec)| {
+        let mut spec = spec.clone();
+        change(&mut spec);
+        check_satisfiable(&spec, &teams, &types).is_ok()
     };
     assert!(ok(&|_| ()));
-    assert!(!ok(&|s| s.team = "nobody".into()));
-    assert!(!ok(&|s| s.cpus = 17.0));
-    assert!(!ok(&|s| s.zone = Some("b".into())));
-    assert!(!ok(&|s| s.types = Some(vec!["h1".into()])));
+    assert!(!ok(&|spec| spec.team = "nobody".into()));
+    assert!(!ok(&|spec| spec.cpus = 17.0));
+    assert!(!ok(&|spec| spec.zone = Some("b".into())));
+    assert!(!ok(&|spec| spec.types = Some(vec!["h1".into()])));
     // 40 CPUs are the limit of team-a: a gang counts whole, an array by the task.
-    assert!(!ok(&|s| s.tasks = 6));
-    assert!(ok(&|s| (s.tasks, s.kind) = (6, Kind::Array)));
+    assert!(!ok(&|spec| spec.tasks = 6));
+    assert!(ok(&|spec| (spec.tasks, spec.kind) = (6, Kind::Array)));
     // All tasks of a gang can't be in one zone where only half of them may be.
-    assert!(!ok(&|s| s.spread = true));
-    assert!(ok(&|s| (s.spread, s.tasks) = (true, 1)));
-    assert!(ok(&|s| (s.spread, s.kind) = (true, Kind::Array)));
-    assert!(!ok(&|s| (s.spread, s.one_zone) = (true, false)), "there is one zone only");
+    assert!(!ok(&|spec| spec.spread = true));
+    assert!(ok(&|spec| (spec.spread, spec.tasks) = (true, 1)));
+    assert!(ok(&|spec| (spec.spread, spec.kind) = (true, Kind::Array)));
+    assert!(!ok(&|spec| (spec.spread, spec.one_zone) = (true, false)), "there is one zone only");
     // 0 as a limit is none.
-    assert!(ok(&|s| (s.tasks, s.team) = (6, "team-b".into())));
+    assert!(ok(&|spec| (spec.tasks, spec.team) = (6, "team-b".into())));
 }
 
 #[test]
-fn awaited_jobs_are_read_once_each() {
+fn dependencies_are_read_once_each() {
     let depends_on = |value: Value| {
-        let mut v = body();
-        v["awaits"] = value;
-        parse(&v).unwrap().1.map(|s| s.depends_on.iter().map(JobId::to_string).collect::<Vec<_>>())
+        let mut submission = body();
+        submission["awaits"] = value;
+        parse(&submission)
+            .unwrap()
+            .1
+            .map(|submission| submission.depends_on.iter().map(JobId::to_string).collect::<Vec<_>>())
     };
     assert_eq!(depends_on(json!(null)), Ok(vec![]));
     assert_eq!(depends_on(json!([])), Ok(vec![]));
@@ -105,9 +108,9 @@
 #[test]
 fn users_are_told_the_reason_in_the_words_of_the_wire() {
     let malformed = |field: &str, value: Value| {
-        let mut v = body();
-        v[field] = value;
-        parse(&v).unwrap().1.unwrap_err().to_string()
+        let mut submission = body();
+        submission[field] = value;
+        parse(&submission).unwrap().1.unwrap_err().to_string()
     };
     assert_eq!(
         parse_submission(b"{").unwrap_err().to_string(),
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -27,3 +27,6 @@
         self.node.lock().user_requests -= 1;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -191,3 +191,6 @@
     };
     Ok(is_readable.into_iter().map(decision).collect())
 }
+
+#[cfg(test)]
+mod tests;
