--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -9,8 +9,8 @@
         "expect_s": 240.0, "mark_s": 30.0, "stow_s": 4.0, "due_s": 900.0, "later": {"unknown": 1}})
 }
 
-fn parse(v: &Value) -> Result<(JobId, Result<Submission, Refusal>), Refusal> {
-    parse_submission(v.to_string().as_bytes())
+fn parse(submission: &Value) -> Result<(JobId, Result<Submission, SubmissionError>), SubmissionError> {
+    parse_submission(submission.to_string().as_bytes())
 }
 
 #[test]
@@ -40,64 +40,104 @@
         ("due_s", json!(-5)),
     ];
     for (field, value) in bad {
-        let mut v = body();
-        v[field] = value.clone();
-        let (_, spec) = parse(&v).unwrap();
-        assert!(matches!(spec, Err(Refusal::Malformed(_))), "{field}={value}");
-        v.as_object_mut().unwrap().remove(field);
-        let (_, spec) = parse(&v).unwrap();
+        let mut submission = body();
+        submission[field] = value.clone();
+        let (_, spec) = parse(&submission).unwrap();
+        assert!(matches!(spec, Err(SubmissionError::Malformed(_))), "{field}={value}");
+        submission.as_object_mut().unwrap().remove(field);
+        let (_, spec) = parse(&submission).unwrap();
         // What may be null may be absent.
         assert_eq!(spec.is_ok(), field == "due_s", "without {field}");
     }
     for id in [json!("job-000412"), json!("req-1/2"), json!(7), json!(null)] {
-        let mut v = body();
-        v["id"] = id;
-        assert!(parse(&v).is_err());
+        let mut submission = body();
+        submission["id"] = id;
+        assert!(parse(&submission).is_err());
     }
 }
 
 #[test]
-fn what_can_never_run_is_refused() {
+fn unsatisfiable_submissions_are_refused() {
     let teams = sample_settings().cluster.teams;
     let g8 = json!({"sku": "g8", "cores": 16, "gpus": 2, "ram_gb": 128, "price": 1.0, "market_price": 0.5,
         "quays": ["a"]});
     let types: Vec<MachineType> = vec![serde_json::from_value(g8).unwrap()];
     let spec = parse(&body()).unwrap().1.unwrap().spec;
-    let ok = |f: &dyn Fn(&mut JobSpec)| {
-        let mut s = spec.clone();
-        f(&mut s);
-        check_possible(&s, &teams, &types).is_ok()
+    let ok = |change: &dyn Fn(&mut JobSpec)| {
+        let mut spec = spec.clone();
+        change(&mut spec);
+        check_satisfiable(&spec, &teams, &types).is_ok()
     };
     assert!(ok(&|_| ()));
-    assert!(!ok(&|s| s.team = "nobody".into()));
-    assert!(!ok(&|s| s.cpus = 17.0));
-    assert!(!ok(&|s| s.zone = Some("b".into())));
-    assert!(!ok(&|s| s.types = Some(vec!["h1".into()])));
+    assert!(!ok(&|spec| spec.team = "nobody".into()));
+    assert!(!ok(&|spec| spec.cpus = 17.0));
+    assert!(!ok(&|spec| spec.zone = Some("b".into())));
+    assert!(!ok(&|spec| spec.types = Some(vec!["h1".into()])));
     // 40 CPUs are the limit of team-a: a gang counts whole, an array by the task.
-    assert!(!ok(&|s| s.tasks = 6));
-    assert!(ok(&|s| (s.tasks, s.kind) = (6, Kind::Array)));
+    assert!(!ok(&|spec| spec.tasks = 6));
+    assert!(ok(&|spec| (spec.tasks, spec.kind) = (6, Kind::Array)));
     // All tasks of a gang can't be in one zone where only half of them may be.
-    assert!(!ok(&|s| s.spread = true));
-    assert!(ok(&|s| (s.spread, s.tasks) = (true, 1)));
-    assert!(ok(&|s| (s.spread, s.kind) = (true, Kind::Array)));
-    assert!(!ok(&|s| (s.spread, s.one_zone) = (true, false)), "there is one zone only");
+    assert!(!ok(&|spec| spec.spread = true));
+    assert!(ok(&|spec| (spec.spread, spec.tasks) = (true, 1)));
+    assert!(ok(&|spec| (spec.spread, spec.kind) = (true, Kind::Array)));
+    assert!(!ok(&|spec| (spec.spread, spec.one_zone) = (true, false)), "there is one zone only");
     // 0 as a limit is none.
-    assert!(ok(&|s| (s.tasks, s.team) = (6, "team-b".into())));
+    assert!(ok(&|spec| (spec.tasks, spec.team) = (6, "team-b".into())));
 }
 
 #[test]
-fn awaited_jobs_are_read_once_each() {
+fn dependencies_are_read_once_each() {
     let depends_on = |value: Value| {
-        let mut v = body();
-        v["awaits"] = value;
-        parse(&v).unwrap().1.map(|s| s.depends_on.iter().map(JobId::to_string).collect::<Vec<_>>())
+        let mut submission = body();
+        submission["awaits"] = value;
+        parse(&submission)
+            .unwrap()
+            .1
+            .map(|submission| submission.depends_on.iter().map(JobId::to_string).collect::<Vec<_>>())
     };
     assert_eq!(depends_on(json!(null)), Ok(vec![]));
     assert_eq!(depends_on(json!([])), Ok(vec![]));
     let named = json!(["req-000405", "req-000398", "req-000405"]);
     assert_eq!(depends_on(named), Ok(vec!["req-000398".into(), "req-000405".into()]));
     for bad in [json!("req-000398"), json!([398]), json!([null]), json!({"req-000398": 1})] {
-        assert!(matches!(depends_on(bad.clone()), Err(Refusal::Malformed(_))), "{bad}");
+        assert!(matches!(depends_on(bad.clone()), Err(SubmissionError::Malformed(_))), "{bad}");
+    }
+    assert!(matches!(depends_on(json!(["job-1"])), Err(SubmissionError::Unsatisfiable(_))));
+}
+
+#[test]
+fn users_are_told_the_reason_in_the_words_of_the_wire() {
+    let malformed = |field: &str, value: Value| {
+        let mut submission = body();
+        submission[field] = value;
+        parse(&submission).unwrap().1.unwrap_err().to_string()
+    };
+    assert_eq!(
+        parse_submission(b"{").unwrap_err().to_string(),
+        "not JSON: EOF while parsing an object at line 1 column 1"
+    );
+    assert_eq!(parse_submission(b"[]").unwrap_err().to_string(), "not an object");
+    assert_eq!(parse_submission(b"{}").unwrap_err().to_string(), "id is missing");
+    assert_eq!(parse_submission(br#"{"id":"job-1"}"#).unwrap_err().to_string(), "id has not the form req-000000");
+    assert_eq!(malformed("cores", json!(-1.0)), "cores is out of range");
+    assert_eq!(malformed("lots", json!(0)), "lots must be 1 to 100000");
+    assert_eq!(malformed("cast", json!("")), "cast must have 1 to 200 bytes");
+    assert_eq!(malformed("shape", json!(1)), serde_json::from_value::<Kind>(json!(1)).unwrap_err().to_string());
+    assert_eq!(malformed("awaits", json!([1])), "awaits: invalid type: integer `1`, expected a string");
+    assert_eq!(malformed("awaits", json!(["job-1"])), "awaits job-1, which was never accepted");
+
+    let unsatisfiable = [
+        (UnsatisfiableSubmission::UnknownTeam("x".into()), "unknown team x"),
+        (UnsatisfiableSubmission::FitsNoMachineType, "a task fits no allowed machine type"),
+        (UnsatisfiableSubmission::SpreadOverOneZone, "half of the gang at the most may be in the only zone it may use"),
+        (UnsatisfiableSubmission::BeyondTeamLimit, "the job needs more than its team's limit"),
+        (UnsatisfiableSubmission::RecordTooLarge, "the job takes more than the state service holds in a value"),
+        (
+            UnsatisfiableSubmission::DependsOnService(JobId::parse("req-000007").unwrap()),
+            "awaits req-000007, a service, which is never done",
+        ),
+    ];
+    for (error, message) in unsatisfiable {
+        assert_eq!(SubmissionError::from(error).to_string(), message);
     }
-    assert!(matches!(depends_on(json!(["job-1"])), Err(Refusal::Impossible(_))));
 }
