--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -93,14 +93,22 @@
     pub depends_on: Vec<JobId>,
 }
 
-/// Reads a submission. A body without a readable id is refused at once; otherwise the id comes with the
-/// submission or the reason against it, as a job that is known already is answered whatever else the body says.
-pub fn parse_submission(body: &[u8]) -> Result<(JobId, Result<Submission, SubmissionError>), SubmissionError> {
+/// A body with a readable id. A job that is known already is answered whatever else the body says.
+#[derive(Clone, PartialEq, Debug)]
+pub struct ParsedSubmission {
+    /// The job's id.
+    pub id: JobId,
+    /// The rest of the body, or why it is refused.
+    pub submission: Result<Submission, SubmissionError>,
+}
+
+/// Reads a submission. The error is that there is no readable id.
+pub fn parse_submission(body: &[u8]) -> Result<ParsedSubmission, MalformedSubmission> {
     let value: Value = serde_json::from_slice(body).map_err(|error| MalformedSubmission::NotJson(error.to_string()))?;
     let object = value.as_object().ok_or(MalformedSubmission::NotAnObject)?;
     let id = object.get("id").and_then(Value::as_str).ok_or(MalformedSubmission::MissingId)?;
     let id = JobId::parse(id).ok_or(MalformedSubmission::InvalidId)?;
-    Ok((id, parse_body(value)))
+    Ok(ParsedSubmission { id, submission: parse_body(value) })
 }
 
 fn parse_body(value: Value) -> Result<Submission, SubmissionError> {
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -9,14 +9,14 @@
         "expect_s": 240.0, "mark_s": 30.0, "stow_s": 4.0, "due_s": 900.0, "later": {"unknown": 1}})
 }
 
-fn parse(submission: &Value) -> Result<(JobId, Result<Submission, SubmissionError>), SubmissionError> {
+fn parse(submission: &Value) -> Result<ParsedSubmission, MalformedSubmission> {
     parse_submission(submission.to_string().as_bytes())
 }
 
 #[test]
 fn a_submission_is_read_and_kept_as_it_came() {
-    let (id, spec) = parse(&body()).unwrap();
-    let Submission { spec, depends_on } = spec.unwrap();
+    let ParsedSubmission { id, submission } = parse(&body()).unwrap();
+    let Submission { spec, depends_on } = submission.unwrap();
     assert!(depends_on.is_empty());
     assert_eq!((&*id.to_string(), spec.tasks, spec.zone.is_none()), ("req-000412", 4, true));
     let again: JobSpec = serde_json::from_value(json!(spec)).unwrap();
@@ -42,12 +42,12 @@
     for (field, value) in bad {
         let mut submission = body();
         submission[field] = value.clone();
-        let (_, spec) = parse(&submission).unwrap();
-        assert!(matches!(spec, Err(SubmissionError::Malformed(_))), "{field}={value}");
+        let parsed = parse(&submission).unwrap().submission;
+        assert!(matches!(parsed, Err(SubmissionError::Malformed(_))), "{field}={value}");
         submission.as_object_mut().unwrap().remove(field);
-        let (_, spec) = parse(&submission).unwrap();
+        let parsed = parse(&submission).unwrap().submission;
         // What may be null may be absent.
-        assert_eq!(spec.is_ok(), field == "due_s", "without {field}");
+        assert_eq!(parsed.is_ok(), field == "due_s", "without {field}");
     }
     for id in [json!("job-000412"), json!("req-1/2"), json!(7), json!(null)] {
         let mut submission = body();
@@ -62,7 +62,7 @@
     let g8 = json!({"sku": "g8", "cores": 16, "gpus": 2, "ram_gb": 128, "price": 1.0, "market_price": 0.5,
         "quays": ["a"]});
     let types: Vec<MachineType> = vec![serde_json::from_value(g8).unwrap()];
-    let spec = parse(&body()).unwrap().1.unwrap().spec;
+    let spec = parse(&body()).unwrap().submission.unwrap().spec;
     let ok = |change: &dyn Fn(&mut JobSpec)| {
         let mut spec = spec.clone();
         change(&mut spec);
@@ -92,7 +92,7 @@
         submission["awaits"] = value;
         parse(&submission)
             .unwrap()
-            .1
+            .submission
             .map(|submission| submission.depends_on.iter().map(JobId::to_string).collect::<Vec<_>>())
     };
     assert_eq!(depends_on(json!(null)), Ok(vec![]));
@@ -110,7 +110,7 @@
     let malformed = |field: &str, value: Value| {
         let mut submission = body();
         submission[field] = value;
-        parse(&submission).unwrap().1.unwrap_err().to_string()
+        parse(&submission).unwrap().submission.unwrap_err().to_string()
     };
     assert_eq!(
         parse_submission(b"{").unwrap_err().to_string(),
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -4,7 +4,7 @@
 use crate::core::election::LeaderRecord;
 use crate::core::records::{JobOutcome, LiveRecord};
 use crate::core::scheduler::{Scheduler, TICK_INTERVAL};
-use crate::core::submissions::{Submission, parse_submission};
+use crate::core::submissions::{ParsedSubmission, Submission, parse_submission};
 use crate::ids::JobId;
 use crate::net::heartbeats;
 use crate::net::input_latency::InputKind;
@@ -17,7 +17,8 @@
     let types = node.cloud.types(&node.http, node.now()).await.expect("the stand-in names its types");
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: 1, lease: LeaseId(7) };
     let mut leader = Scheduler::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
-    let (id, submission) = parse_submission(job("req-000001", 1).to_string().as_bytes()).unwrap_or_else(|_| panic!());
+    let ParsedSubmission { id, submission } =
+        parse_submission(job("req-000001", 1).to_string().as_bytes()).expect("the id is readable");
     let Ok(Submission { spec, .. }) = submission else { panic!("the job is possible") };
     let live = json!(LiveRecord { at: WallTime(0), spec, depends_on: Vec::new() });
     leader.on_job_accepted(&id, &live, Revision(1));
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -5,7 +5,7 @@
 use super::reply::Reply;
 use crate::core::records::{LiveRecord, TerminalRecord, absent_preconditions, live_key, terminal_key};
 use crate::core::submissions::{
-    Submission, SubmissionError, UnsatisfiableSubmission, check_satisfiable, parse_submission,
+    ParsedSubmission, Submission, SubmissionError, UnsatisfiableSubmission, check_satisfiable, parse_submission,
 };
 use crate::ids::JobId;
 use crate::net::admission::Admission;
@@ -60,9 +60,9 @@
         Ok(admission) => admission,
         Err(too_many) => return too_many.into(),
     };
-    let (id, submission) = match parse_submission(body) {
+    let ParsedSubmission { id, submission } = match parse_submission(body) {
         Ok(parsed) => parsed,
-        Err(error) => return error.into(),
+        Err(error) => return SubmissionError::from(error).into(),
     };
     let outcome = node.lock().outcomes.get(&id);
     if let Some(record) = outcome {
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -3,7 +3,7 @@
 use crate::samples::Samples;
 use crate::values::{full_job, job_id, job_named, machine_type, sparse_job, task};
 use serde_json::json;
-use wallstile::core::submissions::{Submission, parse_submission};
+use wallstile::core::submissions::{ParsedSubmission, Submission, parse_submission};
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber};
 use wallstile::net::user_api::Reply;
 use wallstile::wire::{
@@ -58,7 +58,11 @@
         [("submission", full_job(), vec![first, second]), ("submission_sparse", sparse_job(), vec![])]
     {
         let read = parse_submission(Samples::wire().text(name).as_bytes());
-        assert_eq!(read, Ok((job_id(), Ok(Submission { spec, depends_on }))), "{name}");
+        assert_eq!(
+            read,
+            Ok(ParsedSubmission { id: job_id(), submission: Ok(Submission { spec, depends_on }) }),
+            "{name}"
+        );
     }
 }
 
