--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn settings_that_contradict_themselves_are_refused() {
+fn settings_check_refuses_contradictions() {
     let good = include_str!("../../tests/settings.json");
     assert!(Settings::parse(good).is_ok());
     for (from, to) in [
@@ -18,39 +18,47 @@
 }
 
 #[test]
-fn the_sockets_suffice_for_a_worker_each() {
-    let mut s = sample_settings();
-    // The least that platforms have pledged for a fleet, with room for users.
+fn socket_shares_suffice_for_a_connection_of_each_worker() {
+    let mut settings = sample_settings();
+    // The least limits that platforms have granted for a number of workers.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
-        s.cluster.limits.max_sockets = limit;
-        let x = s.sockets();
-        assert!(x.public > workers * 11 / 10);
-        assert!(x.public + x.peers + x.own + x.orders <= limit * 98 / 100);
+        settings.cluster.limits.max_sockets = limit;
+        let SocketShares { public, peers, own, orders } = settings.sockets();
+        assert!(public > workers * 11 / 10);
+        assert!(public + peers + own + orders <= limit * 98 / 100);
     }
 }
 
 #[test]
-fn the_goal_is_the_next_aim_that_can_still_be_met() {
-    let mut s = sample_settings();
-    let aim =
-        |kind: &str, within_s: f64, times: f64| Objective { kind: kind.into(), class: "x".into(), within_s, times };
-    s.cluster.objectives = vec![aim("deadline", 0.0, 1.5), aim("wait", 30.0, 1.0), aim("finished", 200.0, 1.0)];
-    // A run of 20 s: the aim on starting ends at 50, the deadline at 60 and at 90, then 200.
+fn next_slo_deadline_is_the_first_that_can_still_be_met() {
+    let mut settings = sample_settings();
+    let objective = |kind: &str, within_s: f64, times: f64| Objective {
+        kind: kind.to_string().into(),
+        class: "x".into(),
+        within_s,
+        times,
+    };
+    settings.cluster.objectives =
+        vec![objective("deadline", 0.0, 1.5), objective("wait", 30.0, 1.0), objective("finished", 200.0, 1.0)];
+    // A run of 20 s: the objective on starting ends at 50, the deadline at 60 and at 90, then 200.
     let ages = |submitted_s, startable_s| JobAges { submitted_s, startable_s };
-    let next = |slo_deadlines| next_slo_deadline(slo_deadlines, 20.0);
-    let goal = |age| next(s.slo_deadlines("x", Some(60.0), ages(age, age), 20.0));
-    assert_eq!(goal(0.0), (Some(50.0 - 0.0), 0));
-    assert_eq!(goal(35.0), (Some(60.0 - 35.0), 1));
-    assert_eq!(goal(65.0), (Some(90.0 - 65.0), 2));
-    assert_eq!(goal(190.0), (None, 4));
-    // One that has awaited others for 30 s: only its deadlines are nearer.
-    assert_eq!(next(s.slo_deadlines("x", Some(60.0), ages(35.0, 5.0), 20.0)), (Some(25.0), 0));
-    assert_eq!(next(s.slo_deadlines("x", Some(60.0), ages(45.0, 15.0), 20.0)), (Some(35.0), 1));
-    assert_eq!(next(s.slo_deadlines("other", None, ages(5.0, 5.0), 20.0)), (None, 0));
+    let next = |slo_deadlines| {
+        let NextSlo { deadline_s, missed } = next_slo_deadline(slo_deadlines, 20.0);
+        (deadline_s, missed)
+    };
+    let at_age = |age| next(settings.slo_deadlines("x", Some(60.0), ages(age, age), 20.0));
+    assert_eq!(at_age(0.0), (Some(50.0 - 0.0), 0));
+    assert_eq!(at_age(35.0), (Some(60.0 - 35.0), 1));
+    assert_eq!(at_age(65.0), (Some(90.0 - 65.0), 2));
+    assert_eq!(at_age(190.0), (None, 4));
+    // One that has depended on others for 30 s: only its deadlines are nearer.
+    assert_eq!(next(settings.slo_deadlines("x", Some(60.0), ages(35.0, 5.0), 20.0)), (Some(25.0), 0));
+    assert_eq!(next(settings.slo_deadlines("x", Some(60.0), ages(45.0, 15.0), 20.0)), (Some(35.0), 1));
+    assert_eq!(next(settings.slo_deadlines("other", None, ages(5.0, 5.0), 20.0)), (None, 0));
 }
 
 #[test]
-fn limits_that_come_later_hold_from_the_beginning() {
+fn upcoming_store_limits_hold_from_the_beginning() {
     let good = include_str!("../../tests/settings.json");
     let with =
         |next: &str| Settings::parse(&good.replace("\"txn_ops\": 12", &format!("\"txn_ops\": 12, \"next\": {next}")));
@@ -65,9 +73,9 @@
 }
 
 #[test]
-fn operators_settings_name_the_line_of_an_error() {
-    let t = Tuning::parse("<wallstile>\n <idle-s>60</idle-s>\n</wallstile>").unwrap();
-    assert_eq!(t.idle_s, 60.0);
+fn tuning_errors_name_their_line() {
+    let tuning = Tuning::parse("<wallstile>\n <idle-s>60</idle-s>\n</wallstile>").unwrap();
+    assert_eq!(tuning.idle_s, 60.0);
     assert_eq!(Tuning::parse("<wallstile/>").unwrap(), Tuning::default());
     for (text, line, what) in [
         ("<wallstile>\n<idel-s>1</idel-s></wallstile>", 2, "unknown"),
@@ -78,7 +86,60 @@
         ("<wallstile><idle-s>1</wallstile>", 1, ""),
         ("", 1, "ends"),
     ] {
-        let (l, m) = Tuning::parse(text).unwrap_err();
-        assert!(l == line && m.contains(what), "{text:?}: line {l}: {m}");
+        let error = Tuning::parse(text).unwrap_err();
+        assert!(error.line == line && error.kind.to_string().contains(what), "{text:?}: {error}");
+    }
+}
+
+#[test]
+fn objective_kinds_that_are_unknown_are_accepted_and_ignored() {
+    let good = include_str!("../../tests/settings.json");
+    let mut value: serde_json::Value = serde_json::from_str(good).unwrap();
+    value["cluster"]["objectives"] =
+        serde_json::json!([{"kind": "from a later version", "class": "x", "within_s": 1.0}]);
+    let settings = Settings::parse(&value.to_string()).unwrap();
+    assert_eq!(settings.cluster.objectives[0].kind, ObjectiveKind::Unknown);
+    assert_eq!(settings.start_slo_s("x", true), None);
+    let ages = JobAges { submitted_s: 0.0, startable_s: 0.0 };
+    assert!(settings.slo_deadlines("x", None, ages, 1.0).is_empty());
+    value["cluster"]["objectives"] = serde_json::json!([{"kind": 1}]);
+    assert!(Settings::parse(&value.to_string()).is_err(), "a kind is a text");
+}
+
+#[test]
+fn settings_errors_keep_the_wording_that_operators_know() {
+    let good = include_str!("../../tests/settings.json");
+    for (from, to, message) in [
+        ("\"rps\": 100.0", "\"rps\": 0.0", "cluster.state.rps must be above 0, not 0"),
+        ("\"fd_limit\": 1000", "\"fd_limit\": 31", "cluster.limits.fd_limit must be at least 32, not 31"),
+        ("\"txn_ops\": 12", "\"txn_ops\": 3", "cluster.state.txn_ops must be at least 4, now and in next"),
+        (
+            "\"lease_s\": 10.0",
+            "\"lease_s\": 29.0",
+            "cluster.workers.cancel_s leaves no room for lease_s and a change of leader",
+        ),
+        ("\"team-b\"", "\"team-a\"", "cluster.teams names team-a twice"),
+        ("\"plinth-1\"", "\"plinth-0\"", "host_name must be set and differ from the names in known"),
+    ] {
+        assert_eq!(Settings::parse(&good.replace(from, to)).unwrap_err().to_string(), message);
+    }
+    let missing = Settings::parse(&good.replace("\"report_s\"", "\"other\"")).unwrap_err().to_string();
+    assert!(missing.starts_with("missing field `report_s` at line "), "{missing}");
+}
+
+#[test]
+fn tuning_errors_keep_the_wording_that_operators_know() {
+    for (text, message) in [
+        ("<wallstile>\n<idle-s>1</idle-s><idle-s>1</idle-s></wallstile>", "line 2: <idle-s> stands twice"),
+        ("<wallstile><idle>1</idle></wallstile>", "line 1: unknown element <idle>"),
+        ("<wallstile><idle-s a='1'>1</idle-s></wallstile>", "line 1: <idle-s> takes no attributes"),
+        ("<wallstile><idle-s/></wallstile>", "line 1: <idle-s> is empty"),
+        ("<wallstile><idle-s> x </idle-s></wallstile>", "line 1: <idle-s> holds no number: \"x\""),
+        ("<wallstile><budget-share>2</budget-share></wallstile>", "line 1: <budget-share> must be 0 to 1, not 2"),
+        ("<wallstile>x</wallstile>", "line 1: stray text in <wallstile>"),
+        ("\n", "line 2: the document ends before </wallstile>"),
+        ("<wallstile>\n<batch-min>2000</batch-min></wallstile>", "line 1: batch-min is above batch-max"),
+    ] {
+        assert_eq!(Tuning::parse(text).unwrap_err().to_string(), message);
     }
 }
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -293,7 +293,7 @@
         let aim = aim.filter(|aim| *aim > age_s).map(|aim| aim - age_s + run_s);
         let mut slo_deadlines = self.settings.slo_deadlines(&spec.class, spec.deadline_s, ages, run_s);
         slo_deadlines.extend(job.inherited.iter().flat_map(|inherited| &inherited.slo_deadlines));
-        let (slo_deadline_s, missed) = next_slo_deadline(slo_deadlines, run_s);
+        let next_slo = next_slo_deadline(slo_deadlines, run_s);
         let due_s = spec.deadline_s.map(|due_s| due_s - ages.submitted_s);
         let inherited_due_s = job.inherited.as_ref().and_then(|inherited| inherited.due_s);
         let at_fault = job.at_fault(context.now);
@@ -314,9 +314,9 @@
             new_spot: spec.spot && !job.no_new_spot,
             run_s,
             due_s: due_s.into_iter().chain(aim).chain(inherited_due_s).reduce(f64::min),
-            slo_deadline_s,
+            slo_deadline_s: next_slo.deadline_s,
             dependents_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
-            missed_slos: if service { 0 } else { missed },
+            missed_slos: if service { 0 } else { next_slo.missed },
             service,
             age_s,
             overspent: job.overspent,
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,6 +1,6 @@
 //! Every name of the platform's settings and of the operators' is read.
 
-use wallstile::config::{Objective, Peer, Settings, Team, Tuning};
+use wallstile::config::{Objective, ObjectiveKind, Peer, Settings, Team, Tuning};
 
 fn settings() -> Settings {
     Settings::parse(include_str!("settings.json")).expect("the sample is valid")
@@ -27,10 +27,10 @@
     let team = |team: &Team| (team.name.clone(), [team.cpus, team.cpus_max, team.gpus, team.gpus_max]);
     let teams: Vec<_> = cluster.teams.iter().map(team).collect();
     assert_eq!(teams, [("team-a".to_string(), [8.0, 40.0, 2.0, 6.0]), ("team-b".to_string(), [0.0; 4])]);
-    let aim = |aim: &Objective| (aim.kind.clone(), aim.class.clone(), aim.within_s, aim.times);
+    let aim = |aim: &Objective| (aim.kind, aim.class.clone(), aim.within_s, aim.times);
     let aims: Vec<_> = cluster.objectives.iter().map(aim).collect();
     let expected =
-        [("deadline".to_string(), "feed".to_string(), 3.5, 1.5), ("guarantee".to_string(), String::new(), 0.0, 1.0)];
+        [(ObjectiveKind::Deadline, "feed".to_string(), 3.5, 1.5), (ObjectiveKind::Guarantee, String::new(), 0.0, 1.0)];
     assert_eq!(aims, expected);
 }
 
@@ -65,5 +65,5 @@
         user_requests: 66.0,
         gang_reservation_wait_s: 121.0,
     };
-    assert_eq!(Tuning::parse(include_str!("operators.xml")), Ok(expected));
+    assert_eq!(Tuning::parse(include_str!("operators.xml")).expect("the sample is valid"), expected);
 }
