--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::json;
 
-/// The records as the version before awaited jobs declared them.
+/// The records as the version before dependencies declared them.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct EarlierLiveRecord {
     at: WallTime,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_earlier_version_does_not_take_a_waiting_job_for_one_that_may_start() {
+fn an_earlier_version_cannot_read_a_job_with_dependencies() {
     let depends_on = vec![JobId::parse("req-000398").unwrap(), JobId::parse("req-0000405").unwrap()];
     let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on };
     assert_eq!(read::<EarlierLiveRecord>(&json!(record)), None);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn endings_are_read_by_all_versions() {
+fn terminal_records_are_read_by_all_versions() {
     for record in [TerminalRecord::done(3, WallTime(9)), TerminalRecord::cancelled(3)] {
         let earlier = EarlierTerminalRecord { phase: record.phase, tasks: 3 };
         assert_eq!(read::<EarlierTerminalRecord>(&json!(record)).as_ref(), Some(&earlier));
