--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -74,7 +74,7 @@
             }
         }
     }
-    assert!(started > 1_000 && cascade_cancelled > 1_000, "started={started} doomed={cascade_cancelled}");
+    assert!(started > 1_000 && cascade_cancelled > 1_000, "started={started} cancelled={cascade_cancelled}");
 }
 
 fn end(
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_pipeline_hands_its_priority_and_deadline_to_the_jobs_before() {
+fn priority_and_deadline_are_inherited_along_a_pipeline() {
     // 1 and 2 before 3, 3 and 1 before 4; 5 needs 1 as well, and is cancelled with 9.
     let mut dependencies = DependencyGraph::default();
     dependencies.add(id(3), &ids(&[1, 2]), |_| true);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn all_jobs_get_their_turn_to_be_asked_about() {
+fn unresolved_jobs_are_looked_up_in_turn() {
     let mut dependencies = DependencyGraph::default();
     dependencies.add(id(9), &ids(&[1, 2, 3]), |_| false);
     assert_eq!(dependencies.next_unresolved(2), [id(1), id(2)]);
@@ -135,8 +135,8 @@
 }
 
 #[test]
-fn a_ladder_of_jobs_hands_on_a_bounded_number_of_goals() {
-    // Rungs of two jobs that both await both of the rung before: twice the paths at every rung, each of
+fn a_ladder_of_jobs_passes_on_a_bounded_number_of_slo_deadlines() {
+    // Rungs of two jobs that both depend on both of the rung before: twice the paths at every rung, each of
     // another length.
     let mut ladder = DependencyGraph::default();
     let rungs = 40;
@@ -149,5 +149,5 @@
     let inherited = ladder.inherit(|job| Some(job_timing(Priority::Low, Some(1_000.0), run_s(job))));
     assert!(inherited.values().all(|i| i.slo_deadlines.len() <= MAX_SLO_DEADLINES));
     let first = &inherited[&id(0)];
-    assert_eq!(first.due_s, first.slo_deadlines.first().copied(), "the tightest goal is kept");
+    assert_eq!(first.due_s, first.slo_deadlines.first().copied(), "the earliest SLO deadline is kept");
 }
