--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -120,12 +120,12 @@
             self.writes.delete_bitmaps([row.key]);
             return Ok(());
         };
-        let readable = self.limits.layout.read(&mut job.durably_done, number, &row.value);
-        let done: Vec<usize> = job.durably_done.ones().collect();
-        for index in done {
-            job.set_done(index as u32);
+        let layout = &self.limits.layout;
+        if job.load_bitmap(|bitmap| layout.read(bitmap, number, &row.value)) {
+            Ok(())
+        } else {
+            Err(RowError::UnreadableBitmap { key: row.key })
         }
-        if readable { Ok(()) } else { Err(RowError::UnreadableBitmap { key: row.key }) }
     }
 
     fn load_machine(&mut self, now: MonotonicTime, row: KeyValue) -> Result<(), RowError> {
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -10,7 +10,6 @@
 pub(super) use self::queue::WriteQueue;
 use super::{Effect, Scheduler};
 use crate::core::election::LEADER_KEY;
-use crate::core::jobs::Job;
 use crate::core::machine::{MachineRecord, Registration, machine_key};
 use crate::core::records::{MUTATIONS_PER_TERMINATION, TerminalRecord, live_precondition, termination_mutations};
 use crate::core::shards::SHARDS_KEY;
@@ -152,7 +151,7 @@
     /// the interval. False: nothing was due.
     fn write_completion_bitmaps(&mut self, now: MonotonicTime) -> bool {
         let jobs = self.jobs.iter();
-        let changed: Vec<JobId> = jobs.filter(|(_, job)| has_unsaved_bitmap(job)).map(|(id, _)| *id).collect();
+        let changed: Vec<JobId> = jobs.filter(|(_, job)| job.has_unsaved_bitmap()).map(|(id, _)| *id).collect();
         let interval_s = changed.len() as f64 / (self.limits.write_rps * BITMAP_RATE_SHARE);
         let interval = Millis::from_secs_f64(interval_s.max(MIN_BITMAP_INTERVAL_S));
         if changed.is_empty() || self.writes.since_bitmaps_written(now) < interval || !self.writes.has_tokens(2.0) {
@@ -173,17 +172,17 @@
         for id in changed {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let mut chunks = self.limits.layout.chunks(job.spec.tasks);
-            chunks.retain(|chunk| chunk.differs(&job.done, &job.durably_done));
+            chunks.retain(|chunk| chunk.differs(job.done(), job.durably_done()));
             if mutations.len() + chunks.len() > most && !mutations.is_empty() {
                 break;
             }
             chunks.truncate(most);
-            let mut durably_done = job.durably_done.clone();
+            let mut durably_done = job.durably_done().clone();
             for chunk in chunks {
-                durably_done.extend(chunk.members(&job.done));
-                mutations.push(Mutation::put(chunk.key(&id), chunk.encode(&job.done)));
+                durably_done.extend(chunk.members(job.done()));
+                mutations.push(Mutation::put(chunk.key(&id), chunk.encode(job.done())));
             }
-            job.bitmap_write_in_flight = true;
+            job.start_bitmap_write();
             bitmaps.push((id, durably_done));
             if mutations.len() >= most {
                 break;
@@ -219,11 +218,5 @@
     }
 }
 
-/// Whether more tasks of a job are done than is stored, and its bitmap is worth a write now: a job that is
-/// wholly done gets its terminal record instead.
-fn has_unsaved_bitmap(job: &Job) -> bool {
-    job.done_count > 0 && !job.all_done() && !job.bitmap_write_in_flight && job.durably_done != job.done
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/core/scheduler/writes/results.rs
+++ b/src/core/scheduler/writes/results.rs
@@ -56,10 +56,7 @@
         // Workers are told to forget what is durably done now as they list it again.
         for (id, durably_done) in jobs {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            job.bitmap_write_in_flight = false;
-            if committed {
-                job.durably_done = durably_done;
-            }
+            job.finish_bitmap_write(committed.then_some(durably_done));
         }
     }
 
