--- a/src/core/scheduler/catalog.rs
+++ b/src/core/scheduler/catalog.rs
@@ -1,18 +1,55 @@
 //! The machine types, zones and images that the scheduler knows, each by a number.
 
+use crate::core::provisioning::InstancePool;
 use crate::wire::MachineType;
 use std::collections::HashMap;
 
 /// Types keep their numbers for as long as a leader leads.
 pub(super) struct Catalog {
-    pub types: Vec<MachineType>,
-    pub zones: Vec<String>,
+    /// Machine types, by number.
+    pub(super) types: Vec<MachineType>,
+    /// Names of zones, by number.
+    pub(super) zones: Vec<String>,
     /// Numbers of images, given as they are first seen.
-    pub images: HashMap<String, u32>,
+    pub(super) images: HashMap<String, u32>,
 }
 
 impl Catalog {
-    pub fn new(types: Vec<MachineType>, zones: Vec<String>) -> Catalog {
+    /// Of these types and zones, without images.
+    pub(super) fn new(types: Vec<MachineType>, zones: Vec<String>) -> Catalog {
         Catalog { types, zones, images: HashMap::new() }
     }
+
+    /// The numbers of a type and of a zone; none: one of them is unknown.
+    pub(super) fn place_of(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
+        let kind = self.types.iter().position(|machine_type| machine_type.name == kind)?;
+        let zone = self.zones.iter().position(|known| known == zone)?;
+        Some((kind, zone as u32))
+    }
+
+    /// Takes in the cloud's list of types: prices may move, while known types keep their numbers.
+    /// How many types are new.
+    pub(super) fn set_types(&mut self, types: Vec<MachineType>) -> usize {
+        let before = self.types.len();
+        for machine_type in types {
+            match self.types.iter_mut().find(|known| known.name == machine_type.name) {
+                Some(known) => *known = machine_type,
+                None => self.types.push(machine_type),
+            }
+        }
+        self.types.len() - before
+    }
+
+    /// Whether both numbers of a pool are known.
+    pub(super) fn has_pool(&self, pool: InstancePool) -> bool {
+        pool.kind < self.types.len() && (pool.zone as usize) < self.zones.len()
+    }
+
+    /// A pool as log lines state it.
+    pub(super) fn describe(&self, pool: InstancePool) -> String {
+        format!("kind={} zone={} spot={}", self.types[pool.kind].name, self.zones[pool.zone as usize], pool.spot)
+    }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -105,7 +105,7 @@
         route: HeartbeatRoute,
     ) -> Result<HeartbeatResponse, HeartbeatRejection> {
         let id = MachineId::parse(&heartbeat.machine).ok_or(HeartbeatRejection::MalformedName)?;
-        if self.machines.terminated.contains(&id) {
+        if self.machines.is_terminated(&id) {
             return Err(HeartbeatRejection::Terminated);
         }
         if !self.machines.known.contains_key(&id) {
@@ -127,7 +127,7 @@
         if !heartbeat.tasks.is_empty() {
             return Err(HeartbeatRejection::NoRecord { tasks: heartbeat.tasks.len() });
         }
-        let Some((kind, zone)) = self.place_of(&heartbeat.kind, &heartbeat.zone) else {
+        let Some((kind, zone)) = self.catalog.place_of(&heartbeat.kind, &heartbeat.zone) else {
             let (kind, zone) = (heartbeat.kind.clone(), heartbeat.zone.clone());
             return Err(HeartbeatRejection::UnknownPool { kind, zone });
         };
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -91,7 +91,7 @@
         let (Some(id), Ok(r)) = (id, record) else {
             return warn!("state: {} can't be read", row.key);
         };
-        let Some((kind, zone)) = self.place_of(&r.kind, &r.zone) else {
+        let Some((kind, zone)) = self.catalog.place_of(&r.kind, &r.zone) else {
             return warn!("state: machine {id} is of unknown kind {} or zone {}", r.kind, r.zone);
         };
         let mut m = Machine::new(r.endpoint, kind, zone, r.spot, now);
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -3,9 +3,11 @@
 //! carry out the actions it leaves behind.
 
 mod catalog;
+mod cloud_inventory;
 mod consolidation;
 mod dependencies;
 mod effects;
+mod failure_detection;
 mod gpu_demand;
 mod gpu_lending;
 mod heartbeats;
@@ -13,7 +15,6 @@
 mod load;
 mod loading;
 mod machine_table;
-mod machines;
 mod orders;
 mod outstanding_orders;
 mod planner_view;
@@ -22,11 +23,14 @@
 mod quota;
 mod reservations;
 mod rounds;
+mod scale_in;
+mod scale_out;
 mod spot_lives;
 mod task_exit;
 mod task_status;
 #[cfg(test)]
 mod tests;
+mod ticks;
 mod writes;
 
 use self::catalog::Catalog;
@@ -52,11 +56,10 @@
 use crate::core::election::{LEADER_KEY, LeaderRecord};
 use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
 use crate::core::machine::{
-    Allocation, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, Registration, Resources, TaskAttempt,
-    machine_key,
+    Allocation, MACHINE_PREFIX, Machine, MachineRecord, Registration, Resources, TaskAttempt, machine_key,
 };
 use crate::core::placement;
-use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
+use crate::core::provisioning::{InstancePool, Provisioner};
 use crate::core::records::{
     JobOutcome, LIVE_PREFIX, LiveRecord, MUTATIONS_PER_TERMINATION, TerminalRecord, live_key, live_precondition,
     termination_mutations,
@@ -65,13 +68,12 @@
 use crate::core::submissions;
 use crate::ids::{Attempt, JobId, MachineId, Revision, TaskId, Term};
 use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom,
-    TypeView, VERSION, Waiting, ZoneCount,
+    ImageView, JobCount, JobView, MachineView, PlanInput, PlanOutput, ProvisionOffer, TeamHeadroom, TypeView, VERSION,
+    Waiting, ZoneCount,
 };
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType, Mutation, Order, Precondition, Priority,
-    ProvisionRequest, TaskPhase, Transaction,
+    JobSpec, KeyValue, Kind, MachineType, Mutation, Order, Precondition, Priority, TaskPhase, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use log::{debug, info, warn};
@@ -253,22 +255,9 @@
         self.jobs.live.iter().map(count).filter(|c| c.done + c.running > 0).collect()
     }
 
-    fn place_of(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
-        let kind = self.catalog.types.iter().position(|t| t.name == kind)?;
-        let zone = self.catalog.zones.iter().position(|z| z == zone)?;
-        Some((kind, zone as u32))
-    }
-
+    /// Takes in the cloud's list of machine types.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
-        // Prices may move; the kinds themselves stay in their places.
-        for t in types {
-            match self.catalog.types.iter_mut().find(|o| o.name == t.name) {
-                Some(o) => *o = t,
-                None => {
-                    self.catalog.types.push(t);
-                    self.gpus.needs.push(Resources::default());
-                }
-            }
-        }
+        let new = self.catalog.set_types(types);
+        self.gpus.needs.extend(std::iter::repeat_n(Resources::default(), new));
     }
 }
--- /dev/null
+++ b/src/core/scheduler/scale_in.rs
@@ -0,0 +1,63 @@
+//! Scaling in: machines that are idle for long, and the termination of retiring ones.
+
+use super::Scheduler;
+use super::effects::Effect;
+use crate::config::Tuning;
+use crate::core::machine::Machine;
+use crate::ids::MachineId;
+use crate::time::{Millis, MonotonicTime};
+use crate::wire::MachineType;
+use log::info;
+
+/// Machines terminated by one request at most.
+const MAX_TERMINATIONS_PER_REQUEST: usize = 100;
+
+/// How long a machine of this type may be idle. GPU machines boot slowly and are few, so they stay longer.
+pub(super) fn idle_timeout(tuning: &Tuning, machine_type: &MachineType) -> Millis {
+    let factor = if machine_type.gpus > 0.0 { tuning.gpu_idle_factor } else { 1.0 };
+    Millis::from_secs_f64(tuning.idle_s * factor)
+}
+
+/// Keeps account of since when a machine is idle; whether it is for longer than `timeout`, with no
+/// orders under way.
+pub(super) fn review_idleness(machine: &mut Machine, now: MonotonicTime, timeout: Millis) -> bool {
+    if machine.busy() || !machine.reconciled {
+        machine.idle_since = None;
+        return false;
+    }
+    if !machine.up || machine.retiring {
+        return false;
+    }
+    let since = *machine.idle_since.get_or_insert(now);
+    now - since > timeout && machine.outbox.is_empty() && machine.in_flight.is_none()
+}
+
+/// Whether a termination is to be asked for now.
+pub(super) fn is_termination_due(machine: &Machine, now: MonotonicTime) -> bool {
+    machine.retiring && !machine.termination_in_flight && machine.terminate_after <= now
+}
+
+impl Scheduler {
+    /// Has retiring machines terminated, and after them those that are idle: as many as one request may
+    /// state. The others have their turn at the next review.
+    pub(super) fn terminate(&mut self, retiring: Vec<MachineId>, idle: Vec<MachineId>) {
+        let mut terminations = retiring;
+        for id in idle {
+            if let Some(machine) = self.machines.known.get_mut(&id) {
+                info!("machine {id} is retired: it is idle");
+                machine.retiring = true;
+                terminations.push(id);
+            }
+        }
+        terminations.truncate(MAX_TERMINATIONS_PER_REQUEST);
+        if terminations.is_empty() {
+            return;
+        }
+        for id in &terminations {
+            if let Some(machine) = self.machines.known.get_mut(id) {
+                machine.termination_in_flight = true;
+            }
+        }
+        self.effects.push(Effect::Terminate(terminations));
+    }
+}
--- /dev/null
+++ b/src/core/scheduler/scale_out.rs
@@ -0,0 +1,105 @@
+//! Scaling out: requests to the cloud for more machines, and what comes of them.
+
+use super::Scheduler;
+use super::effects::{Effect, ProvisionOutcome};
+use crate::core::machine::Machine;
+use crate::core::provisioning::{InstancePool, PendingProvision};
+use crate::ids::MachineId;
+use crate::peer::ScaleOutRequest;
+use crate::time::{Millis, MonotonicTime};
+use crate::wire::ProvisionRequest;
+use log::{info, warn};
+use std::collections::BTreeMap;
+
+/// Machines asked for by one request at most.
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
+
+/// A request whose result isn't known is repeated after this time.
+const PROVISION_RETRY_INTERVAL: Millis = Millis(2_000);
+
+/// Loads within this of a whole number of machines count as that number.
+const LOAD_EPSILON: f64 = 1e-6;
+
+impl Scheduler {
+    /// What came of the request for machines of this name.
+    pub fn on_provisioned(&mut self, now: MonotonicTime, name: &str, result: ProvisionOutcome) {
+        let Some(request) = self.provisioner.requests.get_mut(name) else { return };
+        let pool = request.pool;
+        match result {
+            ProvisionOutcome::Provisioned(names) => {
+                let requested = request.number as usize;
+                self.provisioner.requests.remove(name);
+                info!("provisioned={} requested={requested} {}", names.len(), self.catalog.describe(pool));
+                if names.len() < requested {
+                    self.provisioner.on_refused(pool, now);
+                } else {
+                    self.provisioner.on_granted(pool);
+                }
+                self.enter_provisioned_machines(now, pool, &names);
+            }
+            ProvisionOutcome::NoCapacity => {
+                info!("no capacity: {}", self.catalog.describe(pool));
+                self.provisioner.requests.remove(name);
+                self.provisioner.on_refused(pool, now);
+            }
+            ProvisionOutcome::Malformed => {
+                warn!("the cloud finds a request malformed: {}", self.catalog.describe(pool));
+                self.provisioner.requests.remove(name);
+                self.provisioner.on_refused(pool, now);
+            }
+            ProvisionOutcome::Unknown => {
+                // The same name again provisions nothing twice.
+                request.in_flight = false;
+                request.again_at = now + PROVISION_RETRY_INTERVAL;
+            }
+        }
+        self.rounds.needed = true;
+    }
+
+    fn enter_provisioned_machines(&mut self, now: MonotonicTime, pool: InstancePool, names: &[String]) {
+        for id in names.iter().filter_map(|name| MachineId::parse(name)) {
+            if !self.machines.is_terminated(&id) {
+                let machine = || Machine::new(String::new(), pool.kind, pool.zone, pool.spot, now);
+                self.machines.known.entry(id).or_insert_with(machine);
+            }
+        }
+    }
+
+    /// Takes in what the plans of a round ask for, and sends the requests that are due.
+    pub(super) fn scale_out(&mut self, now: MonotonicTime, scale_out: &[ScaleOutRequest]) {
+        let mut loads: BTreeMap<InstancePool, f64> = BTreeMap::new();
+        for requested in scale_out {
+            let pool = InstancePool { kind: requested.kind as usize, zone: requested.zone, spot: requested.spot };
+            if self.catalog.has_pool(pool) {
+                *loads.entry(pool).or_default() += requested.load.clamp(0.0, 1.0);
+            }
+        }
+        for (pool, load) in loads {
+            let number = ((load - LOAD_EPSILON).ceil().max(1.0) as u32).min(MAX_MACHINES_PER_REQUEST);
+            if !self.provisioner.has_capacity() || !self.provisioner.open(pool, now) {
+                continue;
+            }
+            self.provision_requests += 1;
+            let name = format!("w{}-{}", self.term, self.provision_requests);
+            let request = PendingProvision { pool, number, in_flight: false, again_at: now };
+            self.provisioner.requests.insert(name, request);
+        }
+        self.send_provision_requests(now);
+    }
+
+    fn send_provision_requests(&mut self, now: MonotonicTime) {
+        for (name, request) in &mut self.provisioner.requests {
+            if request.in_flight || request.again_at > now {
+                continue;
+            }
+            request.in_flight = true;
+            self.effects.push(Effect::Provision(ProvisionRequest {
+                name: name.clone(),
+                kind: self.catalog.types[request.pool.kind].name.clone(),
+                zone: self.catalog.zones[request.pool.zone as usize].clone(),
+                spot: request.pool.spot,
+                number: request.number,
+            }));
+        }
+    }
+}
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -10,9 +10,12 @@
 use super::planner_view::partition_view;
 use super::*;
 use crate::config::sample_settings;
+use crate::core::machine::HeartbeatRoute;
 use crate::core::records::{BITMAP_PREFIX, TERMINAL_PREFIX, terminal_key};
 use crate::ids::{AgentEpoch, FencingToken, LeaseId, SequenceNumber};
-use crate::wire::{Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, TaskStatus};
+use crate::wire::{
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, ListPhase, ListedMachine, ProvisionRequest, TaskStatus,
+};
 use serde_json::json;
 
 struct Rig {
