--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -1,187 +1,157 @@
-//! The cluster state: which machines there are, and what is possibly on each of them.
+//! A machine as the cluster state has it, and what is stored of it.
 //!
 //! A task counts as on a machine from before its order is sent until there is proof that it is
-//! gone. What counts as proof is decided here and in [`super::leader`], nowhere else.
+//! gone. What counts as proof is decided in [`super::scheduler`], nowhere else.
 
+pub use crate::core::allocation::{Allocation, PendingRun, TaskAttempt};
 use crate::core::provisioning::InstancePool;
-use crate::ids::{AgentEpoch, Attempt, FencingToken, MachineId, SequenceNumber, TaskId};
+pub use crate::core::resources::Resources;
+use crate::ids::{AgentEpoch, MachineId, SequenceNumber};
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{JobSpec, MachineType, Order, Priority, TaskPhase};
+use crate::wire::{MachineType, Order, TaskPhase};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long a machine is avoided that has failed, or is much slower than others. Nothing may wait for
-/// 90 s while there is room that fits.
+/// 90 s while there is capacity for it.
 pub const QUARANTINE_PERIOD: Millis = Millis(60_000);
 
-/// `fleet/ID` is written before a machine gets its first order.
+/// Weight of the latest task in a machine's slowness.
+const SLOWNESS_WEIGHT: f64 = 0.25;
+
+/// From this slowness on a machine is much slower than others.
+const SLOWNESS_THRESHOLD: f64 = 2.0;
+
+/// A machine's slowness is judged by no fewer tasks.
+const MIN_SLOWNESS_SAMPLES: u32 = 5;
+
+/// A single task counts as at most so many times as slow, or as fast, as its job's others.
+const MAX_SLOWDOWN_RATIO: f64 = 10.0;
+
+/// An image whose fetch is overdue is taken to need this many seconds more.
+const MIN_PULL_LEFT_S: f64 = 0.2;
+
+/// Prefix of machine records, `fleet/ID`: written before a machine gets its first order.
 pub const MACHINE_PREFIX: &str = "fleet/";
 
+/// The key of a machine's record.
 pub fn machine_key(id: &MachineId) -> String {
     format!("{MACHINE_PREFIX}{id}")
 }
 
+/// What is stored of a machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
+    /// Where its worker takes orders.
     pub endpoint: String,
+    /// The name of its type.
     pub kind: String,
+    /// The name of its zone.
     pub zone: String,
+    /// Whether the cloud may reclaim it.
     pub spot: bool,
 }
 
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Resources {
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory_gb: f64,
-}
-
-impl Resources {
-    pub fn of_type(t: &MachineType) -> Resources {
-        Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }
-    }
-    pub fn of_task(s: &JobSpec) -> Resources {
-        Resources { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb }
-    }
-    pub fn add(&mut self, o: &Resources) {
-        self.cpus += o.cpus;
-        self.gpus += o.gpus;
-        self.memory_gb += o.memory_gb;
-    }
-    pub fn sub(&mut self, o: &Resources) {
-        self.cpus -= o.cpus;
-        self.gpus -= o.gpus;
-        self.memory_gb -= o.memory_gb;
-    }
-    /// Raises each part to at least that of the other.
-    pub fn max_with(&mut self, o: &Resources) {
-        self.cpus = self.cpus.max(o.cpus);
-        self.gpus = self.gpus.max(o.gpus);
-        self.memory_gb = self.memory_gb.max(o.memory_gb);
-    }
-    pub fn covers(&self, o: &Resources) -> bool {
-        let e = 1e-6;
-        o.cpus <= self.cpus + e && o.gpus <= self.gpus + e && o.memory_gb <= self.memory_gb + e
-    }
-}
-
-/// A run order whose fate isn't proven yet.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PendingRun {
-    pub token: FencingToken,
-    /// The worker answered the order, so whatever it lists from then on tells the truth.
-    pub answered: bool,
-}
-
-#[derive(Clone, Debug)]
-pub struct Allocation {
-    pub need: Resources,
-    /// None: a task of a job that is over, known from a heartbeat only.
-    pub team: Option<u32>,
-    pub priority: Priority,
-    /// None: not listed by the worker yet.
-    pub phase: Option<TaskPhase>,
-    pub pending_run: Option<PendingRun>,
-    /// Which of its machine's lists was the last to have it.
-    pub last_listed: u64,
-    pub placed_at: MonotonicTime,
-    pub running_since: Option<MonotonicTime>,
-    /// Its whole run was seen, so that its time tells something. Heartbeats that were missing in
-    /// between would make it look longer.
-    pub fully_observed: bool,
-    /// A stop was ordered, with this leeway.
-    pub stop: Option<f64>,
-    pub image: u32,
-    pub fetch_s: f64,
-    pub run_s: f64,
-}
-
-impl Allocation {
-    pub fn has_exited(&self) -> bool {
-        self.phase == Some(TaskPhase::Exited)
-    }
-
-    /// Listed before in this phase, with nothing ordered since and nothing to do about it.
-    pub fn is_unchanged(&self, phase: TaskPhase) -> bool {
-        self.phase == Some(phase) && phase != TaskPhase::Exited && self.pending_run.is_none() && self.stop.is_none()
-    }
-}
-
+/// Whether a machine's record is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registration {
+    /// There is none, so it gets no orders.
     Unregistered,
+    /// It is being written.
     InFlight,
+    /// It is stored.
     Registered,
 }
 
-pub type TaskAttempt = (TaskId, Attempt);
-
-/// The way that a machine's reports take to the leader: directly, or by one of the peers.
+/// The way that a machine's heartbeats take to the leader: directly, or by one of the peers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct HeartbeatRoute(usize);
 
 impl HeartbeatRoute {
+    /// Not by a peer.
     pub const DIRECT: HeartbeatRoute = HeartbeatRoute(0);
 
+    /// By the peer of this index in the settings.
     pub fn via_peer(index: usize) -> HeartbeatRoute {
         HeartbeatRoute(index + 1)
     }
 }
 
+/// A machine that may exist.
 pub struct Machine {
+    /// Where its worker takes orders; empty until it is known.
     pub endpoint: String,
+    /// The number of its type in the catalog.
     pub kind: usize,
+    /// The number of its zone in the catalog.
     pub zone: u32,
+    /// Whether the cloud may reclaim it.
     pub spot: bool,
-    /// It has reported to this leader.
+    /// A heartbeat of it, or an answer to orders, has reached this leader.
     pub up: bool,
+    /// When it was entered, or earlier if the cloud states its age.
     pub since: MonotonicTime,
+    /// Whether its record is stored.
     pub registration: Registration,
+    /// The latest agent epoch of its worker; 0: none is known.
     pub agent_epoch: AgentEpoch,
     /// When the agent epoch was first heard of. Its lease counts from its beginning, which was before, even
     /// if no heartbeat of it has been answered.
     pub agent_epoch_first_heard: MonotonicTime,
+    /// Of the latest message that was applied, in this agent epoch.
     pub sequence: SequenceNumber,
-    /// The latest *report*; orders' answers count their sequence numbers on as well, but are no heartbeats.
+    /// The latest *heartbeat*; answers to orders have sequence numbers as well, but are no heartbeats.
     pub latest_heartbeat: (AgentEpoch, SequenceNumber),
     /// When the last heartbeat that was answered came in. A copy of an earlier one is no sign of life.
     pub last_heartbeat: MonotonicTime,
-    /// The way that it took; none: this leader has not answered any.
+    /// The route that it took; none: this leader has not answered any.
     pub route: Option<HeartbeatRoute>,
     /// Its agent epoch has ended by the cluster state's own count: what comes of it later is stale.
     pub lease_expired: bool,
-    /// It has reported under this leader's token, so answers reach it.
+    /// It has sent a message with this leader's token, so answers reach it.
     pub token_acknowledged: bool,
-    /// Since when it has been answered without reporting the token that it was told. Its reports
-    /// arrive, but nothing may reach it.
+    /// Since when it has been answered without acknowledging its token. Its heartbeats arrive, but
+    /// nothing may reach it.
     pub unacknowledged_since: Option<MonotonicTime>,
-    /// Everything possibly on it is in `allocations`: it has reported under this leader's token, or
+    /// Everything possibly on it is in `allocations`: it has sent a message with this leader's token, or
     /// never had an order, or is proven empty.
     pub reconciled: bool,
+    /// The fence that its tokens carry.
     pub fence: u64,
-    /// An order went unanswered: no more orders until the worker reports the raised fence.
+    /// Orders went unanswered: no more are sent until the worker states the raised fence.
     pub fencing: bool,
+    /// The request that its unanswered orders were sent as.
     pub in_flight: Option<u64>,
+    /// Orders that are to be sent.
     pub outbox: Vec<Order>,
+    /// The tasks that are possibly on it.
     pub allocations: BTreeMap<TaskAttempt, Allocation>,
     /// Counts the lists taken in from its worker.
     pub heartbeats_applied: u64,
+    /// The cloud has announced that it reclaims it.
     pub spot_notice: bool,
+    /// Tasks that failed on it in a row, not by their jobs' faults.
     pub errors: u32,
+    /// It gets no tasks before then.
     pub quarantined_until: MonotonicTime,
-    /// To be returned; never used again, as a return may be carried out at any time.
+    /// To be terminated; never used again, as a termination may be carried out at any time.
     pub retiring: bool,
+    /// The cloud has been asked to terminate it.
     pub termination_in_flight: bool,
+    /// The cloud isn't asked again before then.
     pub terminate_after: MonotonicTime,
+    /// Since when nothing is on it.
     pub idle_since: Option<MonotonicTime>,
-    /// Images that it is believed to hold, the latest used last.
+    /// Images that it is believed to hold, with their sizes in GB, the latest used last.
     pub images: VecDeque<(u32, f64)>,
-    /// How many times as long as their job's others its tasks run, and how many were seen.
+    /// How many times as long as their job's others its tasks run.
     pub slowness: f64,
+    /// How many tasks that is known from.
     pub runtime_samples: u32,
 }
 
 impl Machine {
+    /// A machine that nothing is known to be on and that hasn't been heard from.
     pub fn new(endpoint: String, kind: usize, zone: u32, spot: bool, now: MonotonicTime) -> Machine {
         Machine {
             endpoint,
@@ -220,32 +190,35 @@
         }
     }
 
-    /// What the cloud tells its capacity apart by.
+    /// The instance pool that it counts to.
     pub fn pool(&self) -> InstancePool {
         InstancePool { kind: self.kind, zone: self.zone, spot: self.spot }
     }
 
+    /// What the tasks take that are possibly on it and haven't exited.
     pub fn used(&self) -> Resources {
-        let mut a = Resources::default();
-        for s in self.allocations.values().filter(|s| !s.has_exited()) {
-            a.add(&s.need);
+        let mut used = Resources::default();
+        for allocation in self.allocations.values().filter(|allocation| !allocation.has_exited()) {
+            used.add(&allocation.need);
         }
-        a
+        used
     }
 
-    pub fn free(&self, t: &MachineType) -> Resources {
-        let mut a = Resources::of_type(t);
-        a.sub(&self.used());
-        a
+    /// What is left of a machine of this type.
+    pub fn free(&self, machine_type: &MachineType) -> Resources {
+        let mut free = Resources::of_type(machine_type);
+        free.sub(&self.used());
+        free
     }
 
+    /// Whether a task is possibly on it that hasn't exited.
     pub fn busy(&self) -> bool {
-        self.allocations.values().any(|s| !s.has_exited())
+        self.allocations.values().any(|allocation| !allocation.has_exited())
     }
 
     /// A task of a job that is over is listed: what it uses isn't known.
     pub fn has_unknown_usage(&self) -> bool {
-        self.allocations.values().any(|s| s.team.is_none() && !s.has_exited())
+        self.allocations.values().any(|allocation| allocation.team.is_none() && !allocation.has_exited())
     }
 
     /// May get new tasks now.
@@ -265,43 +238,55 @@
     /// A task has run `ratio` times as long as its job's average. True: by now it is plain that
     /// the machine is much slower than others.
     pub fn record_slowdown(&mut self, ratio: f64) -> bool {
-        let log = self.slowness.ln() + 0.25 * (ratio.clamp(0.1, 10.0).ln() - self.slowness.ln());
+        let sample = ratio.clamp(1.0 / MAX_SLOWDOWN_RATIO, MAX_SLOWDOWN_RATIO);
+        let log = self.slowness.ln() + SLOWNESS_WEIGHT * (sample.ln() - self.slowness.ln());
         self.slowness = log.exp();
         self.runtime_samples += 1;
-        self.runtime_samples >= 5 && self.slowness > 2.0
+        self.runtime_samples >= MIN_SLOWNESS_SAMPLES && self.slowness > SLOWNESS_THRESHOLD
     }
 
-    pub fn cache_image(&mut self, image: u32, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| *i != image);
-        self.images.push_back((image, gb));
-        while self.images.len() > 1 && self.images.iter().map(|(_, g)| g).sum::<f64>() > cache_gb {
+    /// The image was used; those used longest ago go while the cache is over its size of `cache_gb`.
+    pub fn cache_image(&mut self, image: u32, image_gb: f64, cache_gb: f64) {
+        self.images.retain(|(cached, _)| *cached != image);
+        self.images.push_back((image, image_gb));
+        while self.images.len() > 1 && self.images.iter().map(|(_, size_gb)| size_gb).sum::<f64>() > cache_gb {
             self.images.pop_front();
         }
     }
 
     /// Seconds until the image is there, if it is there or on its way.
     pub fn image_ready_in_s(&self, image: u32, now: MonotonicTime) -> Option<f64> {
-        self.images.iter().any(|(i, _)| *i == image).then(|| {
-            let pulling = self
-                .allocations
-                .values()
-                .filter(|s| s.image == image && s.fetch_s > 0.0 && matches!(s.phase, None | Some(TaskPhase::Pulling)));
-            pulling.map(|s| (s.fetch_s - (now - s.placed_at).as_secs_f64()).max(0.2)).fold(0.0, f64::max)
-        })
+        if !self.images.iter().any(|(cached, _)| *cached == image) {
+            return None;
+        }
+        let is_pulling = |allocation: &&Allocation| {
+            allocation.image == image
+                && allocation.fetch_s > 0.0
+                && matches!(allocation.phase, None | Some(TaskPhase::Pulling))
+        };
+        let left_s = |allocation: &Allocation| {
+            (allocation.fetch_s - (now - allocation.placed_at).as_secs_f64()).max(MIN_PULL_LEFT_S)
+        };
+        Some(self.allocations.values().filter(is_pulling).map(left_s).fold(0.0, f64::max))
     }
 
     /// A stop for every task that has to go, as far as a stop does anything to it.
     pub fn pending_stops(&self) -> Vec<Order> {
-        let due = |((task, attempt), s): (&TaskAttempt, &Allocation)| {
-            let leeway_s = s.stop.filter(|l| !s.has_exited() && (s.phase != Some(TaskPhase::Flushing) || *l == 0.0))?;
+        let due = |((task, attempt), allocation): (&TaskAttempt, &Allocation)| {
+            let leeway_s = allocation.stop?;
+            let is_saving = allocation.phase == Some(TaskPhase::Flushing);
+            if allocation.has_exited() || (is_saving && leeway_s != 0.0) {
+                return None;
+            }
             Some(Order::Stop { task: *task, attempt: *attempt, leeway_s })
         };
         self.allocations.iter().filter_map(due).collect()
     }
 
-    pub fn queue_order(&mut self, o: Order) {
-        if !self.outbox.contains(&o) {
-            self.outbox.push(o);
+    /// Puts an order into the outbox, unless it is there already.
+    pub fn queue_order(&mut self, order: Order) {
+        if !self.outbox.contains(&order) {
+            self.outbox.push(order);
         }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,6 @@
 //! The core: no sockets, no files, no clocks. Inputs in; sends, writes and answers out.
 
+pub mod allocation;
 pub mod cancellations;
 pub mod completion_bitmap;
 pub mod cost;
@@ -11,6 +12,7 @@
 pub mod placement;
 pub mod provisioning;
 pub mod records;
+pub mod resources;
 pub mod scheduler;
 pub mod shards;
 pub mod submissions;
--- a/src/core/provisioning/tests.rs
+++ b/src/core/provisioning/tests.rs
@@ -1,17 +1,18 @@
 use super::*;
 
 #[test]
-fn refusals_pause_a_market_for_longer_each_time_and_no_other() {
-    let m = InstancePool { kind: 0, zone: 0, spot: true };
-    let other = InstancePool { spot: false, ..m };
-    let mut r = Provisioner::default();
-    r.on_refused(m, MonotonicTime(0));
-    assert!(!r.open(m, MonotonicTime(4_999)) && r.open(m, MonotonicTime(5_000)) && r.open(other, MonotonicTime(0)));
-    r.on_refused(m, MonotonicTime(5_000));
-    assert!(!r.open(m, MonotonicTime(14_999)) && r.open(m, MonotonicTime(15_000)));
-    r.on_capacity_freed(m, MonotonicTime(5_500));
-    assert!(!r.open(m, MonotonicTime(6_400)) && r.open(m, MonotonicTime(6_500)), "a machine has gone since");
-    r.on_granted(m);
-    r.on_refused(m, MonotonicTime(20_000));
-    assert!(r.open(m, MonotonicTime(25_000)));
+fn provisioner_backs_off_from_a_refused_pool_for_longer_each_time_and_from_no_other() {
+    let pool = InstancePool { kind: 0, zone: 0, spot: true };
+    let other = InstancePool { spot: false, ..pool };
+    let mut provisioner = Provisioner::default();
+    let open = |provisioner: &Provisioner, at| provisioner.open(pool, MonotonicTime(at));
+    provisioner.on_refused(pool, MonotonicTime(0));
+    assert!(!open(&provisioner, 4_999) && open(&provisioner, 5_000) && provisioner.open(other, MonotonicTime(0)));
+    provisioner.on_refused(pool, MonotonicTime(5_000));
+    assert!(!open(&provisioner, 14_999) && open(&provisioner, 15_000));
+    provisioner.on_capacity_freed(pool, MonotonicTime(5_500));
+    assert!(!open(&provisioner, 6_400) && open(&provisioner, 6_500), "a machine has gone since");
+    provisioner.on_granted(pool);
+    provisioner.on_refused(pool, MonotonicTime(20_000));
+    assert!(open(&provisioner, 25_000));
 }
