--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -255,3 +255,6 @@
         self.limits.heartbeat.mul_f64(2.0) + Millis(500)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/scheduler/failure_detection/tests.rs
@@ -0,0 +1,103 @@
+use super::*;
+
+fn machine_type() -> MachineType {
+    serde_json::from_value(serde_json::json!({
+        "sku": "small", "cores": 8.0, "ram_gb": 32.0, "price": 1.0, "market_price": 1.0, "startup_s": 30.0,
+    }))
+    .unwrap()
+}
+
+/// A machine that has done all that is expected of it by 100 s.
+fn registered() -> Machine {
+    let mut machine = Machine::new(String::new(), 0, 0, false, MonotonicTime(0));
+    machine.up = true;
+    machine.registration = Registration::Registered;
+    machine.token_acknowledged = true;
+    machine.last_heartbeat = MonotonicTime(100_000);
+    machine
+}
+
+fn review(now: u64) -> Review {
+    Review {
+        now: MonotonicTime(now),
+        since: MonotonicTime(0),
+        lease: Millis(10_000),
+        list_lag: Millis(1_000),
+        is_overloaded: false,
+        mass_suspicion: MassSuspicion { everywhere: false, routes: BTreeSet::new() },
+        many_unacknowledged: false,
+    }
+}
+
+fn reason(review: &Review, machine: &Machine) -> Option<String> {
+    review.retirement_reason(machine, &machine_type()).map(|reason| reason.to_string())
+}
+
+#[test]
+fn retirement_reason_suspects_a_machine_whose_heartbeats_are_late() {
+    let machine = registered();
+    assert_eq!(reason(&review(105_500), &machine), None);
+    assert_eq!(reason(&review(105_501), &machine).as_deref(), Some("suspected, no heartbeat for_s=5.5"));
+}
+
+#[test]
+fn retirement_reason_waits_longer_where_the_machine_is_hardly_the_cause() {
+    let machine = registered();
+    let overloaded = Review { is_overloaded: true, ..review(130_000) };
+    let everywhere = MassSuspicion { everywhere: true, routes: BTreeSet::new() };
+    let everywhere = Review { mass_suspicion: everywhere, ..review(130_000) };
+    let route = MassSuspicion { everywhere: false, routes: BTreeSet::from([None]) };
+    let route = Review { mass_suspicion: route, ..review(130_000) };
+    for (case, mut review) in [("overloaded", overloaded), ("everywhere", everywhere), ("route", route)] {
+        assert_eq!(reason(&review, &machine), None, "{case}");
+        review.now = MonotonicTime(130_001);
+        assert!(reason(&review, &machine).is_some(), "{case}");
+    }
+}
+
+#[test]
+fn retirement_reason_gives_a_worker_a_lease_to_find_a_new_leader() {
+    let mut machine = registered();
+    machine.token_acknowledged = false;
+    assert_eq!(reason(&review(110_000), &machine), None);
+    assert!(reason(&review(110_001), &machine).is_some());
+}
+
+#[test]
+fn retirement_reason_waits_for_a_machine_to_boot() {
+    let machine = Machine::new(String::new(), 0, 0, false, MonotonicTime(0));
+    assert_eq!(reason(&review(106_000), &machine), None);
+    assert_eq!(reason(&review(106_001), &machine).as_deref(), Some("it has not come up"));
+}
+
+#[test]
+fn retirement_reason_of_unacknowledged_tokens_needs_that_few_machines_have_them() {
+    let mut machine = registered();
+    machine.unacknowledged_since = Some(MonotonicTime(90_000));
+    assert_eq!(reason(&review(100_000), &machine), None);
+    assert_eq!(reason(&review(100_001), &machine).as_deref(), Some("it doesn't acknowledge its token"));
+    assert_eq!(reason(&Review { many_unacknowledged: true, ..review(100_001) }, &machine), None);
+}
+
+#[test]
+fn retirement_reason_takes_reclaimed_and_quarantined_machines_only_when_nothing_may_be_on_them() {
+    let mut reclaimed = registered();
+    reclaimed.spot_notice = true;
+    let mut quarantined = registered();
+    (quarantined.errors, quarantined.quarantined_until) = (QUARANTINE_ERROR_THRESHOLD, MonotonicTime(101_000));
+    for (mut machine, expected) in
+        [(reclaimed, "it is reclaimed and empty"), (quarantined, "it is quarantined and empty")]
+    {
+        assert_eq!(reason(&review(100_000), &machine).as_deref(), Some(expected));
+        machine.reconciled = false;
+        assert_eq!(reason(&review(100_000), &machine), None, "{expected}");
+    }
+}
+
+#[test]
+fn is_mass_failure_needs_three_machines_and_a_third_of_all() {
+    let cases = [((2, 2), false), ((3, 8), true), ((3, 9), false), ((4, 11), true)];
+    for ((count, up), expected) in cases {
+        assert_eq!(is_mass_failure(count, up), expected, "{count} of {up}");
+    }
+}
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -341,3 +341,6 @@
     let token = if is_empty { FencingToken::new(term, 0) } else { FencingToken::NONE };
     HeartbeatResponse { token, orders: Vec::new() }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/scheduler/heartbeats/tests.rs
@@ -0,0 +1,89 @@
+use super::*;
+use crate::config::{Tuning, sample_settings};
+use crate::core::election::LeaderRecord;
+use crate::ids::{AgentEpoch, Attempt, LeaseId, TaskId};
+use crate::time::Millis;
+
+const TERM: Term = Term(5);
+
+fn scheduler() -> Scheduler {
+    let machine_type = serde_json::from_value(serde_json::json!({
+        "sku": "small", "cores": 8.0, "ram_gb": 32.0, "price": 1.0, "market_price": 1.0, "quays": ["a"],
+    }))
+    .unwrap();
+    let record = LeaderRecord { node: "plinth-0".into(), incarnation: 1, lease: LeaseId(7) };
+    Scheduler::new(sample_settings(), Tuning::default(), vec![machine_type], TERM, record, MonotonicTime(0))
+}
+
+/// The first heartbeat of a machine that nobody has ordered anything on.
+fn first_heartbeat() -> Heartbeat {
+    Heartbeat {
+        machine: "m-000001".into(),
+        endpoint: "worker".into(),
+        kind: "small".into(),
+        zone: "a".into(),
+        spot: false,
+        agent_epoch: AgentEpoch(1),
+        sequence: SequenceNumber(1),
+        token: FencingToken::NONE,
+        notice_s: None,
+        tasks: Vec::new(),
+    }
+}
+
+#[test]
+fn on_heartbeat_answers_a_new_machine_with_the_terms_token() {
+    let response = scheduler().on_heartbeat(MonotonicTime(10), &first_heartbeat());
+    assert_eq!(response, Ok(HeartbeatResponse { token: FencingToken::new(TERM, 0), orders: Vec::new() }));
+}
+
+#[test]
+fn on_heartbeat_rejects_machines_that_it_cannot_enter() {
+    let listed = TaskStatus {
+        task: TaskId::parse("req-000001/0"),
+        attempt: Attempt(1),
+        phase: TaskPhase::Running,
+        cause: None,
+        kept: None,
+    };
+    let unknown = HeartbeatRejection::UnknownPool { kind: "other".into(), zone: "a".into() };
+    let cases = [
+        (Heartbeat { machine: "m/1".into(), ..first_heartbeat() }, HeartbeatRejection::MalformedName),
+        (Heartbeat { kind: "other".into(), ..first_heartbeat() }, unknown),
+        (Heartbeat { tasks: vec![listed], ..first_heartbeat() }, HeartbeatRejection::NoRecord { tasks: 1 }),
+    ];
+    for (heartbeat, expected) in cases {
+        let mut scheduler = scheduler();
+        assert_eq!(scheduler.on_heartbeat(MonotonicTime(10), &heartbeat), Err(expected));
+        assert!(scheduler.machines.known.is_empty());
+    }
+}
+
+#[test]
+fn on_heartbeat_rejects_copies_and_terminated_machines() {
+    let mut scheduler = scheduler();
+    let mut heartbeat = first_heartbeat();
+    assert!(scheduler.on_heartbeat(MonotonicTime(10), &heartbeat).is_ok());
+    let copy = scheduler.on_heartbeat(MonotonicTime(20), &heartbeat);
+    assert_eq!(copy, Err(HeartbeatRejection::Superseded));
+    scheduler.on_terminated(MonotonicTime(30), &[MachineId::parse("m-000001").unwrap()], true);
+    heartbeat.sequence.0 += 1;
+    let terminated = scheduler.on_heartbeat(MonotonicTime(40), &heartbeat);
+    assert_eq!(terminated, Err(HeartbeatRejection::Terminated));
+}
+
+#[test]
+fn on_heartbeat_rejects_a_worker_that_has_not_acknowledged_its_token_for_a_lease() {
+    let mut scheduler = scheduler();
+    let lease = scheduler.limits.lease;
+    let mut send = |after: Millis, token| {
+        let mut heartbeat = Heartbeat { token, ..first_heartbeat() };
+        heartbeat.sequence.0 += after.0;
+        scheduler.on_heartbeat(MonotonicTime(10) + after, &heartbeat).map(|response| response.token)
+    };
+    let own = FencingToken::new(TERM, 0);
+    assert_eq!(send(Millis(0), FencingToken::NONE), Ok(own));
+    assert_eq!(send(lease, FencingToken::NONE), Ok(own));
+    assert_eq!(send(lease + Millis(1), FencingToken::NONE), Err(HeartbeatRejection::UnacknowledgedToken));
+    assert_eq!(send(lease + Millis(2), own), Ok(own));
+}
--- a/src/core/scheduler/load.rs
+++ b/src/core/scheduler/load.rs
@@ -44,3 +44,6 @@
         self.lag_ms >= OVERLOAD_LAG_THRESHOLD_MS
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/scheduler/load/tests.rs
@@ -0,0 +1,16 @@
+use super::*;
+
+#[test]
+fn load_meter_counts_only_what_ticks_are_late() {
+    let mut load = LoadMeter::new(MonotonicTime(0));
+    for tick in 1..=100 {
+        load.record_tick(MonotonicTime(tick * TICK_INTERVAL.0));
+    }
+    assert_eq!(load.lag(), Millis(0));
+    assert!(!load.is_overloaded());
+    for tick in 1..=100 {
+        load.record_tick(MonotonicTime(5_000 + tick * (TICK_INTERVAL.0 + 300)));
+    }
+    assert!((299..=300).contains(&load.lag().0));
+    assert!(load.is_overloaded());
+}
--- a/src/core/scheduler/machine_table.rs
+++ b/src/core/scheduler/machine_table.rs
@@ -78,3 +78,6 @@
         is_due
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -61,3 +61,6 @@
         self.effects.push(Effect::Terminate(terminations));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/scheduler/scale_in/tests.rs
@@ -0,0 +1,52 @@
+use super::*;
+use crate::ids::TaskId;
+use crate::wire::Order;
+
+const TIMEOUT: Millis = Millis(20_000);
+
+fn up() -> Machine {
+    let mut machine = Machine::new(String::new(), 0, 0, false, MonotonicTime(0));
+    machine.up = true;
+    machine
+}
+
+#[test]
+fn review_idleness_counts_from_the_first_review_that_finds_the_machine_empty() {
+    let mut machine = up();
+    assert!(!review_idleness(&mut machine, MonotonicTime(1_000), TIMEOUT));
+    assert!(!review_idleness(&mut machine, MonotonicTime(21_000), TIMEOUT));
+    assert!(review_idleness(&mut machine, MonotonicTime(21_001), TIMEOUT));
+}
+
+#[test]
+fn review_idleness_spares_machines_that_may_hold_or_get_something() {
+    let after = MonotonicTime(60_000);
+    let attempt = crate::ids::Attempt(1);
+    let task = TaskId::parse("req-000001/0").unwrap();
+    type Change = fn(&mut Machine, Order);
+    let cases: [(&str, Change); 5] = [
+        ("unreconciled", |machine, _| machine.reconciled = false),
+        ("not up", |machine, _| machine.up = false),
+        ("retiring already", |machine, _| machine.retiring = true),
+        ("orders to be sent", |machine, order| machine.queue_order(order)),
+        ("orders unanswered", |machine, _| machine.in_flight = Some(1)),
+    ];
+    for (case, change) in cases {
+        let mut machine = up();
+        machine.idle_since = Some(MonotonicTime(0));
+        change(&mut machine, Order::Clear { task, attempt });
+        assert!(!review_idleness(&mut machine, after, TIMEOUT), "{case}");
+    }
+}
+
+#[test]
+fn is_termination_due_for_a_retiring_machine_that_the_cloud_is_not_asked_for() {
+    let mut machine = up();
+    assert!(!is_termination_due(&machine, MonotonicTime(0)));
+    machine.retiring = true;
+    assert!(is_termination_due(&machine, MonotonicTime(0)));
+    machine.terminate_after = MonotonicTime(1_000);
+    assert!(!is_termination_due(&machine, MonotonicTime(999)) && is_termination_due(&machine, MonotonicTime(1_000)));
+    machine.termination_in_flight = true;
+    assert!(!is_termination_due(&machine, MonotonicTime(1_000)));
+}
--- a/src/core/scheduler/spot_lives.rs
+++ b/src/core/scheduler/spot_lives.rs
@@ -30,3 +30,6 @@
         self.mu = mu.clamp(60f64.ln(), 1e6f64.ln());
     }
 }
+
+#[cfg(test)]
+mod tests;
