--- a/src/core/scheduler/heartbeats/tests.rs
+++ b/src/core/scheduler/heartbeats/tests.rs
@@ -87,3 +87,27 @@
     assert_eq!(send(lease + Millis(1), FencingToken::NONE), Err(HeartbeatRejection::UnacknowledgedToken));
     assert_eq!(send(lease + Millis(2), own), Ok(own));
 }
+
+#[test]
+fn on_heartbeat_rejects_a_worker_that_more_stops_are_due_to_than_a_message_carries() {
+    let running = |index| TaskStatus {
+        task: TaskId::parse(&format!("req-000001/{index}")),
+        attempt: Attempt(1),
+        phase: TaskPhase::Running,
+        cause: None,
+        kept: None,
+    };
+    let excess = MAX_ORDERS_PER_MESSAGE + 1;
+    for tasks in [MAX_ORDERS_PER_MESSAGE, excess] {
+        let mut scheduler = scheduler();
+        let mut heartbeat = first_heartbeat();
+        assert!(scheduler.on_heartbeat(MonotonicTime(10), &heartbeat).is_ok());
+        heartbeat.sequence.0 += 1;
+        // Of a job that isn't live, so that each is to be stopped.
+        heartbeat.tasks = (0..tasks).map(running).collect();
+        let response = scheduler.on_heartbeat(MonotonicTime(20), &heartbeat).map(|response| response.orders.len());
+        let expected =
+            if tasks == excess { Err(HeartbeatRejection::TooManyStops { stops: excess }) } else { Ok(tasks) };
+        assert_eq!(response, expected);
+    }
+}
