--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -2,6 +2,10 @@
 
 use super::planner_view::zone_counts;
 use super::*;
+use crate::core::machine::{Allocation, Resources, TaskAttempt};
+use crate::core::placement;
+use crate::wire::Kind;
+use log::info;
 
 /// At most one replica moves in this time.
 const REPLICA_MOVE_INTERVAL: Millis = Millis(1_000);
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -4,10 +4,12 @@
 
 mod ages;
 mod catalog;
+mod cloud_inventory;
 mod consolidation;
 mod dependencies;
 mod effects;
 mod eviction;
+mod failure_detection;
 mod gang_reservations;
 mod gpu_demand;
 mod gpu_lending;
@@ -17,7 +19,6 @@
 mod load;
 mod loading;
 mod machine_table;
-mod machines;
 mod orders;
 mod outstanding_orders;
 mod placement_checks;
@@ -28,12 +29,15 @@
 mod quota;
 mod reservations;
 mod rounds;
+mod scale_in;
+mod scale_out;
 mod spot_lives;
 mod starts;
 mod task_exit;
 mod task_status;
 #[cfg(test)]
 mod tests;
+mod ticks;
 mod writes;
 
 use self::catalog::Catalog;
@@ -52,22 +56,18 @@
 use self::rounds::Rounds;
 use self::spot_lives::SpotLives;
 use self::writes::WriteQueue;
-use crate::config::{Settings, Tuning, next_slo_deadline};
+use crate::config::{Settings, Tuning};
 use crate::core::completion_bitmap::BitmapLayout;
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::election::LeaderRecord;
 use crate::core::jobs::{Job, priority_number};
-use crate::core::machine::{Allocation, HeartbeatRoute, Machine, Registration, Resources, TaskAttempt};
-use crate::core::placement;
-use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
+use crate::core::machine::{Allocation, Machine, Resources};
+use crate::core::provisioning::{InstancePool, Provisioner};
 use crate::core::shards::ShardAssignment;
 use crate::ids::{JobId, MachineId, Revision, Term};
-use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, PlanInput, ProvisionOffer, ScaleOutRequest, TypeView, VERSION, ZoneCount,
-};
+use crate::peer::JobCount;
 use crate::time::{Millis, MonotonicTime, WallTime};
-use crate::wire::{JobSpec, Kind, ListPhase, ListedMachine, MachineType, Priority, ProvisionRequest, TaskPhase};
-use log::{info, warn};
+use crate::wire::{MachineType, TaskPhase};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What the leader takes of the state service's rate of changes.
@@ -240,22 +240,9 @@
         self.jobs.live.iter().map(count).filter(|c| c.done + c.running > 0).collect()
     }
 
-    fn place_of(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
-        let kind = self.catalog.types.iter().position(|t| t.name == kind)?;
-        let zone = self.catalog.zones.iter().position(|z| z == zone)?;
-        Some((kind, zone as u32))
-    }
-
+    /// Takes in the cloud's list of machine types.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
-        // Prices may move; the kinds themselves stay in their places.
-        for t in types {
-            match self.catalog.types.iter_mut().find(|o| o.name == t.name) {
-                Some(o) => *o = t,
-                None => {
-                    self.catalog.types.push(t);
-                    self.gpus.needs.push(Resources::default());
-                }
-            }
-        }
+        let new = self.catalog.set_types(types);
+        self.gpus.needs.extend(std::iter::repeat_n(Resources::default(), new));
     }
 }
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -2,6 +2,12 @@
 //! how this is dealt out among several planners.
 
 use super::*;
+use crate::config::next_slo_deadline;
+use crate::core::jobs::priority_number;
+use crate::core::machine::{Registration, Resources};
+use crate::core::provisioning::InstancePool;
+use crate::peer::{ImageView, JobView, MachineView, PlanInput, ProvisionOffer, TypeView, VERSION, ZoneCount};
+use crate::wire::{JobSpec, Kind, Priority};
 
 /// Planners are told the ages of machines in steps of this.
 const AGE_GRANULARITY_S: f64 = 30.0;
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -10,14 +10,19 @@
 use super::planner_view::partition_view;
 use super::*;
 use crate::config::sample_settings;
-use crate::core::machine::{MACHINE_PREFIX, MachineRecord};
+use crate::core::machine::TaskAttempt;
+use crate::core::machine::{HeartbeatRoute, MACHINE_PREFIX, MachineRecord};
+use crate::core::placement;
 use crate::core::records::{
     BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
 };
 use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, SequenceNumber, TaskId};
+use crate::peer::{JobView, MachineView, PlanInput, TypeView, VERSION};
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Mutation, Order, TaskStatus, Transaction,
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, ListPhase, ListedMachine, Mutation, Order,
+    ProvisionRequest, TaskStatus, Transaction,
 };
+use crate::wire::{Kind, Priority};
 use serde_json::{Value, json};
 
 struct Rig {
