--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -1,31 +1,37 @@
-//! What the machines could yield to urgent work, gathered once for many jobs. A look at a machine for a
-//! job is then a few comparisons; its tasks are passed over only where the answer may be yes.
+//! What each machine could free for urgent work, by priority, gathered once for many jobs. Checking a machine
+//! for a job then takes a few comparisons; its tasks are passed over only where it may have the capacity.
 
-use super::*;
+use super::Scheduler;
+use crate::core::jobs::{Job, priority_number};
+use crate::core::machine::{Machine, Resources};
 use crate::core::provisioning::InstancePool;
+use crate::ids::{JobId, MachineId};
+use crate::time::MonotonicTime;
 use std::cmp::{Ordering, Reverse};
-use std::collections::BinaryHeap;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// How many priorities there are; [`priority_number`] is below it.
 const PRIORITIES: usize = 4;
-/// Looks that one search for many jobs may take, for each machine and at the least.
+/// Operations that one search for many jobs may take for each machine.
 const SEARCH_OPERATIONS_PER_MACHINE: u64 = 32;
+/// Operations that it may take in any fleet, besides those for its machines.
 const MIN_SEARCH_OPERATIONS: u64 = 16_384;
 
-/// How urgent work is that seeks room.
+/// How urgent work is that other work may be stopped for.
 #[derive(Clone, Copy)]
 pub(super) struct Urgency {
-    pub priority: usize,
+    /// As [`priority_number`] gives it; the lowest is the most urgent.
+    pub(super) priority: usize,
     /// Within its team's guarantee: then work of the same priority beyond a guarantee gives way too.
-    pub guaranteed: bool,
+    pub(super) guaranteed: bool,
 }
 
 /// A machine that may get tasks now.
 pub(super) struct IndexedMachine {
-    pub id: MachineId,
-    pub pool: InstancePool,
+    pub(super) id: MachineId,
+    pub(super) pool: InstancePool,
     /// Neither used nor reserved.
-    pub free: Resources,
+    pub(super) free: Resources,
     /// By priority, what would be free without the tasks of lower priority and those that stop already.
     reclaimable: [Resources; PRIORITIES],
     /// By priority, what its tasks beyond any guarantee use.
@@ -34,16 +40,16 @@
 
 impl IndexedMachine {
     /// The most that could become free for such work.
-    pub fn reclaimable_by(&self, urgency: Urgency) -> Resources {
-        let mut room = self.reclaimable[urgency.priority];
+    pub(super) fn reclaimable_by(&self, urgency: Urgency) -> Resources {
+        let mut reclaimable = self.reclaimable[urgency.priority];
         if urgency.guaranteed {
-            room.add(&self.over_guarantee[urgency.priority]);
+            reclaimable.add(&self.over_guarantee[urgency.priority]);
         }
-        room
+        reclaimable
     }
 }
 
-/// By priority, more than any machine of a market yields.
+/// By priority, at least what any machine of an instance pool could free.
 #[derive(Default)]
 struct ReclaimableByPool {
     to_any: [Resources; PRIORITIES],
@@ -67,7 +73,7 @@
 
 /// The machines that may get tasks, in the order of their names.
 pub(super) struct PreemptionIndex {
-    pub machines: Vec<IndexedMachine>,
+    pub(super) machines: Vec<IndexedMachine>,
     pools: BTreeMap<InstancePool, ReclaimableByPool>,
 }
 
@@ -80,14 +86,16 @@
         PreemptionIndex { machines, pools }
     }
 
-    /// Those of the markets in which some machine may have had room for such work when it was surveyed.
-    pub fn promising(
+    /// Those of the permitted pools in which some machine may have had the capacity when the index was built.
+    pub(super) fn promising(
         &self,
         permitted: &BTreeSet<InstancePool>,
         urgency: Urgency,
         need: &Resources,
     ) -> BTreeSet<InstancePool> {
-        let may_reclaim = |pool: &&InstancePool| self.pools.get(pool).is_some_and(|m| m.may_reclaim(urgency, need));
+        let may_reclaim = |pool: &&InstancePool| {
+            self.pools.get(pool).is_some_and(|reclaimable| reclaimable.may_reclaim(urgency, need))
+        };
         permitted.iter().filter(may_reclaim).copied().collect()
     }
 
@@ -96,7 +104,7 @@
     }
 }
 
-/// What finding room may still cost in a round.
+/// The operations that a search may still take.
 pub(super) struct OperationBudget {
     all: u64,
     left: u64,
@@ -108,52 +116,58 @@
         OperationBudget { all, left: all }
     }
 
-    pub fn spend(&mut self, operations: u64) {
+    /// Takes off what a part of the search took.
+    pub(super) fn spend(&mut self, operations: u64) {
         self.left = self.left.saturating_sub(operations);
     }
 
-    pub fn is_spent(&self) -> bool {
+    /// Whether nothing is left.
+    pub(super) fn is_spent(&self) -> bool {
         self.left == 0
     }
 
-    /// So much is spent that the rest is for those who have waited longest for a search.
-    pub fn is_mostly_spent(&self) -> bool {
+    /// Whether so much is spent that the rest is for those who have waited longest for a search.
+    pub(super) fn is_mostly_spent(&self) -> bool {
         self.left < self.all / 4
     }
 }
 
-/// A search for room for many jobs: its survey, made when it is first needed, and its budget. No tasks are
+/// A search for capacity for many jobs: its index, built when it is first needed, and its budget. No tasks are
 /// placed meanwhile.
 pub(super) struct PreemptionSearch {
     index: Option<PreemptionIndex>,
-    pub budget: OperationBudget,
+    pub(super) budget: OperationBudget,
 }
 
 impl PreemptionSearch {
-    pub fn new(machines: usize) -> PreemptionSearch {
+    /// A search among so many machines.
+    pub(super) fn new(machines: usize) -> PreemptionSearch {
         PreemptionSearch { index: None, budget: OperationBudget::new(machines) }
     }
 
-    pub fn index(&mut self, leader: &Scheduler, now: MonotonicTime) -> &PreemptionIndex {
-        self.index.get_or_insert_with(|| leader.build_preemption_index(now))
+    /// The index, which is built if there is none yet.
+    pub(super) fn index(&mut self, scheduler: &Scheduler, now: MonotonicTime) -> &PreemptionIndex {
+        self.index.get_or_insert_with(|| scheduler.build_preemption_index(now))
     }
 
-    /// Looks at a machine again, whose tasks or reservations have changed.
-    pub fn refresh(&mut self, leader: &Scheduler, now: MonotonicTime, id: &MachineId) {
+    /// Indexes a machine anew whose tasks or reservations have changed.
+    pub(super) fn refresh(&mut self, scheduler: &Scheduler, now: MonotonicTime, id: &MachineId) {
         let Some(index) = &mut self.index else { return };
-        let Some(at) = index.position(id) else { return };
-        if let Some(machine) = leader.machines.known.get(id).and_then(|m| leader.index_machine(now, id, m)) {
-            index.machines[at] = machine;
+        let Some(position) = index.position(id) else { return };
+        if let Some(machine) =
+            scheduler.machines.known.get(id).and_then(|machine| scheduler.index_machine(now, id, machine))
+        {
+            index.machines[position] = machine;
         }
     }
 }
 
-/// A machine that could make room, by what would be lost: the least first, then the first by name.
+/// A machine where stopping work makes capacity, by what would be lost: the least first, then the first by name.
 #[derive(Clone, Copy, PartialEq)]
 struct Candidate {
     loss: f64,
-    /// Its position in the survey.
-    at: usize,
+    /// Its position in the index.
+    position: usize,
 }
 
 impl Eq for Candidate {}
@@ -166,7 +180,7 @@
 
 impl Ord for Candidate {
     fn cmp(&self, other: &Candidate) -> Ordering {
-        self.loss.total_cmp(&other.loss).then(self.at.cmp(&other.at))
+        self.loss.total_cmp(&other.loss).then(self.position.cmp(&other.position))
     }
 }
 
@@ -175,51 +189,53 @@
 pub(super) struct Candidates(BinaryHeap<Reverse<Candidate>>);
 
 impl Candidates {
-    pub fn push(&mut self, loss: f64, at: usize) {
-        self.0.push(Reverse(Candidate { loss, at }));
+    /// Adds a machine by its position in the index.
+    pub(super) fn push(&mut self, loss: f64, position: usize) {
+        self.0.push(Reverse(Candidate { loss, position }));
     }
 
-    /// The position of the machine where the least would be lost.
-    pub fn pop(&mut self) -> Option<usize> {
-        self.0.pop().map(|Reverse(candidate)| candidate.at)
+    /// Takes out the machine where the least would be lost. Returns its position in the index.
+    pub(super) fn pop(&mut self) -> Option<usize> {
+        self.0.pop().map(|Reverse(candidate)| candidate.position)
     }
 
     /// Whether another machine would lose less than this.
-    pub fn has_better_than(&self, loss: f64) -> bool {
+    pub(super) fn has_better_than(&self, loss: f64) -> bool {
         self.0.peek().is_some_and(|Reverse(candidate)| candidate.loss < loss)
     }
 }
 
 impl Scheduler {
-    /// All machines that may get tasks now, and what each could yield.
+    /// All machines that may get tasks now, and what each could free.
     fn build_preemption_index(&self, now: MonotonicTime) -> PreemptionIndex {
         self.cost.add_machines(self.machines.known.len());
-        let indexed = self.machines.known.iter().filter_map(|(id, m)| self.index_machine(now, id, m));
+        let indexed = self.machines.known.iter().filter_map(|(id, machine)| self.index_machine(now, id, machine));
         PreemptionIndex::new(indexed.collect())
     }
 
-    fn index_machine(&self, now: MonotonicTime, id: &MachineId, m: &Machine) -> Option<IndexedMachine> {
-        if !m.usable(now, self.heartbeat_timeout()) {
+    /// None: the machine may not get tasks now.
+    fn index_machine(&self, now: MonotonicTime, id: &MachineId, machine: &Machine) -> Option<IndexedMachine> {
+        if !machine.usable(now, self.heartbeat_timeout()) {
             return None;
         }
-        self.cost.add_tasks(m.allocations.len());
-        let free = self.unreserved_capacity(id, m, None);
+        self.cost.add_tasks(machine.allocations.len());
+        let free = self.unreserved_capacity(id, machine, None);
         let mut reclaimable = [free; PRIORITIES];
         let mut over_guarantee = [Resources::default(); PRIORITIES];
-        for (key, allocation) in m.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
+        for (key, allocation) in machine.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
             let priority = priority_number(allocation.priority) as usize;
             // What is already told to stop will be free soon, for anyone.
-            let first_served = if allocation.stop.is_some() { PRIORITIES } else { priority };
-            reclaimable[..first_served].iter_mut().for_each(|room| room.add(&allocation.need));
+            let served_below = if allocation.stop.is_some() { PRIORITIES } else { priority };
+            reclaimable[..served_below].iter_mut().for_each(|reclaimable| reclaimable.add(&allocation.need));
             if allocation.stop.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
                 over_guarantee[priority].add(&allocation.need);
             }
         }
-        Some(IndexedMachine { id: id.clone(), pool: m.pool(), free, reclaimable, over_guarantee })
+        Some(IndexedMachine { id: id.clone(), pool: machine.pool(), free, reclaimable, over_guarantee })
     }
 
-    /// How urgent a job's work is that seeks room.
-    pub(super) fn urgency(&self, id: &JobId, j: &Job) -> Urgency {
-        Urgency { priority: priority_number(j.priority()) as usize, guaranteed: self.quota.is_within_guarantee(id) }
+    /// How urgent a job's work is.
+    pub(super) fn urgency(&self, id: &JobId, job: &Job) -> Urgency {
+        Urgency { priority: priority_number(job.priority()) as usize, guaranteed: self.quota.is_within_guarantee(id) }
     }
 }
