--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -44,12 +44,12 @@
 use self::rounds::Rounds;
 use self::spot_lives::SpotLives;
 use self::writes::WriteQueue;
-use crate::config::{Settings, Tuning, next_slo_deadline};
+use crate::config::{Settings, Tuning};
 use crate::core::completion_bitmap::{self, BitmapLayout};
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::dependencies::DependencyGraph;
 use crate::core::election::{LEADER_KEY, LeaderRecord};
-use crate::core::jobs::{ClassTimes, GangRun, Job, priority_number};
+use crate::core::jobs::{ClassTimes, GangRun, Job};
 use crate::core::machine::{
     Allocation, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD, Registration,
     Resources, TaskAttempt, machine_key,
@@ -63,13 +63,11 @@
 use crate::core::shards::{SHARDS_KEY, ShardAssignment};
 use crate::core::submissions;
 use crate::ids::{Attempt, FencingToken, JobId, MAX_FENCE, MachineId, Revision, SequenceNumber, TaskId, Term};
-use crate::peer::{
-    ImageView, JobCount, JobView, MachineView, PlanInput, ProvisionOffer, ScaleOutRequest, TypeView, VERSION, ZoneCount,
-};
+use crate::peer::{JobCount, ScaleOutRequest};
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, MachineType,
-    Mutation, Order, Precondition, Priority, ProvisionRequest, TaskPhase, TaskStatus, Transaction,
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, KeyValue, Kind, ListPhase, ListedMachine, MachineType, Mutation,
+    Order, Precondition, Priority, ProvisionRequest, TaskPhase, TaskStatus, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use log::{debug, info, warn};
--- /dev/null
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -0,0 +1,174 @@
+//! The jobs as planners see them.
+
+use super::{PlannedJob, zone_counts};
+use crate::config::{JobAges, next_slo_deadline};
+use crate::core::jobs::{Job, priority_number};
+use crate::core::scheduler::Scheduler;
+use crate::core::scheduler::ages::job_ages;
+use crate::ids::{JobId, MachineId};
+use crate::peer::JobView;
+use crate::time::{MonotonicTime, WallTime};
+use crate::wire::{JobSpec, Kind, Priority};
+use std::collections::{BTreeSet, HashMap};
+
+/// Work that is not urgent causes scaling out only if the fleet needs longer than this for all that waits.
+const SCALE_OUT_BACKLOG_S: f64 = 8.0;
+/// A run is expected to take this many seconds at the least.
+const MIN_RUN_S: f64 = 0.1;
+/// Stands for a machine type or zone that isn't known.
+const UNKNOWN_NUMBER: u32 = u32::MAX;
+
+/// What holds for all jobs of a view.
+pub(super) struct JobContext<'a> {
+    pub(super) now: MonotonicTime,
+    pub(super) wall: WallTime,
+    pub(super) waiting: &'a BTreeSet<JobId>,
+    /// The keys of the view's machines.
+    pub(super) keys: &'a HashMap<&'a MachineId, u32>,
+    /// Seconds that the fleet needs for all that waits.
+    pub(super) drain_s: f64,
+}
+
+/// How many tasks of a job a view offers.
+struct ReadyTasks {
+    all: u32,
+    /// Those of them whose spot machines were taken.
+    reclaimed: u32,
+}
+
+/// The times that a planner weighs a job by, in seconds from now.
+struct JobDeadlines {
+    due_s: Option<f64>,
+    slo_deadline_s: Option<f64>,
+    /// How many SLO deadlines can't be met any more.
+    missed: u32,
+}
+
+impl Scheduler {
+    /// The jobs that wait. Tasks whose spot machines were taken are a view of their own, as they may not
+    /// cause spot machines to be provisioned.
+    pub(super) fn job_views(&mut self, context: &JobContext) -> (Vec<JobView>, Vec<PlannedJob>) {
+        let mut views: Vec<JobView> = Vec::new();
+        let mut planned = Vec::new();
+        let mut push = |id: JobId, view: JobView, reclaimed: bool| {
+            views.push(JobView { key: planned.len() as u32, ..view });
+            planned.push(PlannedJob { id, reclaimed });
+        };
+        for id in context.waiting {
+            let Some(job) = self.jobs.live.get(id) else { continue };
+            let Some(ready) = self.ready_tasks(id, job) else { continue };
+            let next = self.catalog.images.len() as u32;
+            let image = *self.catalog.images.entry(job.spec.image.clone()).or_insert(next);
+            let base = JobView { image, ..self.job_view(context, id, job) };
+            if base.gang || ready.reclaimed == 0 || ready.reclaimed == ready.all {
+                let new_spot = base.new_spot && ready.reclaimed == 0;
+                push(*id, JobView { ready: ready.all, new_spot, ..base }, ready.reclaimed > 0);
+            } else {
+                push(*id, JobView { ready: ready.all - ready.reclaimed, ..base.clone() }, false);
+                push(*id, JobView { ready: ready.reclaimed, new_spot: false, ..base }, true);
+            }
+        }
+        (views, planned)
+    }
+
+    /// The tasks of a job that may be placed now; none: none may.
+    fn ready_tasks(&self, id: &JobId, job: &Job) -> Option<ReadyTasks> {
+        let gang = job.spec.kind == Kind::Gang;
+        if gang && (job.gang.is_some() || !job.placed.is_empty()) {
+            return None;
+        }
+        let reserved = self.reservations.count_of(id) as u32;
+        let all = (job.ready.len() as u32).saturating_sub(reserved);
+        if all == 0 || gang && reserved > 0 {
+            return None;
+        }
+        let reclaimed = job.reclaimed.iter().filter(|index| job.ready.contains(index)).count() as u32;
+        Some(ReadyTasks { all, reclaimed: reclaimed.min(all) })
+    }
+
+    fn job_view(&self, context: &JobContext, id: &JobId, job: &Job) -> JobView {
+        let spec = &job.spec;
+        let service = spec.kind == Kind::Service;
+        let guaranteed = self.quota.is_within_guarantee(id);
+        let ages = job_ages(context.wall, job);
+        let run_s = match service {
+            true => self.tuning.service_horizon_s,
+            false => self.jobs.class_times.expect(&spec.class, spec.estimate_s).max(MIN_RUN_S),
+        };
+        let JobDeadlines { due_s, slo_deadline_s, missed } = self.job_deadlines(job, ages, run_s, guaranteed);
+        let at_fault = job.at_fault(context.now);
+        JobView {
+            team: job.team,
+            priority: priority_number(job.priority()),
+            gang: spec.kind == Kind::Gang,
+            tasks: spec.tasks,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+            image_gb: spec.image_gb,
+            types: self.allowed_types(spec),
+            zone: spec.zone.as_ref().map(|zone| self.zone_number(zone)),
+            one_zone: spec.one_zone,
+            spread: spec.spread,
+            spot: spec.spot,
+            new_spot: spec.spot && !job.no_new_spot,
+            run_s,
+            due_s,
+            slo_deadline_s,
+            successors_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
+            missed: if service { 0 } else { missed },
+            service,
+            age_s: ages.startable_s,
+            overspent: job.overspent,
+            placed: zone_counts(job, &self.machines.known),
+            avoid: if at_fault { Vec::new() } else { avoided(job, context) },
+            guaranteed,
+            may_scale_out: !at_fault && (job.priority() <= Priority::High || context.drain_s > SCALE_OUT_BACKLOG_S),
+            ..Default::default()
+        }
+    }
+
+    /// A job's own deadlines and those that it inherits.
+    fn job_deadlines(&self, job: &Job, ages: JobAges, run_s: f64, guaranteed: bool) -> JobDeadlines {
+        let spec = &job.spec;
+        // An objective on starting that can still be met is a deadline too.
+        let start_slo_s = self.settings.start_slo_s(&spec.class, guaranteed);
+        let start_due_s =
+            start_slo_s.filter(|slo_s| *slo_s > ages.startable_s).map(|slo_s| slo_s - ages.startable_s + run_s);
+        let own_due_s = spec.deadline_s.map(|deadline_s| deadline_s - ages.submitted_s);
+        let inherited_due_s = job.inherited.as_ref().and_then(|inherited| inherited.due_s);
+        let mut slo_deadlines = self.settings.slo_deadlines(&spec.class, spec.deadline_s, ages, run_s);
+        slo_deadlines.extend(job.inherited.iter().flat_map(|inherited| &inherited.slo_deadlines));
+        let (slo_deadline_s, missed) = next_slo_deadline(slo_deadlines, run_s);
+        JobDeadlines {
+            due_s: own_due_s.into_iter().chain(start_due_s).chain(inherited_due_s).reduce(f64::min),
+            slo_deadline_s,
+            missed,
+        }
+    }
+
+    /// The numbers of the types that a job names; one that no type has stands for none that is known.
+    fn allowed_types(&self, spec: &JobSpec) -> Vec<u32> {
+        let Some(names) = &spec.types else { return Vec::new() };
+        let number =
+            |name: &String| self.catalog.types.iter().position(|known| known.name == *name).map(|kind| kind as u32);
+        let known: Vec<u32> = names.iter().filter_map(number).collect();
+        if known.is_empty() { vec![UNKNOWN_NUMBER] } else { known }
+    }
+
+    /// A zone's number; one that no zone has if it isn't known.
+    fn zone_number(&self, zone: &str) -> u32 {
+        self.catalog.zones.iter().position(|known| known == zone).map_or(UNKNOWN_NUMBER, |number| number as u32)
+    }
+}
+
+/// The keys of the machines on which a job's tasks have failed lately.
+fn avoided(job: &Job, context: &JobContext) -> Vec<u32> {
+    if job.error_machines.is_empty() {
+        return Vec::new();
+    }
+    let failed = job.error_machines.keys().filter(|id| job.avoids(id, context.now));
+    let mut keys: Vec<u32> = failed.filter_map(|id| context.keys.get(id).copied()).collect();
+    keys.sort_unstable();
+    keys
+}
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -3,6 +3,7 @@
 
 use super::*;
 use crate::core::simulation::digest::Digest;
+use crate::peer::PlanInput;
 
 const MACHINES: usize = 300;
 /// Those that an earlier leader has recorded; the others are new.
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -1,6 +1,7 @@
 //! Who gets room, and which machines are counted on.
 
 use super::*;
+use crate::peer::{JobView, MachineView, PlanInput, TypeView, VERSION};
 
 #[test]
 fn the_largest_gang_begins_although_smaller_work_keeps_coming() {
