--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -54,7 +54,6 @@
     Allocation, HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, PendingRun, QUARANTINE_PERIOD, Registration,
     Resources, TaskAttempt, machine_key,
 };
-use crate::core::placement;
 use crate::core::provisioning::{InstancePool, PendingProvision, Provisioner};
 use crate::core::records::{
     JobOutcome, LIVE_PREFIX, LiveRecord, MUTATIONS_PER_TERMINATION, TerminalRecord, live_key, live_precondition,
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -2,6 +2,7 @@
 //! through: a change that is to keep the behaviour must keep both.
 
 use super::*;
+use crate::core::placement;
 use crate::core::simulation::digest::Digest;
 use crate::peer::PlanInput;
 
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -2,6 +2,7 @@
 //! which it renewed no lease and answered nobody (docs/incidents/production-overload.md).
 
 use super::*;
+use crate::core::placement;
 
 /// Most looks that one input to the core may take, whatever waits.
 fn operation_bound(machines: usize, jobs: usize, tasks: usize) -> u64 {
