--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -60,15 +60,15 @@
 use crate::core::completion_bitmap::BitmapLayout;
 use crate::core::cost::{CostCounters, CostMeter};
 use crate::core::election::LeaderRecord;
-use crate::core::jobs::{Job, priority_number};
-use crate::core::machine::{Allocation, Machine, Resources};
-use crate::core::provisioning::{InstancePool, Provisioner};
+use crate::core::jobs::Job;
+use crate::core::machine::Resources;
+use crate::core::provisioning::Provisioner;
 use crate::core::shards::ShardAssignment;
 use crate::ids::{JobId, MachineId, Revision, Term};
 use crate::peer::JobCount;
-use crate::time::{Millis, MonotonicTime, WallTime};
+use crate::time::{Millis, MonotonicTime};
 use crate::wire::{MachineType, TaskPhase};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 
 /// What the leader takes of the state service's rate of changes.
 const SCHEDULER_WRITE_SHARE: f64 = 0.6;
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -10,20 +10,19 @@
 use super::planner_view::partition_view;
 use super::*;
 use crate::config::sample_settings;
-use crate::core::machine::TaskAttempt;
-use crate::core::machine::{HeartbeatRoute, MACHINE_PREFIX, MachineRecord};
-use crate::core::placement;
+use crate::core::machine::Machine;
+use crate::core::machine::{HeartbeatRoute, MACHINE_PREFIX, MachineRecord, TaskAttempt};
 use crate::core::records::{
     BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
 };
 use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, SequenceNumber, TaskId};
-use crate::peer::{JobView, MachineView, PlanInput, TypeView, VERSION};
+use crate::time::WallTime;
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, ListPhase, ListedMachine, Mutation, Order,
-    ProvisionRequest, TaskStatus, Transaction,
+    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, Mutation,
+    Order, Priority, ProvisionRequest, TaskStatus, Transaction,
 };
-use crate::wire::{Kind, Priority};
 use serde_json::{Value, json};
+use std::collections::BTreeSet;
 
 struct Rig {
     leader: Scheduler,
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -2,7 +2,9 @@
 //! through: a change that is to keep the behaviour must keep both.
 
 use super::*;
+use crate::core::placement;
 use crate::core::simulation::digest::Digest;
+use crate::peer::PlanInput;
 
 const MACHINES: usize = 300;
 /// Those that an earlier leader has recorded; the others are new.
