--- a/src/main.rs
+++ b/src/main.rs
@@ -75,6 +75,6 @@
         let users = net::server::serve(node.settings.listen, net::server::public(&node), sockets.public);
         let peers = net::server::serve(node.settings.peer_listen, net::server::internal(&node), sockets.peers);
         // Neither listener ever ends in good order.
-        tokio::select! { r = users => r, r = peers => r }
+        tokio::select! { r = users => r, r = peers => r }.map_err(|e| e.to_string())
     })
 }
--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -1,5 +1,5 @@
-//! How long each input holds the core, and what it worked through. A controller has one thread: while the
-//! core works, renewals, reports and users wait.
+//! How long each input holds the core, and what it looked at. A controller has one thread: while the core works,
+//! renewals, heartbeats and users wait.
 
 use super::node::Node;
 use super::rate_limited_log::RateLimitedLog;
@@ -12,19 +12,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The line of figures is written this often.
+/// How often the figures are logged.
 const LOG_INTERVAL: Millis = Millis(10_000);
-/// A step that takes this long is worth a line of its own.
-const SLOW_INPUT: Duration = Duration::from_millis(250);
+/// An input that takes this long gets a line of its own.
+const SLOW_INPUT_THRESHOLD: Duration = Duration::from_millis(250);
 /// At most one such line in this time.
 const SLOW_INPUT_LOG_INTERVAL: Millis = Millis(1_000);
-/// Longest step that the histograms tell apart, in microseconds.
+/// Longest time that the histograms tell apart, in microseconds.
 const MAX_RECORDED_MICROS: u64 = 600_000_000;
 
 /// What the core was given to work on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum InputKind {
+    /// The scheduler's regular tick.
     Tick,
+    /// Heartbeats of workers that came together.
     Heartbeats,
     /// A peer's plan for a round of this leader.
     Plan,
@@ -40,7 +42,7 @@
     fn name(self) -> &'static str {
         match self {
             InputKind::Tick => "tick",
-            InputKind::Heartbeats => "reports",
+            InputKind::Heartbeats => "heartbeats",
             InputKind::Plan => "plan",
             InputKind::PlanForPeer => "plan_for_peer",
             InputKind::Result => "result",
@@ -49,18 +51,18 @@
     }
 }
 
-/// The longest step since the last line.
-struct Longest {
+/// The longest input since the last line.
+struct LongestInput {
     input_kind: InputKind,
     took: Duration,
     cost: CostCounters,
 }
 
-/// Step times since the last line.
+/// Times of inputs since the last line.
 pub struct InputLatency {
     histograms: BTreeMap<InputKind, Histogram<u64>>,
-    longest: Option<Longest>,
-    long_steps: RateLimitedLog,
+    longest: Option<LongestInput>,
+    slow_inputs: RateLimitedLog,
 }
 
 impl Default for InputLatency {
@@ -68,29 +70,29 @@
         InputLatency {
             histograms: BTreeMap::new(),
             longest: None,
-            long_steps: RateLimitedLog::new(SLOW_INPUT_LOG_INTERVAL),
+            slow_inputs: RateLimitedLog::new(SLOW_INPUT_LOG_INTERVAL),
         }
     }
 }
 
 impl InputLatency {
-    /// Takes in a step that began at `now` and has just ended.
+    /// Takes in an input that began at `now` and has just been handled.
     pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, took: Duration, cost: CostCounters) {
         let micros = (took.as_micros() as u64).clamp(1, MAX_RECORDED_MICROS);
         let histogram = self.histograms.entry(input_kind).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
-        if took >= SLOW_INPUT
-            && let Some(count) = self.long_steps.note(now)
+        if took >= SLOW_INPUT_THRESHOLD
+            && let Some(count) = self.slow_inputs.record(now)
         {
-            let (name, unmentioned) = (input_kind.name(), count - 1);
-            warn!("long step: {name} took {} ms, {cost}, unmentioned={unmentioned}", took.as_millis());
+            let (name, unlogged) = (input_kind.name(), count - 1);
+            warn!("slow input: kind={name} took_ms={} {cost} unlogged={unlogged}", took.as_millis());
         }
         if self.longest.as_ref().is_none_or(|longest| took > longest.took) {
-            self.longest = Some(Longest { input_kind, took, cost });
+            self.longest = Some(LongestInput { input_kind, took, cost });
         }
     }
 
-    /// The figures since the last call; none: there was no step.
+    /// The figures since the last call; none: there was no input.
     fn take_line(&mut self) -> Option<String> {
         let longest = self.longest.take()?;
         let mut line = String::new();
@@ -115,21 +117,22 @@
     Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 2).expect("the bounds are constants that fit")
 }
 
-/// Writes the figures of this controller while it runs.
+/// Logs the figures of this controller for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(LOG_INTERVAL.to_std()).await;
         let now = node.now();
-        let mut inner = node.lock();
-        let Some(line) = inner.input_latency.take_line() else { continue };
-        info!("steps: {line}");
-        let term = inner.election.active_term(now);
-        let (heartbeats, requests) = (inner.heartbeat_relay.waiting(), inner.user_requests);
-        match (&inner.scheduler, term) {
-            (Some(leader), Some(term)) => {
-                info!("load: acting term={term} {} reports={heartbeats} requests={requests}", leader.load_summary());
+        let mut state = node.lock();
+        let Some(line) = state.input_latency.take_line() else { continue };
+        info!("inputs: {line}");
+        let term = state.election.active_term(now);
+        let (heartbeats, requests) = (state.heartbeat_relay.waiting(), state.user_requests);
+        match (&state.scheduler, term) {
+            (Some(scheduler), Some(term)) => {
+                let load = scheduler.load_summary();
+                info!("load: active term={term} {load} heartbeats={heartbeats} requests={requests}");
             }
-            _ => info!("load: not acting, leader={:?} reports={heartbeats} requests={requests}", inner.leader_name),
+            _ => info!("load: not active leader={:?} heartbeats={heartbeats} requests={requests}", state.leader_name),
         }
     }
 }
--- a/src/net/outcome_cache.rs
+++ b/src/net/outcome_cache.rs
@@ -32,3 +32,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/rate_limited_log.rs
+++ b/src/net/rate_limited_log.rs
@@ -1,4 +1,5 @@
-//! Counts what may happen very often, and says seldom enough how often it did that it can't flood the log.
+//! Counts events that may be very frequent, and says when to log how many there were, so that they can't flood the
+//! log.
 
 use crate::time::{Millis, MonotonicTime};
 
@@ -11,12 +12,13 @@
 }
 
 impl RateLimitedLog {
+    /// Nothing has happened yet; lines come at least `interval` apart.
     pub fn new(interval: Millis) -> RateLimitedLog {
         RateLimitedLog { interval, unlogged: 0, logged_at: None }
     }
 
-    /// Counts one more. How many there were since the last time, if it is time to log them.
-    pub fn note(&mut self, now: MonotonicTime) -> Option<u64> {
+    /// Counts one more event. Returns how many there were since the last line, if it is time for one.
+    pub fn record(&mut self, now: MonotonicTime) -> Option<u64> {
         self.unlogged += 1;
         if self.logged_at.is_some_and(|at| now - at < self.interval) {
             return None;
@@ -27,7 +29,7 @@
 
     /// How many have not been logged yet.
     #[cfg(test)]
-    pub fn unlogged(&self) -> u64 {
+    pub(super) fn unlogged(&self) -> u64 {
         self.unlogged
     }
 }
--- a/src/net/redirected_workers.rs
+++ b/src/net/redirected_workers.rs
@@ -46,3 +46,6 @@
         machines.iter().filter(|machine| self.by_machine.contains_key(*machine)).cloned().collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -98,3 +98,6 @@
 fn lasts(since: Option<MonotonicTime>, now: MonotonicTime) -> bool {
     since.is_some_and(|since| now - since > TROUBLE_TIMEOUT)
 }
+
+#[cfg(test)]
+mod tests;
