--- a/src/main.rs
+++ b/src/main.rs
@@ -70,7 +70,7 @@
         tokio::spawn(net::election::run(node.clone()));
         tokio::spawn(net::heartbeat_relay::run(node.clone()));
         tokio::spawn(net::relay_routes::run(node.clone()));
-        tokio::spawn(net::input_latency::run(node.clone()));
+        tokio::spawn(net::load_log::run(node.clone()));
         let sockets = node.settings.sockets();
         let users = net::server::serve(node.settings.listen, net::server::public(&node), sockets.public);
         let peers = net::server::serve(node.settings.peer_listen, net::server::internal(&node), sockets.peers);
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -18,6 +18,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tower_service::Service;
 
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
+
 /// Why a request has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
@@ -32,12 +34,12 @@
     TooLarge,
     /// The connection failed; the request may have been carried out.
     #[error("{0}")]
-    Exchange(String),
+    Exchange(#[source] BoxError),
 }
 
 impl From<Error> for HttpError {
     fn from(e: Error) -> HttpError {
-        HttpError::Exchange(e.to_string())
+        HttpError::Exchange(e.into())
     }
 }
 
@@ -48,12 +50,11 @@
     sockets: Arc<Semaphore>,
 }
 
-type Connecting =
-    Pin<Box<dyn Future<Output = Result<LimitedConnection, Box<dyn std::error::Error + Send + Sync>>> + Send>>;
+type Connecting = Pin<Box<dyn Future<Output = Result<LimitedConnection, BoxError>> + Send>>;
 
 impl Service<Uri> for LimitedConnector {
     type Response = LimitedConnection;
-    type Error = Box<dyn std::error::Error + Send + Sync>;
+    type Error = BoxError;
     type Future = Connecting;
 
     fn poll_ready(&mut self, cx: &mut Context) -> Poll<Result<(), Self::Error>> {
@@ -167,7 +168,7 @@
             let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|e| match e.is::<LengthLimitError>() {
                 true => HttpError::TooLarge,
-                false => HttpError::Exchange(e.to_string()),
+                false => HttpError::Exchange(e),
             })?;
             Ok((status, body.to_bytes()))
         };
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,6 +11,7 @@
 pub mod kv;
 pub mod leader_loop;
 pub mod linearizable_reads;
+pub mod load_log;
 pub mod node;
 pub mod outcome_cache;
 pub mod peer_service;
