--- a/src/net/outcome_cache.rs
+++ b/src/net/outcome_cache.rs
@@ -6,7 +6,7 @@
 
 const MAX_CACHED_OUTCOMES: usize = 20_000;
 
-/// Terminal records by job; beyond [`MAX_CACHED_OUTCOMES`] the one put first is dropped.
+/// Terminal records by job; beyond `MAX_CACHED_OUTCOMES` the one put first is dropped.
 #[derive(Default)]
 pub struct OutcomeCache {
     records: HashMap<JobId, TerminalRecord>,
