--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -85,11 +85,11 @@
         Ok((200, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Executed),
         Ok((409, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Rejected),
         Ok((status, _)) => {
-            warn!("orders not answered: endpoint={endpoint} status={status}");
+            warn!("orders failed: endpoint={endpoint} status={status}");
             OrdersResult::Unknown
         }
         Err(e) => {
-            debug!("orders not answered: endpoint={endpoint} error={e}");
+            debug!("orders failed: endpoint={endpoint} error={e}");
             OrdersResult::Unknown
         }
     }
