--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,6 +1,7 @@
 //! Versions that run side by side during an upgrade read each other's messages.
 
 use super::*;
+use prost::Message;
 
 /// A part of the job in a planner's view as the version before awaited jobs declared it.
 #[derive(Clone, PartialEq, Message)]
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn an_earlier_version_plans_for_a_job_with_successors_and_the_other_way_round() {
+fn job_view_with_dependents_is_readable_by_an_earlier_version_and_the_other_way_round() {
     let job = JobView { priority: 1, due_s: Some(30.0), missed_slos: 2, dependents_s: 12.0, ..Default::default() };
     let earlier = EarlierJobView { priority: 1, due_s: Some(30.0), missed_slos: 2 };
     assert_eq!(EarlierJobView::decode(&*job.encode_to_vec()).unwrap(), earlier);
