--- a/src/ids.rs
+++ b/src/ids.rs
@@ -14,11 +14,11 @@
 }
 
 impl JobId {
-    /// Checks the one form that job names have: `req-` and six to 18 digits.
-    pub fn parse(s: &str) -> Option<JobId> {
-        let digits = s.strip_prefix("req-")?;
-        let ok = (6..=18).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        let number = digits.parse().ok().filter(|_| ok)?;
+    /// The job of that name; none if it hasn't the one form of job names: `req-` and six to 18 digits.
+    pub fn parse(name: &str) -> Option<JobId> {
+        let digits = name.strip_prefix("req-")?;
+        let is_valid = (6..=18).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit());
+        let number = digits.parse().ok().filter(|_| is_valid)?;
         Some(JobId { number, digits: digits.len() as u8 })
     }
 }
@@ -35,7 +35,7 @@
 pub struct MachineId(pub Arc<str>);
 
 impl MachineId {
-    /// A machine name must be a legal part of a state key.
+    /// The machine of that name; none if it can't be part of a key of the key-value store.
     pub fn parse(s: &str) -> Option<MachineId> {
         let ok = !s.is_empty() && s.len() <= 100 && s.bytes().all(|b| b.is_ascii_graphic() && b != b'/' && b != b'?');
         ok.then(|| MachineId(s.into()))
@@ -51,13 +51,16 @@
 /// One task of a job: `req-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// The task's number within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    pub fn parse(s: &str) -> Option<TaskId> {
-        let (job, index) = s.split_once('/')?;
+    /// The task of that name; none if no task can have it.
+    pub fn parse(name: &str) -> Option<TaskId> {
+        let (job, index) = name.split_once('/')?;
         Some(TaskId { job: JobId::parse(job)?, index: index.parse().ok()? })
     }
 }
@@ -113,7 +116,7 @@
 }
 
 counter!(
-    /// Version of a key in the state service.
+    /// Revision of the key-value store: rises with each transaction, and is the version of the keys it changed.
     Revision
 );
 counter!(
@@ -121,23 +124,23 @@
     Term
 );
 counter!(
-    /// What entitles to give a worker orders: term and fence in one number.
+    /// Fencing token (PROTOCOL, "Tokens"): entitles to give a worker orders; term and fence in one number.
     FencingToken
 );
 counter!(
-    /// Number of one start of a task.
+    /// Number of one start of a task; term and a count in one number.
     Attempt
 );
 counter!(
-    /// A worker's agent epoch.
+    /// A worker's count of its lost leases, from 1.
     AgentEpoch
 );
 counter!(
-    /// A worker's message count.
+    /// A worker's count of its messages within an agent epoch.
     SequenceNumber
 );
 counter!(
-    /// A lease of the state service.
+    /// A lease of the key-value store (PROTOCOL, "POST /holds").
     LeaseId
 );
 
@@ -148,6 +151,7 @@
     /// Below every token that has been given out.
     pub const NONE: FencingToken = FencingToken(0);
 
+    /// The token of a term with a fence of at most [`MAX_FENCE`].
     pub fn new(term: Term, fence: u64) -> FencingToken {
         FencingToken((term.0 << FENCE_BITS) | (fence & ((1 << FENCE_BITS) - 1)))
     }
@@ -158,8 +162,8 @@
 
 impl Attempt {
     /// Attempts carry the term, so that no two leaders ever choose the same number.
-    pub fn new(term: Term, n: u64) -> Attempt {
-        Attempt((term.0 << ATTEMPT_BITS) | (n & ((1 << ATTEMPT_BITS) - 1)))
+    pub fn new(term: Term, count: u64) -> Attempt {
+        Attempt((term.0 << ATTEMPT_BITS) | (count & ((1 << ATTEMPT_BITS) - 1)))
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,6 +26,20 @@
     },
 }
 
+/// Why the program has ended.
+#[derive(Debug, thiserror::Error)]
+enum RunError {
+    #[error(transparent)]
+    Config(#[from] config::ConfigError),
+    #[error("no settings: give --config FILE")]
+    NoSettings,
+    #[error(transparent)]
+    Runtime(#[from] std::io::Error),
+    /// A listener has ended.
+    #[error("{0}")]
+    Listener(String),
+}
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
@@ -39,30 +53,26 @@
     logging::start(&level);
     match run(cli) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("wallstile: {e}");
+        Err(error) => {
+            eprintln!("wallstile: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(cli: Cli) -> Result<(), String> {
+fn run(cli: Cli) -> Result<(), RunError> {
     let tuning = match &cli.tuning {
-        Some(path) => config::Tuning::load(path).map_err(|e| e.to_string())?,
+        Some(path) => config::Tuning::load(path)?,
         None => config::Tuning::default(),
     };
     if let Some(Command::Check { file }) = &cli.command {
-        let s = config::Settings::load(file).map_err(|e| e.to_string())?;
-        println!("{file}: ok, controller {} of {}", s.name, s.peers.len() + 1);
+        let settings = config::Settings::load(file)?;
+        println!("{file}: ok, controller {} of {}", settings.name, settings.peers.len() + 1);
         return Ok(());
     }
-    let path = cli.config.ok_or("no settings: give --config FILE")?;
-    let settings = config::Settings::load(&path).map_err(|e| e.to_string())?;
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .max_blocking_threads(1)
-        .build()
-        .map_err(|e| e.to_string())?;
+    let path = cli.config.ok_or(RunError::NoSettings)?;
+    let settings = config::Settings::load(&path)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
     runtime.block_on(async {
         let node = net::node::Node::new(settings, tuning);
         log::info!("starting {} on {}", node.settings.name, node.settings.listen);
@@ -75,6 +85,7 @@
         let users = net::server::serve(node.settings.listen, net::server::public(&node), sockets.public);
         let peers = net::server::serve(node.settings.peer_listen, net::server::internal(&node), sockets.peers);
         // Neither listener ever ends in good order.
-        tokio::select! { r = users => r, r = peers => r }
+        let ended = tokio::select! { result = users => result, result = peers => result };
+        ended.map_err(RunError::Listener)
     })
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -8,25 +8,34 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    pub fn from_secs_f64(s: f64) -> Millis {
-        Millis((s.max(0.0) * 1000.0) as u64)
+    /// Rounded down; a negative number of seconds is none.
+    pub fn from_secs_f64(seconds: f64) -> Millis {
+        Millis((seconds.max(0.0) * 1000.0) as u64)
     }
+
+    /// The span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
+
+    /// The span as the standard library has it.
     pub fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
+
     /// At least this long by any machine's clock: clocks drift by up to 0.05% each.
     pub fn plus_clock_drift(self) -> Millis {
         Millis(self.0 + self.0 / 500 + 1)
     }
+
     /// At most this long by any machine's clock.
     pub fn minus_clock_drift(self) -> Millis {
         Millis(self.0 - self.0 / 500)
     }
-    pub fn mul_f64(self, f: f64) -> Millis {
-        Millis((self.0 as f64 * f) as u64)
+
+    /// The span times a factor, rounded down.
+    pub fn mul_f64(self, factor: f64) -> Millis {
+        Millis((self.0 as f64 * factor) as u64)
     }
 }
 
@@ -36,23 +45,23 @@
 
 impl Add<Millis> for MonotonicTime {
     type Output = MonotonicTime;
-    fn add(self, s: Millis) -> MonotonicTime {
-        MonotonicTime(self.0.saturating_add(s.0))
+    fn add(self, span: Millis) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_add(span.0))
     }
 }
 
 impl Add<Millis> for Millis {
     type Output = Millis;
-    fn add(self, s: Millis) -> Millis {
-        Millis(self.0.saturating_add(s.0))
+    fn add(self, span: Millis) -> Millis {
+        Millis(self.0.saturating_add(span.0))
     }
 }
 
 impl Sub<MonotonicTime> for MonotonicTime {
     type Output = Millis;
-    /// Never negative.
-    fn sub(self, o: MonotonicTime) -> Millis {
-        Millis(self.0.saturating_sub(o.0))
+    /// The span since `earlier`; none if that is later.
+    fn sub(self, earlier: MonotonicTime) -> Millis {
+        Millis(self.0.saturating_sub(earlier.0))
     }
 }
 
