--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn jobs_start_and_are_cancelled_as_in_the_model() {
+fn dependency_graph_agrees_with_a_plain_model() {
     let (mut started, mut cascade_cancelled) = (0, 0);
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::cancellations::MAX_CANCELLATIONS;
 
 #[test]
-fn a_leader_stops_before_its_lease_can_end() {
+fn leader_stops_before_its_lease_can_end() {
     let mut leader = election();
     leader.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
     assert_eq!(leader.active_term(MonotonicTime(13_900)), Some(Term(7)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_leader_that_workers_cannot_reach_hands_over() {
+fn leader_that_workers_cannot_reach_hands_over() {
     assert!(should_hand_over(10, 10, 10), "cut off from all workers");
     assert!(should_hand_over(4, 3, 12), "cut off from a zone");
     assert!(!should_hand_over(1, 1, 12), "one machine may well be dead");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_leader_acts_only_on_what_it_has_read_lately() {
+fn leader_acts_only_on_what_it_has_read_lately() {
     let mut leader = election();
     leader.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
     // Its renewals succeed, but it reads nothing.
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn plain_jobs_are_the_same_in_all_versions() {
+fn live_records_without_dependencies_are_the_same_in_all_versions() {
     let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on: Vec::new() };
     let earlier = EarlierLiveRecord { at: WallTime(7), spec: spec() };
     assert_eq!(json!(record), json!(earlier));
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_submission_is_read_and_kept_as_it_came() {
+fn submission_is_read_and_kept_as_it_came() {
     let ParsedSubmission { id, submission } = parse(&body()).unwrap();
     let Submission { spec, depends_on } = submission.unwrap();
     assert!(depends_on.is_empty());
