--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -33,7 +33,7 @@
     JobId::parse(&format!("req-{n:06}")).unwrap()
 }
 
-/// What a process says that has been there since the store was empty.
+/// The cancellations of a process that has been there since the store was empty.
 fn told_nothing() -> Cancellations {
     let mut cancellations = Cancellations::default();
     cancellations.at_revision(Revision(0));
@@ -81,7 +81,7 @@
     assert_eq!(
         ask(&mut follower, &told, 90),
         Err(PledgeRefusal::CancellationsUnknown),
-        "an earlier process here may have told more"
+        "an earlier process here may have confirmed more"
     );
     told.at_revision(Revision(12));
     told.tell(job(2), Revision(13));
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -174,7 +174,7 @@
 
 #[test]
 fn one_zone_gang_is_placed_in_the_zone_that_holds_it() {
-    // The best place for one task is in zone 0, which can't hold three.
+    // The best candidate for one task is in zone 0, which can't hold three.
     let (mut a, mut b) = (machine(0, 4.0), machine(1, 8.0));
     (a.zone, b.zone) = (0, 1);
     a.images = vec![ImageView { image: 0, ready_s: 0.0 }];
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!(destination(&relay), Some("plinth-1"), "an earlier term is over");
     relay.heard_leader("plinth-2", Term(6), HEARD);
     assert_eq!(destination(&relay), Some("plinth-2"));
-    assert!(relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "silent for too long");
+    assert!(relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "not heard for too long");
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let world = Arc::new(Mutex::new(World::default()));
     let [(relaying, _), (other, _)] = pair(&world);
     tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal(&relaying), 64));
-    // The leader's machine is silent: it takes connections, and says nothing.
+    // The leader's machine hangs: it takes connections, and answers nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = other.settings.clone();
     settings.name = "plinth-8".into();
