--- /dev/null
+++ b/src/core/simulation/cloud.rs
@@ -0,0 +1,35 @@
+//! The cloud of the model, with capacity for a few machines.
+
+use super::*;
+
+/// Machines that live at once.
+const MAX_MACHINES: usize = 12;
+/// Machines that one request gets.
+const MAX_MACHINES_PER_REQUEST: u32 = 2;
+
+impl Simulation {
+    pub(super) fn provision(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
+        if let Some(names) = self.provision_requests.get(&request.name) {
+            return ProvisionOutcome::Provisioned(names.clone());
+        }
+        if self.workers.iter().filter(|worker| !worker.dead).count() >= MAX_MACHINES {
+            return ProvisionOutcome::NoCapacity;
+        }
+        let type_index = self.types.iter().position(|machine_type| machine_type.name == request.kind).unwrap();
+        let zone_index = self.types[type_index].zones.iter().position(|zone| *zone == request.zone).unwrap();
+        let names: Vec<String> = (0..request.number.min(MAX_MACHINES_PER_REQUEST))
+            .map(|_| {
+                let up_at = self.now + self.rng.random_range(100..12_000);
+                self.add_worker(type_index, zone_index, request.spot, up_at)
+            })
+            .collect();
+        self.provision_requests.insert(request.name.clone(), names.clone());
+        ProvisionOutcome::Provisioned(names)
+    }
+
+    pub(super) fn terminate(&mut self, name: &str) {
+        let index: usize = name[2..].parse().unwrap();
+        self.workers[index].dead = true;
+        self.workers[index].tasks.clear();
+    }
+}
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -14,8 +14,8 @@
     Orders = 0,
     Commit = 1,
     FenceRefresh = 2,
-    Rent = 3,
-    Return = 4,
+    Provision = 3,
+    Terminate = 4,
     LookUp = 5,
     Plan = 6,
     PeerPlan = 7,
@@ -40,8 +40,8 @@
         self.state
     }
 
-    /// How often each kind of output was hashed: orders, commits, reguards, rent requests, returns,
-    /// lookups, plan inputs, plans of peers, answers to heartbeats, heartbeats without an answer.
+    /// How often each kind of output was hashed: orders, commits, fence refreshes, provisions,
+    /// terminations, lookups, plan inputs, plans of peers, answers to heartbeats, heartbeats without an answer.
     pub(in crate::core) fn counts(&self) -> [u64; TAGS] {
         self.counts
     }
@@ -64,11 +64,11 @@
                 self.json(transaction);
             }
             Effect::Provision(request) => {
-                self.tag(Tag::Rent);
+                self.tag(Tag::Provision);
                 self.json(request);
             }
             Effect::Terminate(machines) => {
-                self.tag(Tag::Return);
+                self.tag(Tag::Terminate);
                 self.json(machines);
             }
             Effect::LookUp(jobs) => {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// What a peer has planned for its share.
+    /// What a peer has planned for its shard.
     pub(in crate::core) fn peer_plan(&mut self, plan: &PlanOutput) {
         self.tag(Tag::PeerPlan);
         self.part(&plan.encode_to_vec());
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_digest_is_fnv_1a() {
+fn digest_is_fnv_1a() {
     let mut digest = Digest::new();
     digest.bytes(b"foobar");
     assert_eq!(digest.value(), 0x8594_4171_f739_67e8);
@@ -154,14 +154,19 @@
 
 /// Histories with more cancellations, pipelines and late writes than usual, and fewer changes of leader.
 fn play(seed: u64) -> Digest {
-    let mut model = Simulation::new(seed);
-    (model.ends, model.cancels, model.pipelines, model.late_writes) = (0.001, 0.02, 0.5, 0.05);
-    model.run(100, 0);
-    model.digest
+    let mut simulation = Simulation::new(seed);
+    (
+        simulation.leader_crash_probability,
+        simulation.cancellation_probability,
+        simulation.dependency_probability,
+        simulation.late_commit_probability,
+    ) = (0.001, 0.02, 0.5, 0.05);
+    simulation.run(100, 0);
+    simulation.digest
 }
 
 #[test]
-fn the_digests_of_random_histories_are_unchanged() {
+fn digests_of_random_histories_are_unchanged() {
     let played = EXPECTED.map(|(seed, _)| (seed, play(seed)));
     let mut counts = [0; TAGS];
     for (_, digest) in &played {
--- /dev/null
+++ b/src/core/simulation/users.rs
@@ -0,0 +1,91 @@
+//! The users of the model: they submit and cancel jobs.
+
+use super::*;
+
+impl Simulation {
+    pub(super) fn step_users(&mut self) {
+        if self.faults && self.chance(0.03) {
+            self.submit();
+        }
+        if self.chance(self.cancellation_probability)
+            && let Some(id) = self.specs.keys().nth(self.rng.random_range(0..self.specs.len().max(1))).copied()
+        {
+            self.cancel(&id);
+        }
+    }
+
+    fn submit(&mut self) {
+        self.last_job_number += 1;
+        let id = JobId::parse(&format!("req-{:06}", self.last_job_number)).unwrap();
+        let spec = self.random_spec(&id);
+        self.specs.insert(id, spec.clone());
+        let named = if self.chance(self.dependency_probability) { self.named_by_new_job(id) } else { Vec::new() };
+        self.depends_on.insert(id, named.clone());
+        if named.iter().any(|named| self.outcome(named) == Some(JobOutcome::Cancelled)) {
+            self.revision += 1;
+            self.store.insert(terminal_key(&id), (json!(TerminalRecord::cancelled(spec.tasks)), self.revision));
+            return;
+        }
+        let depends_on = named.into_iter().filter(|named| self.outcome(named).is_none()).collect();
+        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
+        self.revision += 1;
+        self.store.insert(live_key(&id), (record.clone(), self.revision));
+        let (leader, revision) = (self.leader_number, self.revision);
+        let delay = self.rng.random_range(1..300);
+        self.post(delay, Mail::Watch { leader, key: live_key(&id), value: Some((record, revision)) });
+    }
+
+    /// The fields are drawn in the order of this literal.
+    fn random_spec(&mut self, id: &JobId) -> JobSpec {
+        let kind = [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
+        let gpu = self.chance(0.2);
+        JobSpec {
+            id: id.to_string(),
+            class: format!("{kind:?}"),
+            team: if self.chance(0.6) { "team-a".into() } else { "team-b".into() },
+            kind,
+            priority: match kind {
+                Kind::Service => Priority::Prod,
+                Kind::Gang => Priority::High,
+                Kind::Array => [Priority::Normal, Priority::Low][self.rng.random_range(0..2)],
+            },
+            tasks: if kind == Kind::Array { self.rng.random_range(1..20) } else { self.rng.random_range(1..4) },
+            cpus: self.rng.random_range(1..5) as f64,
+            gpus: if gpu { 1.0 } else { 0.0 },
+            memory_gb: 2.0,
+            image: format!("img-{}", self.rng.random_range(0..4)),
+            image_gb: 1.0,
+            types: if self.chance(0.1) { Some(vec!["large".into()]) } else { None },
+            zone: if self.chance(0.1) { Some("a".into()) } else { None },
+            one_zone: kind == Kind::Gang && self.chance(0.5),
+            spread: kind == Kind::Service,
+            spot: kind != Kind::Service && self.chance(0.6),
+            estimate_s: 5.0,
+            checkpoint_s: if kind == Kind::Gang { 2.0 } else { 0.0 },
+            save_s: 0.5,
+            deadline_s: None,
+        }
+    }
+
+    /// One or two of the latest jobs that end by themselves.
+    fn named_by_new_job(&mut self, new: JobId) -> Vec<JobId> {
+        let earlier = self.specs.iter().rev().filter(|(id, spec)| **id != new && spec.kind != Kind::Service);
+        let earlier: Vec<JobId> = earlier.map(|(id, _)| *id).take(5).collect();
+        let count = self.rng.random_range(1..3);
+        earlier.into_iter().filter(|_| self.rng.random_bool(0.4)).take(count).collect()
+    }
+
+    fn cancel(&mut self, id: &JobId) {
+        let Some((_, revision)) = self.store.get(&live_key(id)) else { return };
+        let record = TerminalRecord::cancelled(self.specs[id].tasks);
+        let preconditions = vec![Precondition { key: live_key(id), revision: *revision }];
+        let mutations = vec![Mutation::delete(live_key(id)), Mutation::put(terminal_key(id), json!(record))];
+        let cancelled_before = self.cancelled.insert(*id, self.now);
+        if self.commit(&Transaction { preconditions, mutations }) != CommitOutcome::Committed {
+            match cancelled_before {
+                Some(at) => self.cancelled.insert(*id, at),
+                None => self.cancelled.remove(id),
+            };
+        }
+    }
+}
