--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -1,9 +1,8 @@
 use super::*;
 use crate::config::Peer;
-use crate::net::loopback::{World, free_addr, pair, start};
+use crate::net::loopback::{FakeCluster, free_addr, pair, start};
 use crate::net::server;
 use serde_json::json;
-use std::sync::Mutex;
 
 const HEARD: MonotonicTime = MonotonicTime(10_000);
 
@@ -77,8 +76,8 @@
 async fn what_waits_behind_an_unanswered_batch_is_sent_to_a_peer_that_reaches_the_leader() {
     // Two zones could not reach each other: the first heartbeats waited for one time limit and those behind them
     // for two, and the workers then went round controllers beyond the cut until their leases ran out.
-    let world = Arc::new(Mutex::new(World::default()));
-    let [(detour, _), (other, _)] = pair(&world);
+    let cluster = FakeCluster::default();
+    let [(detour, _), (other, _)] = pair(&cluster).await;
     tokio::spawn(server::serve(detour.settings.peer_listen, server::internal(&detour), 64));
     // The leader's machine is silent: it takes connections, and says nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -86,7 +85,7 @@
     settings.name = "plinth-8".into();
     settings.peers.push(Peer { name: "plinth-9".into(), addr: silent.local_addr().unwrap(), zone: String::new() });
     settings.peer_listen = free_addr();
-    let (node, client) = start(&world, settings);
+    let (node, client) = start(&cluster, settings).await;
     let client = Arc::new(client);
     tokio::time::sleep(Millis(200).to_std()).await;
     node.lock().leader_name = Some("plinth-9".into());
@@ -99,7 +98,7 @@
     let begun = std::time::Instant::now();
     let mut answers = Vec::new();
     for _ in 0..3 {
-        let heartbeat = world.lock().unwrap().heartbeat();
+        let heartbeat = cluster.heartbeat();
         let client = client.clone();
         answers.push(tokio::spawn(async move { client.post("/v1/report", heartbeat).await }));
         // Each comes while the batch before it is under way.
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -14,7 +14,7 @@
 
 /// A leader in the middle of a round that a peer plans for.
 async fn leader_in_a_round(node: &Arc<Node>) -> Scheduler {
-    let types = node.cloud.types(&node.http, node.now()).await.expect("the stand-in names its types");
+    let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud names its types");
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: 1, lease: LeaseId(7) };
     let mut leader = Scheduler::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
     let (id, submission) = parse_submission(job("req-000001", 1).to_string().as_bytes()).unwrap_or_else(|_| panic!());
@@ -27,29 +27,27 @@
 }
 
 #[tokio::test]
-async fn past_the_bound_a_round_is_abandoned_and_users_are_told_to_come_back() {
-    let world = Arc::new(Mutex::new(World::default()));
-    let (node, c) = controller(&world, true);
-    tokio::time::sleep(Millis(200).to_std()).await;
+async fn leader_past_its_bound_abandons_the_round_and_refuses_users() {
+    let cluster = FakeCluster::default();
+    let (node, client) = start_cut_off(&cluster).await;
     let leader = leader_in_a_round(&node).await;
     assert!(leader.has_open_round());
     node.lock().scheduler = Some(leader);
-    // Not elected, or not any more: nothing is fed, and nothing of the round goes out.
+    // Not elected, or not any more: the step is not given, and nothing of the round goes out.
     let answer = leader_loop::step(&node, InputKind::Tick, |leader| {
         leader.on_job_terminated(&JobId::parse("req-000001").unwrap(), JobOutcome::Unknown)
     });
     assert!(answer.is_none());
     assert!(node.lock().scheduler.as_ref().is_some_and(|leader| !leader.has_open_round()));
-    world.lock().unwrap().down = true;
-    assert_eq!(c.get("/api/jobs/req-000001").await.0, 503);
+    cluster.lock().store.refuses_all = true;
+    assert_eq!(client.job("req-000001").await.0, 503);
 }
 
 #[tokio::test]
-async fn a_large_batch_of_reports_is_answered_whole_and_in_order() {
-    let world = Arc::new(Mutex::new(World::default()));
-    let (node, _) = controller(&world, false);
-    tokio::time::sleep(Millis(200).to_std()).await;
-    let heartbeat = world.lock().unwrap().heartbeat().to_string();
+async fn large_heartbeat_batch_is_answered_whole_and_in_order() {
+    let cluster = FakeCluster::default();
+    let (node, _client) = start_alone(&cluster).await;
+    let heartbeat = cluster.heartbeat().to_string();
     let malformed = |n: usize| n.is_multiple_of(97);
     let body = |n: usize| if malformed(n) { "{}".to_string() } else { heartbeat.clone() };
     let heartbeats = (0..600).map(|n| body(n).into()).collect();
