--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn settings_that_contradict_themselves_are_refused() {
+fn contradictory_settings_are_refused() {
     let good = include_str!("../../tests/settings.json");
     assert!(Settings::parse(good).is_ok());
     for (from, to) in [
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_sockets_suffice_for_a_worker_each() {
+fn sockets_suffice_for_a_worker_each() {
     let mut s = sample_settings();
     // The least that platforms have pledged for a fleet, with room for users.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_goal_is_the_next_aim_that_can_still_be_met() {
+fn slo_deadline_is_the_next_that_can_still_be_met() {
     let mut s = sample_settings();
     let aim =
         |kind: &str, within_s: f64, times: f64| Objective { kind: kind.into(), class: "x".into(), within_s, times };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn limits_that_come_later_hold_from_the_beginning() {
+fn later_limits_hold_from_the_beginning() {
     let good = include_str!("../../tests/settings.json");
     let with =
         |next: &str| Settings::parse(&good.replace("\"txn_ops\": 12", &format!("\"txn_ops\": 12, \"next\": {next}")));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn operators_settings_name_the_line_of_an_error() {
+fn operators_settings_errors_name_the_line() {
     let t = Tuning::parse("<wallstile>\n <idle-s>60</idle-s>\n</wallstile>").unwrap();
     assert_eq!(t.idle_s, 60.0);
     assert_eq!(Tuning::parse("<wallstile/>").unwrap(), Tuning::default());
--- a/src/core/completion_bitmap/tests.rs
+++ b/src/core/completion_bitmap/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn done_sets_survive_the_state_service_in_rows() {
+fn completion_bitmap_survives_the_store_in_chunks() {
     let set = large_set();
     // Now and once the limit has fallen: what is written fits from the beginning.
     for (layout, most_bytes) in
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn rows_of_an_earlier_version_are_read_and_not_overwritten() {
+fn chunks_of_an_earlier_version_are_read_and_not_overwritten() {
     let set = large_set();
     for value_kb in [8.0, 32.0] {
         let layout = BitmapLayout::new(&limits(value_kb, Some(2.0)));
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn jobs_start_and_are_cancelled_as_in_the_model() {
+fn dependency_graph_agrees_with_a_plain_model() {
     let (mut started, mut cascade_cancelled) = (0, 0);
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_pipeline_hands_its_priority_and_deadline_to_the_jobs_before() {
+fn dependencies_inherit_priority_and_deadline() {
     // 1 and 2 before 3, 3 and 1 before 4; 5 needs 1 as well, and is cancelled with 9.
     let mut dependencies = DependencyGraph::default();
     dependencies.add(id(3), &ids(&[1, 2]), |_| true);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn all_jobs_get_their_turn_to_be_asked_about() {
+fn lookups_take_turns_over_all_jobs() {
     let mut dependencies = DependencyGraph::default();
     dependencies.add(id(9), &ids(&[1, 2, 3]), |_| false);
     assert_eq!(dependencies.next_unresolved(2), [id(1), id(2)]);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_ladder_of_jobs_hands_on_a_bounded_number_of_goals() {
+fn inherited_slo_deadlines_are_bounded_in_number() {
     // Rungs of two jobs that both await both of the rung before: twice the paths at every rung, each of
     // another length.
     let mut ladder = DependencyGraph::default();
--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::cancellations::MAX_CANCELLATIONS;
 
 #[test]
-fn a_leader_stops_before_its_lease_can_end() {
+fn leader_stops_before_its_lease_can_end() {
     let mut l = election();
     l.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
     assert_eq!(l.active_term(MonotonicTime(13_900)), Some(Term(7)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_leader_that_workers_cannot_reach_hands_over() {
+fn leader_that_workers_cannot_reach_hands_over() {
     assert!(should_hand_over(10, 10, 10), "cut off from all workers");
     assert!(should_hand_over(4, 3, 12), "cut off from a zone");
     assert!(!should_hand_over(1, 1, 12), "one machine may well be dead");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_promise_needs_a_refusal_and_binds() {
+fn pledge_needs_a_refusal_by_the_store_and_binds() {
     let mut p = election();
     let ask = |p: &mut Election| p.pledge_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing());
     assert_eq!(ask(&mut p), None, "it is served by the state service");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn who_led_later_promises_nothing_to_an_earlier_term() {
+fn later_leader_gives_no_pledge_to_an_earlier_term() {
     let mut p = election();
     p.elected(Term(8), LeaseId(1), MonotonicTime(0));
     p.step_down();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_promise_carries_what_the_leader_cannot_have_read() {
+fn pledge_carries_the_cancellations_that_the_leader_cannot_have_read() {
     let mut p = election();
     p.store_refused();
     let mut c = Cancellations::default();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_leader_acts_only_on_what_it_has_read_lately() {
+fn leader_acts_only_on_what_it_has_read_lately() {
     let mut l = election();
     l.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
     // Its renewals succeed, but it reads nothing.
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_restarted_process_keeps_promises_it_has_forgotten() {
+fn restarted_process_keeps_pledges_it_has_forgotten() {
     let p = election();
     assert!(!p.may_stand(MonotonicTime(4_000), true));
     assert!(p.may_stand(MonotonicTime(4_100), true));
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn real_run_times_correct_a_classs_estimates() {
+fn run_times_correct_the_estimates_of_a_class() {
     let mut t = ClassTimes::default();
     assert_eq!(t.expect("x", 10.0), 10.0);
     for _ in 0..200 {
--- a/src/core/overload/tests.rs
+++ b/src/core/overload/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_a_lasting_lag_hands_over_and_seldom() {
+fn overload_hands_over_only_on_a_lasting_lag_and_seldom() {
     let mut overload = Overload::default();
     let late = OVERLOAD_LAG + Millis(1);
     let seen = |overload: &mut Overload, second: u64, lag| overload.note(MonotonicTime(second * 1_000), lag);
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn spot_loses_the_run_time_of_its_sub_deadline_and_an_unfilled_request_ends() {
+fn spot_sub_deadline_excludes_the_run_time_and_an_unfilled_request_ends() {
     assert_eq!((sub_deadline(100.0, 30.0, true), sub_deadline(100.0, 30.0, false)), (70.0, 100.0));
     // Sub-deadline 70, finish 50: 20 s of slack against a slip of 8 s and a window of 10 s.
     assert!(!spot_wait_is_over(70.0, 50.0, 8.0, 10.0));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_cost_filter_holds_until_the_budget_is_spent() {
+fn cost_filter_holds_until_the_budget_is_spent() {
     // Two kinds, one five times as dear; the dear machine holds the image.
     let mut dear = machine(1, 8.0);
     dear.kind = 1;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn when_nothing_passes_the_filters_the_best_of_all_is_taken() {
+fn best_candidate_of_all_is_taken_when_none_passes_the_filters() {
     let mut i = input(vec![machine(0, 8.0)], vec![job(0, 1)]);
     i.jobs[0].due_s = Some(-100.0);
     assert_eq!(put(&plan(&i)), [(0, 0, 1)]);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn of_jobs_with_the_same_time_left_the_one_with_the_longest_way_to_go_begins() {
+fn job_with_the_longest_remaining_path_begins_among_equal_time_left() {
     // Room for one task. Both are due at the same time, but one has more after it (eq. 1).
     let job_timing = |key: u32, successors_s: f64| JobView { slo_deadline_s: Some(80.0), successors_s, ..job(key, 1) };
     let first = |jobs: Vec<JobView>| put(&plan(&input(vec![machine(0, 2.0)], jobs)));
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn what_can_still_be_in_time_goes_first() {
+fn jobs_that_can_still_be_in_time_go_first() {
     let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4), job(1, 4)]);
     i.jobs[0].missed = 1;
     assert_eq!(put(&plan(&i)), [(1, 0, 4)]);
 }
 
 #[test]
-fn a_long_queue_asks_for_machines_beyond_its_batch() {
+fn long_queue_asks_for_machines_beyond_its_batch() {
     // One machine is up; of 40 tasks, four to a machine, a batch of 4 starts.
     let mut i = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
     i.batch = 4;
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_gang_finds_the_zone_that_holds_it() {
+fn gang_finds_the_zone_that_holds_it() {
     // The best place for one task is in zone 0, which can't hold three.
     let (mut a, mut b) = (machine(0, 4.0), machine(1, 8.0));
     (a.zone, b.zone) = (0, 1);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn gangs_go_whole_and_zones_are_minded() {
+fn gangs_are_placed_whole_and_within_their_zones() {
     let mut other = machine(1, 8.0);
     other.zone = 1;
     let mut i = input(vec![machine(0, 4.0), other], vec![job(0, 5)]);
@@ -197,21 +197,21 @@
 }
 
 #[test]
-fn a_team_gets_no_more_than_is_left_to_it() {
+fn team_gets_no_more_than_its_remaining_quota() {
     let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
     i.teams = vec![TeamHeadroom { team: 0, cpus: 5.0, gpus: 0.0 }];
     assert_eq!(put(&plan(&i)), [(0, 0, 2)]);
 }
 
 #[test]
-fn a_view_that_refers_to_nothing_is_refused() {
+fn view_with_dangling_references_is_refused() {
     let mut i = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
     i.machines[0].kind = 7;
     assert_eq!(plan(&i), PlanOutput::default());
 }
 
 #[test]
-fn of_too_many_jobs_the_most_urgent_are_planned_for_and_the_others_in_turn() {
+fn too_many_jobs_are_planned_by_urgency_and_the_rest_in_turn() {
     let candidates = MAX_ESTIMATES / MIN_JOBS;
     let full = (0..candidates as u32).map(|key| machine(key, 0.0)).collect();
     let urgent = |key: u32| key.is_multiple_of(25);
--- a/src/core/provisioning/tests.rs
+++ b/src/core/provisioning/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn refusals_pause_a_market_for_longer_each_time_and_no_other() {
+fn refusals_pause_an_instance_pool_for_longer_each_time_and_no_other() {
     let m = InstancePool { kind: 0, zone: 0, spot: true };
     let other = InstancePool { spot: false, ..m };
     let mut r = Provisioner::default();
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn plain_jobs_are_the_same_in_all_versions() {
+fn live_records_without_dependencies_are_the_same_in_all_versions() {
     let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on: Vec::new() };
     let earlier = EarlierLiveRecord { at: WallTime(7), spec: spec() };
     assert_eq!(json!(record), json!(earlier));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_earlier_version_does_not_take_a_waiting_job_for_one_that_may_start() {
+fn live_record_of_a_waiting_job_is_not_startable_to_an_earlier_version() {
     let depends_on = vec![JobId::parse("req-000398").unwrap(), JobId::parse("req-0000405").unwrap()];
     let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on };
     assert_eq!(read::<EarlierLiveRecord>(&json!(record)), None);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn endings_are_read_by_all_versions() {
+fn terminal_records_are_read_by_all_versions() {
     for record in [TerminalRecord::done(3, WallTime(9)), TerminalRecord::cancelled(3)] {
         let earlier = EarlierTerminalRecord { phase: record.phase, tasks: 3 };
         assert_eq!(read::<EarlierTerminalRecord>(&json!(record)).as_ref(), Some(&earlier));
--- a/src/core/scheduler/gpu_demand/tests.rs
+++ b/src/core/scheduler/gpu_demand/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_was_wanted_lately_is_kept_for_a_while() {
+fn gpu_demand_is_remembered_for_a_while() {
     let mut demand = GpuDemand::new(2, MonotonicTime(0));
     let mut unwanted = demand.update(MonotonicTime(0), vec![8.0, 8.0], &[8.0, 0.0], 4.0);
     assert!(!unwanted.take(0, 2.0), "all in use");
--- a/src/core/scheduler/reservations/tests.rs
+++ b/src/core/scheduler/reservations/tests.rs
@@ -11,7 +11,7 @@
 const NEED: Resources = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 0.0 };
 
 #[test]
-fn a_reservation_is_used_once_released_with_its_job_or_expires() {
+fn reservation_is_used_once_or_released_with_its_job_or_expires() {
     let mut reservations = Reservations::default();
     for (m, j) in [(1, 1), (1, 1), (2, 1), (1, 2)] {
         reservations.add(MonotonicTime(0), machine(m), job(j), NEED);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn all_jobs_with_reservations_get_their_turn() {
+fn reservations_take_turns_over_all_jobs() {
     let mut reservations = Reservations::default();
     for n in [1, 1, 1, 2, 3, 4] {
         reservations.add(MonotonicTime(0), machine(n), job(n), NEED);
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -15,19 +15,19 @@
 use crate::wire::JobSpec;
 use serde_json::json;
 
-struct Rig {
-    leader: Scheduler,
+struct SchedulerHarness {
+    scheduler: Scheduler,
     now: u64,
     workers: BTreeMap<String, Heartbeat>,
     /// Where answers and orders don't arrive.
-    deaf: BTreeSet<String>,
-    returned: BTreeSet<String>,
+    unreachable: BTreeSet<String>,
+    terminated: BTreeSet<String>,
     /// Whose reports don't arrive anywhere.
-    mute: BTreeSet<String>,
+    unheard: BTreeSet<String>,
     /// The cloud carries out no returns.
-    cloud_down: bool,
+    cloud_refuses: bool,
     /// Writes get no answer; they are kept here.
-    unanswered: Option<Vec<Transaction>>,
+    unanswered_writes: Option<Vec<Transaction>>,
     committed: Vec<Transaction>,
     /// The most work that a tick took.
     longest_tick: CostCounters,
@@ -38,11 +38,11 @@
 
 const TERM: Term = Term(100);
 
-fn holder() -> LeaderRecord {
+fn leader_record() -> LeaderRecord {
     LeaderRecord { node: "plinth-0".into(), incarnation: 1, lease: LeaseId(7) }
 }
 
-fn kinds() -> Vec<MachineType> {
+fn machine_types() -> Vec<MachineType> {
     let t = |name: &str, gpus: f64| MachineType {
         name: name.into(),
         cpus: 8.0,
@@ -88,26 +88,27 @@
     KeyValue { key: format!("fleet/m-{i:06}"), value: json!(r), revision: 1 }
 }
 
-impl Rig {
+impl SchedulerHarness {
     /// A leader that has just been elected over machines that an earlier one has commissioned.
-    fn new(machines: usize) -> Rig {
+    fn new(machines: usize) -> SchedulerHarness {
         let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_s: 600.0, ..Tuning::default() };
-        let mut leader = Scheduler::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
+        let mut leader =
+            Scheduler::new(sample_settings(), tuning, machine_types(), TERM, leader_record(), MonotonicTime(0));
         leader.load(
             MonotonicTime(0),
             StoredState { machines: (0..machines).map(record).collect(), ..StoredState::default() },
         );
         let store = (0..machines).map(record).map(|r| (r.key, (r.value, r.revision))).collect();
-        let workers = (0..machines).map(|i| (format!("w{i}"), Rig::fresh(i))).collect();
-        Rig {
-            leader,
+        let workers = (0..machines).map(|i| (format!("w{i}"), SchedulerHarness::idle_heartbeat(i))).collect();
+        SchedulerHarness {
+            scheduler: leader,
             now: 0,
             workers,
-            deaf: BTreeSet::new(),
-            returned: BTreeSet::new(),
-            mute: BTreeSet::new(),
-            cloud_down: false,
-            unanswered: None,
+            unreachable: BTreeSet::new(),
+            terminated: BTreeSet::new(),
+            unheard: BTreeSet::new(),
+            cloud_refuses: false,
+            unanswered_writes: None,
             store,
             term: TERM,
             committed: Vec::new(),
@@ -115,7 +116,7 @@
         }
     }
 
-    fn fresh(i: usize) -> Heartbeat {
+    fn idle_heartbeat(i: usize) -> Heartbeat {
         Heartbeat {
             machine: format!("m-{i:06}"),
             endpoint: format!("w{i}"),
@@ -139,7 +140,7 @@
         let depends_on = depends_on.to_vec();
         let id = JobId::parse(&s.id).unwrap();
         let record = json!(LiveRecord { at: WallTime(self.now), spec: s, depends_on });
-        self.leader.on_job_accepted(&id, &record, Revision(revision));
+        self.scheduler.on_job_accepted(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
     }
@@ -170,7 +171,7 @@
     }
 
     /// The leader ends, and another is elected.
-    fn succeed(&mut self) {
+    fn change_leader(&mut self) {
         self.term.0 += 1_000_000;
         let rows = |prefix: &str| -> Vec<KeyValue> {
             let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
@@ -182,9 +183,15 @@
             machines: rows(MACHINE_PREFIX),
             shards: None,
         };
-        self.leader =
-            Scheduler::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
-        self.leader.load(MonotonicTime(self.now), stored);
+        self.scheduler = Scheduler::new(
+            sample_settings(),
+            Tuning::default(),
+            machine_types(),
+            self.term,
+            leader_record(),
+            MonotonicTime(self.now),
+        );
+        self.scheduler.load(MonotonicTime(self.now), stored);
     }
 
     fn execute(r: &mut Heartbeat, orders: &[Order]) {
@@ -197,13 +204,15 @@
                     cause: None,
                     kept: None,
                 }),
-                Order::Stop { task, attempt, .. } => Rig::end(r, Some(*task), *attempt, Cause::Halted),
+                Order::Stop { task, attempt, .. } => {
+                    SchedulerHarness::exit_task(r, Some(*task), *attempt, Cause::Halted)
+                }
                 Order::Clear { task, attempt } => r.tasks.retain(|l| l.task != Some(*task) || l.attempt != *attempt),
             }
         }
     }
 
-    fn end(r: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
+    fn exit_task(r: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
         for l in r.tasks.iter_mut().filter(|l| l.task == task && l.attempt == attempt) {
             (l.phase, l.cause) = (TaskPhase::Exited, Some(cause));
         }
@@ -212,10 +221,10 @@
     fn heartbeat(&mut self, name: &str) -> bool {
         let Some(r) = self.workers.get_mut(name) else { return false };
         r.sequence.0 += 1;
-        let answer = self.leader.on_heartbeat(MonotonicTime(self.now), r);
-        if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.deaf.contains(name)) {
+        let answer = self.scheduler.on_heartbeat(MonotonicTime(self.now), r);
+        if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.unreachable.contains(name)) {
             r.token = a.token;
-            Rig::execute(r, &a.orders);
+            SchedulerHarness::execute(r, &a.orders);
         }
         answer.is_some()
     }
@@ -224,60 +233,63 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += TICK_INTERVAL.0;
-            let before = self.leader.cost_counters();
-            self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
-            let work = self.leader.cost_counters().since(&before);
+            let before = self.scheduler.cost_counters();
+            self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
+            let work = self.scheduler.cost_counters().since(&before);
             if work.total() > self.longest_tick.total() {
                 self.longest_tick = work;
             }
             if self.now.is_multiple_of(500) {
                 for name in self.workers.keys().cloned().collect::<Vec<_>>() {
-                    if !self.mute.contains(&name) {
+                    if !self.unheard.contains(&name) {
                         self.heartbeat(&name);
                     }
                 }
             }
-            for a in self.leader.take_effects() {
+            for a in self.scheduler.take_effects() {
                 let now = MonotonicTime(self.now);
                 match a {
                     Effect::Orders { request, endpoint, body } => {
                         let result = match self.workers.get_mut(&endpoint) {
-                            Some(r) if !self.deaf.contains(&endpoint) => {
+                            Some(r) if !self.unreachable.contains(&endpoint) => {
                                 r.sequence.0 += 1;
                                 if body.token < r.token || body.agent_epoch != r.agent_epoch {
                                     OrdersResult::Rejected(r.clone())
                                 } else {
                                     r.token = body.token;
-                                    Rig::execute(r, &body.orders);
+                                    SchedulerHarness::execute(r, &body.orders);
                                     OrdersResult::Executed(r.clone())
                                 }
                             }
                             _ => OrdersResult::Unknown,
                         };
-                        self.leader.on_orders_result(now, request, result);
+                        self.scheduler.on_orders_result(now, request, result);
                     }
-                    Effect::Commit { request, transaction } => match &mut self.unanswered {
+                    Effect::Commit { request, transaction } => match &mut self.unanswered_writes {
                         Some(l) => {
                             l.push(transaction);
-                            self.leader.on_committed(now, request, CommitOutcome::Unknown);
+                            self.scheduler.on_committed(now, request, CommitOutcome::Unknown);
                         }
                         None => {
                             self.commit(transaction);
-                            self.leader.on_committed(now, request, CommitOutcome::Committed);
+                            self.scheduler.on_committed(now, request, CommitOutcome::Committed);
                         }
                     },
                     Effect::RefreshFence(_) => {
-                        let next = self.unanswered.is_none().then(|| Revision(self.leader.fence_revision().0 + 1_000));
-                        self.leader.on_fence_refreshed(now, next);
+                        let next = self
+                            .unanswered_writes
+                            .is_none()
+                            .then(|| Revision(self.scheduler.fence_revision().0 + 1_000));
+                        self.scheduler.on_fence_refreshed(now, next);
                     }
-                    Effect::Provision(r) => self.leader.on_provisioned(now, &r.name, ProvisionOutcome::NoCapacity),
+                    Effect::Provision(r) => self.scheduler.on_provisioned(now, &r.name, ProvisionOutcome::NoCapacity),
                     Effect::Terminate(ids) => {
-                        self.returned.extend(ids.iter().map(|i| i.to_string()));
-                        self.leader.on_terminated(now, &ids, !self.cloud_down);
+                        self.terminated.extend(ids.iter().map(|i| i.to_string()));
+                        self.scheduler.on_terminated(now, &ids, !self.cloud_refuses);
                     }
                     Effect::LookUp(ids) => {
                         let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
-                        self.leader.on_looked_up(now, &outcomes);
+                        self.scheduler.on_looked_up(now, &outcomes);
                     }
                     Effect::Plan { .. } => {}
                 }
@@ -287,9 +299,9 @@
 
     /// The first task that a worker lists completes.
     fn finish_first_task(&mut self, name: &str) {
-        let heartbeat = self.workers.get_mut(name).expect("a worker of the rig");
+        let heartbeat = self.workers.get_mut(name).expect("a worker of the harness");
         let first = heartbeat.tasks[0].clone();
-        Rig::end(heartbeat, first.task, first.attempt, Cause::Done);
+        SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, Cause::Done);
     }
 
     /// The first worker that holds something.
@@ -298,7 +310,7 @@
         busy.map(|(name, _)| name.clone()).expect("some worker is busy")
     }
 
-    fn runs(&self, id: &JobId) -> usize {
+    fn running_count(&self, id: &JobId) -> usize {
         let of = |l: &&TaskStatus| l.phase == TaskPhase::Running && l.task.is_some_and(|t| t.job == *id);
         self.workers.values().flat_map(|r| &r.tasks).filter(of).count()
     }
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -29,7 +29,13 @@
 impl SimulatedWorker {
     fn new(index: usize, kind: &str, zone: &str, spot: bool, report_at: u64) -> SimulatedWorker {
         let kind = kind.into();
-        let heartbeat = Heartbeat { endpoint: index.to_string(), kind, zone: zone.into(), spot, ..Rig::fresh(index) };
+        let heartbeat = Heartbeat {
+            endpoint: index.to_string(),
+            kind,
+            zone: zone.into(),
+            spot,
+            ..SchedulerHarness::idle_heartbeat(index)
+        };
         SimulatedWorker { index, heartbeat, next: BTreeMap::new(), report_at }
     }
 
@@ -52,7 +58,7 @@
 
     fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
         self.heartbeat.token = self.heartbeat.token.max(token);
-        Rig::execute(&mut self.heartbeat, orders);
+        SchedulerHarness::execute(&mut self.heartbeat, orders);
         for order in orders {
             if let Order::Run { task, attempt } = order {
                 self.next.insert((*task, *attempt), now + 500);
@@ -125,9 +131,9 @@
 impl FixedFleet {
     fn new() -> FixedFleet {
         let tuning = Tuning { gang_reservation_wait_s: 4.0, idle_s: 30.0, ..Tuning::default() };
-        let mut types = kinds();
+        let mut types = machine_types();
         types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
-        let mut leader = Scheduler::new(sample_settings(), tuning, types, TERM, holder(), MonotonicTime(0));
+        let mut leader = Scheduler::new(sample_settings(), tuning, types, TERM, leader_record(), MonotonicTime(0));
         let workers: Vec<SimulatedWorker> = (0..MACHINES).map(SimulatedWorker::of_first_fleet).collect();
         let machines = workers.iter().take(RECORDED).map(SimulatedWorker::record).collect();
         leader.load(MonotonicTime(0), StoredState { machines, ..StoredState::default() });
@@ -395,7 +401,7 @@
 }
 
 #[test]
-fn the_digest_and_the_work_of_a_fixed_fleet_are_unchanged() {
+fn digest_and_operation_counts_of_a_fixed_fleet_are_unchanged() {
     let mut machines = FixedFleet::new();
     machines.run();
     let (work, counts) = (machines.leader.cost_counters(), machines.digest.counts());
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -11,42 +11,42 @@
 /// A fleet full of work that can be stopped, and after it urgent work for several times its room. Returns the
 /// work of the longest tick until then.
 fn longest_tick_under_urgent_overload(machines: usize) -> u64 {
-    let mut rig = Rig::new(machines);
-    rig.run(2_000);
+    let mut harness = SchedulerHarness::new(machines);
+    harness.run(2_000);
     let low = JobSpec { priority: Priority::Low, ..spec("req-000001", Kind::Array, 8 * machines as u32, 1.0) };
-    rig.submit(200, low);
-    rig.run(4_000);
+    harness.submit(200, low);
+    harness.run(4_000);
     for n in 0..machines as u32 {
-        rig.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 16, 2.0));
+        harness.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 16, 2.0));
     }
-    rig.longest_tick = CostCounters::default();
-    rig.run(3_000);
-    let urgent = rig.workers.values().flat_map(|r| &r.tasks).filter(|l| l.phase == TaskPhase::Running);
+    harness.longest_tick = CostCounters::default();
+    harness.run(3_000);
+    let urgent = harness.workers.values().flat_map(|r| &r.tasks).filter(|l| l.phase == TaskPhase::Running);
     let urgent = urgent.filter(|l| l.task.is_some_and(|task| task.job.to_string() != "req-000001")).count();
     assert!(urgent * 2 >= machines, "most of the machines have been cleared for urgent work: {urgent}");
-    rig.longest_tick.total()
+    harness.longest_tick.total()
 }
 
 #[test]
-fn urgent_work_beyond_the_room_costs_a_bounded_part_of_a_round() {
+fn round_under_urgent_overload_has_a_bounded_cost() {
     let work = longest_tick_under_urgent_overload(100);
     let bound = operation_bound(100, 101, 800);
     assert!(work <= bound, "one tick took {work} looks, bound {bound}");
 }
 
 #[test]
-fn all_work_waiting_at_once_costs_a_bounded_part_of_a_round() {
+fn round_with_all_work_waiting_has_a_bounded_cost() {
     // Every lease has run out, and a new leader finds an empty fleet and all jobs waiting.
     let machines = 200;
     let jobs = 1_000;
-    let mut rig = Rig::new(machines);
-    rig.run(2_000);
-    rig.longest_tick = CostCounters::default();
+    let mut harness = SchedulerHarness::new(machines);
+    harness.run(2_000);
+    harness.longest_tick = CostCounters::default();
     for n in 0..jobs {
-        rig.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 4, 1.0));
+        harness.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 4, 1.0));
     }
-    rig.run(1_000);
-    let (work, bound) = (rig.longest_tick.total(), operation_bound(machines, jobs as usize, 8 * machines));
+    harness.run(1_000);
+    let (work, bound) = (harness.longest_tick.total(), operation_bound(machines, jobs as usize, 8 * machines));
     assert!(work <= bound, "one tick took {work} looks, bound {bound}");
 }
 
@@ -54,7 +54,7 @@
 const MOST_GROWTH: f64 = 2.4;
 
 #[test]
-fn the_cost_of_a_round_grows_in_proportion_to_the_machines() {
+fn cost_of_a_round_grows_in_proportion_to_the_machines() {
     let work: Vec<u64> = [200, 400, 800].map(longest_tick_under_urgent_overload).into();
     for pair in work.windows(2) {
         let growth = pair[1] as f64 / pair[0] as f64;
@@ -63,72 +63,72 @@
 }
 
 #[test]
-fn urgent_work_that_finds_no_room_starves_nobody() {
-    let mut rig = Rig::new(100);
-    rig.run(2_000);
-    rig.submit(200, JobSpec { priority: Priority::Low, ..spec("req-000001", Kind::Array, 800, 1.0) });
-    rig.run(4_000);
+fn preemption_searches_in_vain_starve_no_job() {
+    let mut harness = SchedulerHarness::new(100);
+    harness.run(2_000);
+    harness.submit(200, JobSpec { priority: Priority::Low, ..spec("req-000001", Kind::Array, 800, 1.0) });
+    harness.run(4_000);
     // All machines are in one zone, so half of each of these can never run: searches in vain, for more than
     // a round's budget.
     for n in 0..300 {
         let service = spec(&format!("req-{:06}", 100 + n), Kind::Service, 2, 1.0);
-        rig.submit(300, JobSpec { priority: Priority::Prod, spread: true, ..service });
+        harness.submit(300, JobSpec { priority: Priority::Prod, spread: true, ..service });
     }
-    rig.run(8_000);
-    let urgent = rig.submit(300, spec("req-000900", Kind::Array, 4, 2.0));
-    rig.run(6_000);
-    assert_eq!(rig.runs(&urgent), 4);
+    harness.run(8_000);
+    let urgent = harness.submit(300, spec("req-000900", Kind::Array, 4, 2.0));
+    harness.run(6_000);
+    assert_eq!(harness.running_count(&urgent), 4);
 }
 
 #[test]
 fn reservations_beyond_a_tick_are_all_used_in_turn() {
-    let mut rig = Rig::new(300);
-    rig.run(2_000);
-    let job = rig.submit(300, spec("req-000001", Kind::Array, 2_400, 1.0));
-    let other = rig.submit(300, spec("req-000002", Kind::Array, 1, 1.0));
+    let mut harness = SchedulerHarness::new(300);
+    harness.run(2_000);
+    let job = harness.submit(300, spec("req-000001", Kind::Array, 2_400, 1.0));
+    let other = harness.submit(300, spec("req-000002", Kind::Array, 1, 1.0));
     for (n, name) in
-        rig.leader.machines.known.keys().cloned().collect::<Vec<_>>().iter().cycle().take(2_400).enumerate()
+        harness.scheduler.machines.known.keys().cloned().collect::<Vec<_>>().iter().cycle().take(2_400).enumerate()
     {
         let of = if n == 0 { other } else { job };
-        rig.leader.reservations.add(
-            MonotonicTime(rig.now),
+        harness.scheduler.reservations.add(
+            MonotonicTime(harness.now),
             name.clone(),
             of,
             Resources { cpus: 1.0, ..Resources::default() },
         );
     }
-    rig.run(1_000);
-    assert_eq!((rig.runs(&job), rig.runs(&other)), (2_399, 1));
+    harness.run(1_000);
+    assert_eq!((harness.running_count(&job), harness.running_count(&other)), (2_399, 1));
 }
 
 #[test]
-fn a_round_that_was_abandoned_starts_and_stops_nothing() {
-    let mut rig = Rig::new(2);
-    rig.run(2_000);
-    let job = rig.submit(300, spec("req-000001", Kind::Array, 2, 1.0));
+fn abandoned_round_starts_and_stops_nothing() {
+    let mut harness = SchedulerHarness::new(2);
+    harness.run(2_000);
+    let job = harness.submit(300, spec("req-000001", Kind::Array, 2, 1.0));
     for peer in ["plinth-1", "plinth-2"] {
-        rig.leader.peer_answered(MonotonicTime(rig.now), peer);
+        harness.scheduler.peer_answered(MonotonicTime(harness.now), peer);
     }
-    rig.leader.tick(MonotonicTime(rig.now + 1_000), WallTime(rig.now + 1_000));
+    harness.scheduler.tick(MonotonicTime(harness.now + 1_000), WallTime(harness.now + 1_000));
     let mut asked = Vec::new();
-    for effect in rig.leader.take_effects() {
+    for effect in harness.scheduler.take_effects() {
         if let Effect::Plan { node, input } = effect {
             asked.push((node, input));
         }
     }
-    assert!(!asked.is_empty() && rig.leader.has_open_round(), "a peer plans for the job's team");
-    rig.leader.abandon_round();
+    assert!(!asked.is_empty() && harness.scheduler.has_open_round(), "a peer plans for the job's team");
+    harness.scheduler.abandon_round();
     for (node, input) in asked {
-        rig.leader.on_plan(MonotonicTime(rig.now + 1_100), &node, Some(placement::plan(&input)));
+        harness.scheduler.on_plan(MonotonicTime(harness.now + 1_100), &node, Some(placement::plan(&input)));
     }
-    assert_eq!(rig.leader.take_effects(), [], "the plan comes too late");
-    rig.now += 1_100;
-    rig.run(2_000);
-    assert_eq!(rig.runs(&job), 2, "the next round starts it");
+    assert_eq!(harness.scheduler.take_effects(), [], "the plan comes too late");
+    harness.now += 1_100;
+    harness.run(2_000);
+    assert_eq!(harness.running_count(&job), 2, "the next round starts it");
 }
 
 #[test]
-fn a_ledger_loaded_in_parts_is_the_same() {
+fn cluster_state_loaded_in_parts_is_the_same() {
     let rows = |n: usize| (0..n).map(record).collect::<Vec<KeyValue>>();
     let job = |n: u32| {
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 2, 1.0);
@@ -142,8 +142,14 @@
     let parts = stored().into_parts(3);
     assert!(parts.iter().all(|p| p.live.len() + p.bitmaps.len() + p.machines.len() <= 3) && parts.len() == 6);
     let load = |parts: Vec<StoredState>| {
-        let mut leader =
-            Scheduler::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
+        let mut leader = Scheduler::new(
+            sample_settings(),
+            Tuning::default(),
+            machine_types(),
+            TERM,
+            leader_record(),
+            MonotonicTime(0),
+        );
         parts.into_iter().for_each(|part| leader.load_part(MonotonicTime(0), part));
         leader.finish_load(MonotonicTime(5));
         leader.load_summary()
@@ -152,11 +158,11 @@
 }
 
 #[test]
-fn work_is_stopped_for_a_gang_only_in_the_zone_that_can_hold_it() {
+fn preemption_for_a_gang_stops_work_only_in_the_zone_that_can_hold_it() {
     // The machines of zone b have the work that is missed least, but are too few for the gang.
-    let mut rig = Rig::new(6);
+    let mut harness = SchedulerHarness::new(6);
     let zone_of = |n: usize| if n < 4 { "a" } else { "b" };
-    for (n, worker) in rig.workers.values_mut().enumerate() {
+    for (n, worker) in harness.workers.values_mut().enumerate() {
         worker.zone = zone_of(n).into();
     }
     let rows = (0..6).map(|n| {
@@ -164,19 +170,20 @@
         row.value["zone"] = json!(zone_of(n));
         row
     });
-    rig.leader = Scheduler::new(sample_settings(), Tuning::default(), kinds(), TERM, holder(), MonotonicTime(0));
-    rig.leader.load(MonotonicTime(0), StoredState { machines: rows.collect(), ..StoredState::default() });
-    rig.run(2_000);
+    harness.scheduler =
+        Scheduler::new(sample_settings(), Tuning::default(), machine_types(), TERM, leader_record(), MonotonicTime(0));
+    harness.scheduler.load(MonotonicTime(0), StoredState { machines: rows.collect(), ..StoredState::default() });
+    harness.run(2_000);
     let low = |n: u32, zone: &str| {
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 4, 8.0);
         JobSpec { priority: Priority::Low, zone: Some(zone.into()), ..spec }
     };
-    let old = rig.submit(200, low(1, "a"));
-    rig.run(10_000);
-    let young = rig.submit(200, low(2, "b"));
-    rig.run(2_000);
-    assert_eq!((rig.runs(&old), rig.runs(&young)), (4, 2));
-    let gang = rig.submit(200, spec("req-000003", Kind::Gang, 3, 8.0));
-    rig.run(6_000);
-    assert_eq!((rig.runs(&gang), rig.runs(&young)), (3, 2), "nothing is stopped in vain");
+    let old = harness.submit(200, low(1, "a"));
+    harness.run(10_000);
+    let young = harness.submit(200, low(2, "b"));
+    harness.run(2_000);
+    assert_eq!((harness.running_count(&old), harness.running_count(&young)), (4, 2));
+    let gang = harness.submit(200, spec("req-000003", Kind::Gang, 3, 8.0));
+    harness.run(6_000);
+    assert_eq!((harness.running_count(&gang), harness.running_count(&young)), (3, 2), "nothing is stopped in vain");
 }
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -3,26 +3,26 @@
 use super::*;
 
 #[test]
-fn the_largest_gang_begins_although_smaller_work_keeps_coming() {
-    let mut rig = Rig::new(6);
-    rig.run(2_000);
+fn largest_gang_begins_although_smaller_work_keeps_coming() {
+    let mut harness = SchedulerHarness::new(6);
+    harness.run(2_000);
     let whole = |n: u32, tasks: u32| spec(&format!("req-{n:06}"), Kind::Gang, tasks, 8.0);
     for n in 1..=8 {
-        rig.submit(200, whole(n, 1));
+        harness.submit(200, whole(n, 1));
     }
-    rig.run(1_000);
-    let large = rig.submit(200, whole(100, 6));
+    harness.run(1_000);
+    let large = harness.submit(200, whole(100, 6));
     let mut began = None;
     for n in 0..60 {
         // Every 2 s another small gang comes, and the one that has run longest ends.
-        rig.submit(200, whole(200 + n, 1));
-        let oldest = rig.workers.values().flat_map(|r| &r.tasks).filter(|l| l.phase == TaskPhase::Running);
+        harness.submit(200, whole(200 + n, 1));
+        let oldest = harness.workers.values().flat_map(|r| &r.tasks).filter(|l| l.phase == TaskPhase::Running);
         if let Some((listed, attempt)) = oldest.min_by_key(|l| l.attempt).map(|l| (l.task, l.attempt)) {
-            rig.workers.values_mut().for_each(|r| Rig::end(r, listed, attempt, Cause::Done));
+            harness.workers.values_mut().for_each(|r| SchedulerHarness::exit_task(r, listed, attempt, Cause::Done));
         }
-        rig.run(2_000);
-        if rig.runs(&large) == 6 {
-            began.get_or_insert(rig.now);
+        harness.run(2_000);
+        if harness.running_count(&large) == 6 {
+            began.get_or_insert(harness.now);
             break;
         }
     }
@@ -30,40 +30,49 @@
 }
 
 #[test]
-fn a_guarantee_goes_before_what_other_teams_run_beyond_theirs() {
-    let mut rig = Rig::new(2);
-    rig.run(2_000);
-    let beyond = rig.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
-    rig.run(2_000);
-    assert_eq!(rig.runs(&beyond), 2);
+fn guaranteed_work_preempts_work_beyond_a_guarantee() {
+    let mut harness = SchedulerHarness::new(2);
+    harness.run(2_000);
+    let beyond = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    harness.run(2_000);
+    assert_eq!(harness.running_count(&beyond), 2);
     // team-a is guaranteed 8 CPUs: one whole machine, and no more.
-    let within = rig.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000002", Kind::Array, 1, 8.0) });
-    let more = rig.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000003", Kind::Array, 1, 8.0) });
-    rig.run(2_000);
-    assert_eq!((rig.runs(&within), rig.runs(&more), rig.runs(&beyond)), (1, 0, 1));
+    let within = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000002", Kind::Array, 1, 8.0) });
+    let more = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000003", Kind::Array, 1, 8.0) });
+    harness.run(2_000);
+    assert_eq!(
+        (harness.running_count(&within), harness.running_count(&more), harness.running_count(&beyond)),
+        (1, 0, 1)
+    );
 }
 
 #[test]
-fn a_replica_lost_late_is_as_urgent_as_a_first_one() {
-    let mut rig = Rig::new(1);
-    rig.run(2_000);
+fn image_wait_delays_a_lost_replica_however_old_its_service_is() {
+    let mut harness = SchedulerHarness::new(1);
+    harness.run(2_000);
     let feed = |id: &str, kind: Kind| JobSpec {
         class: "feed".into(),
         priority: Priority::Prod,
         image_gb: 20.0,
         ..spec(id, kind, 1, 9.0)
     };
-    let service = rig.submit(200, feed("req-000001", Kind::Service));
-    let array = rig.submit(200, feed("req-000002", Kind::Array));
+    let service = harness.submit(200, feed("req-000001", Kind::Service));
+    let array = harness.submit(200, feed("req-000002", Kind::Array));
     let m = MachineId::parse("m-000000").unwrap();
     // The image takes 20 s to fetch, the aim of the class is 3 s, and both jobs are old.
     let old = JobView { age_s: 100.0, ..JobView::default() };
-    assert!(rig.leader.starts_late(MonotonicTime(rig.now), &service, &m, Some(&old)), "better where its image is");
-    assert!(!rig.leader.starts_late(MonotonicTime(rig.now), &array, &m, Some(&old)), "its aim is missed anyway");
+    assert!(
+        harness.scheduler.starts_late(MonotonicTime(harness.now), &service, &m, Some(&old)),
+        "better where its image is"
+    );
+    assert!(
+        !harness.scheduler.starts_late(MonotonicTime(harness.now), &array, &m, Some(&old)),
+        "its aim is missed anyway"
+    );
 }
 
 #[test]
-fn machines_that_are_coming_up_are_counted_on_once() {
+fn partitioned_view_gives_each_booting_machine_to_one_planner() {
     // Each of five planners took the same few booting machines for its own jobs, and too few were
     // rented: a fleet of 1,300 took 100 s to come up instead of 30.
     let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| TypeView { cpus, gpus, ..Default::default() });
@@ -90,10 +99,17 @@
 }
 
 #[test]
-fn gpu_machines_are_lent_only_as_far_as_gpu_jobs_have_not_wanted_them() {
+fn gpu_lending_leaves_what_gpu_jobs_wanted_lately() {
     // Plain work filled every GPU machine that came free and was cleared off it again: nearly half
     // of all starts were of tasks that had been stopped so.
-    let mut l = Scheduler::new(sample_settings(), Tuning::default(), kinds(), Term(1), holder(), MonotonicTime(0));
+    let mut l = Scheduler::new(
+        sample_settings(),
+        Tuning::default(),
+        machine_types(),
+        Term(1),
+        leader_record(),
+        MonotonicTime(0),
+    );
     let gpu = l.catalog.types.iter().position(|t| t.gpus > 0.0).expect("there is a GPU kind");
     for i in 0..4 {
         let mut m = Machine::new(String::new(), gpu, 0, false, MonotonicTime(0));
--- a/src/core/shards/tests.rs
+++ b/src/core/shards/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn only_controllers_that_answer_plan() {
+fn only_answering_controllers_get_shards() {
     let mut s = shards();
     assert_eq!(s.planner_for(1, MonotonicTime(100)), None, "never heard of");
     s.mark_responsive("b", MonotonicTime(100));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn shares_leave_the_silent_and_follow_the_load() {
+fn shards_leave_unanswering_controllers_and_follow_the_load() {
     let mut s = shards();
     s.mark_responsive("b", MonotonicTime(9_000));
     let moves = s.rebalance(MonotonicTime(10_000));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn kept_shares_come_back_and_strangers_are_ignored() {
+fn stored_shards_are_restored_and_unknown_controllers_ignored() {
     let names: Vec<String> = (0..6).map(|i| format!("t{i}")).collect();
     let mut s = shards();
     let mut to_record = s.to_record(&names);
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_submission_is_read_and_kept_as_it_came() {
+fn submission_is_read_and_kept_as_it_came() {
     let (id, spec) = parse(&body()).unwrap();
     let Submission { spec, depends_on } = spec.unwrap();
     assert!(depends_on.is_empty());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_can_never_run_is_refused() {
+fn submission_that_can_never_run_is_refused() {
     let teams = sample_settings().cluster.teams;
     let g8 = json!({"sku": "g8", "cores": 16, "gpus": 2, "ram_gb": 128, "price": 1.0, "market_price": 0.5,
         "quays": ["a"]});
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn awaited_jobs_are_read_once_each() {
+fn dependencies_are_read_once_each() {
     let depends_on = |value: Value| {
         let mut v = body();
         v["awaits"] = value;
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_later_term_outranks_every_fence_and_attempt() {
+fn later_term_outranks_every_fence_and_attempt() {
     assert!(FencingToken::new(Term(5), MAX_FENCE) < FencingToken::new(Term(6), 0));
     assert!(Attempt::new(Term(5), 9999) < Attempt::new(Term(6), 0));
 }
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn debug_lines_have_a_bounded_rate_and_those_left_out_are_counted() {
+fn debug_lines_have_a_bounded_rate_and_suppressed_ones_are_counted() {
     let mut budget = LineBudget { tokens: DEBUG_BURST, left_out: 0 };
     let written = (0..10_000).filter(|_| budget.admit(0.0).is_some()).count();
     assert_eq!(written as f64, DEBUG_BURST);
--- a/src/net/heartbeat_balancing/tests.rs
+++ b/src/net/heartbeat_balancing/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn workers_are_moved_to_peers_of_their_zone_in_turn_and_not_all_at_once() {
+fn balancer_moves_workers_to_peers_of_their_zone_in_turn_at_a_bounded_rate() {
     let mut offloading = HeartbeatBalancer::default();
     assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", None), None, "no peer passes reports on");
     offloading.set_peers(vec![peer("one", "a"), peer("two", "b"), peer("three", "a")]);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_worker_stays_with_a_peer_of_its_zone_and_with_any_where_there_is_none() {
+fn balancer_leaves_workers_with_a_peer_of_their_zone_or_any_if_there_is_none() {
     let mut offloading = HeartbeatBalancer::default();
     offloading.set_peers(vec![peer("one", "a"), peer("two", "b")]);
     assert_eq!(move_one(&mut offloading, MonotonicTime(1_000), "a", Some("one")), None);
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn reports_go_to_the_latest_leader_and_only_while_it_is_heard() {
+fn relay_sends_to_the_latest_leader_and_only_while_it_is_heard() {
     let mut heartbeat_relay = HeartbeatRelay::default();
     assert_eq!(destination(&heartbeat_relay), None);
     heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn workers_wait_only_for_a_leader_that_has_answered_the_last_batch() {
+fn relay_admits_only_for_a_leader_that_has_answered_the_last_batch() {
     let mut heartbeat_relay = HeartbeatRelay::default();
     heartbeat_relay.heard_leader("plinth-1", Term(5), HEARD);
     assert!(!heartbeat_relay.is_open(HEARD) && heartbeat_relay.admit(Bytes::new(), HEARD).is_none(), "not tried yet");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_strained_controller_takes_no_more_workers_but_serves_those_it_has() {
+fn relay_under_load_has_no_capacity_but_stays_open() {
     let mut heartbeat_relay = open();
     assert!(heartbeat_relay.has_capacity(HEARD));
     (0..20).for_each(|_| heartbeat_relay.note_lag(Millis(400)));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_waits_is_bounded_in_number_and_in_bytes() {
+fn relay_bounds_waiting_heartbeats_in_number_and_bytes() {
     let mut heartbeat_relay = open();
     let receivers: Vec<_> = (0..MAX_WAITING).map(|_| heartbeat_relay.admit(Bytes::new(), HEARD)).collect();
     assert!(receivers.iter().all(Option::is_some));
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn what_waits_behind_an_unanswered_batch_is_sent_to_a_peer_that_reaches_the_leader() {
+async fn relay_redirects_heartbeats_behind_an_unanswered_batch_to_a_relay_route() {
     // Two zones could not reach each other: the first heartbeats waited for one time limit and those behind them
     // for two, and the workers then went round controllers beyond the cut until their leases ran out.
     let cluster = FakeCluster::default();
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_beyond_the_limit_is_told_from_none() {
+async fn response_beyond_the_size_limit_is_told_apart_from_none() {
     // Changes to follow have no limit: the reader must know that it has to read in pages instead.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn more_hosts_than_sockets_are_all_served() {
+async fn client_serves_more_hosts_than_sockets() {
     // A leader of 2,000 machines kept a connection to each that it had sent an order, until it
     // had no socket left for heartbeats.
     let (addrs, open) = hosts(40).await;
--- a/src/net/input_latency/tests.rs
+++ b/src/net/input_latency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_line_says_how_long_steps_took_and_what_the_longest_worked_through() {
+fn latency_line_says_how_long_steps_took_and_what_the_longest_cost() {
     let mut times = InputLatency::default();
     assert_eq!(times.take_line(), None);
     let cost = CostCounters { machines: 4_000, tasks: 7, ..CostCounters::default() };
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn long_steps_are_mentioned_at_a_bounded_rate() {
+fn long_steps_are_logged_at_a_bounded_rate() {
     let mut times = InputLatency::default();
     for _ in 0..100 {
         times.record(MonotonicTime(0), InputKind::Tick, Duration::from_millis(300), CostCounters::default());
--- a/src/net/rate_limited_log/tests.rs
+++ b/src/net/rate_limited_log/tests.rs
@@ -3,7 +3,7 @@
 const INTERVAL: Millis = Millis(10_000);
 
 #[test]
-fn bad_messages_are_counted_and_logged_seldom() {
+fn rate_limited_log_counts_messages_and_logs_seldom() {
     let mut bad = RateLimitedLog::new(INTERVAL);
     assert_eq!(bad.note(MonotonicTime(5)), Some(1));
     assert!((0..50).all(|n| bad.note(MonotonicTime(6 + n)).is_none()));
--- a/src/net/relay_routes/tests.rs
+++ b/src/net/relay_routes/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn detours_take_turns_and_there_may_be_none() {
+fn relay_routes_take_turns_and_there_may_be_none() {
     let mut relay_routes = RelayRoutes::default();
     assert_eq!(relay_routes.take_turn(), None);
     relay_routes.set(vec!["one".into(), "two".into()]);
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_earlier_version_plans_for_a_job_with_successors_and_the_other_way_round() {
+fn earlier_version_plans_for_a_job_with_dependents_and_the_other_way_round() {
     let job = JobView { priority: 1, due_s: Some(30.0), missed: 2, successors_s: 12.0, ..Default::default() };
     let earlier = EarlierJobView { priority: 1, due_s: Some(30.0), missed: 2 };
     assert_eq!(EarlierJobView::decode(&*job.encode_to_vec()).unwrap(), earlier);
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn leases_of_the_state_service_are_asked_for() {
+async fn leases_of_the_store_are_asked_for() {
     let service = StandIn::with(answers(&[(201, r#"{"tenure":12}"#), (200, "{}"), (404, "{}"), (204, "")])).await;
     let http = Http::new(8);
     let state = KvClient::new(service.address.clone());
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn keys_are_read_and_followed() {
+async fn keys_are_read_and_watched() {
     let samples = Samples::wire();
     let row = r#"{"path":"ctl/heir","value":"plinth-1","stamp":9001}"#;
     let (rows, last) = (samples.text("rows"), samples.text("rows_of_the_least_members"));
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn machines_are_rented_listed_and_returned() {
+async fn machines_are_provisioned_listed_and_terminated() {
     let samples = Samples::wire();
     let names = samples.text("machine_names");
     let service = StandIn::with(answers(&[
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_version_is_the_sample() {
+fn version_is_the_sample() {
     Samples::peer().assert_text("version", &VERSION.to_string());
 }
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn hellos_are_the_samples() {
+fn peer_heartbeats_are_the_samples() {
     let full = PeerHeartbeat {
         version: 3,
         from: "plinth-0".into(),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn answers_to_hellos_are_the_samples() {
+fn answers_to_peer_heartbeats_are_the_samples() {
     let full = PeerHeartbeatResponse {
         version: 3,
         store_ok: true,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn reports_passed_on_are_the_samples() {
+fn relayed_heartbeats_are_the_samples() {
     let decision = HeartbeatDecision { status: 421, body: Bytes::from_static(b"{}") };
     let heartbeats = vec![Bytes::from_static(b"{\"a\":1}"), Bytes::from_static(b"\x00\xff")];
     assert_samples(&[("report_batch", HeartbeatBatch { version: 3, heartbeats, from: "plinth-1".into() })]);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn what_is_planned_on_is_the_sample() {
+fn plan_input_is_the_sample() {
     let input = PlanInput {
         version: 3,
         term: 9001,
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn settings_of_teams_and_aims_are_read() {
+fn settings_of_teams_and_objectives_are_read() {
     let cluster = settings().cluster;
     assert_eq!(cluster.zones, ["a", "b"]);
     let team = |team: &Team| (team.name.clone(), [team.cpus, team.cpus_max, team.gpus, team.gpus_max]);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_operators_settings_are_read() {
+fn operators_settings_are_read() {
     let expected = Tuning {
         budget_share: 0.5,
         spot_median_s: 5401.0,
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn over_records_are_kept_as_the_samples() {
+fn terminal_records_are_kept_as_the_samples() {
     let samples = Samples::stored();
     for (name, record) in [
         ("over_done", TerminalRecord::done(17, AT)),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_changes_of_a_job_are_the_samples() {
+fn job_mutations_are_the_samples() {
     let samples = Samples::stored();
     let begun = Transaction { preconditions: absent_preconditions(&job_id()), mutations: Vec::new() };
     samples.assert_both_ways("guards_of_a_new_job", &begun);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_leader_is_kept_as_the_sample() {
+fn leader_record_is_kept_as_the_sample() {
     let samples = Samples::stored();
     let record = LeaderRecord { node: "plinth-0".into(), incarnation: 77, lease: LeaseId(12) };
     samples.assert_kept("leader", &record);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn shares_are_kept_as_the_sample() {
+fn shards_are_kept_as_the_sample() {
     let teams = ["team-a".to_string(), "team-b".to_string()];
     let mut shares = ShardAssignment::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, MonotonicTime(0));
     let samples = Samples::stored();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn done_sets_are_kept_as_the_samples() {
+fn completion_bitmaps_are_kept_as_the_samples() {
     let samples = Samples::stored();
     for (name, tasks, done) in
         [("done_set_small", 20, vec![0, 3, 19]), ("done_set_large", 200, vec![1, 8, 149, 150, 153, 199])]
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn done_sets_of_an_earlier_version_are_read() {
+fn completion_bitmaps_of_an_earlier_version_are_read() {
     assert_eq!(read_set("done_set_by_an_earlier_version", 400), set_of(400, &[2, 305, 306, 315]));
 }
 
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn words_of_the_wire_are_the_samples() {
+fn enum_names_are_the_samples() {
     let samples = Samples::wire();
     samples.assert_both_ways("kinds", &[Kind::Array, Kind::Gang, Kind::Service]);
     samples.assert_both_ways("priorities", &[Priority::Prod, Priority::High, Priority::Normal, Priority::Low]);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_cause_of_a_later_version_is_read() {
+fn cause_of_a_later_version_is_read() {
     let causes: Vec<Cause> = Samples::wire().read("causes_of_a_later_version");
     assert_eq!(causes, [Cause::Other]);
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn answers_to_users_are_the_samples() {
+fn responses_to_users_are_the_samples() {
     let answer = |done, running| json!(JobStatus { id: "req-000412", phase: JobPhase::Running, done, running });
     let samples = Samples::wire();
     samples.assert_text("job_answer", &answer(Some(5), Some(9)).to_string());
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn reports_are_the_samples() {
+fn heartbeats_are_the_samples() {
     let samples = Samples::wire();
     samples.assert_both_ways("task_report", &full_task());
     samples.assert_both_ways("task_report_sparse", &sparse_task());
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_report_on_what_is_no_task_is_read() {
+fn status_of_an_unknown_task_is_read() {
     let odd: TaskStatus = Samples::wire().read("task_report_of_an_odd_name");
     assert_eq!((odd.task, odd.attempt, odd.phase), (None, Attempt(4), TaskPhase::Running));
 }
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn rentals_are_the_samples() {
+fn provision_requests_are_the_samples() {
     let request = ProvisionRequest { name: "w31-2".into(), kind: "g8".into(), zone: "a".into(), spot: true, number: 6 };
     Samples::wire().assert_both_ways("rent_request", &request);
     let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn rows_of_the_state_service_are_read() {
+fn rows_of_the_store_are_read() {
     let samples = Samples::wire();
     let page: RangeResponse = samples.read("rows");
     assert_eq!((page.has_next, page.revision), (true, 9002));
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn changes_that_are_followed_are_read() {
+fn watched_changes_are_read() {
     let samples = Samples::wire();
     let log: WatchResponse = samples.read("log");
     assert_eq!(log.revision, 9003);
