--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -15,23 +15,28 @@
 use crate::wire::JobSpec;
 use serde_json::json;
 
+/// A scheduler with workers that answer at once, a store that commits everything and a cloud without
+/// capacity. Troubles are set by name.
 struct SchedulerHarness {
     scheduler: Scheduler,
+    /// Milliseconds since the first leader was elected.
     now: u64,
+    /// Each worker's next heartbeat, by its endpoint.
     workers: BTreeMap<String, Heartbeat>,
-    /// Where answers and orders don't arrive.
+    /// Workers that answers and orders don't reach.
     unreachable: BTreeSet<String>,
+    /// Machines that the scheduler has terminated.
     terminated: BTreeSet<String>,
-    /// Whose reports don't arrive anywhere.
+    /// Workers whose heartbeats don't arrive anywhere.
     unheard: BTreeSet<String>,
-    /// The cloud carries out no returns.
+    /// The cloud carries out no terminations.
     cloud_refuses: bool,
     /// Writes get no answer; they are kept here.
     unanswered_writes: Option<Vec<Transaction>>,
     committed: Vec<Transaction>,
-    /// The most work that a tick took.
+    /// The highest cost of a tick.
     longest_tick: CostCounters,
-    /// What the state service holds.
+    /// The key-value store: each value with the revision at which it was written.
     store: BTreeMap<String, (Value, u64)>,
     term: Term,
 }
@@ -43,7 +48,7 @@
 }
 
 fn machine_types() -> Vec<MachineType> {
-    let t = |name: &str, gpus: f64| MachineType {
+    let machine_type = |name: &str, gpus: f64| MachineType {
         name: name.into(),
         cpus: 8.0,
         gpus,
@@ -55,7 +60,7 @@
         boot_s: 10.0,
         zones: vec!["a".into(), "b".into()],
     };
-    vec![t("plain", 0.0), t("gpu", 2.0)]
+    vec![machine_type("plain", 0.0), machine_type("gpu", 2.0)]
 }
 
 fn spec(id: &str, kind: Kind, tasks: u32, cpus: f64) -> JobSpec {
@@ -83,13 +88,14 @@
     }
 }
 
-fn record(i: usize) -> KeyValue {
-    let r = MachineRecord { endpoint: format!("w{i}"), kind: "plain".into(), zone: "a".into(), spot: false };
-    KeyValue { key: format!("fleet/m-{i:06}"), value: json!(r), revision: 1 }
+/// The row of a machine that an earlier leader has registered.
+fn record(index: usize) -> KeyValue {
+    let record = MachineRecord { endpoint: format!("w{index}"), kind: "plain".into(), zone: "a".into(), spot: false };
+    KeyValue { key: format!("fleet/m-{index:06}"), value: json!(record), revision: 1 }
 }
 
 impl SchedulerHarness {
-    /// A leader that has just been elected over machines that an earlier one has commissioned.
+    /// A leader that has just been elected over machines that an earlier one has registered.
     fn new(machines: usize) -> SchedulerHarness {
         let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_s: 600.0, ..Tuning::default() };
         let mut leader =
@@ -98,8 +104,9 @@
             MonotonicTime(0),
             StoredState { machines: (0..machines).map(record).collect(), ..StoredState::default() },
         );
-        let store = (0..machines).map(record).map(|r| (r.key, (r.value, r.revision))).collect();
-        let workers = (0..machines).map(|i| (format!("w{i}"), SchedulerHarness::idle_heartbeat(i))).collect();
+        let store = (0..machines).map(record).map(|row| (row.key, (row.value, row.revision))).collect();
+        let workers =
+            (0..machines).map(|index| (format!("w{index}"), SchedulerHarness::idle_heartbeat(index))).collect();
         SchedulerHarness {
             scheduler: leader,
             now: 0,
@@ -116,10 +123,11 @@
         }
     }
 
-    fn idle_heartbeat(i: usize) -> Heartbeat {
+    /// Of a worker that has just started and holds no task.
+    fn idle_heartbeat(index: usize) -> Heartbeat {
         Heartbeat {
-            machine: format!("m-{i:06}"),
-            endpoint: format!("w{i}"),
+            machine: format!("m-{index:06}"),
+            endpoint: format!("w{index}"),
             kind: "plain".into(),
             zone: "a".into(),
             spot: false,
@@ -131,39 +139,39 @@
         }
     }
 
-    fn submit(&mut self, revision: u64, s: JobSpec) -> JobId {
-        self.submit_after(revision, s, &[])
+    fn submit(&mut self, revision: u64, spec: JobSpec) -> JobId {
+        self.submit_after(revision, spec, &[])
     }
 
-    /// A job that awaits others.
-    fn submit_after(&mut self, revision: u64, s: JobSpec, depends_on: &[JobId]) -> JobId {
+    /// A job that depends on others.
+    fn submit_after(&mut self, revision: u64, spec: JobSpec, depends_on: &[JobId]) -> JobId {
         let depends_on = depends_on.to_vec();
-        let id = JobId::parse(&s.id).unwrap();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec: s, depends_on });
+        let id = JobId::parse(&spec.id).unwrap();
+        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
         self.scheduler.on_job_accepted(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
     }
 
-    /// A user is told that the job is cancelled; the leader isn't, yet.
+    /// A user cancels the job; the leader doesn't know yet.
     fn cancel(&mut self, id: &JobId) {
         self.store.remove(&live_key(id));
     }
 
-    /// How the state service says that a job has ended.
+    /// How the job has ended, as the store has it.
     fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
         let (record, _) = self.store.get(&terminal_key(id))?;
         Some(serde_json::from_value::<TerminalRecord>(record.clone()).unwrap().outcome())
     }
 
     fn commit(&mut self, transaction: Transaction) {
-        for c in &transaction.mutations {
-            match c {
-                Mutation::Put { key: write, value, .. } => {
-                    self.store.insert(write.clone(), (value.clone(), self.term.0 + 1));
+        for mutation in &transaction.mutations {
+            match mutation {
+                Mutation::Put { key, value, .. } => {
+                    self.store.insert(key.clone(), (value.clone(), self.term.0 + 1));
                 }
-                Mutation::Delete { key: drop } => {
-                    self.store.remove(drop);
+                Mutation::Delete { key } => {
+                    self.store.remove(key);
                 }
             }
         }
@@ -174,8 +182,13 @@
     fn change_leader(&mut self) {
         self.term.0 += 1_000_000;
         let rows = |prefix: &str| -> Vec<KeyValue> {
-            let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
-            of.map(|(k, v)| KeyValue { key: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
+            let rows = self.store.iter().filter(|(key, _)| key.starts_with(prefix));
+            rows.map(|(key, (value, revision))| KeyValue {
+                key: key.clone(),
+                value: value.clone(),
+                revision: *revision,
+            })
+            .collect()
         };
         let stored = StoredState {
             live: rows(LIVE_PREFIX),
@@ -194,10 +207,10 @@
         self.scheduler.load(MonotonicTime(self.now), stored);
     }
 
-    fn execute(r: &mut Heartbeat, orders: &[Order]) {
-        for o in orders {
-            match o {
-                Order::Run { task, attempt } => r.tasks.push(TaskStatus {
+    fn execute(heartbeat: &mut Heartbeat, orders: &[Order]) {
+        for order in orders {
+            match order {
+                Order::Run { task, attempt } => heartbeat.tasks.push(TaskStatus {
                     task: Some(*task),
                     attempt: *attempt,
                     phase: TaskPhase::Running,
@@ -205,26 +218,31 @@
                     kept: None,
                 }),
                 Order::Stop { task, attempt, .. } => {
-                    SchedulerHarness::exit_task(r, Some(*task), *attempt, Cause::Halted)
+                    SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, Cause::Halted);
+                }
+                Order::Clear { task, attempt } => {
+                    heartbeat.tasks.retain(|listed| listed.task != Some(*task) || listed.attempt != *attempt);
                 }
-                Order::Clear { task, attempt } => r.tasks.retain(|l| l.task != Some(*task) || l.attempt != *attempt),
             }
         }
     }
 
-    fn exit_task(r: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
-        for l in r.tasks.iter_mut().filter(|l| l.task == task && l.attempt == attempt) {
-            (l.phase, l.cause) = (TaskPhase::Exited, Some(cause));
+    fn exit_task(heartbeat: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
+        let same = |listed: &&mut TaskStatus| listed.task == task && listed.attempt == attempt;
+        for listed in heartbeat.tasks.iter_mut().filter(same) {
+            (listed.phase, listed.cause) = (TaskPhase::Exited, Some(cause));
         }
     }
 
+    /// A worker sends its heartbeat and executes the orders of the answer. Returns whether it was answered.
     fn heartbeat(&mut self, name: &str) -> bool {
-        let Some(r) = self.workers.get_mut(name) else { return false };
-        r.sequence.0 += 1;
-        let answer = self.scheduler.on_heartbeat(MonotonicTime(self.now), r);
-        if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.unreachable.contains(name)) {
-            r.token = a.token;
-            SchedulerHarness::execute(r, &a.orders);
+        let Some(heartbeat) = self.workers.get_mut(name) else { return false };
+        heartbeat.sequence.0 += 1;
+        let answer = self.scheduler.on_heartbeat(MonotonicTime(self.now), heartbeat);
+        let reachable = !self.unreachable.contains(name);
+        if let Some(answer) = answer.as_ref().filter(|answer| answer.token >= heartbeat.token && reachable) {
+            heartbeat.token = answer.token;
+            SchedulerHarness::execute(heartbeat, &answer.orders);
         }
         answer.is_some()
     }
@@ -233,12 +251,7 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += TICK_INTERVAL.0;
-            let before = self.scheduler.cost_counters();
-            self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
-            let work = self.scheduler.cost_counters().since(&before);
-            if work.total() > self.longest_tick.total() {
-                self.longest_tick = work;
-            }
+            self.tick();
             if self.now.is_multiple_of(500) {
                 for name in self.workers.keys().cloned().collect::<Vec<_>>() {
                     if !self.unheard.contains(&name) {
@@ -246,55 +259,70 @@
                     }
                 }
             }
-            for a in self.scheduler.take_effects() {
-                let now = MonotonicTime(self.now);
-                match a {
-                    Effect::Orders { request, endpoint, body } => {
-                        let result = match self.workers.get_mut(&endpoint) {
-                            Some(r) if !self.unreachable.contains(&endpoint) => {
-                                r.sequence.0 += 1;
-                                if body.token < r.token || body.agent_epoch != r.agent_epoch {
-                                    OrdersResult::Rejected(r.clone())
-                                } else {
-                                    r.token = body.token;
-                                    SchedulerHarness::execute(r, &body.orders);
-                                    OrdersResult::Executed(r.clone())
-                                }
-                            }
-                            _ => OrdersResult::Unknown,
-                        };
-                        self.scheduler.on_orders_result(now, request, result);
-                    }
-                    Effect::Commit { request, transaction } => match &mut self.unanswered_writes {
-                        Some(l) => {
-                            l.push(transaction);
-                            self.scheduler.on_committed(now, request, CommitOutcome::Unknown);
-                        }
-                        None => {
-                            self.commit(transaction);
-                            self.scheduler.on_committed(now, request, CommitOutcome::Committed);
-                        }
-                    },
-                    Effect::RefreshFence(_) => {
-                        let next = self
-                            .unanswered_writes
-                            .is_none()
-                            .then(|| Revision(self.scheduler.fence_revision().0 + 1_000));
-                        self.scheduler.on_fence_refreshed(now, next);
-                    }
-                    Effect::Provision(r) => self.scheduler.on_provisioned(now, &r.name, ProvisionOutcome::NoCapacity),
-                    Effect::Terminate(ids) => {
-                        self.terminated.extend(ids.iter().map(|i| i.to_string()));
-                        self.scheduler.on_terminated(now, &ids, !self.cloud_refuses);
-                    }
-                    Effect::LookUp(ids) => {
-                        let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
-                        self.scheduler.on_looked_up(now, &outcomes);
-                    }
-                    Effect::Plan { .. } => {}
+            for effect in self.scheduler.take_effects() {
+                self.perform(effect);
+            }
+        }
+    }
+
+    fn tick(&mut self) {
+        let before = self.scheduler.cost_counters();
+        self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
+        let cost = self.scheduler.cost_counters().since(&before);
+        if cost.total() > self.longest_tick.total() {
+            self.longest_tick = cost;
+        }
+    }
+
+    fn perform(&mut self, effect: Effect) {
+        let now = MonotonicTime(self.now);
+        match effect {
+            Effect::Orders { request, endpoint, body } => {
+                let result = self.send_orders(&endpoint, &body);
+                self.scheduler.on_orders_result(now, request, result);
+            }
+            Effect::Commit { request, transaction } => match &mut self.unanswered_writes {
+                Some(writes) => {
+                    writes.push(transaction);
+                    self.scheduler.on_committed(now, request, CommitOutcome::Unknown);
                 }
+                None => {
+                    self.commit(transaction);
+                    self.scheduler.on_committed(now, request, CommitOutcome::Committed);
+                }
+            },
+            Effect::RefreshFence(_) => {
+                let next = || Revision(self.scheduler.fence_revision().0 + 1_000);
+                let next = self.unanswered_writes.is_none().then(next);
+                self.scheduler.on_fence_refreshed(now, next);
+            }
+            Effect::Provision(request) => {
+                self.scheduler.on_provisioned(now, &request.name, ProvisionOutcome::NoCapacity);
+            }
+            Effect::Terminate(ids) => {
+                self.terminated.extend(ids.iter().map(|id| id.to_string()));
+                self.scheduler.on_terminated(now, &ids, !self.cloud_refuses);
             }
+            Effect::LookUp(ids) => {
+                let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
+                self.scheduler.on_looked_up(now, &outcomes);
+            }
+            Effect::Plan { .. } => {}
+        }
+    }
+
+    fn send_orders(&mut self, endpoint: &str, body: &DirectOrders) -> OrdersResult {
+        let reachable = !self.unreachable.contains(endpoint);
+        let Some(heartbeat) = self.workers.get_mut(endpoint).filter(|_| reachable) else {
+            return OrdersResult::Unknown;
+        };
+        heartbeat.sequence.0 += 1;
+        if body.token < heartbeat.token || body.agent_epoch != heartbeat.agent_epoch {
+            return OrdersResult::Rejected(heartbeat.clone());
         }
+        heartbeat.token = body.token;
+        SchedulerHarness::execute(heartbeat, &body.orders);
+        OrdersResult::Executed(heartbeat.clone())
     }
 
     /// The first task that a worker lists completes.
@@ -310,8 +338,10 @@
         busy.map(|(name, _)| name.clone()).expect("some worker is busy")
     }
 
+    /// How many tasks of a job run.
     fn running_count(&self, id: &JobId) -> usize {
-        let of = |l: &&TaskStatus| l.phase == TaskPhase::Running && l.task.is_some_and(|t| t.job == *id);
-        self.workers.values().flat_map(|r| &r.tasks).filter(of).count()
+        let of_job = |listed: &&TaskStatus| listed.task.is_some_and(|task| task.job == *id);
+        let listed = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks).filter(of_job);
+        listed.filter(|listed| listed.phase == TaskPhase::Running).count()
     }
 }
--- a/src/core/scheduler/tests/dependencies.rs
+++ b/src/core/scheduler/tests/dependencies.rs
@@ -1,4 +1,4 @@
-//! Jobs that await others.
+//! Jobs that depend on others.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     spec(&format!("req-{number:06}"), Kind::Array, tasks, 1.0)
 }
 
-/// Two jobs, and a third that awaits both, on a leader whose machines are there.
+/// Two jobs, and a third that depends on both, on a leader whose machines are there.
 fn chain(harness: &mut SchedulerHarness) -> [JobId; 3] {
     harness.run(2_000);
     let first = harness.submit(200, array(1, 1));
@@ -16,7 +16,7 @@
     [first, second, last]
 }
 
-/// All tasks that run now complete, and the leader hears of it.
+/// All tasks that run now complete, and their heartbeats say so.
 fn finish_all(harness: &mut SchedulerHarness) {
     for heartbeat in harness.workers.values_mut() {
         let running: Vec<TaskStatus> = heartbeat.tasks.clone();
@@ -25,7 +25,7 @@
     harness.run(3_000);
 }
 
-/// A user cancels a job, durably. The leader is told by the watch, which says no more than that it is over.
+/// A user cancels a job, durably. The watch says no more than that it is over.
 fn cancel_and_watch(harness: &mut SchedulerHarness, id: &JobId) {
     harness.cancel(id);
     harness.store.insert(terminal_key(id), (json!(TerminalRecord::cancelled(1)), 300));
@@ -74,9 +74,9 @@
 fn dependents_of_a_cancelled_job_are_cancelled_within_the_transaction_limit() {
     let mut harness = SchedulerHarness::new(2);
     let [first, second, last] = chain(&mut harness);
-    // Four that need the last, and one that needs a job which goes on.
+    // Four that depend on the last, and one that depends on a job which goes on.
     let after: Vec<JobId> = (4..8).map(|n| harness.submit_after(200 + n, array(n, 1), &[last])).collect();
-    let unhurt = harness.submit_after(210, array(9, 1), &[second]);
+    let unaffected = harness.submit_after(210, array(9, 1), &[second]);
     cancel_and_watch(&mut harness, &first);
     // One that names a cancelled job which the leader hasn't cancelled yet.
     let late = harness.submit_after(211, array(10, 1), &[after[0]]);
@@ -91,7 +91,7 @@
             .all(|transaction| transaction.mutations.len() <= sample_settings().cluster.state.txn_ops)
     );
     finish_all(&mut harness);
-    assert_eq!((harness.outcome(&unhurt), harness.running_count(&unhurt)), (None, 1));
+    assert_eq!((harness.outcome(&unaffected), harness.running_count(&unaffected)), (None, 1));
 }
 
 #[test]
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of what a leader of a fixed fleet puts out while a fixed mix of jobs comes, and what it works
-//! through: a change that is to keep the behaviour must keep both.
+//! A digest of what a leader of a fixed fleet puts out while a fixed mix of jobs comes, and its operation
+//! counts: a change that is to keep the behaviour must keep both.
 
 use super::*;
 use crate::core::simulation::digest::Digest;
@@ -8,26 +8,26 @@
 /// Those that an earlier leader has recorded; the others are new.
 const RECORDED: usize = 290;
 const SIMULATED_MS: u64 = 100_000;
-const REPORT_MS: u64 = 1_500;
-const BOOT_MS: u64 = 10_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
+const BOOT_TIME_MS: u64 = 10_000;
 /// The cloud's list of machines is read this often.
-const LIST_MS: u64 = 10_000;
-/// A job comes this often, in the first part of the time.
-const JOB_MS: u64 = 250;
+const LIST_INTERVAL_MS: u64 = 10_000;
+/// A job comes this often, until [`LAST_JOB_MS`].
+const JOB_INTERVAL_MS: u64 = 250;
 const LAST_JOB_MS: u64 = 75_000;
-/// From then on a few workers tell of their spot machines' end.
-const NOTICE_MS: u64 = 30_000;
+/// From then on a few workers announce that their spot machines are reclaimed.
+const FIRST_NOTICE_MS: u64 = 30_000;
 
 struct SimulatedWorker {
     index: usize,
     heartbeat: Heartbeat,
     /// When each listed task goes on to its next phase.
-    next: BTreeMap<TaskAttempt, u64>,
-    report_at: u64,
+    next_phase_at: BTreeMap<TaskAttempt, u64>,
+    next_heartbeat_at: u64,
 }
 
 impl SimulatedWorker {
-    fn new(index: usize, kind: &str, zone: &str, spot: bool, report_at: u64) -> SimulatedWorker {
+    fn new(index: usize, kind: &str, zone: &str, spot: bool, next_heartbeat_at: u64) -> SimulatedWorker {
         let kind = kind.into();
         let heartbeat = Heartbeat {
             endpoint: index.to_string(),
@@ -36,7 +36,7 @@
             spot,
             ..SchedulerHarness::idle_heartbeat(index)
         };
-        SimulatedWorker { index, heartbeat, next: BTreeMap::new(), report_at }
+        SimulatedWorker { index, heartbeat, next_phase_at: BTreeMap::new(), next_heartbeat_at }
     }
 
     fn of_first_fleet(index: usize) -> SimulatedWorker {
@@ -46,8 +46,8 @@
             _ => "plain",
         };
         let zone = if index.is_multiple_of(2) { "a" } else { "b" };
-        let report_at = index as u64 * REPORT_MS / MACHINES as u64;
-        SimulatedWorker::new(index, kind, zone, index.is_multiple_of(5), report_at)
+        let next_heartbeat_at = index as u64 * HEARTBEAT_INTERVAL_MS / MACHINES as u64;
+        SimulatedWorker::new(index, kind, zone, index.is_multiple_of(5), next_heartbeat_at)
     }
 
     fn record(&self) -> KeyValue {
@@ -56,17 +56,17 @@
         KeyValue { key: format!("{MACHINE_PREFIX}{}", self.heartbeat.machine), value, revision: 1 }
     }
 
-    fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
+    fn execute_orders(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
         self.heartbeat.token = self.heartbeat.token.max(token);
         SchedulerHarness::execute(&mut self.heartbeat, orders);
         for order in orders {
             if let Order::Run { task, attempt } = order {
-                self.next.insert((*task, *attempt), now + 500);
+                self.next_phase_at.insert((*task, *attempt), now + 500);
             }
         }
-        for listed in self.heartbeat.tasks.iter_mut().filter(|l| l.phase == TaskPhase::Running) {
+        for listed in self.heartbeat.tasks.iter_mut().filter(|listed| listed.phase == TaskPhase::Running) {
             let key = (listed.task.expect("a task that was ordered"), listed.attempt);
-            if self.next.get(&key) == Some(&(now + 500)) {
+            if self.next_phase_at.get(&key) == Some(&(now + 500)) {
                 listed.phase = TaskPhase::Pulling;
             }
         }
@@ -87,13 +87,13 @@
         let (faulty, slowness) = (self.is_faulty(), self.slowness());
         for listed in &mut self.heartbeat.tasks {
             let key = (listed.task.expect("a task that was ordered"), listed.attempt);
-            if listed.phase == TaskPhase::Exited || self.next.get(&key).is_none_or(|at| *at > now) {
+            if listed.phase == TaskPhase::Exited || self.next_phase_at.get(&key).is_none_or(|at| *at > now) {
                 continue;
             }
             if listed.phase == TaskPhase::Pulling {
                 let run = 4_000 + (key.1.0 * 7_919 + u64::from(key.0.index) * 104_729) % 12_000;
                 listed.phase = TaskPhase::Running;
-                self.next.insert(key, now + run * slowness);
+                self.next_phase_at.insert(key, now + run * slowness);
             } else if !services.contains(&key.0.job) {
                 let cause = if faulty || key.1.0.is_multiple_of(17) { Cause::Error } else { Cause::Done };
                 (listed.phase, listed.cause) = (TaskPhase::Exited, Some(cause));
@@ -107,12 +107,12 @@
     }
 }
 
-/// How many of each kind of action the edges were given; some get unusual answers.
+/// How many effects of each kind were performed; some get unusual answers.
 #[derive(Default)]
 struct Given {
     orders: u64,
     commits: u64,
-    rents: u64,
+    provisions: u64,
     plans: u64,
 }
 
@@ -120,7 +120,7 @@
     leader: Scheduler,
     now: u64,
     revision: u64,
-    /// None: returned, or gone after a notice.
+    /// None: terminated, or gone after a notice.
     workers: Vec<Option<SimulatedWorker>>,
     services: BTreeSet<JobId>,
     outcomes: BTreeMap<JobId, JobOutcome>,
@@ -158,7 +158,7 @@
             spot: kind != Kind::Service,
             ..spec(&id, kind, tasks, cpus)
         };
-        let of_team_a = |s: JobSpec| JobSpec { team: "team-a".into(), ..s };
+        let of_team_a = |spec: JobSpec| JobSpec { team: "team-a".into(), ..spec };
         match number % 10 {
             0 => {
                 JobSpec { class: "feed".into(), priority: Priority::Prod, spread: true, ..usual(Kind::Service, 4, 2.0) }
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Jobs await one or two of their turn, which end by themselves.
+    /// Jobs depend on one or two of their turn, which end by themselves.
     fn dependency(number: u64) -> Vec<JobId> {
         let before = |distance: u64| JobId::parse(&format!("req-{:06}", number - distance)).unwrap();
         match number % 10 {
@@ -199,7 +199,7 @@
         self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
-    /// The watch tells of a cancellation; of each second one it doesn't say how the job has ended.
+    /// The watch brings a cancellation; of each second one it doesn't say how the job has ended.
     fn cancel(&mut self, number: u64) {
         let id = JobId::parse(&format!("req-{number:06}")).unwrap();
         if self.outcomes.contains_key(&id) {
@@ -211,10 +211,10 @@
     }
 
     fn users(&mut self) {
-        if self.now > LAST_JOB_MS || !self.now.is_multiple_of(JOB_MS) {
+        if self.now > LAST_JOB_MS || !self.now.is_multiple_of(JOB_INTERVAL_MS) {
             return;
         }
-        let number = self.now / JOB_MS;
+        let number = self.now / JOB_INTERVAL_MS;
         self.submit(number);
         if number > 12 && number.is_multiple_of(6) {
             self.cancel(number - 5);
@@ -227,7 +227,7 @@
     /// Some spot machines get a notice, and are gone when it has run out.
     fn notices(&mut self) {
         for index in (0..MACHINES).step_by(35) {
-            let gone_at = NOTICE_MS + index as u64 * 100;
+            let gone_at = FIRST_NOTICE_MS + index as u64 * 100;
             match &mut self.workers[index] {
                 Some(_) if self.now >= gone_at => self.workers[index] = None,
                 Some(worker) if self.now + 6_000 >= gone_at => {
@@ -241,9 +241,9 @@
     fn heartbeats(&mut self) {
         let now = self.now;
         for (index, worker) in self.workers.iter_mut().enumerate() {
-            let Some(worker) = worker.as_mut().filter(|worker| worker.report_at <= now) else { continue };
+            let Some(worker) = worker.as_mut().filter(|worker| worker.next_heartbeat_at <= now) else { continue };
             worker.step(now, &self.services);
-            worker.report_at = now + REPORT_MS;
+            worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
             let heartbeat = worker.next_heartbeat();
             let answer = match index % 3 {
                 0 => self.leader.on_heartbeat_via(MonotonicTime(now), &heartbeat, HeartbeatRoute::via_peer(0)),
@@ -251,14 +251,14 @@
             };
             self.digest.answer(answer.as_ref());
             if let Some(answer) = answer {
-                worker.obey(now, answer.token, &answer.orders);
+                worker.execute_orders(now, answer.token, &answer.orders);
             }
         }
     }
 
     /// The cloud lists all machines, and one that no worker runs on.
     fn list(&mut self) {
-        if !self.now.is_multiple_of(LIST_MS) {
+        if !self.now.is_multiple_of(LIST_INTERVAL_MS) {
             return;
         }
         let listed = |heartbeat: &Heartbeat| ListedMachine {
@@ -318,7 +318,7 @@
                 self.leader.on_fence_refreshed(now, Some(Revision(self.revision)));
             }
             Effect::Provision(request) => {
-                let result = self.rent(&request);
+                let result = self.provision(&request);
                 self.leader.on_provisioned(now, &request.name, result);
             }
             Effect::Terminate(ids) => {
@@ -347,7 +347,7 @@
             50 => OrdersResult::Unknown,
             90 => OrdersResult::Rejected(worker.next_heartbeat()),
             _ => {
-                worker.obey(self.now, body.token, &body.orders);
+                worker.execute_orders(self.now, body.token, &body.orders);
                 OrdersResult::Executed(worker.next_heartbeat())
             }
         }
@@ -366,17 +366,17 @@
             if let Mutation::Put { key: write, value, .. } = change
                 && let Some(id) = write.strip_prefix(TERMINAL_PREFIX).and_then(JobId::parse)
             {
-                let record: TerminalRecord = serde_json::from_value(value.clone()).expect("a record of an ending");
+                let record: TerminalRecord = serde_json::from_value(value.clone()).expect("a terminal record");
                 self.outcomes.entry(id).or_insert(record.outcome());
             }
         }
         answer
     }
 
-    /// The cloud has no capacity left at first, and rents at times.
-    fn rent(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
-        self.given.rents += 1;
-        match self.given.rents % 4 {
+    /// The cloud has no capacity left at first, and provisions at times.
+    fn provision(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
+        self.given.provisions += 1;
+        match self.given.provisions % 4 {
             1 => ProvisionOutcome::NoCapacity,
             3 => ProvisionOutcome::Unknown,
             _ => ProvisionOutcome::Provisioned((0..request.number.min(3)).map(|_| self.add_worker(request)).collect()),
@@ -384,7 +384,7 @@
     }
 
     fn add_worker(&mut self, request: &ProvisionRequest) -> String {
-        let (index, up_at) = (self.workers.len(), self.now + BOOT_MS);
+        let (index, up_at) = (self.workers.len(), self.now + BOOT_TIME_MS);
         let worker = SimulatedWorker::new(index, &request.kind, &request.zone, request.spot, up_at);
         let name = worker.heartbeat.machine.clone();
         self.workers.push(Some(worker));
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -1,10 +1,10 @@
-//! Changes of leader, writes and doubt.
+//! Changes of leader, the write queue, and a leader in doubt about cancellations.
 
 use super::*;
 
 #[test]
 fn new_leader_does_not_suspect_machines_that_it_has_not_heard() {
-    // Peers let a machine that the leader calls silent go on to the next controller. Called so 3 s
+    // Peers let a machine that the leader suspects go on to the next controller. Suspected 3 s
     // after a restart, most workers were sent past it and lost all they had.
     let mut harness = SchedulerHarness::new(3);
     let names = |harness: &SchedulerHarness| harness.scheduler.suspected_machines(MonotonicTime(harness.now)).0;
@@ -56,7 +56,7 @@
 
 #[test]
 fn quota_counts_all_of_a_machine_that_cannot_be_asked() {
-    // team-a may use 40 CPUs; 32 are in use when the leader changes and one machine falls silent.
+    // team-a may use 40 CPUs; 32 are in use when the leader changes and one machine is not heard any more.
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
     let team_a = |s: JobSpec| JobSpec { team: "team-a".into(), ..s };
@@ -66,7 +66,7 @@
     let held = harness.busy_worker();
     harness.unheard.insert(held.clone());
     harness.change_leader();
-    // Cancelled in that spell: what it held on the silent machine counts on.
+    // Cancelled meanwhile: what it held on the unheard machine still counts.
     harness.cancel(&full);
     harness.scheduler.on_job_terminated(&full, JobOutcome::Cancelled);
     let term = harness.term.0;
@@ -74,7 +74,7 @@
     harness.run(8_000);
     assert_eq!(harness.running_count(&full), 1, "those that can be asked have stopped");
     assert!(harness.running_count(&next) <= 4, "{} run beside one that may", harness.running_count(&next));
-    // Past its lease the silent machine is proven empty.
+    // Past its lease the unheard machine is proven empty.
     harness.workers.get_mut(&held).unwrap().tasks.clear();
     harness.run(12_000);
     assert_eq!(harness.running_count(&next), 5);
@@ -107,14 +107,14 @@
     harness.run(2_000);
     assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &late).is_none());
     let old = Heartbeat { agent_epoch: AgentEpoch(0), sequence: SequenceNumber(900), ..held };
-    assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &old).is_none(), "of an earlier session");
+    assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &old).is_none(), "of an earlier agent epoch");
     harness.run(1_000);
     assert_eq!(harness.running_count(&id), 2);
 }
 
 #[test]
 fn one_zone_job_stays_in_its_zone_while_lost_tasks_may_run_there() {
-    // Four machines in zone a, one in zone b with all the room.
+    // Four machines in zone a, one in zone b with all the capacity.
     let mut harness = SchedulerHarness::new(5);
     let far = MachineRecord { endpoint: "w4".into(), kind: "plain".into(), zone: "b".into(), spot: false };
     harness.store.insert("fleet/m-000004".into(), (json!(far), 1));
@@ -130,7 +130,7 @@
         harness.workers.values().filter(runs).map(|r| r.zone.clone()).collect()
     };
     assert_eq!(zones(&harness).len(), 1);
-    // Its machines fall silent, all but one: what may still run there binds the rest.
+    // Its machines are not heard any more, all but one: what may still run there binds the rest.
     let lost: Vec<String> =
         harness.workers.iter().filter(|(_, r)| !r.tasks.is_empty()).map(|(n, _)| n.clone()).collect();
     harness.unheard.extend(lost.iter().skip(1).cloned());
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Machines and what they say: copies, silence, leases, stops.
+//! Machines and their heartbeats: copies, failure detection, leases, stop orders.
 
 use super::*;
 
@@ -12,10 +12,10 @@
     assert_eq!(harness.running_count(&old), 0, "w0 may still hold its tasks");
     assert!(harness.heartbeat("w0"), "it may be slow to confirm");
     harness.run(2_000);
-    assert!(!harness.heartbeat("w0"), "unanswered, it ends its session");
+    assert!(!harness.heartbeat("w0"), "unanswered, it ends its agent epoch");
     harness.run(12_000);
     assert_eq!(harness.running_count(&old), 2, "its lease has proven it empty");
-    assert!(harness.terminated.contains("m-000000"), "and it goes back");
+    assert!(harness.terminated.contains("m-000000"), "and it is terminated");
     assert!(harness.workers["w0"].tasks.is_empty(), "it got nothing more");
 }
 
@@ -37,7 +37,7 @@
 
 #[test]
 fn failure_detection_is_lenient_while_ticks_are_late() {
-    // A controller at a third of its speed returned 50 machines, whose heartbeats waited for it.
+    // A controller at a third of its speed terminated 50 machines, whose heartbeats waited for it.
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
     for _ in 0..8 {
@@ -55,7 +55,7 @@
 
 #[test]
 fn failure_detection_is_lenient_while_a_relay_is_lost() {
-    // Two zones parted, and 82 machines whose heartbeats had come by peers beyond the cut were returned.
+    // Two zones parted, and 82 machines whose heartbeats had come by peers beyond the cut were terminated.
     let mut harness = SchedulerHarness::new(16);
     harness.run(2_000);
     let via_peer: BTreeSet<String> = ["w0", "w1", "w2", "w3"].map(String::from).into();
@@ -74,14 +74,17 @@
     assert!(harness.terminated.is_empty(), "they look for another controller");
     harness.unheard.clear();
     harness.run(1_000);
-    // As many, each by a way that others report by as well, are rather dead.
-    harness.unheard = via_peer.clone();
+    // As many, each by a route that others use as well, are rather dead.
+    harness.unheard = via_peer;
     harness.run(9_000);
     assert_eq!(harness.terminated.len(), 4);
+}
 
-    // Those that a new leader has never heard from tell nothing about a way: a lease is enough.
+#[test]
+fn failure_detection_allows_one_lease_to_machines_that_a_new_leader_never_heard() {
+    // They tell nothing about a route.
     let mut harness = SchedulerHarness::new(16);
-    harness.unheard = via_peer;
+    harness.unheard = ["w0", "w1", "w2", "w3"].map(String::from).into();
     harness.run(13_000);
     assert_eq!(harness.terminated.len(), 4);
 }
@@ -103,11 +106,11 @@
     }
     let id = harness.submit(200, spec("req-000001", Kind::Array, 1, 8.0));
     harness.run(1_000);
-    assert_eq!(harness.running_count(&id), 1, "ordered in the session that the first answer has told of");
+    assert_eq!(harness.running_count(&id), 1, "ordered in the agent epoch that the first answer has named");
     let covers = harness.busy_worker();
     harness.unheard.retain(|name| *name == covers);
     harness.run(8_500);
-    assert_eq!(harness.running_count(&id), 1, "the session may go on");
+    assert_eq!(harness.running_count(&id), 1, "the agent epoch may go on");
     harness.run(3_000);
     assert_eq!(harness.running_count(&id), 2, "it has ended by now, whatever the model still lists");
 }
@@ -127,7 +130,7 @@
     }
     assert_eq!(job(&harness), 2, "the lease may still run");
     harness.run(1_500);
-    assert_eq!(job(&harness), 1, "silent past its lease, whatever copies came");
+    assert_eq!(job(&harness), 1, "suspected past its lease, whatever copies came");
     // After the cluster state has ended the agent epoch, a copy with a later sequence revives nothing either.
     let mut later = copy;
     later.sequence.0 += 100;
@@ -136,30 +139,41 @@
 }
 
 #[test]
-fn heartbeat_copy_neither_revives_nor_reconciles_a_machine() {
+fn heartbeat_copy_of_a_terminated_machine_places_no_task() {
     let mut harness = SchedulerHarness::new(2);
     let old = harness.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
-    // Of a machine that an earlier leader has returned: it has no record any more.
-    let mut ghost = SchedulerHarness::idle_heartbeat(7);
-    ghost.sequence = SequenceNumber(9);
+    // Of a machine that an earlier leader has terminated: it has no record any more.
+    let mut copy = SchedulerHarness::idle_heartbeat(7);
+    copy.sequence = SequenceNumber(9);
     let attempt = Attempt::new(Term(40), 1);
     let listed =
         TaskStatus { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
-    ghost.tasks.push(listed);
-    assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(10), &ghost), None);
+    copy.tasks.push(listed);
+    assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(10), &copy), None);
     assert!(harness.scheduler.jobs.live[&old].placed.is_empty());
-    // A copy that reaches a new leader before the machine itself tells nothing of now.
+}
+
+#[test]
+fn heartbeat_copy_does_not_reconcile_a_machine() {
+    let mut harness = SchedulerHarness::new(2);
+    let old = harness.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
+    // It reaches a new leader before the machine itself, and says nothing of now.
     let mut copy = SchedulerHarness::idle_heartbeat(0);
     (copy.sequence, copy.token) = (SequenceNumber(3), FencingToken::new(Term(40), 0));
     harness.workers.remove("w0");
     harness.scheduler.on_heartbeat(MonotonicTime(20), &copy);
     harness.run(5_000);
-    assert_eq!(harness.running_count(&old), 0, "a copy accounts for nothing");
-    // An empty report of a ghost: nothing is ordered there until it has confirmed the token.
+    assert_eq!(harness.running_count(&old), 0, "a copy reconciles nothing");
+}
+
+#[test]
+fn unknown_machine_is_not_usable_until_it_has_acknowledged_the_token() {
+    let mut harness = SchedulerHarness::new(2);
+    harness.run(5_000);
     harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &SchedulerHarness::idle_heartbeat(8));
-    ghost = SchedulerHarness::idle_heartbeat(8);
-    ghost.sequence = SequenceNumber(1);
-    harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &ghost);
+    let mut later = SchedulerHarness::idle_heartbeat(8);
+    later.sequence = SequenceNumber(1);
+    harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &later);
     let id = MachineId::parse("m-000008").unwrap();
     harness.run(1_000);
     assert!(!harness.scheduler.machines.known[&id].usable(MonotonicTime(harness.now), Millis(5_000)));
@@ -167,7 +181,7 @@
 
 #[test]
 fn retiring_machine_still_gets_stop_orders() {
-    // While the cloud carried out no returns, a machine that had been silent lived on by answers that
+    // While the cloud carried out no terminations, a machine that had been suspected lived on by answers that
     // carried no orders, and with it a task that its user had cancelled.
     let mut harness = SchedulerHarness::new(2);
     harness.cloud_refuses = true;
@@ -204,15 +218,15 @@
     harness.scheduler.on_job_terminated(&id, JobOutcome::Cancelled);
     harness.heartbeat("w0");
     assert_eq!(harness.running_count(&id), 0);
-    // Lost with its answer, the stop is said again in the next.
+    // Lost with its answer, the stop order is repeated in the next.
     let stops = |a: &HeartbeatResponse| a.orders.iter().filter(|o| matches!(o, Order::Stop { .. })).count();
     let r = harness.workers.get_mut("w0").unwrap();
-    for l in &mut r.tasks {
-        (l.phase, l.cause) = (TaskPhase::Running, None);
+    for listed in &mut r.tasks {
+        (listed.phase, listed.cause) = (TaskPhase::Running, None);
     }
     r.sequence.0 += 1;
     assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), r).as_ref().map(stops), Some(2));
-    // Also in the answer to a heartbeat that other news has overtaken.
+    // Also in the answer to a heartbeat that a later message has overtaken.
     r.sequence.0 += 5;
     harness.scheduler.machines.known.values_mut().for_each(|m| m.sequence = SequenceNumber(r.sequence.0 + 1));
     assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), r).as_ref().map(stops), Some(2));
@@ -225,22 +239,22 @@
     let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
     harness.run(3_000);
     harness.cloud_refuses = true;
-    let mute = harness.busy_worker();
-    harness.unheard.insert(mute.clone());
+    let unheard = harness.busy_worker();
+    harness.unheard.insert(unheard.clone());
     harness.run(9_000);
     assert_eq!(harness.running_count(&id), 2, "it may run on, so nothing is started anew");
     // Its agent epoch ends; direct orders still arrive, but they are of an agent epoch that is over.
-    let r = harness.workers.get_mut(&mute).unwrap();
+    let r = harness.workers.get_mut(&unheard).unwrap();
     (r.agent_epoch, r.sequence) = (AgentEpoch(2), SequenceNumber(0));
     r.tasks.clear();
     harness.run(4_000);
     assert_eq!(harness.running_count(&id), 2, "started on the machine that is left");
-    assert!(harness.workers[&mute].tasks.is_empty());
+    assert!(harness.workers[&unheard].tasks.is_empty());
 }
 
 #[test]
 fn quarantine_of_machines_that_failed_tasks_ends() {
-    // A gang that had met two sick machines was held to be at fault for ever, and one array kept off the
+    // A gang that had met two failing machines was held to be at fault for ever, and one array kept off the
     // only machines that fit it.
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
@@ -250,12 +264,12 @@
     for r in harness.workers.values_mut() {
         let first = r.tasks[0].clone();
         SchedulerHarness::exit_task(r, first.task, first.attempt, Cause::Done);
-        for l in r.tasks.iter_mut().skip(1) {
-            (l.phase, l.cause) = (TaskPhase::Exited, Some(Cause::Error));
+        for listed in r.tasks.iter_mut().skip(1) {
+            (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Error));
         }
     }
     harness.run(5_000);
-    assert_eq!(harness.running_count(&id), 0, "avoided for a while");
+    assert_eq!(harness.running_count(&id), 0, "quarantined for a while");
     harness.run(70_000);
     assert_eq!(harness.running_count(&id), 4 - harness.scheduler.jobs.live[&id].done_count as usize);
     let job = &harness.scheduler.jobs.live[&id];
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -3,13 +3,13 @@
 
 use super::*;
 
-/// Most looks that one input to the core may take, whatever waits.
+/// Most operations that one input to the core may take, whatever waits.
 fn operation_bound(machines: usize, jobs: usize, tasks: usize) -> u64 {
     (400 * machines + 20 * jobs + 10 * tasks + 40_000) as u64
 }
 
-/// A fleet full of work that can be stopped, and after it urgent work for several times its room. Returns the
-/// work of the longest tick until then.
+/// A fleet full of work that can be stopped, and after it urgent work for several times its capacity. Returns the
+/// cost of the longest tick until then.
 fn longest_tick_under_urgent_overload(machines: usize) -> u64 {
     let mut harness = SchedulerHarness::new(machines);
     harness.run(2_000);
@@ -31,7 +31,7 @@
 fn round_under_urgent_overload_has_a_bounded_cost() {
     let work = longest_tick_under_urgent_overload(100);
     let bound = operation_bound(100, 101, 800);
-    assert!(work <= bound, "one tick took {work} looks, bound {bound}");
+    assert!(work <= bound, "one tick took {work} operations, bound {bound}");
 }
 
 #[test]
@@ -47,18 +47,18 @@
     }
     harness.run(1_000);
     let (work, bound) = (harness.longest_tick.total(), operation_bound(machines, jobs as usize, 8 * machines));
-    assert!(work <= bound, "one tick took {work} looks, bound {bound}");
+    assert!(work <= bound, "one tick took {work} operations, bound {bound}");
 }
 
-/// Twice the machines and the work may cost at most this many times as much: in proportion, with some room.
-const MOST_GROWTH: f64 = 2.4;
+/// Twice the machines and the work may cost at most this many times as much: in proportion, with some margin.
+const MAX_GROWTH: f64 = 2.4;
 
 #[test]
 fn cost_of_a_round_grows_in_proportion_to_the_machines() {
     let work: Vec<u64> = [200, 400, 800].map(longest_tick_under_urgent_overload).into();
     for pair in work.windows(2) {
         let growth = pair[1] as f64 / pair[0] as f64;
-        assert!(growth <= MOST_GROWTH, "looks of the longest tick at 200, 400 and 800 machines: {work:?}");
+        assert!(growth <= MAX_GROWTH, "operations of the longest tick at 200, 400 and 800 machines: {work:?}");
     }
 }
 
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -1,4 +1,4 @@
-//! Who gets room, and which machines are counted on.
+//! Who gets capacity, and which machines are counted on.
 
 use super::*;
 
@@ -26,7 +26,7 @@
             break;
         }
     }
-    assert!(began.is_some_and(|t| t < 60_000), "{began:?}");
+    assert!(began.is_some_and(|at| at < 60_000), "{began:?}");
 }
 
 #[test]
@@ -58,23 +58,23 @@
     };
     let service = harness.submit(200, feed("req-000001", Kind::Service));
     let array = harness.submit(200, feed("req-000002", Kind::Array));
-    let m = MachineId::parse("m-000000").unwrap();
-    // The image takes 20 s to fetch, the aim of the class is 3 s, and both jobs are old.
+    let machine = MachineId::parse("m-000000").unwrap();
+    // The image takes 20 s to fetch, the objective of the class is 3 s, and both jobs are old.
     let old = JobView { age_s: 100.0, ..JobView::default() };
     assert!(
-        harness.scheduler.starts_late(MonotonicTime(harness.now), &service, &m, Some(&old)),
+        harness.scheduler.starts_late(MonotonicTime(harness.now), &service, &machine, Some(&old)),
         "better where its image is"
     );
     assert!(
-        !harness.scheduler.starts_late(MonotonicTime(harness.now), &array, &m, Some(&old)),
-        "its aim is missed anyway"
+        !harness.scheduler.starts_late(MonotonicTime(harness.now), &array, &machine, Some(&old)),
+        "its objective is missed anyway"
     );
 }
 
 #[test]
 fn partitioned_view_gives_each_booting_machine_to_one_planner() {
     // Each of five planners took the same few booting machines for its own jobs, and too few were
-    // rented: a fleet of 1,300 took 100 s to come up instead of 30.
+    // provisioned: a fleet of 1,300 took 100 s to come up instead of 30.
     let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| TypeView { cpus, gpus, ..Default::default() });
     let machine = |key: u32| MachineView { key, kind: key % 2, up: key < 10, ..Default::default() };
     let job = |key: u32, gpus: f64| JobView { key, ready: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
@@ -86,14 +86,17 @@
         ..Default::default()
     };
     let parts = partition_view(&input, &[&[0, 1], &[2], &[3]]);
-    let coming: Vec<u32> = parts.iter().flat_map(|p| &p.machines).filter(|m| !m.up).map(|m| m.key).collect();
+    let coming: Vec<u32> =
+        parts.iter().flat_map(|part| &part.machines).filter(|machine| !machine.up).map(|machine| machine.key).collect();
     assert_eq!(coming.iter().collect::<BTreeSet<_>>().len(), 30, "each to one part");
     assert_eq!(coming.len(), 30);
-    let of = |part: usize, kind: u32| parts[part].machines.iter().filter(|m| !m.up && m.kind == kind).count();
+    let of = |part: usize, kind: u32| {
+        parts[part].machines.iter().filter(|machine| !machine.up && machine.kind == kind).count()
+    };
     assert!(of(0, 0).abs_diff(of(2, 0)) <= 1 && of(1, 0) == 0, "plain ones by what is wanted of them");
     assert!(of(0, 1).abs_diff(of(1, 1)) <= 1 && of(2, 1) == 0, "GPU machines to parts with GPU jobs");
-    for p in &parts {
-        assert_eq!(p.machines.iter().filter(|m| m.up).count(), 10, "all see what is up");
+    for part in &parts {
+        assert_eq!(part.machines.iter().filter(|machine| machine.up).count(), 10, "all see what is up");
     }
     assert_ne!(parts[0].machines[0].key, parts[1].machines[0].key, "each in an order of its own");
 }
@@ -102,7 +105,7 @@
 fn gpu_lending_leaves_what_gpu_jobs_wanted_lately() {
     // Plain work filled every GPU machine that came free and was cleared off it again: nearly half
     // of all starts were of tasks that had been stopped so.
-    let mut l = Scheduler::new(
+    let mut scheduler = Scheduler::new(
         sample_settings(),
         Tuning::default(),
         machine_types(),
@@ -110,23 +113,28 @@
         leader_record(),
         MonotonicTime(0),
     );
-    let gpu = l.catalog.types.iter().position(|t| t.gpus > 0.0).expect("there is a GPU kind");
+    let gpu =
+        scheduler.catalog.types.iter().position(|machine_type| machine_type.gpus > 0.0).expect("there is a GPU kind");
     for i in 0..4 {
-        let mut m = Machine::new(String::new(), gpu, 0, false, MonotonicTime(0));
-        m.up = true;
-        l.machines.known.insert(MachineId::parse(&format!("m-{i}")).unwrap(), m);
+        let mut machine = Machine::new(String::new(), gpu, 0, false, MonotonicTime(0));
+        machine.up = true;
+        scheduler.machines.known.insert(MachineId::parse(&format!("m-{i}")).unwrap(), machine);
     }
-    let lent = |l: &mut Scheduler, at: MonotonicTime, waiting: &BTreeSet<JobId>| {
-        l.update_lendable_gpu_machines(at, waiting);
-        l.gpus.lendable.len()
+    let lent = |scheduler: &mut Scheduler, at: MonotonicTime, waiting: &BTreeSet<JobId>| {
+        scheduler.update_lendable_gpu_machines(at, waiting);
+        scheduler.gpus.lendable.len()
     };
-    assert_eq!(lent(&mut l, MonotonicTime(0), &BTreeSet::new()), 4, "nobody wants GPUs");
-    let mut s = spec("req-000001", Kind::Gang, 3, 1.0);
-    s.gpus = l.catalog.types[gpu].gpus;
-    let id = JobId::parse(&s.id).unwrap();
-    l.on_job_accepted(&id, &json!(LiveRecord { at: WallTime(0), spec: s, depends_on: Vec::new() }), Revision(1));
+    assert_eq!(lent(&mut scheduler, MonotonicTime(0), &BTreeSet::new()), 4, "nobody wants GPUs");
+    let mut gang = spec("req-000001", Kind::Gang, 3, 1.0);
+    gang.gpus = scheduler.catalog.types[gpu].gpus;
+    let id = JobId::parse(&gang.id).unwrap();
+    scheduler.on_job_accepted(
+        &id,
+        &json!(LiveRecord { at: WallTime(0), spec: gang, depends_on: Vec::new() }),
+        Revision(1),
+    );
     let waiting = BTreeSet::from([id]);
-    assert_eq!(lent(&mut l, MonotonicTime(100), &waiting), 1);
-    assert_eq!(lent(&mut l, MonotonicTime(1_000), &BTreeSet::new()), 1, "not forgotten at once");
-    assert_eq!(lent(&mut l, MonotonicTime(200_000), &BTreeSet::new()), 4);
+    assert_eq!(lent(&mut scheduler, MonotonicTime(100), &waiting), 1);
+    assert_eq!(lent(&mut scheduler, MonotonicTime(1_000), &BTreeSet::new()), 1, "not forgotten at once");
+    assert_eq!(lent(&mut scheduler, MonotonicTime(200_000), &BTreeSet::new()), 4);
 }
