--- a/benches/load.rs
+++ b/benches/load.rs
@@ -1,21 +1,22 @@
-//! What a leading controller costs as a whole process. Starts the release program against stand-ins of
-//! the state service and the cloud on loopback, with simulated workers and users:
+//! What a leading controller costs as a whole process. Starts the release program against fakes of
+//! the key-value store and the cloud on loopback, with simulated workers and users:
 //!
 //!     cargo bench --bench load -- [MACHINES [SECONDS]]
 //!
 //! Prints the processor time that the controller takes for each second and for each request. The
 //! process number is printed first, so that `perf stat`, `perf record` or `strace -c -f` can attach.
 
-#[path = "support/stand_ins.rs"]
-mod stand_ins;
+#[path = "support/fakes.rs"]
+mod fakes;
 #[path = "support/worker.rs"]
 mod worker;
 #[path = "support/workload.rs"]
 mod workload;
 
+use fakes::{Counts, FakeCloud, FakeStore, free_addr, serve_cloud, serve_store, serve_worker};
 use hyper::Method;
 use serde_json::json;
-use stand_ins::{Cloud, Counts, StateService, free_addr, serve_cloud, serve_state, serve_worker};
+
 use std::net::SocketAddr;
 use std::process::{Child, Command};
 use std::sync::atomic::Ordering;
@@ -24,15 +25,15 @@
 use wallstile::net::http::Http;
 use wallstile::time::Millis;
 use wallstile::wire::HeartbeatResponse;
-use worker::{REPORT_MS, RUN_MS, Worker, fleet_cpus};
+use worker::{HEARTBEAT_INTERVAL_MS, RUN_MS, Worker, fleet_cpus};
 use workload::{ARRAY_TASKS, job};
 
-/// A worker reports a change at once, but no more often than this.
-const REPORT_GAP_MS: u64 = 500;
-const STEP: Duration = Duration::from_millis(50);
+/// A worker sends a heartbeat after a change at once, but no more often than this.
+const MIN_HEARTBEAT_GAP_MS: u64 = 500;
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Until the fleet is full and tasks end as often as they start.
 const WARM_UP: Duration = Duration::from_millis(RUN_MS + 10_000);
-const POLL_EVERY: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Ends the controller when the benchmark ends, however it ends.
 struct Controller(Child);
@@ -54,37 +55,37 @@
     /// Nanoseconds on a processor so far.
     fn processor_ns(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.0.id())).expect("the process runs");
-        text.split(' ').next().and_then(|f| f.parse().ok()).expect("nanoseconds come first")
+        text.split(' ').next().and_then(|field| field.parse().ok()).expect("nanoseconds come first")
     }
 }
 
-fn settings(listen: SocketAddr, state: SocketAddr, cloud: SocketAddr) -> String {
+fn settings(listen: SocketAddr, store: SocketAddr, cloud: SocketAddr) -> String {
     let mut settings: serde_json::Value =
         serde_json::from_str(include_str!("../tests/settings.json")).expect("the sample is valid");
     settings["serve_on"] = json!(listen);
     settings["internal_addr"] = json!(free_addr());
     settings["known"] = json!([]);
-    settings["external"] = json!({"cloud": cloud, "state": state});
+    settings["external"] = json!({"cloud": cloud, "state": store});
     settings["cluster"]["state"]["rps"] = json!(200.0);
     settings.to_string()
 }
 
-/// Heartbeats as a worker does, with one connection of its own.
-async fn report_for_ever(worker: Arc<Mutex<Worker>>, controller: SocketAddr, counts: Arc<Counts>) {
+/// Sends heartbeats as a worker does, with one connection of its own.
+async fn send_heartbeats(worker: Arc<Mutex<Worker>>, controller: SocketAddr, counts: Arc<Counts>) {
     let http = Http::new(4);
     let started = tokio::time::Instant::now();
     let mut last = 0;
     loop {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         let now = started.elapsed().as_millis() as u64;
         let heartbeat = {
             let mut worker = worker.lock().expect("no holder panics");
-            let changed = worker.step(now) && now - last >= REPORT_GAP_MS;
-            if !changed && worker.report_at > now {
+            let changed = worker.step(now) && now - last >= MIN_HEARTBEAT_GAP_MS;
+            if !changed && worker.next_heartbeat_at > now {
                 continue;
             }
-            worker.report_at = now + REPORT_MS;
-            serde_json::to_vec(&worker.next_heartbeat()).expect("a report is JSON")
+            worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
+            serde_json::to_vec(&worker.next_heartbeat()).expect("a heartbeat is JSON")
         };
         last = now;
         let answer = http.call(Method::POST, &controller.to_string(), "/v1/report", heartbeat, Millis(4_000)).await;
@@ -92,14 +93,14 @@
         let Ok((200, body)) = answer else { continue };
         let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(&body) else { continue };
         let mut worker = worker.lock().expect("no holder panics");
-        worker.obey(now, answer.token, &answer.orders);
+        worker.execute(now, answer.token, &answer.orders);
     }
 }
 
 /// Submits slightly more work than the fleet can do, and polls each job.
-async fn submit_for_ever(controller: SocketAddr, machines: usize, counts: Arc<Counts>) {
+async fn submit_jobs(controller: SocketAddr, machines: usize, counts: Arc<Counts>) {
     let http = Arc::new(Http::new(64));
-    let every = f64::from(ARRAY_TASKS) * RUN_MS as f64 / fleet_cpus(machines) * 0.95;
+    let interval_ms = f64::from(ARRAY_TASKS) * RUN_MS as f64 / fleet_cpus(machines) * 0.95;
     for number in 1.. {
         let spec = job(number);
         let (id, body) = (spec.id.clone(), serde_json::to_vec(&spec).expect("a job is JSON"));
@@ -109,7 +110,7 @@
             let _ = http.call(Method::POST, &address, "/api/jobs", body, Millis(5_000)).await;
             counts.users.fetch_add(1, Ordering::Relaxed);
             for _ in 0..40 {
-                tokio::time::sleep(POLL_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 let path = format!("/api/jobs/{id}");
                 let answer = http.call(Method::GET, &address, &path, Vec::new(), Millis(2_000)).await;
                 counts.users.fetch_add(1, Ordering::Relaxed);
@@ -118,15 +119,15 @@
                 }
             }
         });
-        tokio::time::sleep(Duration::from_millis(every as u64)).await;
+        tokio::time::sleep(Duration::from_millis(interval_ms as u64)).await;
     }
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
-    let mut args = std::env::args().skip(1).filter(|a| !a.starts_with("--"));
-    let machines: usize = args.next().and_then(|a| a.parse().ok()).unwrap_or(289);
-    let seconds: u64 = args.next().and_then(|a| a.parse().ok()).unwrap_or(30);
+    let mut args = std::env::args().skip(1).filter(|arg| !arg.starts_with("--"));
+    let machines: usize = args.next().and_then(|arg| arg.parse().ok()).unwrap_or(289);
+    let seconds: u64 = args.next().and_then(|arg| arg.parse().ok()).unwrap_or(30);
     let counts = Arc::new(Counts::default());
     let mut workers = Vec::new();
     for index in 0..machines {
@@ -135,17 +136,17 @@
         worker.lock().expect("no holder panics").heartbeat.endpoint = address.to_string();
         workers.push(worker);
     }
-    let state = serve_state(StateService::default(), counts.clone());
-    let cloud = serve_cloud(Cloud);
+    let store = serve_store(FakeStore::default(), counts.clone());
+    let cloud = serve_cloud(FakeCloud);
     let listen = free_addr();
     let file = std::env::temp_dir().join(format!("wallstile-load-{}.json", std::process::id()));
-    std::fs::write(&file, settings(listen, state, cloud)).expect("the settings can be written");
+    std::fs::write(&file, settings(listen, store, cloud)).expect("the settings can be written");
     let controller = Controller::start(&file);
     println!("controller: process {}", controller.0.id());
     for worker in workers {
-        tokio::spawn(report_for_ever(worker, listen, counts.clone()));
+        tokio::spawn(send_heartbeats(worker, listen, counts.clone()));
     }
-    tokio::spawn(submit_for_ever(listen, machines, counts.clone()));
+    tokio::spawn(submit_jobs(listen, machines, counts.clone()));
     tokio::time::sleep(WARM_UP).await;
     let (before, counted) = (controller.processor_ns(), counts.snapshot());
     println!("measuring for {seconds} s");
--- a/benches/support/stand_ins.rs
+++ b/benches/support/fakes.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the state service, the cloud and the workers' side of orders, over HTTP on loopback.
+//! Fakes of the key-value store, the cloud and the workers' side of orders, over HTTP on loopback.
 
 use crate::worker::Worker;
 use crate::workload::machine_types;
@@ -17,17 +17,17 @@
 pub struct Counts {
     pub heartbeats: AtomicU64,
     pub orders: AtomicU64,
-    pub state: AtomicU64,
+    pub store: AtomicU64,
     pub users: AtomicU64,
 }
 
 impl Counts {
     pub fn snapshot(&self) -> Vec<(&'static str, u64)> {
-        let read = |c: &AtomicU64| c.load(Ordering::Relaxed);
+        let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         vec![
             ("reports", read(&self.heartbeats)),
             ("orders", read(&self.orders)),
-            ("state service", read(&self.state)),
+            ("state service", read(&self.store)),
             ("users", read(&self.users)),
         ]
     }
@@ -35,51 +35,54 @@
 
 /// The key-value store, with all its changes.
 #[derive(Default)]
-pub struct StateService {
+pub struct FakeStore {
     keys: BTreeMap<String, (Value, u64)>,
     log: Vec<(String, Value)>,
-    epoch: u64,
+    revision: u64,
 }
 
-impl StateService {
+impl FakeStore {
     fn commit(&mut self, transaction: &Transaction) -> (u16, Value) {
         let revision = |key: &str| self.keys.get(key).map_or(0, |(_, revision)| *revision);
-        let failed: Vec<&String> =
-            transaction.preconditions.iter().filter(|g| revision(&g.key) != g.revision).map(|g| &g.key).collect();
+        let failed: Vec<&String> = transaction
+            .preconditions
+            .iter()
+            .filter(|precondition| revision(&precondition.key) != precondition.revision)
+            .map(|precondition| &precondition.key)
+            .collect();
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "epoch": self.epoch}));
+            return (409, json!({"failed": failed, "epoch": self.revision}));
         }
-        self.epoch += 1;
-        let stamp = self.epoch;
-        for change in &transaction.mutations {
-            let entry = match change {
-                Mutation::Put { key: write, value, .. } => {
-                    self.keys.insert(write.clone(), (value.clone(), stamp));
-                    (write.clone(), json!({"write": write, "value": value, "stamp": stamp}))
+        self.revision += 1;
+        let revision = self.revision;
+        for mutation in &transaction.mutations {
+            let entry = match mutation {
+                Mutation::Put { key, value, .. } => {
+                    self.keys.insert(key.clone(), (value.clone(), revision));
+                    (key.clone(), json!({"write": key, "value": value, "stamp": revision}))
                 }
-                Mutation::Delete { key: drop } => {
-                    self.keys.remove(drop);
-                    (drop.clone(), json!({"drop": drop, "stamp": stamp}))
+                Mutation::Delete { key } => {
+                    self.keys.remove(key);
+                    (key.clone(), json!({"drop": key, "stamp": revision}))
                 }
             };
             self.log.push(entry);
         }
-        (200, json!({"epoch": stamp}))
+        (200, json!({"epoch": revision}))
     }
 
     fn list(&self, prefix: &str) -> Value {
-        let row =
-            |(key, (value, stamp)): (&String, &(Value, u64))| json!({"path": key, "value": value, "stamp": stamp});
+        let row = |(key, (value, revision)): (&String, &(Value, u64))| json!({"path": key, "value": value, "stamp": revision});
         let rows: Vec<Value> = self.keys.iter().filter(|(key, _)| key.starts_with(prefix)).map(row).collect();
-        json!({"rows": rows, "has_next": false, "epoch": self.epoch})
+        json!({"rows": rows, "has_next": false, "epoch": self.revision})
     }
 
-    /// Changes of keys with a prefix, after a revision; none if there are none.
+    /// Changes of keys with a prefix, after a revision; `None` if there are none.
     fn changes(&self, prefix: &str, since: u64) -> Option<Value> {
         let new = |(key, entry): &&(String, Value)| key.starts_with(prefix) && entry["stamp"].as_u64() > Some(since);
         let log: Vec<&Value> = self.log.iter().rev().take(1_000).filter(new).map(|(_, entry)| entry).collect();
         let log: Vec<&Value> = log.into_iter().rev().collect();
-        (!log.is_empty()).then(|| json!({"epoch": self.epoch, "log": log}))
+        (!log.is_empty()).then(|| json!({"epoch": self.revision, "log": log}))
     }
 
     fn answer(&mut self, method: &str, path: &str, query: &str, body: &[u8]) -> (u16, Value) {
@@ -89,11 +92,11 @@
                 Err(_) => (400, json!({})),
             },
             ("POST", "holds") => (200, json!({"tenure": 7})),
-            (_, p) if p.starts_with("holds/") => (200, json!({})),
+            (_, path) if path.starts_with("holds/") => (200, json!({})),
             ("GET", "store") => (200, self.list(field(query, "prefix="))),
-            ("GET", p) => match p.strip_prefix("store/").and_then(|key| self.keys.get_key_value(key)) {
-                Some((key, (value, stamp))) => (200, json!({"path": key, "value": value, "stamp": stamp})),
-                None => (404, json!({"epoch": self.epoch})),
+            ("GET", path) => match path.strip_prefix("store/").and_then(|key| self.keys.get_key_value(key)) {
+                Some((key, (value, revision))) => (200, json!({"path": key, "value": value, "stamp": revision})),
+                None => (404, json!({"epoch": self.revision})),
             },
             _ => (400, json!({})),
         }
@@ -101,11 +104,13 @@
 }
 
 fn field<'a>(query: &'a str, name: &str) -> &'a str {
-    query.split('&').find_map(|f| f.strip_prefix(name)).unwrap_or_default()
+    query.split('&').find_map(|field| field.strip_prefix(name)).unwrap_or_default()
 }
 
 pub fn free_addr() -> SocketAddr {
-    std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("loopback has a free port")
+    std::net::TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("loopback has a free port")
 }
 
 fn send(response: &mut Response, status: u16, body: String) {
@@ -124,27 +129,31 @@
     addr
 }
 
-struct ServeState(Mutex<StateService>, Arc<Counts>);
+struct StoreServer {
+    store: Mutex<FakeStore>,
+    counts: Arc<Counts>,
+}
 
 #[salvo::handler]
-impl ServeState {
+impl StoreServer {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let body = request.payload().await.map(|b| b.to_vec()).unwrap_or_default();
+        let body = request.payload().await.map(|body| body.to_vec()).unwrap_or_default();
         let path = request.uri().path().trim_start_matches('/').to_string();
         let query = request.uri().query().unwrap_or_default().to_string();
-        self.1.state.fetch_add(1, Ordering::Relaxed);
+        self.counts.store.fetch_add(1, Ordering::Relaxed);
         if path != "follow" {
             let (status, value) =
-                self.0.lock().expect("no holder panics").answer(request.method().as_str(), &path, &query, &body);
+                self.store.lock().expect("no holder panics").answer(request.method().as_str(), &path, &query, &body);
             return send(response, status, value.to_string());
         }
         let number = |name: &str| field(&query, name).parse::<u64>().unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(number("block_ms="));
         loop {
-            let changes = self.0.lock().expect("no holder panics").changes(field(&query, "prefix="), number("since="));
+            let changes =
+                self.store.lock().expect("no holder panics").changes(field(&query, "prefix="), number("since="));
             if changes.is_some() || Instant::now() >= until {
-                let epoch = self.0.lock().expect("no holder panics").epoch;
-                let none = json!({"epoch": epoch, "log": []});
+                let revision = self.store.lock().expect("no holder panics").revision;
+                let none = json!({"epoch": revision, "log": []});
                 return send(response, 200, changes.unwrap_or(none).to_string());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -152,15 +161,15 @@
     }
 }
 
-pub fn serve_state(state: StateService, counts: Arc<Counts>) -> SocketAddr {
-    spawn(ServeState(Mutex::new(state), counts))
+pub fn serve_store(store: FakeStore, counts: Arc<Counts>) -> SocketAddr {
+    spawn(StoreServer { store: Mutex::new(store), counts })
 }
 
 /// Has no capacity left, so that the fleet stays as it is.
-pub struct Cloud;
+pub struct FakeCloud;
 
 #[salvo::handler]
-impl Cloud {
+impl FakeCloud {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         match (request.method().as_str(), request.uri().path()) {
             ("GET", "/machine_types") => {
@@ -173,28 +182,32 @@
     }
 }
 
-pub fn serve_cloud(cloud: Cloud) -> SocketAddr {
+pub fn serve_cloud(cloud: FakeCloud) -> SocketAddr {
     spawn(cloud)
 }
 
-struct ServeWorker(Arc<Mutex<Worker>>, Arc<Counts>, Instant);
+struct WorkerServer {
+    worker: Arc<Mutex<Worker>>,
+    counts: Arc<Counts>,
+    started: Instant,
+}
 
 #[salvo::handler]
-impl ServeWorker {
+impl WorkerServer {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let body = request.payload().await.map(|b| b.to_vec()).unwrap_or_default();
-        self.1.orders.fetch_add(1, Ordering::Relaxed);
+        let body = request.payload().await.map(|body| body.to_vec()).unwrap_or_default();
+        self.counts.orders.fetch_add(1, Ordering::Relaxed);
         let Ok(orders) = serde_json::from_slice::<DirectOrders>(&body) else {
             return send(response, 400, json!({}).to_string());
         };
-        let mut worker = self.0.lock().expect("no holder panics");
-        worker.obey(self.2.elapsed().as_millis() as u64, orders.token, &orders.orders);
-        let heartbeat = serde_json::to_string(&worker.next_heartbeat()).expect("a report is JSON");
+        let mut worker = self.worker.lock().expect("no holder panics");
+        worker.execute(self.started.elapsed().as_millis() as u64, orders.token, &orders.orders);
+        let heartbeat = serde_json::to_string(&worker.next_heartbeat()).expect("a heartbeat is JSON");
         drop(worker);
         send(response, 200, heartbeat);
     }
 }
 
 pub fn serve_worker(worker: Arc<Mutex<Worker>>, counts: Arc<Counts>) -> SocketAddr {
-    spawn(ServeWorker(worker, counts, Instant::now()))
+    spawn(WorkerServer { worker, counts, started: Instant::now() })
 }
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -1,6 +1,6 @@
-//! A leader with simulated workers: everything else answers at once, and the cloud has no machines.
+//! A scheduler with simulated workers: everything else answers at once, and the cloud has no machines.
 
-use crate::worker::{REPORT_MS, Worker};
+use crate::worker::{HEARTBEAT_INTERVAL_MS, Worker};
 use std::time::{Duration, Instant};
 use wallstile::config::{Settings, Tuning};
 use wallstile::core::cost::CostCounters;
@@ -14,15 +14,16 @@
 use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobSpec, KeyValue};
 
-/// What the leader was given.
+/// What the scheduler was given.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Input {
     Tick,
     Heartbeat,
-    Answer,
+    /// The result of an effect.
+    EffectResult,
 }
 
-/// One input, with the time that it took and what the leader looked at.
+/// One input, with the time that it took and its operation counts.
 pub struct Observation {
     pub input: Input,
     pub took: Duration,
@@ -30,9 +31,9 @@
 }
 
 pub struct Fleet {
-    pub leader: Scheduler,
+    pub scheduler: Scheduler,
     pub workers: Vec<Worker>,
-    /// Milliseconds since the leader began.
+    /// Milliseconds since the leader was elected.
     pub now: u64,
     pub commits: u64,
     revision: u64,
@@ -41,14 +42,14 @@
 
 impl Fleet {
     /// Of the machines, the first so many are recorded by an earlier leader: those may get tasks once they
-    /// have reported, the others after their records are written, at the rate of the state service.
+    /// have sent a heartbeat, the others after their records are written, at the rate of the key-value store.
     pub fn new(machines: usize, recorded: usize) -> Fleet {
         let settings = Settings::parse(include_str!("../../tests/settings.json")).expect("the sample is valid");
         let record = LeaderRecord { node: settings.name.clone(), incarnation: 1, lease: LeaseId(1) };
         let types = crate::workload::machine_types();
         let mut fleet = Fleet {
-            leader: Scheduler::new(settings, Tuning::default(), types, Term(1), record, MonotonicTime(0)),
-            workers: (0..machines).map(|i| Worker::new(i, machines, i.to_string())).collect(),
+            scheduler: Scheduler::new(settings, Tuning::default(), types, Term(1), record, MonotonicTime(0)),
+            workers: (0..machines).map(|index| Worker::new(index, machines, index.to_string())).collect(),
             now: 0,
             commits: 0,
             revision: 1,
@@ -58,7 +59,7 @@
         fleet
     }
 
-    /// Gives the leader what an earlier one has recorded.
+    /// Loads what an earlier one has recorded.
     fn load(&mut self, machines: usize) {
         let row = |worker: &Worker| {
             let heartbeat = &worker.heartbeat;
@@ -71,37 +72,37 @@
             }
         };
         let fleet = self.workers.iter().take(machines).map(row).collect();
-        self.leader.load(MonotonicTime(0), StoredState { machines: fleet, ..StoredState::default() });
+        self.scheduler.load(MonotonicTime(0), StoredState { machines: fleet, ..StoredState::default() });
     }
 
     pub fn submit(&mut self, spec: JobSpec) {
         self.revision += 1;
         let id = JobId::parse(&spec.id).expect("a legal id");
         let record = serde_json::json!(LiveRecord { at: WallTime(self.now), spec, depends_on: Vec::new() });
-        self.leader.on_job_accepted(&id, &record, Revision(self.revision));
+        self.scheduler.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
     /// Plays one tick, the heartbeats that are due and all that follows. Returns what it took.
     pub fn step(&mut self) -> Vec<Observation> {
         self.now += TICK_INTERVAL.0;
         let (now, wall) = (MonotonicTime(self.now), WallTime(self.now));
-        self.observe(Input::Tick, |leader| leader.tick(now, wall));
-        for at in 0..self.workers.len() {
-            let worker = &mut self.workers[at];
+        self.observe(Input::Tick, |scheduler| scheduler.tick(now, wall));
+        for index in 0..self.workers.len() {
+            let worker = &mut self.workers[index];
             let changed = worker.step(self.now);
-            if changed || worker.report_at <= self.now {
-                worker.report_at = self.now + REPORT_MS;
+            if changed || worker.next_heartbeat_at <= self.now {
+                worker.next_heartbeat_at = self.now + HEARTBEAT_INTERVAL_MS;
                 let heartbeat = worker.next_heartbeat();
-                let answer = self.observe(Input::Heartbeat, |leader| leader.on_heartbeat(now, &heartbeat));
+                let answer = self.observe(Input::Heartbeat, |scheduler| scheduler.on_heartbeat(now, &heartbeat));
                 if let Some(answer) = answer {
-                    self.workers[at].obey(self.now, answer.token, &answer.orders);
+                    self.workers[index].execute(self.now, answer.token, &answer.orders);
                 }
             }
         }
-        let mut effects = self.leader.take_effects();
+        let mut effects = self.scheduler.take_effects();
         while !effects.is_empty() {
             effects.into_iter().for_each(|effect| self.perform(effect));
-            effects = self.leader.take_effects();
+            effects = self.scheduler.take_effects();
         }
         std::mem::take(&mut self.observed)
     }
@@ -111,17 +112,19 @@
         match effect {
             Effect::Orders { request, endpoint, body } => {
                 let worker = &mut self.workers[endpoint.parse::<usize>().expect("a worker's number")];
-                worker.obey(self.now, body.token, &body.orders);
+                worker.execute(self.now, body.token, &body.orders);
                 let result = OrdersResult::Executed(worker.next_heartbeat());
-                self.observe(Input::Answer, |leader| leader.on_orders_result(now, request, result));
+                self.observe(Input::EffectResult, |scheduler| scheduler.on_orders_result(now, request, result));
             }
             Effect::Commit { request, .. } => {
                 self.commits += 1;
-                self.observe(Input::Answer, |leader| leader.on_committed(now, request, CommitOutcome::Committed));
+                self.observe(Input::EffectResult, |scheduler| {
+                    scheduler.on_committed(now, request, CommitOutcome::Committed)
+                });
             }
             Effect::Provision(request) => {
-                self.observe(Input::Answer, |leader| {
-                    leader.on_provisioned(now, &request.name, ProvisionOutcome::NoCapacity)
+                self.observe(Input::EffectResult, |scheduler| {
+                    scheduler.on_provisioned(now, &request.name, ProvisionOutcome::NoCapacity)
                 });
             }
             Effect::Terminate(_) | Effect::Plan { .. } | Effect::RefreshFence(_) | Effect::LookUp(_) => {}
@@ -129,9 +132,9 @@
     }
 
     fn observe<T>(&mut self, input: Input, give: impl FnOnce(&mut Scheduler) -> T) -> T {
-        let (before, started) = (self.leader.cost_counters(), Instant::now());
-        let answer = give(&mut self.leader);
-        let (took, cost) = (started.elapsed(), self.leader.cost_counters().since(&before));
+        let (before, started) = (self.scheduler.cost_counters(), Instant::now());
+        let answer = give(&mut self.scheduler);
+        let (took, cost) = (started.elapsed(), self.scheduler.cost_counters().since(&before));
         self.observed.push(Observation { input, took, cost });
         answer
     }
--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -6,8 +6,8 @@
 
 /// How long each task runs.
 pub const RUN_MS: u64 = 20_000;
-/// The distance between two regular reports.
-pub const REPORT_MS: u64 = 1_500;
+/// Between two regular heartbeats.
+pub const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
 /// Every so many machines are of the large kind.
 const LARGE_EVERY: usize = 8;
 const SMALL_CPUS: f64 = 8.0;
@@ -15,18 +15,20 @@
 
 /// Processors of all machines of a simulated fleet.
 pub fn fleet_cpus(machines: usize) -> f64 {
-    (0..machines).map(|i| if i.is_multiple_of(LARGE_EVERY) { LARGE_CPUS } else { SMALL_CPUS }).sum()
+    (0..machines).map(|index| if index.is_multiple_of(LARGE_EVERY) { LARGE_CPUS } else { SMALL_CPUS }).sum()
 }
 
 pub struct Worker {
+    /// What its next heartbeat says.
     pub heartbeat: Heartbeat,
     /// When each listed task that runs will end.
     ends: BTreeMap<(TaskId, Attempt), u64>,
-    pub report_at: u64,
+    /// When its next regular heartbeat is due.
+    pub next_heartbeat_at: u64,
 }
 
 impl Worker {
-    /// The worker of one of so many machines; their heartbeats are spread over the reporting interval.
+    /// The worker of one of so many machines; their heartbeats are spread over the interval.
     pub fn new(index: usize, machines: usize, endpoint: String) -> Worker {
         let heartbeat = Heartbeat {
             machine: format!("m-{index:06}"),
@@ -40,11 +42,15 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        Worker { heartbeat, ends: BTreeMap::new(), report_at: index as u64 * REPORT_MS / machines as u64 }
+        Worker {
+            heartbeat,
+            ends: BTreeMap::new(),
+            next_heartbeat_at: index as u64 * HEARTBEAT_INTERVAL_MS / machines as u64,
+        }
     }
 
     /// Takes orders under a token, which the next heartbeats carry.
-    pub fn obey(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
+    pub fn execute(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
         self.heartbeat.token = self.heartbeat.token.max(token);
         for order in orders {
             match order {
@@ -60,13 +66,13 @@
                     self.ends.insert((*task, *attempt), now + RUN_MS);
                 }
                 Order::Stop { task, attempt, .. } => {
-                    let same = |l: &&mut TaskStatus| l.task == Some(*task) && l.attempt == *attempt;
+                    let same = |listed: &&mut TaskStatus| listed.task == Some(*task) && listed.attempt == *attempt;
                     for listed in self.heartbeat.tasks.iter_mut().filter(same) {
                         (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Halted));
                     }
                 }
                 Order::Clear { task, attempt } => {
-                    self.heartbeat.tasks.retain(|l| l.task != Some(*task) || l.attempt != *attempt);
+                    self.heartbeat.tasks.retain(|listed| listed.task != Some(*task) || listed.attempt != *attempt);
                 }
             }
         }
@@ -81,10 +87,10 @@
     /// Ends tasks that have run their time; true: something has changed.
     pub fn step(&mut self, now: u64) -> bool {
         let mut changed = false;
-        for listed in self.heartbeat.tasks.iter_mut().filter(|l| l.phase != TaskPhase::Exited) {
+        for listed in self.heartbeat.tasks.iter_mut().filter(|listed| listed.phase != TaskPhase::Exited) {
             let Some(task) = listed.task else { continue };
             let key = (task, listed.attempt);
-            if self.ends.get(&key).is_some_and(|t| *t <= now) {
+            if self.ends.get(&key).is_some_and(|at| *at <= now) {
                 (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Done));
                 self.ends.remove(&key);
                 changed = true;
