--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -20,7 +20,7 @@
 #[test]
 fn sockets_suffice_for_a_worker_each() {
     let mut s = sample_settings();
-    // The least that platforms have pledged for a fleet, with room for users.
+    // The least that platforms have pledged for a fleet, with headroom for users.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
         s.cluster.limits.sockets = limit;
         let x = s.sockets();
@@ -35,7 +35,7 @@
     let aim =
         |kind: &str, within_s: f64, times: f64| Objective { kind: kind.into(), class: "x".into(), within_s, times };
     s.cluster.objectives = vec![aim("deadline", 0.0, 1.5), aim("wait", 30.0, 1.0), aim("finished", 200.0, 1.0)];
-    // A run of 20 s: the aim on starting ends at 50, the deadline at 60 and at 90, then 200.
+    // A run of 20 s: the objective on starting ends at 50, the deadline at 60 and at 90, then 200.
     let ages = |submitted_s, startable_s| JobAges { submitted_s, startable_s };
     let next = |slo_deadlines| next_slo_deadline(slo_deadlines, 20.0);
     let goal = |age| next(s.slo_deadlines("x", Some(60.0), ages(age, age), 20.0));
@@ -43,7 +43,7 @@
     assert_eq!(goal(35.0), (Some(60.0 - 35.0), 1));
     assert_eq!(goal(65.0), (Some(90.0 - 65.0), 2));
     assert_eq!(goal(190.0), (None, 4));
-    // One that has awaited others for 30 s: only its deadlines are nearer.
+    // One that has waited for its dependencies for 30 s: only its deadlines are nearer.
     assert_eq!(next(s.slo_deadlines("x", Some(60.0), ages(35.0, 5.0), 20.0)), (Some(25.0), 0));
     assert_eq!(next(s.slo_deadlines("x", Some(60.0), ages(45.0, 15.0), 20.0)), (Some(35.0), 1));
     assert_eq!(next(s.slo_deadlines("other", None, ages(5.0, 5.0), 20.0)), (None, 0));
--- a/src/core/completion_bitmap/tests.rs
+++ b/src/core/completion_bitmap/tests.rs
@@ -13,7 +13,7 @@
     set
 }
 
-/// Rows as the version before this one wrote them: numbered from 0, cut by the limit then in force.
+/// Chunks as the version before this one wrote them: numbered from 0, cut by the limit then in force.
 fn rows_of_earlier_version(set: &FixedBitSet, value_kb: f64) -> Vec<Value> {
     let size = ((value_kb * 1024.0 * 0.5) as usize * 6).clamp(64, 100_000);
     let row = |first: usize| {
@@ -58,7 +58,7 @@
         }
         assert_eq!(back, set);
     }
-    // A set that fits one row is the same in all versions.
+    // A bitmap that fits one chunk is the same in all versions.
     let mut small = FixedBitSet::with_capacity(2_000);
     small.extend([3, 1_999]);
     let layout = BitmapLayout::new(&limits(32.0, Some(2.0)));
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -74,7 +74,7 @@
             }
         }
     }
-    assert!(started > 1_000 && cascade_cancelled > 1_000, "started={started} doomed={cascade_cancelled}");
+    assert!(started > 1_000 && cascade_cancelled > 1_000, "started={started} cascade_cancelled={cascade_cancelled}");
 }
 
 fn end(
@@ -136,7 +136,7 @@
 
 #[test]
 fn inherited_slo_deadlines_are_bounded_in_number() {
-    // Rungs of two jobs that both await both of the rung before: twice the paths at every rung, each of
+    // Rungs of two jobs that both depend on both of the rung before: twice the paths at every rung, each of
     // another length.
     let mut ladder = DependencyGraph::default();
     let rungs = 40;
@@ -149,5 +149,5 @@
     let inherited = ladder.inherit(|job| Some(job_timing(Priority::Low, Some(1_000.0), run_s(job))));
     assert!(inherited.values().all(|i| i.slo_deadlines.len() <= MAX_SLO_DEADLINES));
     let first = &inherited[&id(0)];
-    assert_eq!(first.due_s, first.slo_deadlines.first().copied(), "the tightest goal is kept");
+    assert_eq!(first.due_s, first.slo_deadlines.first().copied(), "the tightest SLO deadline is kept");
 }
--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -21,7 +21,7 @@
     assert!(should_hand_over(10, 10, 10), "cut off from all workers");
     assert!(should_hand_over(4, 3, 12), "cut off from a zone");
     assert!(!should_hand_over(1, 1, 12), "one machine may well be dead");
-    assert!(!should_hand_over(4, 0, 12), "silent to everyone: dead, or cut off from all");
+    assert!(!should_hand_over(4, 0, 12), "heard by nobody: dead, or cut off from all");
     assert!(!should_hand_over(2, 2, 30), "not worth a change");
 }
 
@@ -33,7 +33,7 @@
     JobId::parse(&format!("req-{n:06}")).unwrap()
 }
 
-/// What a process says that has been there since the store was empty.
+/// The cancellations of a process that has been there since the store was empty.
 fn told_nothing() -> Cancellations {
     let mut c = Cancellations::default();
     c.at_revision(Revision(0));
@@ -74,14 +74,14 @@
         p.pledge_to(MonotonicTime(20_000), Term(7), Revision(read_through), c).map(|p| p.cancelled)
     };
     c.tell(job(1), Revision(11));
-    assert_eq!(ask(&mut p, &c, 90), None, "an earlier process here may have told more");
+    assert_eq!(ask(&mut p, &c, 90), None, "an earlier process here may have confirmed more");
     c.at_revision(Revision(12));
     c.tell(job(2), Revision(13));
     c.tell(job(3), Revision(15));
     assert_eq!(ask(&mut p, &c, 11), None, "what it vouches for begins later");
     assert_eq!(ask(&mut p, &c, 12), Some(vec![job(2), job(3)]));
     assert_eq!(ask(&mut p, &c, 13), Some(vec![job(3)]));
-    // More than are remembered: what is forgotten isn't vouched for.
+    // More than are remembered: what is forgotten isn't pledged.
     for n in 0..MAX_CANCELLATIONS as u64 {
         c.tell(job(100 + n), Revision(100 + n));
     }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -128,7 +128,7 @@
 
 #[test]
 fn job_with_the_longest_remaining_path_begins_among_equal_time_left() {
-    // Room for one task. Both are due at the same time, but one has more after it (eq. 1).
+    // Capacity for one task. Both are due at the same time, but one has more after it (eq. 1).
     let job_timing = |key: u32, successors_s: f64| JobView { slo_deadline_s: Some(80.0), successors_s, ..job(key, 1) };
     let first = |jobs: Vec<JobView>| put(&plan(&input(vec![machine(0, 2.0)], jobs)));
     assert_eq!(first(vec![job_timing(0, 5.0), job_timing(1, 30.0)]), [(1, 0, 1)]);
@@ -167,12 +167,12 @@
     // where it can, as GPU jobs come after services.
     assert_eq!(put(&plan(&i)), [(0, 0, 2), (0, 1, 2)]);
     i.jobs[0].service = false;
-    assert_eq!(put(&plan(&i)), [(0, 0, 2), (0, 1, 1)], "other urgent work leaves them their room");
+    assert_eq!(put(&plan(&i)), [(0, 0, 2), (0, 1, 1)], "other urgent work leaves them their capacity");
 }
 
 #[test]
 fn gang_finds_the_zone_that_holds_it() {
-    // The best place for one task is in zone 0, which can't hold three.
+    // The best candidate for one task is in zone 0, which can't hold three.
     let (mut a, mut b) = (machine(0, 4.0), machine(1, 8.0));
     (a.zone, b.zone) = (0, 1);
     a.images = vec![ImageView { image: 0, ready_s: 0.0 }];
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::json;
 
-/// The records as the version before awaited jobs declared them.
+/// The records as the version before dependencies declared them.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct EarlierLiveRecord {
     at: WallTime,
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -27,7 +27,10 @@
     assert_eq!(destination(&heartbeat_relay), Some("plinth-1"), "an earlier term is over");
     heartbeat_relay.heard_leader("plinth-2", Term(6), HEARD);
     assert_eq!(destination(&heartbeat_relay), Some("plinth-2"));
-    assert!(heartbeat_relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "silent for too long");
+    assert!(
+        heartbeat_relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(),
+        "not heard for too long"
+    );
 }
 
 #[test]
@@ -79,7 +82,7 @@
     let cluster = FakeCluster::default();
     let [(detour, _), (other, _)] = pair(&cluster).await;
     tokio::spawn(server::serve(detour.settings.peer_listen, server::internal(&detour), 64));
-    // The leader's machine is silent: it takes connections, and says nothing.
+    // The leader's machine hangs: it takes connections, and answers nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = other.settings.clone();
     settings.name = "plinth-8".into();
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -32,7 +32,7 @@
 
 #[tokio::test]
 async fn response_beyond_the_size_limit_is_told_apart_from_none() {
-    // Changes to follow have no limit: the reader must know that it has to read in pages instead.
+    // Watched changes have no limit: the reader must know that it has to read in pages instead.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move {
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A part of the job in a planner's view as the version before awaited jobs declared it.
+/// A part of the job in a planner's view as the version before dependencies declared it.
 #[derive(Clone, PartialEq, Message)]
 struct EarlierJobView {
     #[prost(uint32, tag = "3")]
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Golden samples of everything that outlives a process or goes to another one: stored records, messages
-//! between controllers, the JSON of users, workers, cloud and state service, and the two settings files.
+//! between controllers, the JSON of users, workers, cloud and key-value store, and the two settings files.
 //!
 //! The samples under `golden/` are what this program writes. A change of names in the source must leave
 //! them as they are. `stored.json` and `wire.json` hold one sample a line, so that the order of a
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -1,4 +1,4 @@
-//! What the clients of the state service and of the cloud ask for, and how they read the answers. The
+//! What the clients of the key-value store and of the cloud ask for, and how they read the answers. The
 //! types of some of these are private, so that only a call shows their names.
 
 use crate::samples::Samples;
--- a/tests/golden/samples.rs
+++ b/tests/golden/samples.rs
@@ -59,7 +59,7 @@
         self.assert_text(name, &write(&read));
     }
 
-    /// The same for what is kept in the state service, which passes through a [`Value`] both ways.
+    /// The same for what is kept in the key-value store, which passes through a [`Value`] both ways.
     pub fn assert_kept<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
         self.assert_text(name, &json!(value).to_string());
         let kept: Value = self.read(name);
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,4 +1,4 @@
-//! What the state service keeps: keys, and the records under them.
+//! What the key-value store keeps: keys, and the records under them.
 
 use crate::samples::Samples;
 use crate::values::{full_job, job_id, job_named, machine_type, sparse_job};
@@ -108,7 +108,7 @@
     samples.assert_text("shares", &json!(shares.to_record(&teams)).to_string());
 }
 
-/// Rows of 150 tasks, which become the limit later; today's rows hold 306.
+/// Chunks of 150 tasks, which become the limit later; today's chunks hold 306.
 fn layout() -> BitmapLayout {
     let next = LaterLimits { value_kb: Some(0.05), ..LaterLimits::default() };
     BitmapLayout::new(&StateLimits { rps: 100.0, write_rps: 20.0, value_kb: 0.1, txn_ops: 12, next })
@@ -139,7 +139,7 @@
     assert_eq!(read_set("done_set_by_an_earlier_version", 400), set_of(400, &[2, 305, 306, 315]));
 }
 
-/// The set that the rows of a sample make up.
+/// The bitmap that the chunks of a sample make up.
 fn read_set(name: &str, tasks: usize) -> FixedBitSet {
     let rows: BTreeMap<String, Value> = Samples::stored().read(name);
     let mut set = FixedBitSet::with_capacity(tasks);
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON of users, workers, cloud and state service.
+//! The JSON of users, workers, cloud and key-value store.
 
 use crate::samples::Samples;
 use crate::values::{full_job, job_id, job_named, machine_type, sparse_job, task};
@@ -185,7 +185,7 @@
     assert!(!samples.read::<MachineList>("machine_list_of_the_least_members").has_next);
 }
 
-// ---- state service
+// ---- key-value store
 
 #[test]
 fn transactions_are_the_samples() {
