--- a/benches/support/fakes.rs
+++ b/benches/support/fakes.rs
@@ -14,15 +14,15 @@
 
 /// Requests seen so far, by who answers them.
 #[derive(Default)]
-pub struct Counts {
-    pub heartbeats: AtomicU64,
-    pub orders: AtomicU64,
-    pub store: AtomicU64,
-    pub users: AtomicU64,
+pub(crate) struct Counts {
+    pub(crate) heartbeats: AtomicU64,
+    pub(crate) orders: AtomicU64,
+    pub(crate) store: AtomicU64,
+    pub(crate) users: AtomicU64,
 }
 
 impl Counts {
-    pub fn snapshot(&self) -> Vec<(&'static str, u64)> {
+    pub(crate) fn snapshot(&self) -> Vec<(&'static str, u64)> {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         vec![
             ("reports", read(&self.heartbeats)),
@@ -35,7 +35,7 @@
 
 /// The key-value store, with all its changes.
 #[derive(Default)]
-pub struct FakeStore {
+pub(crate) struct FakeStore {
     keys: BTreeMap<String, (Value, u64)>,
     log: Vec<(String, Value)>,
     revision: u64,
@@ -107,7 +107,7 @@
     query.split('&').find_map(|field| field.strip_prefix(name)).unwrap_or_default()
 }
 
-pub fn free_addr() -> SocketAddr {
+pub(crate) fn free_addr() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
         .expect("loopback has a free port")
@@ -161,12 +161,12 @@
     }
 }
 
-pub fn serve_store(store: FakeStore, counts: Arc<Counts>) -> SocketAddr {
+pub(crate) fn serve_store(store: FakeStore, counts: Arc<Counts>) -> SocketAddr {
     spawn(StoreServer { store: Mutex::new(store), counts })
 }
 
 /// Has no capacity left, so that the fleet stays as it is.
-pub struct FakeCloud;
+pub(crate) struct FakeCloud;
 
 #[salvo::handler]
 impl FakeCloud {
@@ -182,7 +182,7 @@
     }
 }
 
-pub fn serve_cloud(cloud: FakeCloud) -> SocketAddr {
+pub(crate) fn serve_cloud(cloud: FakeCloud) -> SocketAddr {
     spawn(cloud)
 }
 
@@ -208,6 +208,6 @@
     }
 }
 
-pub fn serve_worker(worker: Arc<Mutex<Worker>>, counts: Arc<Counts>) -> SocketAddr {
+pub(crate) fn serve_worker(worker: Arc<Mutex<Worker>>, counts: Arc<Counts>) -> SocketAddr {
     spawn(WorkerServer { worker, counts, started: Instant::now() })
 }
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -16,7 +16,7 @@
 
 /// What the scheduler was given.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Input {
+pub(crate) enum Input {
     Tick,
     Heartbeat,
     /// The result of an effect.
@@ -24,18 +24,18 @@
 }
 
 /// One input, with the time that it took and its operation counts.
-pub struct Observation {
-    pub input: Input,
-    pub took: Duration,
-    pub cost: CostCounters,
+pub(crate) struct Observation {
+    pub(crate) input: Input,
+    pub(crate) took: Duration,
+    pub(crate) cost: CostCounters,
 }
 
-pub struct Fleet {
-    pub scheduler: Scheduler,
-    pub workers: Vec<Worker>,
+pub(crate) struct Fleet {
+    pub(crate) scheduler: Scheduler,
+    pub(crate) workers: Vec<Worker>,
     /// Milliseconds since the leader was elected.
-    pub now: u64,
-    pub commits: u64,
+    pub(crate) now: u64,
+    pub(crate) commits: u64,
     revision: u64,
     observed: Vec<Observation>,
 }
@@ -43,7 +43,7 @@
 impl Fleet {
     /// Of the machines, the first so many are recorded by an earlier leader: those may get tasks once they
     /// have sent a heartbeat, the others after their records are written, at the rate of the key-value store.
-    pub fn new(machines: usize, recorded: usize) -> Fleet {
+    pub(crate) fn new(machines: usize, recorded: usize) -> Fleet {
         let settings = Settings::parse(include_str!("../../tests/settings.json")).expect("the sample is valid");
         let record = LeaderRecord { node: settings.name.clone(), incarnation: 1, lease: LeaseId(1) };
         let types = crate::workload::machine_types();
@@ -75,7 +75,7 @@
         self.scheduler.load(MonotonicTime(0), StoredState { machines: fleet, ..StoredState::default() });
     }
 
-    pub fn submit(&mut self, spec: JobSpec) {
+    pub(crate) fn submit(&mut self, spec: JobSpec) {
         self.revision += 1;
         let id = JobId::parse(&spec.id).expect("a legal id");
         let record = serde_json::json!(LiveRecord { at: WallTime(self.now), spec, depends_on: Vec::new() });
@@ -83,7 +83,7 @@
     }
 
     /// Plays one tick, the heartbeats that are due and all that follows. Returns what it took.
-    pub fn step(&mut self) -> Vec<Observation> {
+    pub(crate) fn step(&mut self) -> Vec<Observation> {
         self.now += TICK_INTERVAL.0;
         let (now, wall) = (MonotonicTime(self.now), WallTime(self.now));
         self.observe(Input::Tick, |scheduler| scheduler.tick(now, wall));
--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -5,31 +5,31 @@
 use wallstile::wire::{Cause, Heartbeat, Order, TaskPhase, TaskStatus};
 
 /// How long each task runs.
-pub const RUN_MS: u64 = 20_000;
+pub(crate) const RUN_MS: u64 = 20_000;
 /// Between two regular heartbeats.
-pub const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
+pub(crate) const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
 /// Every so many machines are of the large kind.
 const LARGE_EVERY: usize = 8;
 const SMALL_CPUS: f64 = 8.0;
 const LARGE_CPUS: f64 = 64.0;
 
 /// Processors of all machines of a simulated fleet.
-pub fn fleet_cpus(machines: usize) -> f64 {
+pub(crate) fn fleet_cpus(machines: usize) -> f64 {
     (0..machines).map(|index| if index.is_multiple_of(LARGE_EVERY) { LARGE_CPUS } else { SMALL_CPUS }).sum()
 }
 
-pub struct Worker {
+pub(crate) struct Worker {
     /// What its next heartbeat says.
-    pub heartbeat: Heartbeat,
+    pub(crate) heartbeat: Heartbeat,
     /// When each listed task that runs will end.
     ends: BTreeMap<(TaskId, Attempt), u64>,
     /// When its next regular heartbeat is due.
-    pub next_heartbeat_at: u64,
+    pub(crate) next_heartbeat_at: u64,
 }
 
 impl Worker {
     /// The worker of one of so many machines; their heartbeats are spread over the interval.
-    pub fn new(index: usize, machines: usize, endpoint: String) -> Worker {
+    pub(crate) fn new(index: usize, machines: usize, endpoint: String) -> Worker {
         let heartbeat = Heartbeat {
             machine: format!("m-{index:06}"),
             endpoint,
@@ -50,7 +50,7 @@
     }
 
     /// Takes orders under a token, which the next heartbeats carry.
-    pub fn execute(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
+    pub(crate) fn execute(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
         self.heartbeat.token = self.heartbeat.token.max(token);
         for order in orders {
             match order {
@@ -79,13 +79,13 @@
     }
 
     /// The next heartbeat, or the answer to orders.
-    pub fn next_heartbeat(&mut self) -> Heartbeat {
+    pub(crate) fn next_heartbeat(&mut self) -> Heartbeat {
         self.heartbeat.sequence = SequenceNumber(self.heartbeat.sequence.0 + 1);
         self.heartbeat.clone()
     }
 
     /// Ends tasks that have run their time; true: something has changed.
-    pub fn step(&mut self, now: u64) -> bool {
+    pub(crate) fn step(&mut self, now: u64) -> bool {
         let mut changed = false;
         for listed in self.heartbeat.tasks.iter_mut().filter(|listed| listed.phase != TaskPhase::Exited) {
             let Some(task) = listed.task else { continue };
--- a/benches/support/workload.rs
+++ b/benches/support/workload.rs
@@ -3,12 +3,12 @@
 use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
 
 /// Tasks of each array.
-pub const ARRAY_TASKS: u32 = 200;
+pub(crate) const ARRAY_TASKS: u32 = 200;
 /// Every so many jobs are services.
 const SERVICE_EVERY: u64 = 10;
 const IMAGES: u64 = 20;
 
-pub fn machine_types() -> Vec<MachineType> {
+pub(crate) fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
         name: name.into(),
         cpus,
@@ -24,7 +24,7 @@
     vec![machine_type("small", 8.0, 0.4), machine_type("large", 64.0, 4.0)]
 }
 
-pub fn job(number: u64) -> JobSpec {
+pub(crate) fn job(number: u64) -> JobSpec {
     let service = number.is_multiple_of(SERVICE_EVERY);
     JobSpec {
         id: format!("req-{number:06}"),
--- a/tests/golden/samples.rs
+++ b/tests/golden/samples.rs
@@ -8,7 +8,7 @@
 use std::fmt::Debug;
 
 /// A sample file: the exact text of each sample by its name.
-pub struct Samples(BTreeMap<String, String>);
+pub(crate) struct Samples(BTreeMap<String, String>);
 
 impl Samples {
     /// Splits a JSON object that has each of its members on a line of its own.
@@ -23,35 +23,35 @@
         Samples(samples)
     }
 
-    pub fn stored() -> Samples {
+    pub(crate) fn stored() -> Samples {
         Samples::parse(include_str!("stored.json"))
     }
 
-    pub fn wire() -> Samples {
+    pub(crate) fn wire() -> Samples {
         Samples::parse(include_str!("wire.json"))
     }
 
-    pub fn peer() -> Samples {
+    pub(crate) fn peer() -> Samples {
         Samples::parse(include_str!("peer.json"))
     }
 
-    pub fn text(&self, name: &str) -> &str {
+    pub(crate) fn text(&self, name: &str) -> &str {
         self.0.get(name).unwrap_or_else(|| panic!("there is no sample {name}"))
     }
 
     /// Reads the sample as it is read off the wire.
-    pub fn read<T: DeserializeOwned>(&self, name: &str) -> T {
+    pub(crate) fn read<T: DeserializeOwned>(&self, name: &str) -> T {
         serde_json::from_str(self.text(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
     }
 
     /// The text that this program has written is the sample.
-    pub fn assert_text(&self, name: &str, written: &str) {
+    pub(crate) fn assert_text(&self, name: &str, written: &str) {
         assert_eq!(written, self.text(name), "sample {name}");
     }
 
     /// The value is written as the sample, in the order of its fields; the sample is read as the value, and
     /// written again as it was.
-    pub fn assert_both_ways<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
+    pub(crate) fn assert_both_ways<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
         let write = |value: &T| serde_json::to_string(value).expect("it can be written");
         self.assert_text(name, &write(value));
         let read: T = self.read(name);
@@ -60,7 +60,7 @@
     }
 
     /// The same for what is kept in the key-value store, which passes through a [`Value`] both ways.
-    pub fn assert_kept<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
+    pub(crate) fn assert_kept<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
         self.assert_text(name, &json!(value).to_string());
         let kept: Value = self.read(name);
         let read: T = serde_json::from_value(kept).unwrap_or_else(|e| panic!("{name}: {e}"));
@@ -69,7 +69,7 @@
     }
 
     /// The same for the bytes of a message between controllers.
-    pub fn assert_message<M: Message + Default + PartialEq + Debug>(&self, name: &str, message: &M) {
+    pub(crate) fn assert_message<M: Message + Default + PartialEq + Debug>(&self, name: &str, message: &M) {
         let sample: String = self.read(name);
         assert_eq!(hexadecimal(&message.encode_to_vec()), sample, "sample {name}");
         let read = M::decode(bytes_of(&sample).as_slice()).unwrap_or_else(|e| panic!("{name}: {e}"));
--- a/tests/golden/values.rs
+++ b/tests/golden/values.rs
@@ -4,20 +4,20 @@
 use wallstile::ids::{JobId, TaskId};
 use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
 
-pub fn job_id() -> JobId {
+pub(crate) fn job_id() -> JobId {
     job_named("req-000412")
 }
 
-pub fn job_named(name: &str) -> JobId {
+pub(crate) fn job_named(name: &str) -> JobId {
     JobId::parse(name).expect("it is the name of a job")
 }
 
-pub fn task(index: u32) -> TaskId {
+pub(crate) fn task(index: u32) -> TaskId {
     TaskId { job: job_id(), index }
 }
 
 /// Every optional field is there. Of the three flags no two agree both here and in [`sparse_job`].
-pub fn full_job() -> JobSpec {
+pub(crate) fn full_job() -> JobSpec {
     JobSpec {
         id: "req-000412".into(),
         class: "train".into(),
@@ -42,7 +42,7 @@
     }
 }
 
-pub fn sparse_job() -> JobSpec {
+pub(crate) fn sparse_job() -> JobSpec {
     JobSpec {
         kind: Kind::Array,
         priority: Priority::Low,
@@ -56,7 +56,7 @@
     }
 }
 
-pub fn machine_type() -> MachineType {
+pub(crate) fn machine_type() -> MachineType {
     MachineType {
         name: "g8".into(),
         cpus: 16.0,
