--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -218,24 +218,30 @@
     for _ in 0..40 {
         harness.now += TICK_INTERVAL.0;
         harness.scheduler.tick(MonotonicTime(harness.now), WallTime(harness.now));
-        ordered |= harness.scheduler.take_effects().iter().any(|a| matches!(a, Effect::Orders { .. }));
+        ordered |= harness.scheduler.take_effects().iter().any(|effect| matches!(effect, Effect::Orders { .. }));
     }
     assert!(ordered);
     harness.scheduler.on_job_terminated(&id, JobOutcome::Cancelled);
     harness.heartbeat("w0");
     assert_eq!(harness.running_count(&id), 0);
     // Lost with its answer, the stop order is repeated in the next.
-    let stops = |a: &HeartbeatResponse| a.orders.iter().filter(|o| matches!(o, Order::Stop { .. })).count();
-    let r = harness.workers.get_mut("w0").unwrap();
-    for listed in &mut r.tasks {
+    let stops =
+        |answer: &HeartbeatResponse| answer.orders.iter().filter(|order| matches!(order, Order::Stop { .. })).count();
+    let heartbeat = harness.workers.get_mut("w0").unwrap();
+    for listed in &mut heartbeat.tasks {
         (listed.phase, listed.cause) = (TaskPhase::Running, None);
     }
-    r.sequence.0 += 1;
-    assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), r).as_ref().map(stops), Ok(2));
+    heartbeat.sequence.0 += 1;
+    assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), heartbeat).as_ref().map(stops), Ok(2));
     // Also in the answer to a heartbeat that a later message has overtaken.
-    r.sequence.0 += 5;
-    harness.scheduler.machines.known.values_mut().for_each(|m| m.sequence = SequenceNumber(r.sequence.0 + 1));
-    assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), r).as_ref().map(stops), Ok(2));
+    heartbeat.sequence.0 += 5;
+    harness
+        .scheduler
+        .machines
+        .known
+        .values_mut()
+        .for_each(|machine| machine.sequence = SequenceNumber(heartbeat.sequence.0 + 1));
+    assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), heartbeat).as_ref().map(stops), Ok(2));
 }
 
 #[test]
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -216,18 +216,18 @@
 #[test]
 fn plans_are_the_samples() {
     let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
-    let wish = ScaleOutRequest { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
+    let scale_out_request = ScaleOutRequest { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
     let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, ready_s: 3.5 };
     let output = PlanOutput {
         version: 3,
         term: 9001,
         round: 9002,
         placements: vec![placement.clone()],
-        scale_out: vec![wish.clone()],
+        scale_out: vec![scale_out_request.clone()],
         waiting: vec![waiting.clone()],
     };
     assert_samples(&[("plan_output", output)]);
     assert_samples(&[("placement", placement)]);
-    assert_samples(&[("wish", wish)]);
+    assert_samples(&[("wish", scale_out_request)]);
     assert_samples(&[("waiting", waiting)]);
 }
