--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -10,8 +10,7 @@
 use super::planner_view::partition_view;
 use super::*;
 use crate::config::sample_settings;
-use crate::core::machine::Machine;
-use crate::core::machine::{HeartbeatRoute, MACHINE_PREFIX, MachineRecord, TaskAttempt};
+use crate::core::machine::{HeartbeatRoute, MACHINE_PREFIX, Machine, MachineRecord, TaskAttempt};
 use crate::core::records::{
     BITMAP_PREFIX, JobOutcome, LIVE_PREFIX, LiveRecord, TERMINAL_PREFIX, TerminalRecord, live_key, terminal_key,
 };
@@ -24,35 +23,40 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-struct Rig {
-    leader: Scheduler,
+/// A scheduler with workers that answer at once, a store that commits everything and a cloud without
+/// capacity. Troubles are set by name.
+struct SchedulerHarness {
+    scheduler: Scheduler,
+    /// Milliseconds since the first leader was elected.
     now: u64,
+    /// Each worker's next heartbeat, by its endpoint.
     workers: BTreeMap<String, Heartbeat>,
-    /// Where answers and orders don't arrive.
-    deaf: BTreeSet<String>,
-    returned: BTreeSet<String>,
-    /// Whose reports don't arrive anywhere.
-    mute: BTreeSet<String>,
-    /// The cloud carries out no returns.
-    cloud_down: bool,
+    /// Workers that answers and orders don't reach.
+    unreachable: BTreeSet<String>,
+    /// Machines that the scheduler has terminated.
+    terminated: BTreeSet<String>,
+    /// Workers whose heartbeats don't arrive anywhere.
+    unheard: BTreeSet<String>,
+    /// The cloud carries out no terminations.
+    cloud_refuses: bool,
     /// Writes get no answer; they are kept here.
-    unanswered: Option<Vec<Transaction>>,
+    unanswered_writes: Option<Vec<Transaction>>,
     committed: Vec<Transaction>,
-    /// The most work that a tick took.
+    /// The highest cost of a tick.
     longest_tick: CostCounters,
-    /// What the state service holds.
+    /// The key-value store: each value with the revision at which it was written.
     store: BTreeMap<String, (Value, u64)>,
     term: Term,
 }
 
 const TERM: Term = Term(100);
 
-fn holder() -> LeaderRecord {
+fn leader_record() -> LeaderRecord {
     LeaderRecord { node: "plinth-0".into(), incarnation: 1, lease: LeaseId(7) }
 }
 
-fn kinds() -> Vec<MachineType> {
-    let t = |name: &str, gpus: f64| MachineType {
+fn machine_types() -> Vec<MachineType> {
+    let machine_type = |name: &str, gpus: f64| MachineType {
         name: name.into(),
         cpus: 8.0,
         gpus,
@@ -64,7 +68,7 @@
         boot_s: 10.0,
         zones: vec!["a".into(), "b".into()],
     };
-    vec![t("plain", 0.0), t("gpu", 2.0)]
+    vec![machine_type("plain", 0.0), machine_type("gpu", 2.0)]
 }
 
 fn spec(id: &str, kind: Kind, tasks: u32, cpus: f64) -> JobSpec {
@@ -92,31 +96,34 @@
     }
 }
 
-fn record(i: usize) -> KeyValue {
-    let r = MachineRecord { endpoint: format!("w{i}"), kind: "plain".into(), zone: "a".into(), spot: false };
-    KeyValue { key: format!("fleet/m-{i:06}"), value: json!(r), revision: 1 }
+/// The row of a machine that an earlier leader has registered.
+fn record(index: usize) -> KeyValue {
+    let record = MachineRecord { endpoint: format!("w{index}"), kind: "plain".into(), zone: "a".into(), spot: false };
+    KeyValue { key: format!("fleet/m-{index:06}"), value: json!(record), revision: 1 }
 }
 
-impl Rig {
-    /// A leader that has just been elected over machines that an earlier one has commissioned.
-    fn new(machines: usize) -> Rig {
+impl SchedulerHarness {
+    /// A leader that has just been elected over machines that an earlier one has registered.
+    fn new(machines: usize) -> SchedulerHarness {
         let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_s: 600.0, ..Tuning::default() };
-        let mut leader = Scheduler::new(sample_settings(), tuning, kinds(), TERM, holder(), MonotonicTime(0));
+        let mut leader =
+            Scheduler::new(sample_settings(), tuning, machine_types(), TERM, leader_record(), MonotonicTime(0));
         leader.load(
             MonotonicTime(0),
             StoredState { machines: (0..machines).map(record).collect(), ..StoredState::default() },
         );
-        let store = (0..machines).map(record).map(|r| (r.key, (r.value, r.revision))).collect();
-        let workers = (0..machines).map(|i| (format!("w{i}"), Rig::fresh(i))).collect();
-        Rig {
-            leader,
+        let store = (0..machines).map(record).map(|row| (row.key, (row.value, row.revision))).collect();
+        let workers =
+            (0..machines).map(|index| (format!("w{index}"), SchedulerHarness::idle_heartbeat(index))).collect();
+        SchedulerHarness {
+            scheduler: leader,
             now: 0,
             workers,
-            deaf: BTreeSet::new(),
-            returned: BTreeSet::new(),
-            mute: BTreeSet::new(),
-            cloud_down: false,
-            unanswered: None,
+            unreachable: BTreeSet::new(),
+            terminated: BTreeSet::new(),
+            unheard: BTreeSet::new(),
+            cloud_refuses: false,
+            unanswered_writes: None,
             store,
             term: TERM,
             committed: Vec::new(),
@@ -124,10 +131,11 @@
         }
     }
 
-    fn fresh(i: usize) -> Heartbeat {
+    /// Of a worker that has just started and holds no task.
+    fn idle_heartbeat(index: usize) -> Heartbeat {
         Heartbeat {
-            machine: format!("m-{i:06}"),
-            endpoint: format!("w{i}"),
+            machine: format!("m-{index:06}"),
+            endpoint: format!("w{index}"),
             kind: "plain".into(),
             zone: "a".into(),
             spot: false,
@@ -139,39 +147,39 @@
         }
     }
 
-    fn submit(&mut self, revision: u64, s: JobSpec) -> JobId {
-        self.submit_after(revision, s, &[])
+    fn submit(&mut self, revision: u64, spec: JobSpec) -> JobId {
+        self.submit_after(revision, spec, &[])
     }
 
-    /// A job that awaits others.
-    fn submit_after(&mut self, revision: u64, s: JobSpec, depends_on: &[JobId]) -> JobId {
+    /// A job that depends on others.
+    fn submit_after(&mut self, revision: u64, spec: JobSpec, depends_on: &[JobId]) -> JobId {
         let depends_on = depends_on.to_vec();
-        let id = JobId::parse(&s.id).unwrap();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec: s, depends_on });
-        self.leader.on_job_accepted(&id, &record, Revision(revision));
+        let id = JobId::parse(&spec.id).unwrap();
+        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
+        self.scheduler.on_job_accepted(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
     }
 
-    /// A user is told that the job is cancelled; the leader isn't, yet.
+    /// A user cancels the job; the leader doesn't know yet.
     fn cancel(&mut self, id: &JobId) {
         self.store.remove(&live_key(id));
     }
 
-    /// How the state service says that a job has ended.
+    /// How the job has ended, as the store has it.
     fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
         let (record, _) = self.store.get(&terminal_key(id))?;
         Some(serde_json::from_value::<TerminalRecord>(record.clone()).unwrap().outcome())
     }
 
     fn commit(&mut self, transaction: Transaction) {
-        for c in &transaction.mutations {
-            match c {
-                Mutation::Put { key: write, value, .. } => {
-                    self.store.insert(write.clone(), (value.clone(), self.term.0 + 1));
+        for mutation in &transaction.mutations {
+            match mutation {
+                Mutation::Put { key, value, .. } => {
+                    self.store.insert(key.clone(), (value.clone(), self.term.0 + 1));
                 }
-                Mutation::Delete { key: drop } => {
-                    self.store.remove(drop);
+                Mutation::Delete { key } => {
+                    self.store.remove(key);
                 }
             }
         }
@@ -179,11 +187,16 @@
     }
 
     /// The leader ends, and another is elected.
-    fn succeed(&mut self) {
+    fn change_leader(&mut self) {
         self.term.0 += 1_000_000;
         let rows = |prefix: &str| -> Vec<KeyValue> {
-            let of = self.store.iter().filter(|(k, _)| k.starts_with(prefix));
-            of.map(|(k, v)| KeyValue { key: k.clone(), value: v.0.clone(), revision: v.1 }).collect()
+            let rows = self.store.iter().filter(|(key, _)| key.starts_with(prefix));
+            rows.map(|(key, (value, revision))| KeyValue {
+                key: key.clone(),
+                value: value.clone(),
+                revision: *revision,
+            })
+            .collect()
         };
         let stored = StoredState {
             live: rows(LIVE_PREFIX),
@@ -191,40 +204,53 @@
             machines: rows(MACHINE_PREFIX),
             shards: None,
         };
-        self.leader =
-            Scheduler::new(sample_settings(), Tuning::default(), kinds(), self.term, holder(), MonotonicTime(self.now));
-        self.leader.load(MonotonicTime(self.now), stored);
+        self.scheduler = Scheduler::new(
+            sample_settings(),
+            Tuning::default(),
+            machine_types(),
+            self.term,
+            leader_record(),
+            MonotonicTime(self.now),
+        );
+        self.scheduler.load(MonotonicTime(self.now), stored);
     }
 
-    fn execute(r: &mut Heartbeat, orders: &[Order]) {
-        for o in orders {
-            match o {
-                Order::Run { task, attempt } => r.tasks.push(TaskStatus {
+    fn execute(heartbeat: &mut Heartbeat, orders: &[Order]) {
+        for order in orders {
+            match order {
+                Order::Run { task, attempt } => heartbeat.tasks.push(TaskStatus {
                     task: Some(*task),
                     attempt: *attempt,
                     phase: TaskPhase::Running,
                     cause: None,
                     kept: None,
                 }),
-                Order::Stop { task, attempt, .. } => Rig::end(r, Some(*task), *attempt, Cause::Halted),
-                Order::Clear { task, attempt } => r.tasks.retain(|l| l.task != Some(*task) || l.attempt != *attempt),
+                Order::Stop { task, attempt, .. } => {
+                    SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, Cause::Halted);
+                }
+                Order::Clear { task, attempt } => {
+                    heartbeat.tasks.retain(|listed| listed.task != Some(*task) || listed.attempt != *attempt);
+                }
             }
         }
     }
 
-    fn end(r: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
-        for l in r.tasks.iter_mut().filter(|l| l.task == task && l.attempt == attempt) {
-            (l.phase, l.cause) = (TaskPhase::Exited, Some(cause));
+    fn exit_task(heartbeat: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
+        let same = |listed: &&mut TaskStatus| listed.task == task && listed.attempt == attempt;
+        for listed in heartbeat.tasks.iter_mut().filter(same) {
+            (listed.phase, listed.cause) = (TaskPhase::Exited, Some(cause));
         }
     }
 
+    /// A worker sends its heartbeat and executes the orders of the answer. Returns whether it was answered.
     fn heartbeat(&mut self, name: &str) -> bool {
-        let Some(r) = self.workers.get_mut(name) else { return false };
-        r.sequence.0 += 1;
-        let answer = self.leader.on_heartbeat(MonotonicTime(self.now), r).ok();
-        if let Some(a) = answer.as_ref().filter(|a| a.token >= r.token && !self.deaf.contains(name)) {
-            r.token = a.token;
-            Rig::execute(r, &a.orders);
+        let Some(heartbeat) = self.workers.get_mut(name) else { return false };
+        heartbeat.sequence.0 += 1;
+        let answer = self.scheduler.on_heartbeat(MonotonicTime(self.now), heartbeat).ok();
+        let reachable = !self.unreachable.contains(name);
+        if let Some(answer) = answer.as_ref().filter(|answer| answer.token >= heartbeat.token && reachable) {
+            heartbeat.token = answer.token;
+            SchedulerHarness::execute(heartbeat, &answer.orders);
         }
         answer.is_some()
     }
@@ -233,72 +259,85 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += TICK_INTERVAL.0;
-            let before = self.leader.cost_counters();
-            self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
-            let work = self.leader.cost_counters().since(&before);
-            if work.total() > self.longest_tick.total() {
-                self.longest_tick = work;
-            }
+            self.tick();
             if self.now.is_multiple_of(500) {
                 for name in self.workers.keys().cloned().collect::<Vec<_>>() {
-                    if !self.mute.contains(&name) {
+                    if !self.unheard.contains(&name) {
                         self.heartbeat(&name);
                     }
                 }
             }
-            for a in self.leader.take_effects() {
-                let now = MonotonicTime(self.now);
-                match a {
-                    Effect::Orders { request, endpoint, body } => {
-                        let result = match self.workers.get_mut(&endpoint) {
-                            Some(r) if !self.deaf.contains(&endpoint) => {
-                                r.sequence.0 += 1;
-                                if body.token < r.token || body.agent_epoch != r.agent_epoch {
-                                    OrdersResult::Rejected(r.clone())
-                                } else {
-                                    r.token = body.token;
-                                    Rig::execute(r, &body.orders);
-                                    OrdersResult::Executed(r.clone())
-                                }
-                            }
-                            _ => OrdersResult::Unknown,
-                        };
-                        self.leader.on_orders_result(now, request, result);
-                    }
-                    Effect::Commit { request, transaction } => match &mut self.unanswered {
-                        Some(l) => {
-                            l.push(transaction);
-                            self.leader.on_committed(now, request, CommitOutcome::Unknown);
-                        }
-                        None => {
-                            self.commit(transaction);
-                            self.leader.on_committed(now, request, CommitOutcome::Committed);
-                        }
-                    },
-                    Effect::RefreshFence(_) => {
-                        let next = self.unanswered.is_none().then(|| Revision(self.leader.fence_revision().0 + 1_000));
-                        self.leader.on_fence_refreshed(now, next);
-                    }
-                    Effect::Provision(r) => self.leader.on_provisioned(now, &r.name, ProvisionOutcome::NoCapacity),
-                    Effect::Terminate(ids) => {
-                        self.returned.extend(ids.iter().map(|i| i.to_string()));
-                        self.leader.on_terminated(now, &ids, !self.cloud_down);
-                    }
-                    Effect::LookUp(ids) => {
-                        let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
-                        self.leader.on_looked_up(now, &outcomes);
-                    }
-                    Effect::Plan { .. } => {}
+            for effect in self.scheduler.take_effects() {
+                self.perform(effect);
+            }
+        }
+    }
+
+    fn tick(&mut self) {
+        let before = self.scheduler.cost_counters();
+        self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
+        let cost = self.scheduler.cost_counters().since(&before);
+        if cost.total() > self.longest_tick.total() {
+            self.longest_tick = cost;
+        }
+    }
+
+    fn perform(&mut self, effect: Effect) {
+        let now = MonotonicTime(self.now);
+        match effect {
+            Effect::Orders { request, endpoint, body } => {
+                let result = self.send_orders(&endpoint, &body);
+                self.scheduler.on_orders_result(now, request, result);
+            }
+            Effect::Commit { request, transaction } => match &mut self.unanswered_writes {
+                Some(writes) => {
+                    writes.push(transaction);
+                    self.scheduler.on_committed(now, request, CommitOutcome::Unknown);
+                }
+                None => {
+                    self.commit(transaction);
+                    self.scheduler.on_committed(now, request, CommitOutcome::Committed);
                 }
+            },
+            Effect::RefreshFence(_) => {
+                let next = || Revision(self.scheduler.fence_revision().0 + 1_000);
+                let next = self.unanswered_writes.is_none().then(next);
+                self.scheduler.on_fence_refreshed(now, next);
+            }
+            Effect::Provision(request) => {
+                self.scheduler.on_provisioned(now, &request.name, ProvisionOutcome::NoCapacity);
             }
+            Effect::Terminate(ids) => {
+                self.terminated.extend(ids.iter().map(|id| id.to_string()));
+                self.scheduler.on_terminated(now, &ids, !self.cloud_refuses);
+            }
+            Effect::LookUp(ids) => {
+                let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
+                self.scheduler.on_looked_up(now, &outcomes);
+            }
+            Effect::Plan { .. } => {}
+        }
+    }
+
+    fn send_orders(&mut self, endpoint: &str, body: &DirectOrders) -> OrdersResult {
+        let reachable = !self.unreachable.contains(endpoint);
+        let Some(heartbeat) = self.workers.get_mut(endpoint).filter(|_| reachable) else {
+            return OrdersResult::Unknown;
+        };
+        heartbeat.sequence.0 += 1;
+        if body.token < heartbeat.token || body.agent_epoch != heartbeat.agent_epoch {
+            return OrdersResult::Rejected(heartbeat.clone());
         }
+        heartbeat.token = body.token;
+        SchedulerHarness::execute(heartbeat, &body.orders);
+        OrdersResult::Executed(heartbeat.clone())
     }
 
     /// The first task that a worker lists completes.
     fn finish_first_task(&mut self, name: &str) {
-        let heartbeat = self.workers.get_mut(name).expect("a worker of the rig");
+        let heartbeat = self.workers.get_mut(name).expect("a worker of the harness");
         let first = heartbeat.tasks[0].clone();
-        Rig::end(heartbeat, first.task, first.attempt, Cause::Done);
+        SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, Cause::Done);
     }
 
     /// The first worker that holds something.
@@ -307,8 +346,10 @@
         busy.map(|(name, _)| name.clone()).expect("some worker is busy")
     }
 
-    fn runs(&self, id: &JobId) -> usize {
-        let of = |l: &&TaskStatus| l.phase == TaskPhase::Running && l.task.is_some_and(|t| t.job == *id);
-        self.workers.values().flat_map(|r| &r.tasks).filter(of).count()
+    /// How many tasks of a job run.
+    fn running_count(&self, id: &JobId) -> usize {
+        let of_job = |listed: &&TaskStatus| listed.task.is_some_and(|task| task.job == *id);
+        let listed = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks).filter(of_job);
+        listed.filter(|listed| listed.phase == TaskPhase::Running).count()
     }
 }
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -1,9 +1,8 @@
 use super::*;
 use crate::config::Peer;
-use crate::net::loopback::{World, free_addr, pair, start};
+use crate::net::loopback::{FakeCluster, free_addr, pair, start};
 use crate::net::server;
 use serde_json::json;
-use std::sync::Mutex;
 
 const HEARD: MonotonicTime = MonotonicTime(10_000);
 
@@ -28,11 +27,11 @@
     assert_eq!(destination(&relay), Some("plinth-1"), "an earlier term is over");
     relay.heard_leader("plinth-2", Term(6), HEARD);
     assert_eq!(destination(&relay), Some("plinth-2"));
-    assert!(relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "silent for too long");
+    assert!(relay.destination(HEARD + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "not heard for too long");
 }
 
 #[test]
-fn workers_wait_only_for_a_leader_that_has_answered_the_last_batch() {
+fn relay_admits_only_for_a_leader_that_has_answered_the_last_batch() {
     let mut relay = HeartbeatRelay::default();
     relay.heard_leader("plinth-1", Term(5), HEARD);
     assert!(!relay.is_open(HEARD) && relay.admit(Bytes::new(), HEARD).is_none(), "not tried yet");
@@ -51,7 +50,7 @@
 }
 
 #[test]
-fn a_strained_controller_takes_no_more_workers_but_serves_those_it_has() {
+fn relay_under_load_has_no_capacity_but_stays_open() {
     let mut relay = open();
     assert!(relay.has_capacity(HEARD));
     (0..20).for_each(|_| relay.record_lag(Millis(400)));
@@ -61,7 +60,7 @@
 }
 
 #[test]
-fn what_waits_is_bounded_in_number_and_in_bytes() {
+fn relay_bounds_waiting_heartbeats_in_number_and_bytes() {
     let mut relay = open();
     let receivers: Vec<_> = (0..MAX_WAITING).map(|_| relay.admit(Bytes::new(), HEARD)).collect();
     assert!(receivers.iter().all(Option::is_some));
@@ -74,19 +73,19 @@
 }
 
 #[tokio::test]
-async fn what_waits_behind_an_unanswered_batch_is_sent_to_a_peer_that_reaches_the_leader() {
+async fn relay_redirects_heartbeats_behind_an_unanswered_batch_to_a_relay_route() {
     // Two zones could not reach each other: the first heartbeats waited for one time limit and those behind them
     // for two, and the workers then went round controllers beyond the cut until their leases ran out.
-    let world = Arc::new(Mutex::new(World::default()));
-    let [(relaying, _), (other, _)] = pair(&world);
+    let cluster = FakeCluster::default();
+    let [(relaying, _), (other, _)] = pair(&cluster).await;
     tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal(&relaying), 64));
-    // The leader's machine is silent: it takes connections, and says nothing.
+    // The leader's machine hangs: it takes connections, and answers nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = other.settings.clone();
     settings.name = "plinth-8".into();
     settings.peers.push(Peer { name: "plinth-9".into(), addr: silent.local_addr().unwrap(), zone: String::new() });
     settings.peer_listen = free_addr();
-    let (node, client) = start(&world, settings);
+    let (node, client) = start(&cluster, settings).await;
     let client = Arc::new(client);
     tokio::time::sleep(Millis(200).to_std()).await;
     node.lock().leader_name = Some("plinth-9".into());
@@ -99,7 +98,7 @@
     let begun = std::time::Instant::now();
     let mut answers = Vec::new();
     for _ in 0..3 {
-        let heartbeat = world.lock().unwrap().heartbeat();
+        let heartbeat = cluster.heartbeat();
         let client = client.clone();
         answers.push(tokio::spawn(async move { client.post("/v1/report", heartbeat).await }));
         // Each comes while the batch before it is under way.
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,4 +1,4 @@
-//! What the state service keeps: keys, and the records under them.
+//! What the key-value store keeps: keys, and the records under them.
 
 use crate::samples::Samples;
 use crate::values::{full_job, job_id, job_named, machine_type, sparse_job};
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn over_records_are_kept_as_the_samples() {
+fn terminal_records_are_kept_as_the_samples() {
     let samples = Samples::stored();
     for (name, record) in [
         ("over_done", TerminalRecord::done(17, AT)),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_changes_of_a_job_are_the_samples() {
+fn job_mutations_are_the_samples() {
     let samples = Samples::stored();
     let begun = Transaction { preconditions: absent_preconditions(&job_id()), mutations: Vec::new() };
     samples.assert_both_ways("guards_of_a_new_job", &begun);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_leader_is_kept_as_the_sample() {
+fn leader_record_is_kept_as_the_sample() {
     let samples = Samples::stored();
     let record = LeaderRecord { node: "plinth-0".into(), incarnation: 77, lease: LeaseId(12) };
     samples.assert_kept("leader", &record);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn shares_are_kept_as_the_sample() {
+fn shards_are_kept_as_the_sample() {
     let teams = ["team-a".to_string(), "team-b".to_string()];
     let mut shares = ShardAssignment::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, MonotonicTime(0));
     let samples = Samples::stored();
@@ -108,7 +108,7 @@
     samples.assert_text("shares", &json!(shares.to_record(&teams)).to_string());
 }
 
-/// Rows of 150 tasks, which become the limit later; today's rows hold 306.
+/// Chunks of 150 tasks, which become the limit later; today's chunks hold 306.
 fn layout() -> BitmapLayout {
     let next = UpcomingStoreLimits { max_value_kb: Some(0.05), ..UpcomingStoreLimits::default() };
     BitmapLayout::new(&StoreLimits { rps: 100.0, write_rps: 20.0, max_value_kb: 0.1, max_transaction_ops: 12, next })
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn done_sets_are_kept_as_the_samples() {
+fn completion_bitmaps_are_kept_as_the_samples() {
     let samples = Samples::stored();
     for (name, tasks, done) in
         [("done_set_small", 20, vec![0, 3, 19]), ("done_set_large", 200, vec![1, 8, 149, 150, 153, 199])]
@@ -135,11 +135,11 @@
 }
 
 #[test]
-fn done_sets_of_an_earlier_version_are_read() {
+fn completion_bitmaps_of_an_earlier_version_are_read() {
     assert_eq!(read_set("done_set_by_an_earlier_version", 400), set_of(400, &[2, 305, 306, 315]));
 }
 
-/// The set that the rows of a sample make up.
+/// The bitmap that the chunks of a sample make up.
 fn read_set(name: &str, tasks: usize) -> FixedBitSet {
     let rows: BTreeMap<String, Value> = Samples::stored().read(name);
     let mut set = FixedBitSet::with_capacity(tasks);
