--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -1,6 +1,8 @@
-//! The leader: keeps the cluster state, has rounds planned, checks and commits placements, and says what
-//! to send to workers, cloud and state service. A state machine: the edges feed it inputs and
-//! carry out the actions it leaves behind.
+//! The scheduler that the leader runs. It holds the cluster state, has rounds planned, checks and
+//! commits placements, and decides what is sent to agents, cloud and key-value store.
+//!
+//! It is a state machine without input or output of its own: the edges call its methods with what
+//! has arrived, and carry out the [`Effect`]s that [`Scheduler::take_effects`] hands out.
 
 mod ages;
 mod catalog;
@@ -70,30 +72,40 @@
 use crate::wire::{MachineType, TaskPhase};
 use std::collections::BTreeMap;
 
-/// What the leader takes of the state service's rate of changes.
-const SCHEDULER_WRITE_SHARE: f64 = 0.6;
+/// The part of the store's rate of changes that the leader uses. The rest is for submissions and
+/// cancellations on all controllers.
+const SCHEDULER_WRITE_FRACTION: f64 = 0.6;
 
+/// Limits of the cluster's protocol, from the settings.
 struct ProtocolLimits {
+    /// Interval of an agent's heartbeats.
     heartbeat: Millis,
+    /// How long an agent's lease is valid after a heartbeat.
     lease: Millis,
+    /// Most operations in a transaction of the store.
     txn_ops: usize,
+    /// Most bytes in a stored value.
     value_bytes: usize,
+    /// Changes per second that the leader may make in the store.
     write_rps: f64,
+    /// How completion bitmaps are cut into stored values.
     layout: BitmapLayout,
+    /// How far the cloud's list of instances may be behind.
     list_lag: Millis,
 }
 
-/// The scheduler that the leader runs. Each part keeps its own state; the scheduler composes them.
+/// The scheduler of one term. Each part keeps its own state; the scheduler composes them.
 pub struct Scheduler {
     limits: ProtocolLimits,
     settings: Settings,
     tuning: Tuning,
     term: Term,
     record: LeaderRecord,
-    /// The key-value store doesn't answer, and may answer others: users may have been told of
-    /// cancellations that aren't known here.
+    /// The key-value store doesn't answer here but may answer other controllers: they may have
+    /// accepted cancellations that aren't known here.
     in_doubt: bool,
-    /// When the cluster state was loaded: no response to a heartbeat that it doesn't know of is later than that.
+    /// When the cluster state was loaded. Responses to heartbeats that this scheduler didn't send are
+    /// older.
     since: MonotonicTime,
     catalog: Catalog,
     jobs: JobTable,
@@ -113,17 +125,19 @@
     last_request: u64,
     orders: OutstandingOrders,
     effects: Vec<Effect>,
-    /// What this scheduler has worked through since it began.
+    /// Operations since this scheduler began.
     cost: CostMeter,
 }
 
-/// The edges call [`Scheduler::tick`] this often.
+/// Interval at which the edges call [`Scheduler::tick`].
 pub const TICK_INTERVAL: Millis = Millis(50);
 
-/// How long a round waits for its parts.
+/// How long a round waits for the plans of its shards.
 const PLAN_TIMEOUT: Millis = Millis(250);
 
 impl Scheduler {
+    /// A scheduler of term `term` without jobs and machines; [`Scheduler::load`] fills it. `types` is the
+    /// cloud's list of machine types, `record` the leader's key as this leader wrote it.
     pub fn new(
         settings: Settings,
         tuning: Tuning,
@@ -132,26 +146,25 @@
         record: LeaderRecord,
         now: MonotonicTime,
     ) -> Scheduler {
-        let c = &settings.cluster;
-        let mut zones = c.zones.clone();
-        for z in types.iter().flat_map(|t| &t.zones) {
-            if !zones.contains(z) {
-                zones.push(z.clone());
+        let cluster = &settings.cluster;
+        let mut zones = cluster.zones.clone();
+        for zone in types.iter().flat_map(|machine_type| &machine_type.zones) {
+            if !zones.contains(zone) {
+                zones.push(zone.clone());
             }
         }
-        let store = c.store.lowest();
+        let store = cluster.store.lowest();
         let limits = ProtocolLimits {
-            heartbeat: Millis::from_secs_f64(c.workers.heartbeat_interval_s),
-            lease: Millis::from_secs_f64(c.workers.lease_s),
+            heartbeat: Millis::from_secs_f64(cluster.workers.heartbeat_interval_s),
+            lease: Millis::from_secs_f64(cluster.workers.lease_s),
             txn_ops: store.max_transaction_ops,
-            value_bytes: c.store.value_bytes(),
-            // The rest is for submissions and cancellations on all controllers.
-            write_rps: store.write_rps * SCHEDULER_WRITE_SHARE,
-            layout: BitmapLayout::new(&c.store),
-            list_lag: Millis::from_secs_f64(c.cloud.list_lag_s),
+            value_bytes: cluster.store.value_bytes(),
+            write_rps: store.write_rps * SCHEDULER_WRITE_FRACTION,
+            layout: BitmapLayout::new(&cluster.store),
+            list_lag: Millis::from_secs_f64(cluster.cloud.list_lag_s),
         };
         let peers = settings.peers.iter().map(|p| p.name.clone());
-        let shards = ShardAssignment::new(&settings.name, peers, c.teams.len() as u32, now);
+        let shards = ShardAssignment::new(&settings.name, peers, cluster.teams.len() as u32, now);
         Scheduler {
             spot_lives: SpotLives::new(tuning.spot_median_s, tuning.spot_sigma),
             in_doubt: false,
@@ -187,60 +200,63 @@
         self.writes.fence_revision()
     }
 
-    /// Whether a worker may be sent to another controller now: answers reach it, and this leader is not
-    /// just gathering its machines.
+    /// Whether an agent may be sent to another controller now: it has acknowledged its token, and this
+    /// leader's machines are reconciled.
     pub fn may_move(&self, now: MonotonicTime, id: &MachineId) -> bool {
-        self.settled(now) && self.machines.known.get(id).is_some_and(|m| m.token_acknowledged)
+        self.settled(now) && self.machines.known.get(id).is_some_and(|machine| machine.token_acknowledged)
     }
 
-    /// In doubt nothing is started: what users have been told meanwhile isn't known.
+    /// Sets whether the store's state is in doubt. While it is, nothing is started: a cancellation
+    /// that another controller accepted may not be known here.
     pub fn set_in_doubt(&mut self, in_doubt: bool) {
         self.in_doubt = in_doubt;
     }
 
-    /// What this leader has worked through since it began.
+    /// Operations of this scheduler since it began.
     pub fn cost_counters(&self) -> CostCounters {
         self.cost.read()
     }
 
-    /// Figures for the log: how much there is to do, and what waits for answers.
+    /// Fields for the log: jobs and machines, and requests that are unanswered.
     pub fn load_summary(&self) -> String {
         let ready: usize = self.jobs.live.values().map(Job::startable_tasks).sum();
         let (jobs, machines) = (self.jobs.live.len(), self.machines.known.len());
-        let unreconciled = self.machines.known.values().filter(|m| !m.reconciled).count();
+        let unreconciled = self.machines.known.values().filter(|machine| !machine.reconciled).count();
         let (reservations, orders, writes) = (self.reservations.len(), self.orders.len(), self.writes.in_flight());
         format!(
-            "round={} jobs={jobs} ready={ready} machines={machines} unaccounted={unreconciled} \
-             reservations={reservations} orders={orders} writes={writes} lag={} ms in_doubt={}",
+            "round={} jobs={jobs} ready={ready} machines={machines} unreconciled={unreconciled} \
+             reservations={reservations} orders={orders} writes={writes} lag_ms={} in_doubt={}",
             self.rounds.count,
             self.lag().0,
             self.in_doubt
         )
     }
 
+    /// Hands out the effects of the inputs since the last call, in the order in which the edges carry
+    /// them out.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Live jobs with their counts of done tasks and of tasks that run.
+    /// Live jobs with their counts of done and of running tasks; jobs without either are left out.
     pub fn counts(&self) -> Vec<JobCount> {
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for m in self.machines.known.values() {
-            for ((task, _), s) in &m.allocations {
-                if matches!(s.phase, Some(TaskPhase::Running | TaskPhase::Flushing)) {
+        for machine in self.machines.known.values() {
+            for ((task, _), allocation) in &machine.allocations {
+                if matches!(allocation.phase, Some(TaskPhase::Running | TaskPhase::Flushing)) {
                     *running.entry(&task.job).or_default() += 1;
                 }
             }
         }
-        let count = |(id, j): (&JobId, &Job)| JobCount {
+        let count = |(id, job): (&JobId, &Job)| JobCount {
             job: id.to_string(),
-            done: j.done_count,
+            done: job.done_count,
             running: running.get(id).copied().unwrap_or(0),
         };
-        self.jobs.live.iter().map(count).filter(|c| c.done + c.running > 0).collect()
+        self.jobs.live.iter().map(count).filter(|count| count.done + count.running > 0).collect()
     }
 
-    /// Takes in the cloud's list of machine types.
+    /// Takes over the cloud's list of machine types; types that are known keep their index.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         let new = self.catalog.set_types(types);
         self.gpus.needs.extend(std::iter::repeat_n(Resources::default(), new));
