--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -1,7 +1,7 @@
 //! A machine as the cluster state has it, and what is stored of it.
 //!
 //! A task counts as on a machine from before its order is sent until there is proof that it is
-//! gone. What counts as proof is decided in [`super::scheduler`], nowhere else.
+//! gone. What counts as proof is decided in [`crate::core::scheduler`], nowhere else.
 
 pub use crate::core::allocation::{Allocation, PendingRun, TaskAttempt};
 use crate::core::provisioning::InstancePool;
