--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -128,8 +128,8 @@
 
     /// How old it is for its deadline, and for its other objectives, which count from when it could start.
     pub fn ages(&self, wall: WallTime) -> JobAges {
-        let startable_s = if self.is_waiting() { 0.0 } else { elapsed_s(wall, self.startable_at) };
-        JobAges { submitted_s: elapsed_s(wall, self.submitted), startable_s }
+        let startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
+        JobAges { submitted_s: wall.seconds_since(self.submitted), startable_s }
     }
 
     /// How many of its tasks could be started now.
@@ -290,11 +290,6 @@
     }
 }
 
-/// Seconds between two times of day; never negative.
-fn elapsed_s(now: WallTime, then: WallTime) -> f64 {
-    now.0.saturating_sub(then.0) as f64 / 1000.0
-}
-
 /// The number of a priority in messages between controllers: 0 is the most urgent.
 pub fn priority_number(priority: Priority) -> u32 {
     priority as u32
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -1,7 +1,6 @@
 //! Reservations for whole gangs: a gang starts only where all of its tasks have capacity at once.
 
 use super::Scheduler;
-use super::ages::elapsed_s;
 use super::eviction::PlacementTarget;
 use super::preemption::PreemptionRequest;
 use super::preemption_index::{PreemptionSearch, Urgency};
@@ -101,7 +100,7 @@
             && job.pause_until <= now
             && !job.at_fault(now)
             && !self.held_back(job)
-            && elapsed_s(wall, job.startable_at) >= self.tuning.gang_reservation_wait_s
+            && wall.seconds_since(job.startable_at) >= self.tuning.gang_reservation_wait_s
     }
 
     /// Reserves capacity for a gang. False: there is nowhere enough, or its team has no quota left.
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -4,7 +4,6 @@
 //! It is a state machine without input or output of its own: the edges call its methods with what
 //! has arrived, and carry out the [`Effect`]s that [`Scheduler::take_effects`] hands out.
 
-mod ages;
 mod catalog;
 mod cloud_inventory;
 mod consolidation;
--- a/src/net/user_api/cancellation.rs
+++ b/src/net/user_api/cancellation.rs
@@ -1,10 +1,10 @@
 //! Cancellations: `POST /api/jobs/{id}/withdraw`, and jobs whose dependencies are cancelled.
 
 use super::commit::{CommitFailure, commit};
+use super::polls::admit_for_job;
 use super::reply::Reply;
 use crate::core::records::{LiveRecord, TerminalRecord, live_precondition, termination_mutations};
 use crate::ids::{JobId, Revision};
-use crate::net::admission::Admission;
 use crate::net::linearizable_reads::{Found, look_up, record_outcome};
 use crate::net::node::Node;
 use crate::net::peers;
@@ -16,14 +16,9 @@
 
 /// Cancels a job for its user. One that has ended stays as it is, and the answer says how it has ended.
 pub async fn withdraw(node: &Arc<Node>, id: &str) -> Reply {
-    let Some(id) = JobId::parse(id) else { return Reply::no_such_job() };
-    let outcome = node.lock().outcomes.get(&id);
-    if let Some(record) = outcome {
-        return Reply::terminal(&id, record);
-    }
-    let _admission = match Admission::request(node) {
-        Ok(admission) => admission,
-        Err(too_many) => return too_many.into(),
+    let (id, _admission) = match admit_for_job(node, id) {
+        Ok(admitted) => admitted,
+        Err(reply) => return reply,
     };
     match look_up(node, &id).await {
         Ok(Found::Live(row)) => cancel(node, &id, row).await,
--- a/src/net/user_api/polls.rs
+++ b/src/net/user_api/polls.rs
@@ -10,16 +10,22 @@
 use crate::wire::KeyValue;
 use std::sync::Arc;
 
-/// Answers a poll of a job.
-pub async fn poll(node: &Arc<Node>, id: &str) -> Reply {
-    let Some(id) = JobId::parse(id) else { return Reply::no_such_job() };
+/// Admits a request about one job. Error: the reply, where there is no such id, the job's outcome is
+/// cached here, or too many requests are under way.
+pub(super) fn admit_for_job<'a>(node: &'a Node, id: &str) -> Result<(JobId, Admission<'a>), Reply> {
+    let id = JobId::parse(id).ok_or_else(Reply::no_such_job)?;
     let outcome = node.lock().outcomes.get(&id);
     if let Some(record) = outcome {
-        return Reply::terminal(&id, record);
+        return Err(Reply::terminal(&id, record));
     }
-    let _admission = match Admission::request(node) {
-        Ok(admission) => admission,
-        Err(too_many) => return too_many.into(),
+    Ok((id, Admission::request(node)?))
+}
+
+/// Answers a poll of a job.
+pub async fn poll(node: &Arc<Node>, id: &str) -> Reply {
+    let (id, _admission) = match admit_for_job(node, id) {
+        Ok(admitted) => admitted,
+        Err(reply) => return reply,
     };
     describe(node, &id, Reply::no_such_job()).await
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -69,3 +69,10 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WallTime(pub u64);
+
+impl WallTime {
+    /// Seconds since `earlier`; 0 if that is later.
+    pub fn seconds_since(self, earlier: WallTime) -> f64 {
+        self.0.saturating_sub(earlier.0) as f64 / 1000.0
+    }
+}
