--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -1,5 +1,6 @@
 //! Provisioning machines: what the cloud has refused, and requests under way.
 
+use crate::ids::Term;
 use crate::time::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
@@ -15,16 +16,16 @@
 }
 
 /// A request for machines that the cloud hasn't answered for good.
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 pub struct PendingProvision {
     /// Where they are asked for.
     pub pool: InstancePool,
     /// How many.
     pub number: u32,
     /// Sent, without a result yet.
-    pub in_flight: bool,
+    in_flight: bool,
     /// Otherwise it is sent then.
-    pub again_at: MonotonicTime,
+    again_at: MonotonicTime,
 }
 
 /// A pool that the cloud has refused isn't tried before `until`.
@@ -45,7 +46,9 @@
 pub struct Provisioner {
     backoffs: BTreeMap<InstancePool, Backoff>,
     /// By request name. A name that may have been carried out is repeated until it is answered.
-    pub requests: BTreeMap<String, PendingProvision>,
+    requests: BTreeMap<String, PendingProvision>,
+    /// How many requests have been named.
+    named: u64,
 }
 
 impl Provisioner {
@@ -76,6 +79,47 @@
         }
     }
 
+    /// Adds a request for `number` machines, which is due at once. The term keeps its name apart from those of
+    /// other leaders.
+    pub fn request(&mut self, term: Term, pool: InstancePool, number: u32, now: MonotonicTime) {
+        self.named += 1;
+        let name = format!("w{term}-{}", self.named);
+        self.requests.insert(name, PendingProvision { pool, number, in_flight: false, again_at: now });
+    }
+
+    /// Marks the requests that are due as sent, and returns them by name.
+    pub fn start_due(&mut self, now: MonotonicTime) -> Vec<(String, PendingProvision)> {
+        let due = self.requests.iter_mut().filter(|(_, request)| !request.in_flight && request.again_at <= now);
+        let start = |(name, request): (&String, &mut PendingProvision)| {
+            request.in_flight = true;
+            (name.clone(), *request)
+        };
+        due.map(start).collect()
+    }
+
+    /// The request of this name; none: it has been answered for good, or there was none.
+    pub fn get(&self, name: &str) -> Option<PendingProvision> {
+        self.requests.get(name).copied()
+    }
+
+    /// The result of a request isn't known: it is due again at `again_at`, under the same name.
+    pub fn retry(&mut self, name: &str, again_at: MonotonicTime) {
+        if let Some(request) = self.requests.get_mut(name) {
+            request.in_flight = false;
+            request.again_at = again_at;
+        }
+    }
+
+    /// A request has been answered for good.
+    pub fn close(&mut self, name: &str) {
+        self.requests.remove(name);
+    }
+
+    /// The requests that aren't answered for good, in the order of their names.
+    pub fn requests(&self) -> impl Iterator<Item = &PendingProvision> {
+        self.requests.values()
+    }
+
     /// Whether one more request may be under way.
     pub fn has_capacity(&self) -> bool {
         self.requests.len() < MAX_REQUESTS
--- a/src/core/scheduler/catalog.rs
+++ b/src/core/scheduler/catalog.rs
@@ -11,7 +11,7 @@
     /// Names of zones, by number.
     pub(super) zones: Vec<String>,
     /// Numbers of images, given as they are first seen.
-    pub(super) images: HashMap<String, u32>,
+    images: HashMap<String, u32>,
 }
 
 impl Catalog {
@@ -40,6 +40,17 @@
         self.types.len() - before
     }
 
+    /// The number of an image; none: it hasn't been given one.
+    pub(super) fn image_number(&self, image: &str) -> Option<u32> {
+        self.images.get(image).copied()
+    }
+
+    /// The number of an image, which is given one if it has none.
+    pub(super) fn assign_image_number(&mut self, image: &str) -> u32 {
+        let next = self.images.len() as u32;
+        *self.images.entry(image.to_string()).or_insert(next)
+    }
+
     /// Whether both numbers of a pool are known.
     pub(super) fn has_pool(&self, pool: InstancePool) -> bool {
         pool.kind < self.types.len() && (pool.zone as usize) < self.zones.len()
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -34,9 +34,9 @@
         self.remove_all_lost_tasks(id, pool.spot);
         self.machines.remove_terminated(id);
         if registration != Registration::Unregistered {
-            self.writes.machines_to_delete.insert(id.clone());
+            self.writes.delete_machine(id.clone());
         }
-        self.rounds.needed = true;
+        self.rounds.request();
     }
 
     /// The cloud's list of machines.
@@ -85,6 +85,6 @@
         }
         info!("machine {id} is in the cloud's list: kind={} zone={}", listed.kind, listed.zone);
         self.machines.known.insert(id, machine);
-        self.rounds.needed = true;
+        self.rounds.request();
     }
 }
--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -145,7 +145,7 @@
             }
             if !machine.reconciled {
                 machine.reconciled = true;
-                self.rounds.needed = true;
+                self.rounds.request();
             }
             if !machine.lease_expired {
                 machine.lease_expired = true;
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -231,7 +231,7 @@
         self.remove_unlisted_tasks(id, heartbeat.token);
         let Some(machine) = self.machines.known.get(id) else { return false };
         if machine.registration == Registration::Unregistered && !machine.retiring {
-            self.rounds.needed = true;
+            self.rounds.request();
         }
         true
     }
@@ -246,7 +246,7 @@
         machine.sequence = heartbeat.sequence;
         if machine.fencing && heartbeat.token >= FencingToken::new(self.term, machine.fence) {
             machine.fencing = false;
-            self.rounds.needed = true;
+            self.rounds.request();
         }
     }
 
@@ -307,7 +307,7 @@
         if is_of_term && !(machine.reconciled && machine.token_acknowledged) {
             machine.reconciled = true;
             machine.token_acknowledged = true;
-            self.rounds.needed = true;
+            self.rounds.request();
         }
     }
 
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -30,7 +30,7 @@
         };
         self.note_gpu_need(&record.spec);
         self.jobs.insert(*id, Job::new(record, revision, team as u32));
-        self.rounds.needed = true;
+        self.rounds.request();
         Ok(())
     }
 
@@ -66,10 +66,10 @@
     pub fn on_job_terminated(&mut self, id: &JobId, outcome: JobOutcome) {
         let termination = self.jobs.terminate(id, outcome);
         if termination.released_dependents {
-            self.rounds.needed = true;
+            self.rounds.request();
         }
         let Some(job) = termination.job else { return };
-        self.rounds.needed = true;
+        self.rounds.request();
         let chunks = self.limits.layout.chunks(job.spec.tasks);
         let stored = chunks.iter().filter(|chunk| chunk.members(job.durably_done()).next().is_some());
         self.writes.delete_bitmaps(stored.map(|chunk| chunk.key(id)));
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -5,6 +5,7 @@
 use crate::core::records::JobOutcome;
 use crate::ids::JobId;
 use crate::time::{Millis, MonotonicTime};
+use crate::wire::JobSpec;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Most ended jobs that are remembered, so that late messages about them are ignored.
@@ -32,7 +33,7 @@
     /// The latest jobs that have ended, the oldest first.
     recently_terminated: VecDeque<JobId>,
     /// How long the tasks of each class of jobs really run.
-    pub(super) class_times: ClassTimes,
+    class_times: ClassTimes,
 }
 
 /// What the end of a job has changed.
@@ -56,6 +57,18 @@
         }
     }
 
+    /// The expected run time of a job's task in seconds.
+    pub(super) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
+        self.class_times.expect(&spec.class, spec.estimate_s)
+    }
+
+    /// A task of a live job has run for `ran_s` seconds.
+    pub(super) fn learn_run_time(&mut self, id: &JobId, ran_s: f64) {
+        if let Some(job) = self.live.get(id) {
+            self.class_times.learn(&job.spec.class, job.spec.estimate_s, ran_s);
+        }
+    }
+
     /// A live job.
     pub(super) fn get(&self, id: &JobId) -> Option<&Job> {
         self.live.get(id)
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -91,7 +91,7 @@
             log_ignored(self.load_machine(now, row));
         }
         if let Some(record) = stored.shards.and_then(|value| serde_json::from_value(value).ok()) {
-            self.shards.restore(&record, &self.quota.team_names);
+            self.shards.restore(&record, self.quota.team_names());
             self.writes.set_shards_saved();
         }
     }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -116,7 +116,6 @@
     reservations: Reservations,
     consolidation: Consolidation,
     provisioner: Provisioner,
-    provision_requests: u64,
     spot_lives: SpotLives,
     shards: ShardAssignment,
     load: LoadMeter,
@@ -178,7 +177,6 @@
             reservations: Reservations::default(),
             consolidation: Consolidation::new(now),
             provisioner: Provisioner::default(),
-            provision_requests: 0,
             shards,
             load: LoadMeter::new(now),
             attempts: 0,
@@ -225,7 +223,7 @@
         format!(
             "round={} jobs={jobs} ready={ready} machines={machines} unreconciled={unreconciled} \
              reservations={reservations} orders={orders} writes={writes} lag_ms={} in_doubt={}",
-            self.rounds.count,
+            self.rounds.count(),
             self.lag().0,
             self.in_doubt
         )
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -61,7 +61,7 @@
         let input = PlanInput {
             version: VERSION,
             term: self.term.0,
-            round: self.rounds.count,
+            round: self.rounds.count(),
             types: self.catalog.types.iter().map(type_view).collect(),
             machines: machines.views,
             jobs: job_views,
@@ -69,8 +69,8 @@
             offers,
             batch,
             budget_share: self.tuning.budget_share,
-            spot_mu: self.spot_lives.mu,
-            spot_sigma: self.spot_lives.sigma,
+            spot_mu: self.spot_lives.mu(),
+            spot_sigma: self.spot_lives.sigma(),
         };
         PlannerView { input, jobs, machines: machines.ids }
     }
@@ -102,11 +102,7 @@
 
     /// Seconds that so many processors need for all that waits.
     fn drain_s(&self, cpus_up: f64) -> f64 {
-        let work = |job: &Job| {
-            job.startable_tasks() as f64
-                * job.spec.cpus
-                * self.jobs.class_times.expect(&job.spec.class, job.spec.estimate_s)
-        };
+        let work = |job: &Job| job.startable_tasks() as f64 * job.spec.cpus * self.jobs.expected_run_s(&job.spec);
         let backlog: f64 = self.jobs.live.values().map(work).sum();
         if cpus_up > 0.0 { backlog / cpus_up } else { f64::INFINITY }
     }
@@ -119,7 +115,7 @@
             for zone in machine_type.zones.iter().filter_map(zone_number) {
                 for spot in [false, true] {
                     let pool = InstancePool { kind, zone: zone as u32, spot };
-                    let requested = self.provisioner.requests.values().any(|request| request.pool == pool);
+                    let requested = self.provisioner.requests().any(|request| request.pool == pool);
                     if self.provisioner.open(pool, now) && !requested && self.provisioner.has_capacity() {
                         offers.push(ProvisionOffer {
                             kind: kind as u32,
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -56,8 +56,7 @@
         for id in context.waiting {
             let Some(job) = self.jobs.live.get(id) else { continue };
             let Some(ready) = self.ready_tasks(id, job) else { continue };
-            let next = self.catalog.images.len() as u32;
-            let image = *self.catalog.images.entry(job.spec.image.clone()).or_insert(next);
+            let image = self.catalog.assign_image_number(&job.spec.image);
             let base = JobView { image, ..self.job_view(context, id, job) };
             if base.gang || ready.reclaimed == 0 || ready.reclaimed == ready.all {
                 let new_spot = base.new_spot && ready.reclaimed == 0;
@@ -92,7 +91,7 @@
         let ages = job.ages(context.wall);
         let run_s = match service {
             true => self.tuning.service_horizon_s,
-            false => self.jobs.class_times.expect(&spec.class, spec.estimate_s).max(MIN_RUN_S),
+            false => self.jobs.expected_run_s(spec).max(MIN_RUN_S),
         };
         let JobDeadlines { due_s, slo_deadline_s, missed } = self.job_deadlines(job, ages, run_s, guaranteed);
         let at_fault = job.at_fault(context.now);
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -124,7 +124,7 @@
 
     /// Adds the machines that the cloud has been asked for.
     pub(super) fn add_requested(&self, all: &mut MachineViews) {
-        for request in self.provisioner.requests.values() {
+        for request in self.provisioner.requests() {
             let machine_type = &self.catalog.types[request.pool.kind];
             let view = MachineView {
                 kind: request.pool.kind as u32,
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -129,7 +129,7 @@
 
     fn preempt_for(&mut self, now: MonotonicTime, preemptor: &QueuedPreemptor, search: &mut PreemptionSearch) {
         let Some(job) = self.jobs.live.get_mut(&preemptor.id) else { return };
-        job.last_preemption_round = self.rounds.count;
+        job.last_preemption_round = self.rounds.count();
         if job.spec.kind == Kind::Gang {
             // All of it or nothing: work is stopped only where that is enough.
             self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
@@ -221,7 +221,7 @@
             machine.reclaimable_by(urgency).covers(&need) && promising.contains(&machine.pool)
         };
         let count = index.machines.len();
-        let first = (self.rounds.count as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
+        let first = (self.rounds.count() as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
         // A gang was found to have capacity on all of them together.
         let most = if job.spec.kind == Kind::Gang { count } else { MAX_CANDIDATES };
         for position in (first..count).chain(0..first).filter(suited).take(most) {
--- a/src/core/scheduler/quota.rs
+++ b/src/core/scheduler/quota.rs
@@ -45,10 +45,10 @@
 pub(super) struct QuotaTracker {
     /// The teams in the order of the settings, which is also that of their numbers.
     teams: Vec<Team>,
-    pub(super) team_names: Vec<String>,
+    team_names: Vec<String>,
     /// What each team possibly uses: counted when it is needed, kept up by starts, and dropped
     /// whenever a heartbeat may have added to it.
-    pub(super) usage: Option<QuotaUsage>,
+    usage: Option<QuotaUsage>,
     /// The jobs within their team's guarantee, as of the last round.
     pub(super) within_guarantee: BTreeSet<JobId>,
 }
@@ -60,6 +60,11 @@
         QuotaTracker { teams: teams.to_vec(), team_names, usage: None, within_guarantee: BTreeSet::new() }
     }
 
+    /// The teams' names, by team number.
+    pub(super) fn team_names(&self) -> &[String] {
+        &self.team_names
+    }
+
     /// What is on machines may have changed otherwise than by [`QuotaTracker::record_start`].
     pub(super) fn invalidate_usage(&mut self) {
         self.usage = None;
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -5,10 +5,9 @@
 use super::{PLAN_TIMEOUT, Scheduler};
 use crate::core::placement;
 use crate::core::shards::ShardMove;
-
 use crate::ids::Term;
 use crate::peer::{PlanInput, PlanOutput, VERSION};
-use crate::time::{MonotonicTime, WallTime};
+use crate::time::{Millis, MonotonicTime, WallTime};
 use log::{debug, info};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -53,14 +52,19 @@
     }
 }
 
+/// A round is planned after this time even if nothing has changed.
+const IDLE_ROUND_INTERVAL: Millis = Millis(1_000);
+
 /// The rounds of this leader.
 pub(super) struct Rounds {
     /// Something has changed since the last round.
-    pub(super) needed: bool,
-    pub(super) last_at: MonotonicTime,
-    pub(super) count: u64,
+    needed: bool,
+    /// When the last round began.
+    last_at: MonotonicTime,
+    /// How many rounds have begun.
+    count: u64,
     /// The round whose parts are being planned.
-    pub(super) open: Option<OpenRound>,
+    open: Option<OpenRound>,
 }
 
 impl Rounds {
@@ -69,6 +73,24 @@
         Rounds { needed: true, last_at: now, count: 0, open: None }
     }
 
+    /// Something has changed that a round is needed for.
+    pub(super) fn request(&mut self) {
+        self.needed = true;
+    }
+
+    /// Number of the last round, which is how many have begun.
+    pub(super) fn count(&self) -> u64 {
+        self.count
+    }
+
+    /// Whether a round is to begin: none is open, the last one began at least `interval` ago, and something has
+    /// changed since, or nothing for long.
+    pub(super) fn is_due(&self, now: MonotonicTime, interval: Millis) -> bool {
+        let since_last = now - self.last_at;
+        let is_needed = self.needed || since_last >= IDLE_ROUND_INTERVAL;
+        self.open.is_none() && since_last >= interval && is_needed
+    }
+
     /// Counts a round that begins.
     fn begin(&mut self, now: MonotonicTime) {
         self.last_at = now;
@@ -161,7 +183,7 @@
     pub fn abandon_round(&mut self) {
         if let Some(round) = self.rounds.open.take() {
             info!("round abandoned: round={} term={}", round.view.input.round, self.term);
-            self.rounds.needed = true;
+            self.rounds.request();
         }
     }
 
@@ -173,8 +195,8 @@
     /// Moves teams among the controllers by their measured load, and has the assignment stored.
     pub(super) fn rebalance_shards(&mut self, now: MonotonicTime) {
         for ShardMove { team, from, to } in self.shards.rebalance(now) {
-            info!("shard moved: team={} from={from} to={to}", self.quota.team_names[team as usize]);
-            self.writes.shards_unsaved = true;
+            info!("shard moved: team={} from={from} to={to}", self.quota.team_names()[team as usize]);
+            self.writes.set_shards_unsaved();
         }
     }
 }
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::effects::{Effect, ProvisionOutcome};
 use crate::core::machine::Machine;
-use crate::core::provisioning::{InstancePool, PendingProvision};
+use crate::core::provisioning::InstancePool;
 use crate::ids::MachineId;
 use crate::peer::ScaleOutRequest;
 use crate::time::{Millis, MonotonicTime};
@@ -23,12 +23,12 @@
 impl Scheduler {
     /// What came of the request for machines of this name.
     pub fn on_provisioned(&mut self, now: MonotonicTime, name: &str, result: ProvisionOutcome) {
-        let Some(request) = self.provisioner.requests.get_mut(name) else { return };
+        let Some(request) = self.provisioner.get(name) else { return };
         let pool = request.pool;
         match result {
             ProvisionOutcome::Provisioned(names) => {
                 let requested = request.number as usize;
-                self.provisioner.requests.remove(name);
+                self.provisioner.close(name);
                 info!("provisioned={} requested={requested} {}", names.len(), self.catalog.describe(pool));
                 if names.len() < requested {
                     self.provisioner.on_refused(pool, now);
@@ -39,21 +39,20 @@
             }
             ProvisionOutcome::NoCapacity => {
                 info!("no capacity: {}", self.catalog.describe(pool));
-                self.provisioner.requests.remove(name);
+                self.provisioner.close(name);
                 self.provisioner.on_refused(pool, now);
             }
             ProvisionOutcome::Malformed => {
                 warn!("the cloud finds a request malformed: {}", self.catalog.describe(pool));
-                self.provisioner.requests.remove(name);
+                self.provisioner.close(name);
                 self.provisioner.on_refused(pool, now);
             }
             ProvisionOutcome::Unknown => {
                 // The same name again provisions nothing twice.
-                request.in_flight = false;
-                request.again_at = now + PROVISION_RETRY_INTERVAL;
+                self.provisioner.retry(name, now + PROVISION_RETRY_INTERVAL);
             }
         }
-        self.rounds.needed = true;
+        self.rounds.request();
     }
 
     fn enter_provisioned_machines(&mut self, now: MonotonicTime, pool: InstancePool, names: &[String]) {
@@ -79,22 +78,15 @@
             if !self.provisioner.has_capacity() || !self.provisioner.open(pool, now) {
                 continue;
             }
-            self.provision_requests += 1;
-            let name = format!("w{}-{}", self.term, self.provision_requests);
-            let request = PendingProvision { pool, number, in_flight: false, again_at: now };
-            self.provisioner.requests.insert(name, request);
+            self.provisioner.request(self.term, pool, number, now);
         }
         self.send_provision_requests(now);
     }
 
     fn send_provision_requests(&mut self, now: MonotonicTime) {
-        for (name, request) in &mut self.provisioner.requests {
-            if request.in_flight || request.again_at > now {
-                continue;
-            }
-            request.in_flight = true;
+        for (name, request) in self.provisioner.start_due(now) {
             self.effects.push(Effect::Provision(ProvisionRequest {
-                name: name.clone(),
+                name,
                 kind: self.catalog.types[request.pool.kind].name.clone(),
                 zone: self.catalog.zones[request.pool.zone as usize].clone(),
                 spot: request.pool.spot,
--- a/src/core/scheduler/spot_lives.rs
+++ b/src/core/scheduler/spot_lives.rs
@@ -10,9 +10,9 @@
 /// seen (ours: the paper leaves the fit to "historical data").
 pub(super) struct SpotLives {
     /// Mean of the logarithm of the life in seconds.
-    pub(super) mu: f64,
+    mu: f64,
     /// Standard deviation of the logarithm of the life in seconds.
-    pub(super) sigma: f64,
+    sigma: f64,
     observations: f64,
 }
 
@@ -22,6 +22,16 @@
         SpotLives { mu: median_s.ln(), sigma, observations: 0.0 }
     }
 
+    /// Mean of the logarithm of the life in seconds.
+    pub(super) fn mu(&self) -> f64 {
+        self.mu
+    }
+
+    /// Standard deviation of the logarithm of the life in seconds.
+    pub(super) fn sigma(&self) -> f64 {
+        self.sigma
+    }
+
     /// A spot machine of this age in seconds was reclaimed.
     pub(super) fn ended(&mut self, age_s: f64) {
         self.observations += 1.0;
--- a/src/core/scheduler/starts.rs
+++ b/src/core/scheduler/starts.rs
@@ -25,7 +25,7 @@
 
     /// The number of a job's image.
     pub(super) fn image_number(&self, spec: &JobSpec) -> u32 {
-        self.catalog.images.get(&spec.image).copied().unwrap_or(UNKNOWN_IMAGE)
+        self.catalog.image_number(&spec.image).unwrap_or(UNKNOWN_IMAGE)
     }
 
     /// The rate at which a machine fetches images, in GB per second.
@@ -86,6 +86,7 @@
             return;
         };
         let (image, fetch_s) = (self.image_number(&job.spec), self.image_fetch_s(now, &job.spec, machine));
+        let run_s = self.jobs.expected_run_s(&job.spec);
         let (Some(job), Some(machine)) = (self.jobs.live.get_mut(job_id), self.machines.known.get_mut(machine_id))
         else {
             return;
@@ -104,7 +105,7 @@
             stop: None,
             image,
             fetch_s,
-            run_s: self.jobs.class_times.expect(&job.spec.class, job.spec.estimate_s),
+            run_s,
         };
         job.place(index, machine_id, attempt);
         self.quota.record_start(job.team, &allocation.need);
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -78,8 +78,9 @@
             return;
         }
         if let Some(ran_s) = ran_s {
-            self.jobs.class_times.learn(&job.spec.class, job.spec.estimate_s, ran_s);
+            self.jobs.learn_run_time(&task.job, ran_s);
         }
+        let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.set_done(task.index);
         let ratio = ran_s.and_then(|ran_s| {
             job.ran = (job.ran.0 + 1, job.ran.1 + ran_s);
@@ -152,7 +153,7 @@
         let (task, attempt) = key;
         let run = Order::Run { task: *task, attempt: *attempt };
         machine.outbox.retain(|order| *order != run);
-        self.rounds.needed = true;
+        self.rounds.request();
         if allocation.has_exited() {
             return;
         }
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -32,14 +32,16 @@
         allocation.pending_run = None;
         if listed.phase == TaskPhase::Running && before != Some(TaskPhase::Running) {
             allocation.running_since.get_or_insert(now);
-            self.rounds.needed |= before == Some(TaskPhase::Pulling);
+            if before == Some(TaskPhase::Pulling) {
+                self.rounds.request();
+            }
         }
         if listed.phase != TaskPhase::Exited {
             self.stop_if_due(id, key, listed.phase);
             return;
         }
         if before != Some(TaskPhase::Exited) {
-            self.rounds.needed = true;
+            self.rounds.request();
             let observed_since = allocation.running_since.filter(|_| allocation.fully_observed);
             let exit = TaskExit {
                 cause: listed.cause,
@@ -79,10 +81,10 @@
     /// Enters a listed task that the cluster state doesn't have.
     fn adopt_task(&mut self, now: MonotonicTime, id: &MachineId, key: &TaskAttempt, listed: &TaskStatus) {
         let (task, attempt) = key;
-        self.quota.usage = None;
+        self.quota.invalidate_usage();
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let mut allocation = unknown_allocation(now);
-        if let Some(job) = self.jobs.live.get_mut(&task.job).filter(|job| task.index < job.spec.tasks) {
+        if let Some(job) = self.jobs.live.get(&task.job).filter(|job| task.index < job.spec.tasks) {
             if let Some(places) = job.placed.get(&task.index)
                 && listed.phase != TaskPhase::Exited
             {
@@ -94,14 +96,14 @@
             allocation.need = Resources::of_task(spec);
             allocation.team = Some(job.team);
             allocation.priority = job.priority();
-            allocation.run_s = self.jobs.class_times.expect(&spec.class, spec.estimate_s);
-            let next = self.catalog.images.len() as u32;
-            allocation.image = *self.catalog.images.entry(spec.image.clone()).or_insert(next);
+            allocation.run_s = self.jobs.expected_run_s(spec);
+            allocation.image = self.catalog.assign_image_number(&spec.image);
             machine.cache_image(allocation.image, spec.image_gb, self.catalog.types[machine.kind].cache_gb);
-            if listed.phase != TaskPhase::Exited {
-                let is_gang = spec.kind == Kind::Gang;
+            if listed.phase != TaskPhase::Exited
+                && let Some(job) = self.jobs.live.get_mut(&task.job)
+            {
                 job.place(task.index, id, *attempt);
-                if is_gang {
+                if job.spec.kind == Kind::Gang {
                     match &mut job.gang {
                         None => job.gang = Some(GangRun { attempt: *attempt, broken: false }),
                         Some(run) if run.attempt != *attempt => run.broken = true,
--- a/src/core/scheduler/ticks.rs
+++ b/src/core/scheduler/ticks.rs
@@ -9,9 +9,6 @@
 /// By how much each millisecond of lag lengthens the time between two rounds.
 const ROUND_INTERVAL_PER_LAG: f64 = 6.0;
 
-/// A round is planned after this time even if nothing has changed.
-const IDLE_ROUND_INTERVAL: Millis = Millis(1_000);
-
 impl Scheduler {
     /// Does what is due; the edges call it each [`super::TICK_INTERVAL`].
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
@@ -30,9 +27,7 @@
         self.use_reservations(now);
         self.consolidate_replicas(now);
         self.close_round(now);
-        let since_last = now - self.rounds.last_at;
-        let is_needed = self.rounds.needed || since_last >= IDLE_ROUND_INTERVAL;
-        if self.rounds.open.is_none() && since_last >= interval && is_needed && !self.in_doubt {
+        if self.rounds.is_due(now, interval) && !self.in_doubt {
             self.round(now, wall);
         }
         self.flush_orders();
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -197,7 +197,7 @@
             return false;
         }
         self.writes.set_shards_saved();
-        let value = serde_json::json!(self.shards.to_record(&self.quota.team_names));
+        let value = serde_json::json!(self.shards.to_record(self.quota.team_names()));
         if value.to_string().len() > self.limits.value_bytes {
             // The record only saves moves of teams after a change of leader; nothing depends on it.
             warn!("shard assignment not stored, too many teams for one value: key={SHARDS_KEY}");
--- a/src/core/scheduler/writes/queue.rs
+++ b/src/core/scheduler/writes/queue.rs
@@ -67,11 +67,11 @@
     fence_refresh: FenceRefresh,
     in_flight: HashMap<u64, PendingWrite>,
     /// Machines whose record is to be deleted.
-    pub(in crate::core::scheduler) machines_to_delete: BTreeSet<MachineId>,
+    machines_to_delete: BTreeSet<MachineId>,
     /// Keys of bitmap chunks whose job is over.
     orphaned_bitmaps: Vec<String>,
     /// Whether the shard assignment differs from the stored one.
-    pub(in crate::core::scheduler) shards_unsaved: bool,
+    shards_unsaved: bool,
     /// Mutations per second that the leader may send.
     rate: f64,
     /// Mutations that may be sent now: at most those of one second.
--- a/src/core/scheduler/writes/results.rs
+++ b/src/core/scheduler/writes/results.rs
@@ -23,7 +23,7 @@
     /// ignored.
     pub fn on_committed(&mut self, now: MonotonicTime, request: u64, result: CommitOutcome) {
         let Some(purpose) = self.writes.finish(now, request, &result) else { return };
-        self.rounds.needed = true;
+        self.rounds.request();
         let committed = result == CommitOutcome::Committed;
         match purpose {
             WritePurpose::Machines { register, delete } => self.on_machines_written(register, &delete, &result),
