--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -6,7 +6,7 @@
 pub use crate::core::allocation::{Allocation, PendingRun, TaskAttempt};
 use crate::core::provisioning::InstancePool;
 pub use crate::core::resources::Resources;
-use crate::ids::{AgentEpoch, MachineId, SequenceNumber};
+use crate::ids::{AgentEpoch, MachineId, RequestId, SequenceNumber};
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{MachineType, Order, TaskPhase};
 use serde::{Deserialize, Serialize};
@@ -121,7 +121,7 @@
     /// Orders went unanswered: no more are sent until the worker states the raised fence.
     pub fencing: bool,
     /// The request that its unanswered orders were sent as.
-    pub in_flight: Option<u64>,
+    pub in_flight: Option<RequestId>,
     /// Orders that are to be sent.
     pub outbox: Vec<Order>,
     /// The tasks that are possibly on it.
--- a/src/core/scheduler/effects.rs
+++ b/src/core/scheduler/effects.rs
@@ -1,6 +1,6 @@
 //! What the scheduler has its edges carry out, and what they say came of it.
 
-use crate::ids::{JobId, MachineId};
+use crate::ids::{JobId, MachineId, RequestId};
 use crate::peer::PlanInput;
 use crate::wire::{DirectOrders, Heartbeat, ProvisionRequest, Transaction};
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 pub enum Effect {
     /// Sends orders to a worker; the result goes to `Scheduler::on_orders_result`.
     Orders {
-        /// Number of this request, unique in a leader's term.
-        request: u64,
+        /// Number that the result comes back under.
+        request: RequestId,
         /// Where the worker takes orders.
         endpoint: String,
         /// The message.
@@ -20,8 +20,8 @@
     },
     /// Sends a transaction to the key-value store; the result goes to `Scheduler::on_committed`.
     Commit {
-        /// Number of this request, unique in a leader's term.
-        request: u64,
+        /// Number that the result comes back under.
+        request: RequestId,
         /// What is written, and on which preconditions.
         transaction: Transaction,
     },
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -65,7 +65,7 @@
 use crate::core::machine::Resources;
 use crate::core::provisioning::Provisioner;
 use crate::core::shards::ShardAssignment;
-use crate::ids::{JobId, MachineId, Revision, Term};
+use crate::ids::{JobId, MachineId, RequestId, Revision, Term};
 use crate::peer::JobCount;
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{MachineType, TaskPhase};
@@ -120,7 +120,7 @@
     shards: ShardAssignment,
     load: LoadMeter,
     attempts: u64,
-    last_request: u64,
+    last_request: RequestId,
     orders: OutstandingOrders,
     effects: Vec<Effect>,
     /// Operations since this scheduler began.
@@ -180,7 +180,7 @@
             shards,
             load: LoadMeter::new(now),
             attempts: 0,
-            last_request: 0,
+            last_request: RequestId(0),
             orders: OutstandingOrders::default(),
             effects: Vec::new(),
             cost: CostMeter::default(),
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -2,9 +2,9 @@
 
 use super::Scheduler;
 use super::effects::{Effect, OrdersResult};
-use super::outstanding_orders::{RequestId, SentOrders};
+use super::outstanding_orders::SentOrders;
 use crate::core::machine::{Machine, PendingRun, TaskAttempt};
-use crate::ids::{FencingToken, MAX_FENCE, MachineId, TaskId};
+use crate::ids::{FencingToken, MAX_FENCE, MachineId, RequestId, TaskId};
 use crate::time::MonotonicTime;
 use crate::wire::{DirectOrders, Kind, Order};
 use log::debug;
@@ -20,8 +20,8 @@
 
 impl Scheduler {
     /// The result of the orders that were sent as `request`.
-    pub fn on_orders_result(&mut self, now: MonotonicTime, request: u64, result: OrdersResult) {
-        let Some(SentOrders { machine: id, runs }) = self.orders.take(RequestId(request)) else { return };
+    pub fn on_orders_result(&mut self, now: MonotonicTime, request: RequestId, result: OrdersResult) {
+        let Some(SentOrders { machine: id, runs }) = self.orders.take(request) else { return };
         let Some(machine) = self.machines.known.get_mut(&id) else { return };
         if machine.in_flight == Some(request) {
             machine.in_flight = None;
@@ -130,10 +130,10 @@
                 allocation.pending_run = Some(PendingRun { token, answered: false });
             }
         }
-        self.last_request += 1;
+        self.last_request.0 += 1;
         let request = self.last_request;
         machine.in_flight = Some(request);
-        self.orders.sent(RequestId(request), SentOrders { machine: id.clone(), runs });
+        self.orders.sent(request, SentOrders { machine: id.clone(), runs });
         let body = DirectOrders { token, agent_epoch: machine.agent_epoch, orders };
         self.effects.push(Effect::Orders { request, endpoint: machine.endpoint.clone(), body });
     }
--- a/src/core/scheduler/outstanding_orders.rs
+++ b/src/core/scheduler/outstanding_orders.rs
@@ -1,13 +1,9 @@
 //! The messages with orders that workers haven't answered yet.
 
 use crate::core::machine::TaskAttempt;
-use crate::ids::MachineId;
+use crate::ids::{MachineId, RequestId};
 use std::collections::HashMap;
 
-/// Number of a request that the edges carry out; the result comes back under the same number.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub(super) struct RequestId(pub(super) u64);
-
 /// What was sent to one worker in one message.
 pub(super) struct SentOrders {
     /// The machine that it was sent to.
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -50,11 +50,12 @@
 
     /// Sends mutations guarded by the fence revision and by further preconditions.
     fn commit(&mut self, purpose: WritePurpose, preconditions: Vec<Precondition>, mutations: Vec<Mutation>) {
-        self.last_request += 1;
-        self.writes.start(self.last_request, purpose, mutations.len());
+        self.last_request.0 += 1;
+        let request = self.last_request;
+        self.writes.start(request, purpose, mutations.len());
         let transaction =
             Transaction { preconditions: [vec![self.writes.fence_precondition()], preconditions].concat(), mutations };
-        self.effects.push(Effect::Commit { request: self.last_request, transaction });
+        self.effects.push(Effect::Commit { request, transaction });
     }
 
     /// Writes the leader's key again under the same lease: its new revision guards all that follows.
--- a/src/core/scheduler/writes/queue.rs
+++ b/src/core/scheduler/writes/queue.rs
@@ -3,7 +3,7 @@
 
 use crate::core::election::LEADER_KEY;
 use crate::core::scheduler::CommitOutcome;
-use crate::ids::{JobId, MachineId, Revision, Term};
+use crate::ids::{JobId, MachineId, RequestId, Revision, Term};
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::Precondition;
 use fixedbitset::FixedBitSet;
@@ -65,7 +65,7 @@
     /// again, and what is guarded by its older revision never takes effect.
     fence_revision: Revision,
     fence_refresh: FenceRefresh,
-    in_flight: HashMap<u64, PendingWrite>,
+    in_flight: HashMap<RequestId, PendingWrite>,
     /// Machines whose record is to be deleted.
     machines_to_delete: BTreeSet<MachineId>,
     /// Keys of bitmap chunks whose job is over.
@@ -153,7 +153,7 @@
     }
 
     /// A transaction with this many mutations is sent.
-    pub(super) fn start(&mut self, request: u64, purpose: WritePurpose, mutations: usize) {
+    pub(super) fn start(&mut self, request: RequestId, purpose: WritePurpose, mutations: usize) {
         self.tokens -= mutations as f64;
         self.in_flight.insert(request, PendingWrite { purpose, fence_revision: self.fence_revision });
     }
@@ -162,7 +162,12 @@
     ///
     /// A write that the store refused or left unanswered starts a backoff. One that was left unanswered, or
     /// that failed on the fence revision still in use, makes a refresh of that revision due.
-    pub(super) fn finish(&mut self, now: MonotonicTime, request: u64, result: &CommitOutcome) -> Option<WritePurpose> {
+    pub(super) fn finish(
+        &mut self,
+        now: MonotonicTime,
+        request: RequestId,
+        result: &CommitOutcome,
+    ) -> Option<WritePurpose> {
         let write = self.in_flight.remove(&request)?;
         if matches!(result, CommitOutcome::Rejected | CommitOutcome::Unknown) {
             self.paused_until = now + FAILED_WRITE_BACKOFF;
--- a/src/core/scheduler/writes/results.rs
+++ b/src/core/scheduler/writes/results.rs
@@ -5,7 +5,7 @@
 use crate::core::machine::Registration;
 use crate::core::records::{JobOutcome, live_key};
 use crate::core::scheduler::{CommitOutcome, Scheduler};
-use crate::ids::{JobId, MachineId, Revision};
+use crate::ids::{JobId, MachineId, RequestId, Revision};
 use crate::time::{MonotonicTime, WallTime};
 use fixedbitset::FixedBitSet;
 use log::{debug, info};
@@ -21,7 +21,7 @@
 
     /// The result of an [`Effect::Commit`](crate::core::scheduler::Effect::Commit). An unknown request is
     /// ignored.
-    pub fn on_committed(&mut self, now: MonotonicTime, request: u64, result: CommitOutcome) {
+    pub fn on_committed(&mut self, now: MonotonicTime, request: RequestId, result: CommitOutcome) {
         let Some(purpose) = self.writes.finish(now, request, &result) else { return };
         self.rounds.request();
         let committed = result == CommitOutcome::Committed;
--- a/src/core/scheduler/writes/tests.rs
+++ b/src/core/scheduler/writes/tests.rs
@@ -4,7 +4,7 @@
 use super::queue::WritePurpose;
 use crate::core::election::LEADER_KEY;
 use crate::core::scheduler::CommitOutcome;
-use crate::ids::{MachineId, Revision, Term};
+use crate::ids::{MachineId, RequestId, Revision, Term};
 use crate::time::{Millis, MonotonicTime};
 
 const START: MonotonicTime = MonotonicTime(1_000);
@@ -23,13 +23,13 @@
 }
 
 fn start(queue: &mut WriteQueue, request: u64) {
-    queue.start(request, WritePurpose::ShardAssignment, 1);
+    queue.start(RequestId(request), WritePurpose::ShardAssignment, 1);
 }
 
 #[test]
 fn rate_refills_up_to_one_second_of_mutations() {
     let mut queue = queue();
-    queue.start(1, WritePurpose::ShardAssignment, 25);
+    queue.start(RequestId(1), WritePurpose::ShardAssignment, 25);
     assert!(!queue.has_tokens(-14.0), "10 - 25 tokens are left");
     queue.refill(after(1_500));
     assert!(queue.has_tokens(0.0) && !queue.has_tokens(0.5));
@@ -45,10 +45,10 @@
     assert!(queue.has_spare_rate());
     start(&mut queue, 1);
     assert!(!queue.has_spare_rate(), "a write is in flight");
-    queue.finish(START, 1, &CommitOutcome::Committed);
+    queue.finish(START, RequestId(1), &CommitOutcome::Committed);
     assert!(queue.has_spare_rate(), "9 of 10 tokens are left");
-    queue.start(2, WritePurpose::ShardAssignment, 3);
-    queue.finish(START, 2, &CommitOutcome::Committed);
+    queue.start(RequestId(2), WritePurpose::ShardAssignment, 3);
+    queue.finish(START, RequestId(2), &CommitOutcome::Committed);
     assert!(!queue.has_spare_rate(), "6 of 10 tokens are left");
 }
 
@@ -61,20 +61,23 @@
     }
     assert!(!queue.may_send(START) && !queue.has_free_place());
     assert_eq!(queue.in_flight(), 6);
-    assert!(queue.finish(START, 3, &CommitOutcome::Committed).is_some());
+    assert!(queue.finish(START, RequestId(3), &CommitOutcome::Committed).is_some());
     assert!(queue.may_send(START));
 }
 
 #[test]
 fn a_result_counts_once_and_only_for_a_known_request() {
     let mut queue = queue();
-    queue.start(4, WritePurpose::DeleteBitmaps(vec!["bits/req-000001/0".into()]), 1);
+    queue.start(RequestId(4), WritePurpose::DeleteBitmaps(vec!["bits/req-000001/0".into()]), 1);
     assert!(queue.is_in_flight(|purpose| matches!(purpose, WritePurpose::DeleteBitmaps(_))));
     assert!(!queue.is_in_flight(|purpose| matches!(purpose, WritePurpose::Machines { .. })));
-    assert!(queue.finish(START, 5, &CommitOutcome::Unknown).is_none());
+    assert!(queue.finish(START, RequestId(5), &CommitOutcome::Unknown).is_none());
     assert!(queue.may_send(START) && !queue.needs_fence_refresh(), "an unknown request changes nothing");
-    assert!(matches!(queue.finish(START, 4, &CommitOutcome::Committed), Some(WritePurpose::DeleteBitmaps(_))));
-    assert!(queue.finish(START, 4, &CommitOutcome::Committed).is_none());
+    assert!(matches!(
+        queue.finish(START, RequestId(4), &CommitOutcome::Committed),
+        Some(WritePurpose::DeleteBitmaps(_))
+    ));
+    assert!(queue.finish(START, RequestId(4), &CommitOutcome::Committed).is_none());
 }
 
 #[test]
@@ -90,7 +93,7 @@
     for (result, backoff, refresh) in cases {
         let mut queue = queue();
         start(&mut queue, 1);
-        queue.finish(START, 1, &result);
+        queue.finish(START, RequestId(1), &result);
         assert_eq!(!queue.may_send(after(299)), backoff, "{result:?}");
         assert!(queue.may_send(after(300)), "{result:?}");
         assert_eq!(queue.needs_fence_refresh(), refresh, "{result:?}");
@@ -101,8 +104,8 @@
 fn a_fence_refresh_starts_once_and_takes_a_token() {
     let mut queue = queue();
     assert!(!queue.start_fence_refresh(), "none is due");
-    queue.start(1, WritePurpose::ShardAssignment, 9);
-    queue.finish(START, 1, &CommitOutcome::Unknown);
+    queue.start(RequestId(1), WritePurpose::ShardAssignment, 9);
+    queue.finish(START, RequestId(1), &CommitOutcome::Unknown);
     assert!(queue.start_fence_refresh());
     assert!(!queue.has_tokens(0.5), "the last token is taken");
     assert!(!queue.start_fence_refresh(), "it is in flight");
@@ -112,8 +115,8 @@
 #[test]
 fn a_fence_refresh_waits_for_the_rate() {
     let mut queue = queue();
-    queue.start(1, WritePurpose::ShardAssignment, 10);
-    queue.finish(START, 1, &CommitOutcome::Unknown);
+    queue.start(RequestId(1), WritePurpose::ShardAssignment, 10);
+    queue.finish(START, RequestId(1), &CommitOutcome::Unknown);
     assert!(!queue.start_fence_refresh());
     queue.refill(after(100));
     assert!(queue.start_fence_refresh());
@@ -124,7 +127,7 @@
     for stale in [None, Some(Revision(6)), Some(Revision(7))] {
         let mut queue = queue();
         start(&mut queue, 1);
-        queue.finish(START, 1, &CommitOutcome::Unknown);
+        queue.finish(START, RequestId(1), &CommitOutcome::Unknown);
         assert!(queue.start_fence_refresh());
         assert!(!queue.on_fence_refreshed(after(1_000), stale), "{stale:?}");
         assert_eq!(queue.fence_revision(), Revision(7));
@@ -143,12 +146,12 @@
     start(&mut queue, 1);
     start(&mut queue, 2);
     start(&mut queue, 3);
-    queue.finish(START, 1, &CommitOutcome::Unknown);
+    queue.finish(START, RequestId(1), &CommitOutcome::Unknown);
     assert!(queue.start_fence_refresh());
-    queue.finish(START, 2, &CommitOutcome::Unknown);
+    queue.finish(START, RequestId(2), &CommitOutcome::Unknown);
     assert!(!queue.start_fence_refresh(), "the one in flight covers it");
     assert!(queue.on_fence_refreshed(START, Some(Revision(9))));
-    queue.finish(START, 3, &CommitOutcome::Conflict(vec![LEADER_KEY.into()]));
+    queue.finish(START, RequestId(3), &CommitOutcome::Conflict(vec![LEADER_KEY.into()]));
     assert!(!queue.needs_fence_refresh());
 }
 
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -50,13 +50,13 @@
         match effect {
             Effect::Orders { request, endpoint, body } => {
                 self.tag(Tag::Orders);
-                self.number(*request);
+                self.number(request.0);
                 self.part(endpoint.as_bytes());
                 self.json(body);
             }
             Effect::Commit { request, transaction } => {
                 self.tag(Tag::Commit);
-                self.number(*request);
+                self.number(request.0);
                 self.json(transaction);
             }
             Effect::RefreshFence(transaction) => {
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -86,7 +86,7 @@
     },
     Orders {
         leader: u64,
-        request: u64,
+        request: crate::ids::RequestId,
         worker: usize,
         token: FencingToken,
         agent_epoch: AgentEpoch,
@@ -94,17 +94,17 @@
     },
     OrdersResult {
         leader: u64,
-        request: u64,
+        request: crate::ids::RequestId,
         result: OrdersResult,
     },
     Commit {
         leader: u64,
-        request: u64,
+        request: crate::ids::RequestId,
         transaction: Transaction,
     },
     Committed {
         leader: u64,
-        request: u64,
+        request: crate::ids::RequestId,
         result: CommitOutcome,
     },
     FenceRefresh {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -143,6 +143,11 @@
     /// A lease of the key-value store (PROTOCOL, "POST /holds").
     LeaseId
 );
+counter!(
+    /// Number of a request that the scheduler has the edges carry out, unique in a term; the result comes back
+    /// under it.
+    RequestId
+);
 
 const FENCE_BITS: u32 = 14;
 const ATTEMPT_BITS: u32 = 30;
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -536,7 +536,7 @@
     let endpoint = world.lock().unwrap().worker.clone();
     let run = Order::Run { task: TaskId::parse("req-000001/0").unwrap(), attempt: Attempt(1) };
     let body = DirectOrders { token: FencingToken::new(Term(5), 0), agent_epoch: AgentEpoch(1), orders: vec![run] };
-    let order = || Effect::Orders { request: 1, endpoint: endpoint.clone(), body: body.clone() };
+    let order = || Effect::Orders { request: crate::ids::RequestId(1), endpoint: endpoint.clone(), body: body.clone() };
     leader_loop::perform(node.clone(), Term(5), order()).await;
     assert!(world.lock().unwrap().orders.is_empty(), "it is no longer the leader");
     node.lock().election.elected(Term(6), LeaseId(7), node.now());
