--- a/src/core/simulation/effects.rs
+++ b/src/core/simulation/effects.rs
@@ -1,6 +1,7 @@
 //! What the leader puts out becomes mail to workers, store, cloud and peers.
 
 use super::*;
+use crate::ids::RequestId;
 
 /// After this the edges give up an exchange with a worker.
 pub(super) const ORDERS_TIMEOUT: u64 = 2_000;
@@ -43,7 +44,7 @@
         }
     }
 
-    fn send_orders(&mut self, request: u64, endpoint: &str, body: DirectOrders) {
+    fn send_orders(&mut self, request: RequestId, endpoint: &str, body: DirectOrders) {
         let leader = self.leader_number;
         let worker: usize = endpoint.parse().expect("an endpoint that a heartbeat named");
         let delay = self.delay();
@@ -53,7 +54,7 @@
         self.post(delay, Mail::Orders { leader, request, worker, body });
     }
 
-    fn send_commit(&mut self, request: u64, transaction: Transaction) {
+    fn send_commit(&mut self, request: RequestId, transaction: Transaction) {
         let leader = self.leader_number;
         let delay = self.delay();
         let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { delay };
--- a/src/core/simulation/mail.rs
+++ b/src/core/simulation/mail.rs
@@ -3,6 +3,7 @@
 use super::effects::ORDERS_TIMEOUT;
 use super::workers::HEARTBEAT_TIMEOUT;
 use super::*;
+use crate::ids::RequestId;
 
 /// Something on its way; delivered when its time has come. `leader` is the number of the leader that it
 /// comes from or goes to.
@@ -18,23 +19,23 @@
     },
     Orders {
         leader: u64,
-        request: u64,
+        request: RequestId,
         worker: usize,
         body: DirectOrders,
     },
     OrdersResult {
         leader: u64,
-        request: u64,
+        request: RequestId,
         result: OrdersResult,
     },
     Commit {
         leader: u64,
-        request: u64,
+        request: RequestId,
         transaction: Transaction,
     },
     Committed {
         leader: u64,
-        request: u64,
+        request: RequestId,
         outcome: CommitOutcome,
     },
     FenceRefresh {
@@ -159,7 +160,7 @@
         self.execute(index, &answer.orders);
     }
 
-    fn deliver_orders(&mut self, leader: u64, request: u64, index: usize, body: DirectOrders) {
+    fn deliver_orders(&mut self, leader: u64, request: RequestId, index: usize, body: DirectOrders) {
         let worker = &self.workers[index];
         if worker.dead || self.now < worker.up_at {
             return;
@@ -197,7 +198,7 @@
         }
     }
 
-    fn deliver_commit(&mut self, leader: u64, request: u64, transaction: &Transaction) {
+    fn deliver_commit(&mut self, leader: u64, request: RequestId, transaction: &Transaction) {
         let outcome = self.commit(transaction);
         let outcome = if self.lost() { CommitOutcome::Unknown } else { outcome };
         let delay = self.rng.random_range(1..20);
--- a/src/net/loopback/leadership.rs
+++ b/src/net/loopback/leadership.rs
@@ -1,6 +1,7 @@
 //! Until when a leader acts, and who leads after it.
 
 use super::*;
+use crate::ids::RequestId;
 
 #[tokio::test]
 async fn leader_that_extends_its_lease_learns_what_was_cancelled_without_it() {
@@ -134,7 +135,7 @@
     let endpoint = cluster.lock().worker.endpoint.clone();
     let run = Order::Run { task: TaskId::parse("req-000001/0").unwrap(), attempt: Attempt(1) };
     let body = DirectOrders { token: FencingToken::new(Term(5), 0), agent_epoch: AgentEpoch(1), orders: vec![run] };
-    let order = || Effect::Orders { request: 1, endpoint: endpoint.clone(), body: body.clone() };
+    let order = || Effect::Orders { request: RequestId(1), endpoint: endpoint.clone(), body: body.clone() };
     leader_loop::perform(node.clone(), Term(5), order()).await;
     assert!(cluster.lock().worker.orders.is_empty(), "it is no longer the leader");
     node.lock().election.elected(Term(6), LeaseId(7), node.now());
