--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -6,9 +6,9 @@
 pub use crate::core::allocation::{Allocation, PendingRun, TaskAttempt};
 use crate::core::provisioning::InstancePool;
 pub use crate::core::resources::Resources;
-use crate::ids::{AgentEpoch, MachineId, RequestId, SequenceNumber};
+use crate::ids::{AgentEpoch, FencingToken, MachineId, RequestId, SequenceNumber, Term};
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{MachineType, Order, TaskPhase};
+use crate::wire::{Heartbeat, MachineType, Order, TaskPhase};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -190,6 +190,45 @@
         }
     }
 
+    /// Records a message's place in the worker's sequence; it is newer than all before. Returns whether the worker
+    /// has now acknowledged the raised fence.
+    pub fn advance_sequence(&mut self, now: MonotonicTime, heartbeat: &Heartbeat, term: Term) -> bool {
+        if heartbeat.agent_epoch > self.agent_epoch || self.sequence == SequenceNumber(0) {
+            self.agent_epoch_first_heard = now;
+        }
+        self.agent_epoch = heartbeat.agent_epoch;
+        self.sequence = heartbeat.sequence;
+        let acknowledges_fence = self.fencing && heartbeat.token >= FencingToken::new(term, self.fence);
+        self.fencing &= !acknowledges_fence;
+        acknowledges_fence
+    }
+
+    /// A worker that holds a token of the term has listed everything that earlier leaders ordered. Returns whether
+    /// this makes a difference.
+    pub fn reconcile(&mut self, token: FencingToken, term: Term) -> bool {
+        if token < FencingToken::new(term, 0) || (self.reconciled && self.token_acknowledged) {
+            return false;
+        }
+        self.reconciled = true;
+        self.token_acknowledged = true;
+        true
+    }
+
+    /// The tasks that are gone, as the latest heartbeat doesn't list them: the worker has listed them before, has
+    /// answered their order, or will refuse the order because it has seen a higher fence since.
+    pub fn unlisted_tasks(&self, token: FencingToken) -> Vec<TaskAttempt> {
+        let is_gone = |allocation: &Allocation| {
+            allocation.last_listed != self.heartbeats_applied
+                && match allocation.pending_run {
+                    Some(run) if allocation.phase.is_none() => run.answered || token > run.token,
+                    // Its order hasn't left yet.
+                    None if allocation.phase.is_none() => false,
+                    _ => true,
+                }
+        };
+        self.allocations.iter().filter(|(_, allocation)| is_gone(allocation)).map(|(key, _)| *key).collect()
+    }
+
     /// The instance pool that it counts to.
     pub fn pool(&self) -> InstancePool {
         InstancePool { kind: self.kind, zone: self.zone, spot: self.spot }
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -6,7 +6,7 @@
 use super::Scheduler;
 use super::orders::MAX_ORDERS_PER_MESSAGE;
 use crate::core::machine::{HeartbeatRoute, Machine, Registration, TaskAttempt};
-use crate::ids::{FencingToken, MachineId, SequenceNumber, Term};
+use crate::ids::{FencingToken, MachineId, Term};
 use crate::time::MonotonicTime;
 use crate::wire::{Heartbeat, HeartbeatResponse, Order, TaskPhase, TaskStatus};
 use log::{Level, info, log, warn};
@@ -224,45 +224,34 @@
             }
             self.remove_all_lost_tasks(id, false);
         }
-        self.advance_sequence(now, id, heartbeat);
-        self.apply_spot_notice(now, id, heartbeat.notice_s);
-        self.apply_task_list(now, id, &heartbeat.tasks);
-        self.reconcile(id, heartbeat.token);
-        self.remove_unlisted_tasks(id, heartbeat.token);
-        let Some(machine) = self.machines.known.get(id) else { return false };
-        if machine.registration == Registration::Unregistered && !machine.retiring {
+        let Some(machine) = self.machines.known.get_mut(id) else { return false };
+        if machine.advance_sequence(now, heartbeat, self.term) {
             self.rounds.request();
         }
-        true
-    }
-
-    /// Records the message's place in the worker's sequence, and whether the raised fence has reached it.
-    fn advance_sequence(&mut self, now: MonotonicTime, id: &MachineId, heartbeat: &Heartbeat) {
-        let Some(machine) = self.machines.known.get_mut(id) else { return };
-        if heartbeat.agent_epoch > machine.agent_epoch || machine.sequence == SequenceNumber(0) {
-            machine.agent_epoch_first_heard = now;
+        if let Some(notice_s) = heartbeat.notice_s {
+            self.apply_spot_notice(now, id, notice_s);
         }
-        machine.agent_epoch = heartbeat.agent_epoch;
-        machine.sequence = heartbeat.sequence;
-        if machine.fencing && heartbeat.token >= FencingToken::new(self.term, machine.fence) {
-            machine.fencing = false;
+        self.apply_task_list(now, id, &heartbeat.tasks);
+        let Some(machine) = self.machines.known.get_mut(id) else { return false };
+        let is_newly_reconciled = machine.reconcile(heartbeat.token, self.term);
+        let awaits_registration = machine.registration == Registration::Unregistered && !machine.retiring;
+        let gone = machine.unlisted_tasks(heartbeat.token);
+        if is_newly_reconciled || awaits_registration {
             self.rounds.request();
         }
+        self.remove_lost_tasks(id, gone, false);
+        true
     }
 
     /// The first notice that a machine is reclaimed in `notice_s` seconds drains it.
-    fn apply_spot_notice(&mut self, now: MonotonicTime, id: &MachineId, notice_s: Option<f64>) {
-        let Some(machine) = self.machines.known.get_mut(id) else { return };
-        if let Some(notice_s) = notice_s
-            && !machine.spot_notice
-        {
-            info!("machine {id} is reclaimed soon, notice_s={notice_s:.0}");
-            machine.spot_notice = true;
-            if machine.spot {
-                self.spot_lives.ended((now - machine.since).as_secs_f64());
-            }
-            self.drain(now, id, notice_s);
+    fn apply_spot_notice(&mut self, now: MonotonicTime, id: &MachineId, notice_s: f64) {
+        let Some(machine) = self.machines.known.get_mut(id).filter(|machine| !machine.spot_notice) else { return };
+        info!("machine {id} is reclaimed soon, notice_s={notice_s:.0}");
+        machine.spot_notice = true;
+        if machine.spot {
+            self.spot_lives.ended((now - machine.since).as_secs_f64());
         }
+        self.drain(now, id, notice_s);
     }
 
     fn apply_task_list(&mut self, now: MonotonicTime, id: &MachineId, tasks: &[TaskStatus]) {
@@ -299,38 +288,6 @@
             self.apply_task_status(now, id, &key, listed);
         }
     }
-
-    /// A worker that holds a token of this term has listed everything that earlier leaders ordered.
-    fn reconcile(&mut self, id: &MachineId, token: FencingToken) {
-        let Some(machine) = self.machines.known.get_mut(id) else { return };
-        let is_of_term = token >= FencingToken::new(self.term, 0);
-        if is_of_term && !(machine.reconciled && machine.token_acknowledged) {
-            machine.reconciled = true;
-            machine.token_acknowledged = true;
-            self.rounds.request();
-        }
-    }
-
-    /// What is not listed is gone, if the worker has listed it before, has answered its order, or will
-    /// refuse the order because it has seen a higher fence since.
-    fn remove_unlisted_tasks(&mut self, id: &MachineId, token: FencingToken) {
-        let Some(machine) = self.machines.known.get(id) else { return };
-        let gone: Vec<TaskAttempt> = machine
-            .allocations
-            .iter()
-            .filter(|(_, allocation)| {
-                allocation.last_listed != machine.heartbeats_applied
-                    && match allocation.pending_run {
-                        Some(run) if allocation.phase.is_none() => run.answered || token > run.token,
-                        // Its order hasn't left yet.
-                        None if allocation.phase.is_none() => false,
-                        _ => true,
-                    }
-            })
-            .map(|(key, _)| *key)
-            .collect();
-        self.remove_lost_tasks(id, gone, false);
-    }
 }
 
 /// The response of a leader that is still loading its cluster state. It can't tell which tasks are
--- a/src/core/scheduler/heartbeats/tests.rs
+++ b/src/core/scheduler/heartbeats/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::config::{Tuning, sample_settings};
 use crate::core::election::LeaderRecord;
+use crate::ids::SequenceNumber;
 use crate::ids::{AgentEpoch, Attempt, LeaseId, TaskId};
 use crate::time::Millis;
 
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::core::machine::Allocation;
 use crate::core::records::LiveRecord;
+use crate::core::scheduler::tests::machine_types;
 use crate::ids::{Attempt, Revision, TaskId, Term};
 use crate::time::{MonotonicTime, WallTime};
 use crate::wire::{JobSpec, Kind, Priority, TaskPhase};
@@ -16,21 +17,6 @@
     QuotaTracker::new(&[team("limited", 8.0, 16.0), team("unbounded", 0.0, 0.0)])
 }
 
-fn types() -> Vec<MachineType> {
-    vec![MachineType {
-        name: "plain".into(),
-        cpus: 8.0,
-        gpus: 0.0,
-        memory_gb: 64.0,
-        cache_gb: 50.0,
-        fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.4,
-        boot_s: 10.0,
-        zones: vec!["a".into()],
-    }]
-}
-
 fn cpus(cpus: f64) -> Resources {
     Resources { cpus, gpus: 0.0, memory_gb: 1.0 }
 }
@@ -101,10 +87,10 @@
         allocation(Some(UNBOUNDED), TaskPhase::Running),
     ]);
     let mut quota = tracker();
-    assert!(quota.fits(LIMITED, &cpus(4.0), 3.0, &fleet, &types()), "4 used and 12 more are the limit of 16");
-    assert!(!quota.fits(LIMITED, &cpus(4.0), 4.0, &fleet, &types()));
-    assert!(quota.fits(UNBOUNDED, &cpus(4.0), 1_000.0, &fleet, &types()), "no limit is set");
-    assert!(!quota.fits(2, &cpus(1.0), 1.0, &fleet, &types()), "an unknown team starts nothing");
+    assert!(quota.fits(LIMITED, &cpus(4.0), 3.0, &fleet, &machine_types()), "4 used and 12 more are the limit of 16");
+    assert!(!quota.fits(LIMITED, &cpus(4.0), 4.0, &fleet, &machine_types()));
+    assert!(quota.fits(UNBOUNDED, &cpus(4.0), 1_000.0, &fleet, &machine_types()), "no limit is set");
+    assert!(!quota.fits(2, &cpus(1.0), 1.0, &fleet, &machine_types()), "an unknown team starts nothing");
 }
 
 #[test]
@@ -113,11 +99,11 @@
         let stray = if unreconciled { None } else { Some(UNBOUNDED) };
         let mut fleet = fleet(vec![allocation(stray, TaskPhase::Running)]);
         let mut quota = tracker();
-        assert_eq!(quota.fits(LIMITED, &cpus(16.0), 1.0, &fleet, &types()), !unreconciled);
+        assert_eq!(quota.fits(LIMITED, &cpus(16.0), 1.0, &fleet, &machine_types()), !unreconciled);
         fleet.values_mut().for_each(|machine| machine.reconciled = false);
         quota.invalidate_usage();
-        assert!(!quota.fits(LIMITED, &cpus(9.0), 1.0, &fleet, &types()));
-        assert!(quota.fits(LIMITED, &cpus(8.0), 1.0, &fleet, &types()));
+        assert!(!quota.fits(LIMITED, &cpus(9.0), 1.0, &fleet, &machine_types()));
+        assert!(quota.fits(LIMITED, &cpus(8.0), 1.0, &fleet, &machine_types()));
     }
 }
 
@@ -125,14 +111,14 @@
 fn starts_count_at_once_and_other_changes_after_an_invalidation() {
     let mut quota = tracker();
     let empty = fleet(Vec::new());
-    assert!(quota.fits(LIMITED, &cpus(16.0), 1.0, &empty, &types()));
+    assert!(quota.fits(LIMITED, &cpus(16.0), 1.0, &empty, &machine_types()));
     quota.record_start(LIMITED, &cpus(4.0));
-    assert!(!quota.fits(LIMITED, &cpus(13.0), 1.0, &empty, &types()));
-    let headrooms = quota.headrooms(&empty, &types());
+    assert!(!quota.fits(LIMITED, &cpus(13.0), 1.0, &empty, &machine_types()));
+    let headrooms = quota.headrooms(&empty, &machine_types());
     assert_eq!((headrooms[0].cpus, headrooms[0].gpus), (12.0, UNLIMITED));
     assert_eq!((headrooms[1].cpus, headrooms[1].gpus), (UNLIMITED, UNLIMITED));
     quota.invalidate_usage();
-    assert_eq!(quota.headrooms(&empty, &types())[0].cpus, 16.0, "counted anew from the machines");
+    assert_eq!(quota.headrooms(&empty, &machine_types())[0].cpus, 16.0, "counted anew from the machines");
 }
 
 #[test]
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -55,7 +55,8 @@
     LeaderRecord { node: "plinth-0".into(), incarnation: 1, lease: LeaseId(7) }
 }
 
-fn machine_types() -> Vec<MachineType> {
+/// A plain type and one with GPUs, in two zones.
+pub(super) fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, gpus: f64| MachineType {
         name: name.into(),
         cpus: 8.0,
