--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -1,5 +1,5 @@
-//! What planners are given of a round: the machines with capacity, the jobs that wait and what may be
-//! provisioned. Jobs and machines are named by keys, which are positions in the view.
+//! The input of planners for one round: machines with free capacity, jobs with tasks to place, and what may be
+//! provisioned. The key of a job or machine is its position in the view.
 
 mod jobs;
 mod machines;
@@ -17,29 +17,30 @@
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A batch is this part of the tasks that wait, within the settings' bounds.
-const BATCHES_PER_ROUND: u32 = 4;
-/// Most machines that one offer stands for.
+/// The batch size is the number of ready tasks over this, within `batch_min` and `batch_max` of the tuning.
+const BATCHES_PER_BACKLOG: u32 = 4;
+/// Limit on the number of machines in one provisioning offer.
 const MAX_INSTANCES_PER_OFFER: u32 = 50;
 
-/// A planner's input, and what its keys stand for.
+/// A planner's input, with the jobs and machines that its keys refer to.
 pub(super) struct PlannerView {
     pub(super) input: PlanInput,
+    /// Jobs by key.
     pub(super) jobs: Vec<PlannedJob>,
-    /// None: a machine that has been asked for and has no name yet.
+    /// Machines by key; `None` for one that has been requested from the cloud and has no id yet.
     pub(super) machines: Vec<Option<MachineId>>,
 }
 
-/// What a job's key stands for.
+/// The job that a key of the view refers to.
 pub(super) struct PlannedJob {
     pub(super) id: JobId,
-    /// Only those tasks of the job whose spot machines were taken.
+    /// The key covers only the job's tasks whose spot machines were reclaimed.
     pub(super) reclaimed: bool,
 }
 
 impl Scheduler {
-    /// The fleet and the ready tasks as the planner sees them, with what its keys stand for. Brings up to date
-    /// what is kept from round to round: unreconciled pools, lendable machines, usage and guaranteed jobs.
+    /// Builds the view of a new round. Also updates the state that is computed once a round: pools with
+    /// unreconciled machines, lendable GPU machines, quota usage and the jobs within their team's guarantee.
     pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
         self.cost.add_jobs(self.jobs.live.len());
         self.cost.add_machines(self.machines.known.len());
@@ -48,16 +49,17 @@
         let waiting = self.plannable_jobs(now);
         self.update_lendable_gpu_machines(now, &waiting);
         let mut machines = self.machine_views(now, self.smallest_demand(&waiting));
-        self.add_requested(&mut machines);
+        self.add_requested_machines(&mut machines);
         let offers = self.offers(now);
         self.quota.update_guaranteed_jobs(&self.jobs.live);
         let teams = self.quota.headrooms(&self.machines.known, &self.catalog.types);
         let keys: HashMap<&MachineId, u32> = machines.keys().collect();
-        let context = JobContext { now, wall, waiting: &waiting, keys: &keys, drain_s: self.drain_s(machines.cpus_up) };
+        let context =
+            JobContext { now, wall, waiting: &waiting, keys: &keys, backlog_s: self.backlog_s(machines.cpus_up) };
         let (job_views, jobs) = self.job_views(&context);
-        // Batches widen with the load.
+        // The batch grows with the load.
         let ready: u32 = job_views.iter().map(|job| job.ready).sum();
-        let batch = (ready / BATCHES_PER_ROUND).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
+        let batch = (ready / BATCHES_PER_BACKLOG).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
         let input = PlanInput {
             version: VERSION,
             term: self.term.0,
@@ -75,7 +77,7 @@
         PlannerView { input, jobs, machines: machines.ids }
     }
 
-    /// Notes where machines are left whose tasks aren't known.
+    /// Updates the set of instance pools with unreconciled machines, once there are any.
     fn update_unreconciled(&mut self) {
         if !self.machines.unreconciled.is_empty() {
             let machines = self.machines.known.values().filter(|machine| !machine.reconciled);
@@ -83,31 +85,31 @@
         }
     }
 
-    /// The jobs with tasks that may start now.
+    /// The jobs with tasks that may be placed now.
     fn plannable_jobs(&self, now: MonotonicTime) -> BTreeSet<JobId> {
         let plannable =
             |job: &Job| job.startable_tasks() > 0 && job.pause_until <= now && !job.finishing && !self.held_back(job);
         self.jobs.live.iter().filter(|(_, job)| plannable(job)).map(|(id, _)| *id).collect()
     }
 
-    /// The least that any waiting task needs of a machine, each resource by itself.
+    /// The smallest need of any waiting task, for each resource separately.
     fn smallest_demand(&self, waiting: &BTreeSet<JobId>) -> Option<Resources> {
         let needs = waiting.iter().filter_map(|id| self.jobs.live.get(id)).map(|job| Resources::of_task(&job.spec));
-        needs.reduce(|least, need| Resources {
-            cpus: least.cpus.min(need.cpus),
-            gpus: least.gpus.min(need.gpus),
-            memory_gb: least.memory_gb.min(need.memory_gb),
+        needs.reduce(|smallest, need| Resources {
+            cpus: smallest.cpus.min(need.cpus),
+            gpus: smallest.gpus.min(need.gpus),
+            memory_gb: smallest.memory_gb.min(need.memory_gb),
         })
     }
 
-    /// Seconds that so many processors need for all that waits.
-    fn drain_s(&self, cpus_up: f64) -> f64 {
+    /// Seconds that `cpus_up` processors need to run all startable tasks.
+    fn backlog_s(&self, cpus_up: f64) -> f64 {
         let work = |job: &Job| job.startable_tasks() as f64 * job.spec.cpus * self.jobs.expected_run_s(&job.spec);
-        let backlog: f64 = self.jobs.live.values().map(work).sum();
-        if cpus_up > 0.0 { backlog / cpus_up } else { f64::INFINITY }
+        let cpu_seconds: f64 = self.jobs.live.values().map(work).sum();
+        if cpus_up > 0.0 { cpu_seconds / cpus_up } else { f64::INFINITY }
     }
 
-    /// The instance pools that the cloud may be asked for machines of now.
+    /// The instance pools that machines may be requested from now.
     fn offers(&self, now: MonotonicTime) -> Vec<ProvisionOffer> {
         let mut offers = Vec::new();
         for (kind, machine_type) in self.catalog.types.iter().enumerate() {
@@ -143,7 +145,7 @@
     }
 }
 
-/// How many of a job's tasks are possibly in each zone; empty if zones don't matter to the job.
+/// How many of a job's tasks are possibly running in each zone. Empty if the job has no zone constraint.
 pub(super) fn zone_counts(job: &Job, machines: &BTreeMap<MachineId, Machine>) -> Vec<ZoneCount> {
     if !job.spec.spread && !job.spec.one_zone {
         return Vec::new();
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs as planners see them.
+//! The jobs of a planner view.
 
 use super::{PlannedJob, zone_counts};
 use crate::config::{JobAges, next_slo_deadline};
@@ -10,42 +10,44 @@
 use crate::wire::{JobSpec, Kind, Priority};
 use std::collections::{BTreeSet, HashMap};
 
-/// Work that is not urgent causes scaling out only if the fleet needs longer than this for all that waits.
+/// Jobs of normal and low priority cause scaling out only if the backlog would take longer than this.
 const SCALE_OUT_BACKLOG_S: f64 = 8.0;
-/// A run is expected to take this many seconds at the least.
+/// Lower bound on the expected run time of a task.
 const MIN_RUN_S: f64 = 0.1;
-/// Stands for a machine type or zone that isn't known.
-const UNKNOWN_NUMBER: u32 = u32::MAX;
+/// Index that stands for an unknown machine type or zone.
+const UNKNOWN_INDEX: u32 = u32::MAX;
 
-/// What holds for all jobs of a view.
+/// Inputs that are the same for all jobs of a view.
 pub(super) struct JobContext<'a> {
     pub(super) now: MonotonicTime,
     pub(super) wall: WallTime,
     pub(super) waiting: &'a BTreeSet<JobId>,
-    /// The keys of the view's machines.
+    /// Keys of the view's machines, by machine id.
     pub(super) keys: &'a HashMap<&'a MachineId, u32>,
-    /// Seconds that the fleet needs for all that waits.
-    pub(super) drain_s: f64,
+    /// Seconds that the machines that are up need to run all startable tasks.
+    pub(super) backlog_s: f64,
 }
 
-/// How many tasks of a job a view offers.
+/// How many tasks of a job may be placed.
 struct ReadyTasks {
     all: u32,
-    /// Those of them whose spot machines were taken.
+    /// Those of them whose spot machines were reclaimed.
     reclaimed: u32,
 }
 
-/// The times that a planner weighs a job by, in seconds from now.
+/// A job's deadlines, in seconds from now.
 struct JobDeadlines {
+    /// The earliest of its own, its start objective's and its inherited deadline.
     due_s: Option<f64>,
+    /// The earliest SLO deadline that can still be met.
     slo_deadline_s: Option<f64>,
-    /// How many SLO deadlines can't be met any more.
+    /// Number of SLO deadlines that can no longer be met.
     missed: u32,
 }
 
 impl Scheduler {
-    /// The jobs that wait. Tasks whose spot machines were taken are a view of their own, as they may not
-    /// cause spot machines to be provisioned.
+    /// The waiting jobs, with what each key refers to. A job's tasks whose spot machines were reclaimed are a
+    /// separate entry, as they must not cause spot machines to be provisioned. A gang always is one entry.
     pub(super) fn job_views(&mut self, context: &JobContext) -> (Vec<JobView>, Vec<PlannedJob>) {
         let mut views: Vec<JobView> = Vec::new();
         let mut planned = Vec::new();
@@ -69,7 +71,7 @@
         (views, planned)
     }
 
-    /// The tasks of a job that may be placed now; none: none may.
+    /// The tasks of a job that may be placed now; `None` if there are none.
     fn ready_tasks(&self, id: &JobId, job: &Job) -> Option<ReadyTasks> {
         let gang = job.spec.kind == Kind::Gang;
         if gang && (job.gang.is_some() || !job.placed.is_empty()) {
@@ -105,7 +107,7 @@
             memory_gb: spec.memory_gb,
             image_gb: spec.image_gb,
             types: self.allowed_types(spec),
-            zone: spec.zone.as_ref().map(|zone| self.zone_number(zone)),
+            zone: spec.zone.as_ref().map(|zone| self.zone_index(zone)),
             one_zone: spec.one_zone,
             spread: spec.spread,
             spot: spec.spot,
@@ -119,49 +121,50 @@
             age_s: ages.startable_s,
             overspent: job.overspent,
             placed: zone_counts(job, &self.machines.known),
-            avoid: if at_fault { Vec::new() } else { avoided(job, context) },
+            avoid: if at_fault { Vec::new() } else { avoided_machines(job, context) },
             guaranteed,
-            may_scale_out: !at_fault && (job.priority() <= Priority::High || context.drain_s > SCALE_OUT_BACKLOG_S),
+            may_scale_out: !at_fault && (job.priority() <= Priority::High || context.backlog_s > SCALE_OUT_BACKLOG_S),
             ..Default::default()
         }
     }
 
-    /// A job's own deadlines and those that it inherits.
+    /// Combines a job's own deadlines with those that it inherits from its dependents.
     fn job_deadlines(&self, job: &Job, ages: JobAges, run_s: f64, guaranteed: bool) -> JobDeadlines {
         let spec = &job.spec;
-        // An objective on starting that can still be met is a deadline too.
+        // A start objective that can still be met counts as a deadline one run time later.
         let start_slo_s = self.settings.start_slo_s(&spec.class, guaranteed);
         let start_due_s =
             start_slo_s.filter(|slo_s| *slo_s > ages.startable_s).map(|slo_s| slo_s - ages.startable_s + run_s);
-        let own_due_s = spec.deadline_s.map(|deadline_s| deadline_s - ages.submitted_s);
+        let own_deadline_s = spec.deadline_s.map(|deadline_s| deadline_s - ages.submitted_s);
         let inherited_due_s = job.inherited.as_ref().and_then(|inherited| inherited.due_s);
         let mut slo_deadlines = self.settings.slo_deadlines(&spec.class, spec.deadline_s, ages, run_s);
         slo_deadlines.extend(job.inherited.iter().flat_map(|inherited| &inherited.slo_deadlines));
         let next_slo = next_slo_deadline(slo_deadlines, run_s);
         JobDeadlines {
-            due_s: own_due_s.into_iter().chain(start_due_s).chain(inherited_due_s).reduce(f64::min),
+            due_s: own_deadline_s.into_iter().chain(start_due_s).chain(inherited_due_s).reduce(f64::min),
             slo_deadline_s: next_slo.deadline_s,
             missed: next_slo.missed,
         }
     }
 
-    /// The numbers of the types that a job names; one that no type has stands for none that is known.
+    /// Indices of the machine types that a job is restricted to; empty if it may use any. If none of them is
+    /// known, the result is [`UNKNOWN_INDEX`], which matches no machine.
     fn allowed_types(&self, spec: &JobSpec) -> Vec<u32> {
         let Some(names) = &spec.types else { return Vec::new() };
-        let number =
-            |name: &String| self.catalog.types.iter().position(|known| known.name == *name).map(|kind| kind as u32);
-        let known: Vec<u32> = names.iter().filter_map(number).collect();
-        if known.is_empty() { vec![UNKNOWN_NUMBER] } else { known }
+        let index_of =
+            |name: &String| self.catalog.types.iter().position(|known| known.name == *name).map(|index| index as u32);
+        let known: Vec<u32> = names.iter().filter_map(index_of).collect();
+        if known.is_empty() { vec![UNKNOWN_INDEX] } else { known }
     }
 
-    /// A zone's number; one that no zone has if it isn't known.
-    fn zone_number(&self, zone: &str) -> u32 {
-        self.catalog.zones.iter().position(|known| known == zone).map_or(UNKNOWN_NUMBER, |number| number as u32)
+    /// Index of a zone, or [`UNKNOWN_INDEX`] if it is unknown.
+    fn zone_index(&self, zone: &str) -> u32 {
+        self.catalog.zones.iter().position(|known| known == zone).map_or(UNKNOWN_INDEX, |index| index as u32)
     }
 }
 
-/// The keys of the machines on which a job's tasks have failed lately.
-fn avoided(job: &Job, context: &JobContext) -> Vec<u32> {
+/// Keys of the machines that a job avoids because its tasks failed there recently.
+fn avoided_machines(job: &Job, context: &JobContext) -> Vec<u32> {
     if job.error_machines.is_empty() {
         return Vec::new();
     }
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -1,4 +1,5 @@
-//! The machines as planners see them: those that are up, those that come up and those that were asked for.
+//! The machines of a planner view: those that are up, those that are booting or registering, and those requested
+//! from the cloud.
 
 use crate::core::machine::{Machine, Registration, Resources};
 use crate::core::scheduler::Scheduler;
@@ -6,22 +7,22 @@
 use crate::peer::{ImageView, MachineView};
 use crate::time::MonotonicTime;
 
-/// Planners are given the ages of machines in steps of this.
+/// Machine ages are rounded down to a multiple of this.
 const AGE_GRANULARITY_S: f64 = 30.0;
-/// Planners are given the slowness of machines in steps of one over this.
+/// Machine slowness is rounded to steps of one over this.
 const SLOWNESS_STEPS: f64 = 4.0;
-/// Seconds until a machine that has come up gets its first order.
+/// Expected time until a machine that is up but not registered can get its first order.
 const REGISTRATION_DELAY_S: f64 = 0.3;
-/// A machine that should be up by now may take this many seconds more.
+/// Lower bound on the expected remaining boot time, also of a machine whose boot is overdue.
 const MIN_REMAINING_BOOT_S: f64 = 3.0;
 
-/// The machines of a view, as they are gathered.
+/// The machines of a view that is being built.
 #[derive(Default)]
 pub(super) struct MachineViews {
     pub(super) views: Vec<MachineView>,
-    /// None: a machine that has been asked for and has no name yet.
+    /// By key; `None` for a machine that has been requested from the cloud and has no id yet.
     pub(super) ids: Vec<Option<MachineId>>,
-    /// Processors of all machines that may get tasks now, with capacity left or without.
+    /// Processors of all usable machines, including those without free capacity.
     pub(super) cpus_up: f64,
 }
 
@@ -31,39 +32,39 @@
         self.ids.push(id);
     }
 
-    /// The machines that have names, with their keys.
+    /// The machines that have ids, with their keys.
     pub(super) fn keys(&self) -> impl Iterator<Item = (&MachineId, u32)> {
         self.ids.iter().enumerate().filter_map(|(key, id)| Some((id.as_ref()?, key as u32)))
     }
 }
 
-/// How far a machine is that may get tasks now or soon.
+/// State of a machine that can take tasks now or soon.
 #[derive(Clone, Copy, PartialEq)]
 enum Readiness {
     Usable,
-    /// It is up, and not registered yet.
+    /// Up, but its record is not stored yet.
     Registering,
     Booting,
 }
 
 impl Scheduler {
-    /// The machines that are up or coming, as far as they have capacity for the least that anyone needs.
-    pub(super) fn machine_views(&self, now: MonotonicTime, least: Option<Resources>) -> MachineViews {
-        let mut all = MachineViews::default();
+    /// The usable, registering and booting machines with free capacity for at least `smallest_demand`.
+    pub(super) fn machine_views(&self, now: MonotonicTime, smallest_demand: Option<Resources>) -> MachineViews {
+        let mut machines = MachineViews::default();
         for (id, machine) in &self.machines.known {
             let Some(readiness) = self.readiness(now, machine) else { continue };
             if readiness == Readiness::Usable {
-                all.cpus_up += self.catalog.types[machine.kind].cpus;
+                machines.cpus_up += self.catalog.types[machine.kind].cpus;
             }
             let free = self.unreserved_capacity(id, machine, None);
-            if least.is_some_and(|least| free.covers(&least)) {
-                all.push(Some(id.clone()), self.machine_view(now, id, machine, readiness, &free));
+            if smallest_demand.is_some_and(|demand| free.covers(&demand)) {
+                machines.push(Some(id.clone()), self.machine_view(now, id, machine, readiness, &free));
             }
         }
-        all
+        machines
     }
 
-    /// None: the machine gets no tasks, now or soon.
+    /// `None` if the machine can take tasks neither now nor soon.
     fn readiness(&self, now: MonotonicTime, machine: &Machine) -> Option<Readiness> {
         if machine.usable(now, self.heartbeat_timeout()) {
             return Some(Readiness::Usable);
@@ -90,8 +91,8 @@
     ) -> MachineView {
         let machine_type = &self.catalog.types[machine.kind];
         let urgent = self.gpus.urgent_headroom(machine, machine_type);
-        let lent = !machine.up || self.gpus.is_lendable(id);
-        let preemptible = self.gpus.preemptible_headroom(machine, machine_type, lent);
+        let may_be_filled = !machine.up || self.gpus.is_lendable(id);
+        let preemptible = self.gpus.preemptible_headroom(machine, machine_type, may_be_filled);
         let age_s = (now - machine.since).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
@@ -112,7 +113,7 @@
             free_gpus: free.gpus,
             free_memory_gb: free.memory_gb,
             images: machine.images.iter().map(image).collect(),
-            // Coarse, so that machines which hardly differ compare as equal.
+            // Rounded, so that machines with a small difference compare as equal.
             slowness: (machine.slowness * SLOWNESS_STEPS).round().max(1.0) / SLOWNESS_STEPS,
             urgent_cpus: urgent.cpus,
             urgent_memory_gb: urgent.memory_gb,
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Adds the machines that the cloud has been asked for.
-    pub(super) fn add_requested(&self, all: &mut MachineViews) {
+    /// Adds the machines requested from the cloud.
+    pub(super) fn add_requested_machines(&self, machines: &mut MachineViews) {
         for request in self.provisioner.requests() {
             let machine_type = &self.catalog.types[request.pool.kind];
             let view = MachineView {
@@ -140,7 +141,7 @@
                 ..Default::default()
             };
             for _ in 0..request.number {
-                all.push(None, view.clone());
+                machines.push(None, view.clone());
             }
         }
     }
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -1,82 +1,83 @@
-//! How a round's view is divided among several planners.
+//! Splits the planner view of a round into one input for each planner.
 
 use crate::peer::{JobView, MachineView, PlanInput};
 
-/// Which part of the work a machine is for.
+/// The work that a machine is assigned for.
 #[derive(Clone, Copy)]
 enum Work {
     WithoutGpus,
     WithGpus,
 }
 
-/// The machines that aren't up, as they are dealt out among the parts: each goes to the part that wants the
-/// most for each machine that it has been given.
-struct Dealer {
-    /// Processors that each part wants for work without GPUs.
-    cpus_wanted: Vec<f64>,
-    /// GPUs that each part wants.
-    gpus_wanted: Vec<f64>,
-    /// Machines that each part has been given for work without GPUs, and one.
-    given_without_gpus: Vec<f64>,
-    /// The same for work with GPUs.
-    given_with_gpus: Vec<f64>,
+/// Assigns each machine that is not up to one partition: to the one with the most demand per machine that it has
+/// been assigned.
+struct MachineAssigner {
+    /// Processors that the tasks without GPUs of each partition need.
+    cpu_demand: Vec<f64>,
+    /// GPUs that the tasks of each partition need.
+    gpu_demand: Vec<f64>,
+    /// One more than the machines assigned to each partition for work without GPUs.
+    machines_without_gpu_work: Vec<f64>,
+    /// One more than the machines assigned to each partition for work with GPUs.
+    machines_with_gpu_work: Vec<f64>,
 }
 
-impl Dealer {
-    fn new(parts: &[PlanInput]) -> Dealer {
-        let wanted = |want: fn(&JobView) -> f64, gpus: bool| -> Vec<f64> {
-            let of_part = |part: &PlanInput| part.jobs.iter().filter(|job| gpus == (job.gpus > 0.0)).map(want).sum();
-            parts.iter().map(of_part).collect()
+impl MachineAssigner {
+    fn new(partitions: &[PlanInput]) -> MachineAssigner {
+        let demand = |amount: fn(&JobView) -> f64, gpus: bool| -> Vec<f64> {
+            let total = |input: &PlanInput| input.jobs.iter().filter(|job| gpus == (job.gpus > 0.0)).map(amount).sum();
+            partitions.iter().map(total).collect()
         };
-        Dealer {
-            cpus_wanted: wanted(|job| f64::from(job.ready) * job.cpus, false),
-            gpus_wanted: wanted(|job| f64::from(job.ready) * job.gpus, true),
-            given_without_gpus: vec![1.0; parts.len()],
-            given_with_gpus: vec![1.0; parts.len()],
+        MachineAssigner {
+            cpu_demand: demand(|job| f64::from(job.ready) * job.cpus, false),
+            gpu_demand: demand(|job| f64::from(job.ready) * job.gpus, true),
+            machines_without_gpu_work: vec![1.0; partitions.len()],
+            machines_with_gpu_work: vec![1.0; partitions.len()],
         }
     }
 
-    /// What a machine is for: GPU machines go to work without GPUs if nobody wants GPUs.
+    /// The work that a machine is assigned for: a GPU machine is for work without GPUs if no task needs GPUs.
     fn work_for(&self, has_gpus: bool) -> Work {
-        if has_gpus && self.gpus_wanted.iter().any(|wanted| *wanted > 0.0) { Work::WithGpus } else { Work::WithoutGpus }
+        if has_gpus && self.gpu_demand.iter().any(|gpus| *gpus > 0.0) { Work::WithGpus } else { Work::WithoutGpus }
     }
 
-    /// The part that the next machine for such work goes to. None: there are no parts.
-    fn next_part(&mut self, work: Work) -> Option<usize> {
-        let (wanted, given) = match work {
-            Work::WithoutGpus => (&self.cpus_wanted, &mut self.given_without_gpus),
-            Work::WithGpus => (&self.gpus_wanted, &mut self.given_with_gpus),
+    /// Chooses the partition of the next machine for such work; `None` if there are no partitions.
+    fn next_partition(&mut self, work: Work) -> Option<usize> {
+        let (demand, assigned) = match work {
+            Work::WithoutGpus => (&self.cpu_demand, &mut self.machines_without_gpu_work),
+            Work::WithGpus => (&self.gpu_demand, &mut self.machines_with_gpu_work),
         };
-        let ratio = |part: &usize| wanted[*part] / given[*part];
-        let part = (0..wanted.len()).max_by(|a, b| ratio(a).total_cmp(&ratio(b)))?;
-        given[part] += 1.0;
-        Some(part)
+        let demand_per_machine = |index: &usize| demand[*index] / assigned[*index];
+        let index = (0..demand.len()).max_by(|a, b| demand_per_machine(a).total_cmp(&demand_per_machine(b)))?;
+        assigned[index] += 1.0;
+        Some(index)
     }
 }
 
-/// The parts of a round's view that concern some of its jobs each, given by their keys. All parts see the
-/// machines that are up, each in an order of its own, so that where several are as good the parts choose
-/// different ones. Machines that aren't up are dealt out by what the parts want: counted on by all of them, a
-/// few booting machines looked like enough for everyone, and too few were provisioned.
-pub(in crate::core::scheduler) fn partition_view(input: &PlanInput, parts: &[&[u32]]) -> Vec<PlanInput> {
-    let mut partitions: Vec<PlanInput> = parts.iter().map(|keys| part_of(input, keys)).collect();
-    let (up, coming): (Vec<&MachineView>, Vec<&MachineView>) = input.machines.iter().partition(|machine| machine.up);
-    let mut dealer = Dealer::new(&partitions);
-    for (number, part) in partitions.iter_mut().enumerate() {
-        let first = up.len() * number / parts.len().max(1);
-        part.machines.extend(up[first..].iter().chain(&up[..first]).map(|machine| (*machine).clone()));
+/// Splits a round's view into partitions, given the keys of the jobs of each.
+///
+/// Every partition contains all machines that are up, each in a different order, so that planners choose different
+/// machines among equally good ones. Each machine that is not up is in one partition only: if all planners counted
+/// on the same few booting machines, too few would be provisioned.
+pub(in crate::core::scheduler) fn partition_view(input: &PlanInput, job_keys: &[&[u32]]) -> Vec<PlanInput> {
+    let mut partitions: Vec<PlanInput> = job_keys.iter().map(|keys| partition_with_jobs(input, keys)).collect();
+    let (up, not_up): (Vec<&MachineView>, Vec<&MachineView>) = input.machines.iter().partition(|machine| machine.up);
+    let mut assigner = MachineAssigner::new(&partitions);
+    for (index, partition) in partitions.iter_mut().enumerate() {
+        let first = up.len() * index / job_keys.len().max(1);
+        partition.machines.extend(up[first..].iter().chain(&up[..first]).map(|machine| (*machine).clone()));
     }
-    for machine in coming {
+    for machine in not_up {
         let has_gpus = input.types.get(machine.kind as usize).is_some_and(|machine_type| machine_type.gpus > 0.0);
-        if let Some(part) = dealer.next_part(dealer.work_for(has_gpus)) {
-            partitions[part].machines.push(machine.clone());
+        if let Some(index) = assigner.next_partition(assigner.work_for(has_gpus)) {
+            partitions[index].machines.push(machine.clone());
         }
     }
     partitions
 }
 
-/// The part with these jobs, without machines.
-fn part_of(input: &PlanInput, keys: &[u32]) -> PlanInput {
+/// The partition with these jobs, without machines.
+fn partition_with_jobs(input: &PlanInput, keys: &[u32]) -> PlanInput {
     let jobs: Vec<JobView> = keys.iter().filter_map(|key| input.jobs.get(*key as usize)).cloned().collect();
     let teams = input.teams.iter().filter(|team| jobs.iter().any(|job| job.team == team.team)).cloned().collect();
     PlanInput {
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -1,4 +1,5 @@
-//! Rounds of decisions: what planners are given, and when their plans are merged and committed.
+//! Planning rounds. In each round the leader takes one view of the cluster, has every controller plan for the
+//! teams of its shard, and merges and commits the plans.
 
 use super::effects::Effect;
 use super::planner_view::{PlannerView, partition_view};
@@ -12,32 +13,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A round whose parts are planned by several controllers.
+/// A round whose plans are not committed yet.
 pub(super) struct OpenRound {
     view: PlannerView,
-    outputs: Vec<PlanOutput>,
-    /// Peers that haven't answered, with their parts.
-    unanswered: BTreeMap<String, Arc<PlanInput>>,
-    /// The leader plans itself what hasn't been answered by then.
+    plans: Vec<PlanOutput>,
+    /// The input of each peer that has not returned its plan, by peer name.
+    pending_inputs: BTreeMap<String, Arc<PlanInput>>,
+    /// From this time on the leader itself plans for the peers that have not returned a plan.
     deadline: MonotonicTime,
 }
 
 impl OpenRound {
-    /// Whether a peer planned for this round of this term, in this version of the messages.
-    fn expects(&self, term: Term, output: &PlanOutput) -> bool {
-        (output.version, output.term, output.round) == (VERSION, term.0, self.view.input.round)
+    /// Whether a plan is for this round and term, and of this controller's message version.
+    fn expects(&self, term: Term, plan: &PlanOutput) -> bool {
+        (plan.version, plan.term, plan.round) == (VERSION, term.0, self.view.input.round)
     }
 
-    /// Whether it isn't worth waiting for peers any longer.
+    /// Whether all plans have arrived or the deadline has passed.
     fn is_due(&self, now: MonotonicTime) -> bool {
-        self.unanswered.is_empty() || now >= self.deadline
+        self.pending_inputs.is_empty() || now >= self.deadline
     }
 
-    /// The view and the plans of all its parts as one. The parts were planned apart: where they clash, the
-    /// more urgent job goes first.
+    /// The view and the merged plans. Planners do not know of each other's placements, which may therefore
+    /// conflict: placements of more urgent jobs come first, so that they are committed first.
     fn into_merged_plan(self) -> (PlannerView, PlanOutput) {
         let mut plan = PlanOutput::default();
-        for output in self.outputs {
+        for output in self.plans {
             plan.placements.extend(output.placements);
             plan.scale_out.extend(output.scale_out);
             plan.waiting.extend(output.waiting);
@@ -52,120 +53,121 @@
     }
 }
 
-/// A round is planned after this time even if nothing has changed.
+/// A round starts after this time even if nothing has changed.
 const IDLE_ROUND_INTERVAL: Millis = Millis(1_000);
 
-/// The rounds of this leader.
+/// State of this leader's planning rounds.
 pub(super) struct Rounds {
-    /// Something has changed since the last round.
+    /// Whether something that planning depends on has changed since the last round.
     needed: bool,
-    /// When the last round began.
-    last_at: MonotonicTime,
-    /// How many rounds have begun.
+    /// When the last round started.
+    last_started: MonotonicTime,
+    /// Number of rounds started.
     count: u64,
-    /// The round whose parts are being planned.
+    /// The round that is being planned.
     open: Option<OpenRound>,
 }
 
 impl Rounds {
-    /// No round yet; the first one is needed.
+    /// No round has started, and the first one is requested.
     pub(super) fn new(now: MonotonicTime) -> Rounds {
-        Rounds { needed: true, last_at: now, count: 0, open: None }
+        Rounds { needed: true, last_started: now, count: 0, open: None }
     }
 
-    /// Something has changed that a round is needed for.
+    /// Requests a round, as something that planning depends on has changed.
     pub(super) fn request(&mut self) {
         self.needed = true;
     }
 
-    /// Number of the last round, which is how many have begun.
+    /// Number of rounds started, which is also the number of the last round.
     pub(super) fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether a round is to begin: none is open, the last one began at least `interval` ago, and something has
-    /// changed since, or nothing for long.
+    /// Whether a round should start: none is open, the last one started at least `interval` ago, and one was
+    /// requested since or [`IDLE_ROUND_INTERVAL`] has passed.
     pub(super) fn is_due(&self, now: MonotonicTime, interval: Millis) -> bool {
-        let since_last = now - self.last_at;
+        let since_last = now - self.last_started;
         let is_needed = self.needed || since_last >= IDLE_ROUND_INTERVAL;
         self.open.is_none() && since_last >= interval && is_needed
     }
 
-    /// Counts a round that begins.
+    /// Records the start of a round.
     fn begin(&mut self, now: MonotonicTime) {
-        self.last_at = now;
+        self.last_started = now;
         self.needed = false;
         self.count += 1;
     }
 
-    /// Takes out the open round if its plans are there or late.
+    /// Takes the open round if all its plans have arrived or its deadline has passed.
     fn take_due(&mut self, now: MonotonicTime) -> Option<OpenRound> {
         self.open.take_if(|round| round.is_due(now))
     }
 }
 
 impl Scheduler {
-    /// Starts a round: each controller plans for the teams of its shard, all on the same view.
+    /// Starts a round: sends each controller the jobs of its shard's teams, and plans the leader's own share.
     pub(super) fn round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.rounds.begin(now);
-        // First, or the round would give away what has just become free.
+        // Before the view is taken, or the round would place other work on the capacity that these gangs wait for.
         self.reserve_for_large_gangs(now, wall);
         self.inherit(wall);
         let view = self.planner_view(now, wall);
-        let parts = self.jobs_by_planner(now, &view);
-        let keys: Vec<&[u32]> = parts.values().map(Vec::as_slice).collect();
+        let jobs_by_planner = self.jobs_by_planner(now, &view);
+        let keys: Vec<&[u32]> = jobs_by_planner.values().map(Vec::as_slice).collect();
         let mut inputs = partition_view(&view.input, &keys);
-        // The leader's own part has no name, and so is the first.
-        let own = inputs.remove(0);
-        let mut unanswered = BTreeMap::new();
-        for (node, part) in parts.into_keys().flatten().zip(inputs) {
-            let part = Arc::new(part);
-            self.effects.push(Effect::Plan { node: node.clone(), input: part.clone() });
-            unanswered.insert(node, part);
+        // The leader's own input: its key in `jobs_by_planner` is `None`, which sorts first.
+        let own_input = inputs.remove(0);
+        let mut pending_inputs = BTreeMap::new();
+        for (node, input) in jobs_by_planner.into_keys().flatten().zip(inputs) {
+            let input = Arc::new(input);
+            self.effects.push(Effect::Plan { node: node.clone(), input: input.clone() });
+            pending_inputs.insert(node, input);
         }
-        let outputs = vec![placement::plan_metered(&own, &self.cost)];
-        self.rounds.open = Some(OpenRound { view, outputs, unanswered, deadline: now + PLAN_TIMEOUT });
+        let plans = vec![placement::plan_metered(&own_input, &self.cost)];
+        self.rounds.open = Some(OpenRound { view, plans, pending_inputs, deadline: now + PLAN_TIMEOUT });
         self.close_round(now);
     }
 
-    /// The keys of a view's jobs by the peer that plans for them; none: this leader, which always has a part.
+    /// The keys of the view's jobs, by the peer that plans for them. `None` stands for this leader and always has
+    /// an entry.
     fn jobs_by_planner(&mut self, now: MonotonicTime, view: &PlannerView) -> BTreeMap<Option<String>, Vec<u32>> {
-        let mut parts: BTreeMap<Option<String>, Vec<u32>> = BTreeMap::from([(None, Vec::new())]);
+        let mut jobs_by_planner: BTreeMap<Option<String>, Vec<u32>> = BTreeMap::from([(None, Vec::new())]);
         for job in &view.input.jobs {
             self.shards.record_load(job.team, job.ready);
             let planner = self.shards.planner_for(job.team, now).map(str::to_string);
-            parts.entry(planner).or_default().push(job.key);
+            jobs_by_planner.entry(planner).or_default().push(job.key);
         }
-        parts
+        jobs_by_planner
     }
 
-    /// A peer's plan. One of another round, term or version is dropped. None: the peer can't plan, and the round
-    /// waits for nobody any more.
+    /// Handles a peer's reply to a plan request. A plan for another round, term or message version is dropped.
+    /// `None` means that the request failed: then the round stops waiting for all peers.
     pub fn on_plan(&mut self, now: MonotonicTime, node: &str, plan: Option<PlanOutput>) {
         let Some(round) = &mut self.rounds.open else { return };
         match plan {
-            Some(output) if round.expects(self.term, &output) => {
-                if round.unanswered.remove(node).is_some() {
-                    round.outputs.push(output);
+            Some(plan) if round.expects(self.term, &plan) => {
+                if round.pending_inputs.remove(node).is_some() {
+                    round.plans.push(plan);
                     self.shards.mark_responsive(node, now);
                 }
             }
-            Some(output) => debug!("plan dropped: node={node} round={} term={}", output.round, output.term),
+            Some(plan) => debug!("dropping unexpected plan: node={node} round={} term={}", plan.round, plan.term),
             None => round.deadline = now,
         }
         self.close_round(now);
     }
 
-    /// Commits the round once all parts are there, or the leader has planned those that are late. It plans one
-    /// of them for each input: planning for all peers at once would hold up everything else.
+    /// Commits the open round once all plans have arrived. After the deadline, each call plans for one of the
+    /// peers that have not returned a plan; planning for all of them in one call would block other inputs.
     pub(super) fn close_round(&mut self, now: MonotonicTime) {
         let Some(mut round) = self.rounds.take_due(now) else { return };
-        if let Some((node, part)) = round.unanswered.pop_first() {
-            debug!("peer's plan is late, planned here: node={node}");
+        if let Some((node, input)) = round.pending_inputs.pop_first() {
+            debug!("peer has not returned its plan in time, planning its jobs locally: node={node}");
             self.shards.mark_unresponsive(&node);
-            round.outputs.push(placement::plan_metered(&part, &self.cost));
+            round.plans.push(placement::plan_metered(&input, &self.cost));
         }
-        if !round.unanswered.is_empty() {
+        if !round.pending_inputs.is_empty() {
             self.rounds.open = Some(round);
             return;
         }
@@ -173,13 +175,13 @@
         self.commit_plan(now, &view, &plan);
     }
 
-    /// Whether a round waits for the plans of peers.
+    /// Whether a round is waiting for plans of peers.
     pub fn has_open_round(&self) -> bool {
         self.rounds.open.is_some()
     }
 
-    /// This leader's term isn't active for now: the open round is dropped, so that what it was planned on is not
-    /// committed later.
+    /// Drops the open round, as this leader's term is not active: otherwise plans made on a view that is out of
+    /// date by then could be committed once the term is active again.
     pub fn abandon_round(&mut self) {
         if let Some(round) = self.rounds.open.take() {
             info!("round abandoned: round={} term={}", round.view.input.round, self.term);
@@ -187,12 +189,12 @@
         }
     }
 
-    /// A peer has answered something: it may be given teams to plan for.
+    /// Notes that a peer has responded, so that it may be assigned teams to plan for.
     pub fn peer_answered(&mut self, now: MonotonicTime, node: &str) {
         self.shards.mark_responsive(node, now);
     }
 
-    /// Moves teams among the controllers by their measured load, and has the assignment stored.
+    /// Moves teams between controllers to balance their measured load, and marks the assignment to be stored.
     pub(super) fn rebalance_shards(&mut self, now: MonotonicTime) {
         for ShardMove { team, from, to } in self.shards.rebalance(now) {
             info!("shard moved: team={} from={from} to={to}", self.quota.team_names()[team as usize]);
