--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -1,4 +1,4 @@
-//! Which tasks of a machine have to be stopped for a task of another job, and what is lost by that.
+//! Chooses which tasks of a machine to stop for a task of another job, and estimates the work lost by that.
 
 use super::Scheduler;
 use crate::core::jobs::Job;
@@ -11,24 +11,23 @@
 use log::debug;
 use std::cmp::Reverse;
 
-/// What a second of fetching an image counts as, in seconds of a processor.
+/// Loss for each second that fetching the image would take, in processor seconds.
 const IMAGE_FETCH_LOSS_PER_SECOND: f64 = 20.0;
-/// What counts against replicas without GPUs on a machine with GPUs: more than anything that may be lost
-/// elsewhere.
+/// Loss for placing a service replica without GPUs on a GPU machine: more than any loss on another machine.
 const GPU_MACHINE_LOSS: f64 = 1e6;
-/// The same where GPU jobs need the capacity.
+/// Loss for placing such a replica in the headroom of GPU jobs.
 const GPU_CAPACITY_LOSS: f64 = 1e9;
 
-/// On which machines work may be stopped for a task.
+/// The machines on which work may be preempted for a task.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum PlacementTarget {
-    /// On any that the job permits.
+    /// Any that the job permits.
     Anywhere,
-    /// Only on those that have the job's image.
+    /// Those that the job permits and that hold its image.
     ImageHolders,
 }
 
-/// The job that work is stopped for.
+/// The job that other work is preempted for.
 #[derive(Clone, Copy)]
 pub(super) struct Preemptor<'a> {
     pub(super) id: &'a JobId,
@@ -36,7 +35,7 @@
     pub(super) target: PlacementTarget,
 }
 
-/// Tasks to be stopped on a machine, and what is lost by that in seconds of a processor.
+/// Tasks to be stopped on a machine, and the cost of this in processor seconds.
 #[derive(Default)]
 pub(super) struct Eviction {
     pub(super) victims: Vec<TaskAttempt>,
@@ -44,8 +43,8 @@
 }
 
 impl Scheduler {
-    /// What has to be stopped on a machine for one more task of a job whose other tasks are in these zones.
-    /// None: the job can't have capacity there.
+    /// The eviction needed on a machine for one more task of a job whose other tasks are in `zones`. `None` if the
+    /// machine cannot take the task.
     pub(super) fn eviction_for(
         &self,
         now: MonotonicTime,
@@ -62,12 +61,13 @@
         self.eviction(now, preemptor, machine_id, machine)
     }
 
-    /// Whether a job's tasks may be on the machine, capacity and the job's other tasks aside.
+    /// Whether the machine may run tasks of the job, apart from capacity and zone constraints.
     fn is_eligible(&self, now: MonotonicTime, job: &Job, id: &MachineId, machine: &Machine) -> bool {
         machine.usable(now, self.heartbeat_timeout()) && self.permits(&job.spec, machine) && !job.avoids(id, now)
     }
 
-    /// What has to be stopped on an eligible machine. None: stopping all that may be stopped isn't enough.
+    /// The eviction needed on an eligible machine. `None` if its image, its GPU headroom or the tasks that may be
+    /// preempted do not permit the job's task there.
     fn eviction(
         &self,
         now: MonotonicTime,
@@ -83,9 +83,9 @@
         if preemptor.target == PlacementTarget::ImageHolders && image_ready_s != Some(0.0) {
             return None;
         }
-        let plain_on_gpus = machine_type.gpus > 0.0 && need.gpus <= 0.0;
-        let takes_gpu_headroom =
-            plain_on_gpus && !self.gpus.urgent_headroom(machine, machine_type).covers(&Resources { gpus: 0.0, ..need });
+        let cpu_task_on_gpu_machine = machine_type.gpus > 0.0 && need.gpus <= 0.0;
+        let takes_gpu_headroom = cpu_task_on_gpu_machine
+            && !self.gpus.urgent_headroom(machine, machine_type).covers(&Resources { gpus: 0.0, ..need });
         if takes_gpu_headroom && !service {
             return None;
         }
@@ -93,14 +93,14 @@
         if image_ready_s.is_none() {
             eviction.loss += IMAGE_FETCH_LOSS_PER_SECOND * spec.image_gb / self.fetch_rate(machine);
         }
-        if service && plain_on_gpus {
+        if service && cpu_task_on_gpu_machine {
             eviction.loss += if takes_gpu_headroom { GPU_CAPACITY_LOSS } else { GPU_MACHINE_LOSS };
         }
         Some(eviction)
     }
 
-    /// The fewest of a machine's tasks, in the order of [`Scheduler::preemptible_allocations`], that a task of
-    /// the job takes the place of. None: all of them aren't enough.
+    /// The shortest prefix of [`Scheduler::preemptible_allocations`] that frees enough capacity for a task of the
+    /// job. `None` if stopping all of them is not enough.
     fn choose_victims(
         &self,
         now: MonotonicTime,
@@ -111,7 +111,7 @@
         let need = Resources::of_task(&preemptor.job.spec);
         self.cost.add_tasks(machine.allocations.len());
         let mut free = self.unreserved_capacity(machine_id, machine, None);
-        // What is already told to stop will be free soon.
+        // Resources of tasks that are being stopped will soon be free.
         for allocation in machine.allocations.values().filter(|a| !a.has_exited() && a.stop.is_some()) {
             free.add(&allocation.need);
         }
@@ -122,13 +122,13 @@
             }
             free.add(&allocation.need);
             let ran_s = allocation.running_since.map_or(0.0, |since| (now - since).as_secs_f64());
-            eviction.loss += self.tasks_lost_with(&key.0.job) * (1.0 + ran_s * allocation.need.cpus.max(1.0));
+            eviction.loss += self.tasks_lost_by_stop(&key.0.job) * (1.0 + ran_s * allocation.need.cpus.max(1.0));
             eviction.victims.push(*key);
         }
         free.covers(&need).then_some(eviction)
     }
 
-    /// The tasks on a machine that may be stopped for a job, those first that are missed least.
+    /// The tasks on a machine that may be preempted for a job: the lowest priority first, then the shortest run.
     fn preemptible_allocations<'a>(
         &'a self,
         now: MonotonicTime,
@@ -138,13 +138,14 @@
         let Preemptor { id, job, target } = preemptor;
         let guaranteed = self.quota.is_within_guarantee(id);
         let may_be_stopped = |(key, allocation): &(&TaskAttempt, &Allocation)| {
-            // A team's guarantee goes before what other teams run beyond theirs.
-            let beyond = allocation.team != Some(job.team) && !self.quota.is_within_guarantee(&key.0.job);
-            let lower =
-                allocation.priority > job.priority() || guaranteed && allocation.priority == job.priority() && beyond;
-            // Stopping one task of a gang stops it whole: too dear for an image.
-            let cheap = target == PlacementTarget::Anywhere || self.tasks_lost_with(&key.0.job) == 1.0;
-            !allocation.has_exited() && allocation.stop.is_none() && lower && cheap
+            // A job within its team's guarantee may preempt work of equal priority that another team runs beyond
+            // its own guarantee.
+            let over_guarantee = allocation.team != Some(job.team) && !self.quota.is_within_guarantee(&key.0.job);
+            let outranked = allocation.priority > job.priority()
+                || guaranteed && allocation.priority == job.priority() && over_guarantee;
+            // Stopping one task of a gang stops all of them, which costs more than fetching the image saves.
+            let is_acceptable_loss = target == PlacementTarget::Anywhere || self.tasks_lost_by_stop(&key.0.job) == 1.0;
+            !allocation.has_exited() && allocation.stop.is_none() && outranked && is_acceptable_loss
         };
         let mut preemptible: Vec<_> = machine.allocations.iter().filter(may_be_stopped).collect();
         preemptible.sort_by_key(|(_, allocation)| {
@@ -154,12 +155,12 @@
         preemptible
     }
 
-    /// How many tasks end when one of the job's is stopped.
-    fn tasks_lost_with(&self, id: &JobId) -> f64 {
+    /// How many tasks are lost when one task of the job is stopped: all of a gang's.
+    fn tasks_lost_by_stop(&self, id: &JobId) -> f64 {
         self.jobs.live.get(id).filter(|job| job.spec.kind == Kind::Gang).map_or(1.0, |job| f64::from(job.spec.tasks))
     }
 
-    /// Stops tasks on a machine and reserves the capacity for a task of a job.
+    /// Stops tasks on a machine and reserves capacity there for one task of a job.
     pub(super) fn evict(&mut self, now: MonotonicTime, id: &JobId, machine: &MachineId, victims: Vec<TaskAttempt>) {
         let Some(need) = self.jobs.live.get(id).map(|job| Resources::of_task(&job.spec)) else { return };
         if !victims.is_empty() {
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -14,21 +14,21 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sums of fractions of processors may miss a need by this much.
+/// Tolerance for rounding errors in sums of fractional resources.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// More tasks than any machine holds; a task that needs nothing fits this many times.
+/// More tasks than any machine holds. Stands for "unlimited" where a task needs no resources.
 const MAX_TASKS_THAT_FIT: f64 = 1e6;
 
-/// What to do with capacity for a gang that doesn't suffice yet.
+/// What to do with free capacity that is not enough for a whole gang.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum PartialCapacity {
     /// Leave it to other work.
     Release,
-    /// Keep it, so that more can be gathered.
+    /// Reserve it, so that more can be gathered later.
     Reserve,
 }
 
-/// Where a gang's tasks may be together.
+/// The zones that a whole gang may be placed in.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum GangZone {
     /// All of them in this zone.
@@ -37,14 +37,14 @@
     Any,
 }
 
-/// Capacity for a gang in one place, in tasks of the gang.
+/// Capacity for a gang in one [`GangZone`], counted in tasks of the gang.
 #[derive(Default)]
 struct GangCapacity {
-    /// What is free for it now.
+    /// By machine, the tasks that fit into its free capacity now.
     free: Vec<(MachineId, u32)>,
-    /// What is free, or would be if work of lower priority were stopped.
+    /// The tasks that would fit if work of lower priority were stopped.
     reclaimable: u32,
-    /// What the machines could hold at the most.
+    /// The tasks that would fit if the machines were empty.
     total: u32,
 }
 
@@ -54,34 +54,39 @@
     }
 }
 
-/// How many times a need fits into a capacity.
+/// How many tasks of the same need fit into a capacity.
 fn tasks_that_fit(capacity: &Resources, need: &Resources) -> u32 {
-    let times =
+    let quotient =
         |capacity: f64, need: f64| if need > 0.0 { (capacity + ROUNDING_TOLERANCE) / need } else { f64::INFINITY };
-    let tasks = times(capacity.cpus, need.cpus)
-        .min(times(capacity.gpus, need.gpus))
-        .min(times(capacity.memory_gb, need.memory_gb));
+    let tasks = quotient(capacity.cpus, need.cpus)
+        .min(quotient(capacity.gpus, need.gpus))
+        .min(quotient(capacity.memory_gb, need.memory_gb));
     tasks.clamp(0.0, MAX_TASKS_THAT_FIT) as u32
 }
 
 impl Scheduler {
-    /// Gathers capacity for gangs that have waited long: smaller work would take every machine that
-    /// becomes free, and the largest gangs would never begin. Free machines are reserved, for one gang
-    /// at a time and the largest first, as that costs what fresh work could have had; once they
-    /// suffice together with what can be had by stopping work of lower priority, it is stopped.
+    /// Gathers capacity for large gangs that have waited long: otherwise smaller work would take every machine that
+    /// becomes free, and the largest gangs would never start. Free capacity is reserved, for one gang at a time and
+    /// the largest first, as new work cannot use what is reserved. Work of lower priority is preempted once that
+    /// and the free capacity together are enough for the whole gang.
     pub(super) fn reserve_for_large_gangs(&mut self, now: MonotonicTime, wall: WallTime) {
-        // Of a class only the largest, down to half of the most: smaller ones find capacity anyway.
+        // Of each class only gangs of at least half the size of the largest: smaller ones find capacity anyway.
         let mut largest: BTreeMap<&str, u32> = BTreeMap::new();
         for job in self.jobs.live.values().filter(|job| job.spec.kind == Kind::Gang) {
             let tasks = largest.entry(&job.spec.class).or_default();
             *tasks = job.spec.tasks.max(*tasks);
         }
-        let large =
+        let is_large =
             |job: &Job| largest.get(&*job.spec.class).is_some_and(|most| job.spec.tasks.saturating_mul(2) >= *most);
         let order = |job: &Job| (job.priority(), Reverse(job.spec.tasks), job.submitted);
-        let waits = |job: &Job| self.gang_has_waited_long(now, wall, job) && large(job);
-        let mut waiting: Vec<_> =
-            self.jobs.live.iter().filter(|(_, job)| waits(job)).map(|(id, job)| (order(job), *id)).collect();
+        let needs_reservation = |job: &Job| self.gang_has_waited_long(now, wall, job) && is_large(job);
+        let mut waiting: Vec<_> = self
+            .jobs
+            .live
+            .iter()
+            .filter(|(_, job)| needs_reservation(job))
+            .map(|(id, job)| (order(job), *id))
+            .collect();
         waiting.sort();
         let mut search = PreemptionSearch::new(self.machines.known.len());
         for (_, id) in waiting {
@@ -91,7 +96,7 @@
         }
     }
 
-    /// Whether a job is a gang that could have started for longer than the settings let it wait.
+    /// Whether a job is a gang that has been startable for at least the configured wait, and still is.
     fn gang_has_waited_long(&self, now: MonotonicTime, wall: WallTime, job: &Job) -> bool {
         job.spec.kind == Kind::Gang
             && job.spec.tasks as usize == job.startable_tasks()
@@ -103,7 +108,8 @@
             && wall.seconds_since(job.startable_at) >= self.tuning.gang_reservation_wait_s
     }
 
-    /// Reserves capacity for a gang. False: there is nowhere enough, or its team has no quota left.
+    /// Reserves capacity for a gang. Returns false if its team has no quota left, or if no zone has enough capacity:
+    /// even with empty machines, or, with [`PartialCapacity::Release`], even after preemption.
     pub(super) fn reserve_for_gang(
         &mut self,
         now: MonotonicTime,
@@ -133,7 +139,10 @@
         let Some((zone, capacity)) = best else { return false };
         let mut missing = tasks - self.reserve_free_capacity(now, search, id, &capacity);
         if missing > 0 && capacity.reclaimable >= tasks {
-            debug!("gang's capacity found: job={id} tasks={tasks} free={}", tasks - missing);
+            debug!(
+                "gang capacity found, preempting for the missing tasks: job={id} tasks={tasks} free={}",
+                tasks - missing
+            );
             pools.retain(|pool| zone == GangZone::Any || zone == GangZone::Zone(pool.zone));
             let request = PreemptionRequest { job: *id, target: PlacementTarget::Anywhere, tasks: missing, pools };
             missing -= self.preempt_tasks(now, search, &request);
@@ -142,7 +151,7 @@
         true
     }
 
-    /// The capacity that a gang could have in each zone; one that may be anywhere counts all zones as one.
+    /// The capacity for a gang by zone. For a gang that may use several zones, all zones count as one.
     fn gang_capacity(
         &self,
         now: MonotonicTime,
@@ -178,7 +187,7 @@
         zones
     }
 
-    /// Reserves free capacity for a gang in place of what was reserved for it. Returns for how many tasks.
+    /// Replaces a gang's reservations by reservations of the free capacity. Returns for how many tasks.
     fn reserve_free_capacity(
         &mut self,
         now: MonotonicTime,
@@ -188,17 +197,17 @@
     ) -> u32 {
         let Some(job) = self.jobs.live.get(id) else { return 0 };
         let (tasks, need) = (job.spec.tasks, Resources::of_task(&job.spec));
-        let mut changed: BTreeSet<MachineId> = self.reservations.of(id).map(|r| r.machine.clone()).collect();
+        let mut changed_machines: BTreeSet<MachineId> = self.reservations.of(id).map(|r| r.machine.clone()).collect();
         self.reservations.release(id);
         let mut reserved = 0;
         for (machine, count) in &capacity.free {
             for _ in 0..(*count).min(tasks - reserved) {
                 self.reservations.add(now, machine.clone(), *id, need);
-                changed.insert(machine.clone());
+                changed_machines.insert(machine.clone());
                 reserved += 1;
             }
         }
-        changed.iter().for_each(|machine| search.refresh(self, now, machine));
+        changed_machines.iter().for_each(|machine| search.refresh(self, now, machine));
         reserved
     }
 }
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: work of lower priority is stopped for tasks that would start too late otherwise.
+//! Preemption: stops tasks of lower priority for waiting tasks that would otherwise start too late.
 
 use super::Scheduler;
 use super::eviction::{PlacementTarget, Preemptor};
@@ -16,39 +16,40 @@
 use log::debug;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Tasks of a job that work is stopped for in one round.
+/// Limit on the tasks of one job that are preempted for in one round.
 const MAX_TASKS_PER_PREEMPTOR: u32 = 64;
-/// Machines whose tasks one search passes over; a larger fleet has its turn part by part.
-const MAX_CANDIDATES: usize = 256;
-/// Reservations that there may be for each machine.
+/// Machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at different
+/// machines, so that all are examined in turn.
+const MAX_EXAMINED_MACHINES: usize = 256;
+/// Limit on all reservations, per machine of the fleet.
 const MAX_RESERVATIONS_PER_MACHINE: usize = 2;
-/// Reservations that there may be in any fleet, besides those for its machines.
+/// Reservations allowed in a fleet of any size, in addition to those per machine.
 const MIN_RESERVATIONS: usize = 1_024;
-/// A job without a deadline is due at this many times the finish that is expected of it.
-const DUE_WITHOUT_DEADLINE: f64 = 2.0;
+/// Stands in for the deadline of a job that has none: this many times its expected finish.
+const DEFAULT_DEADLINE_FACTOR: f64 = 2.0;
 
-/// Capacity that is to be made for tasks of a job.
+/// A request to free capacity for tasks of a job.
 pub(super) struct PreemptionRequest {
     pub(super) job: JobId,
     pub(super) target: PlacementTarget,
     pub(super) tasks: u32,
-    /// The instance pools that the machines may be of.
+    /// The instance pools whose machines may be used.
     pub(super) pools: BTreeSet<InstancePool>,
 }
 
-/// A job whose turn to have work stopped for it comes in this round.
+/// A waiting job that other work may be preempted for in this round.
 struct QueuedPreemptor {
     id: JobId,
-    /// Priority and whether it is beyond its team's guarantee: the lowest is the most urgent.
+    /// Priority number, and whether the job is beyond its team's guarantee. The lowest value is the most urgent.
     urgency: (u32, bool),
-    /// The round of the last search for it.
+    /// The round in which capacity was last searched for it.
     last_searched_round: u64,
     tasks: u32,
 }
 
 impl Scheduler {
-    /// Stops work for the tasks that found no machine that is up, within the search's budget; and gives up on
-    /// spot machines that don't come.
+    /// Preempts work for the tasks that the plan could not place on a machine that is up, within the search's
+    /// budget. Also ends waits for spot machines that are no longer worthwhile.
     pub(super) fn preempt_for_waiting(
         &mut self,
         now: MonotonicTime,
@@ -57,8 +58,8 @@
         search: &mut PreemptionSearch,
     ) {
         let mut preemptors = self.waiting_preemptors(now, view, plan);
-        // The most urgent first, and of those whoever has waited longest for a search: what the budget
-        // doesn't reach goes on in the next round.
+        // The most urgent first; among equally urgent ones, the one searched for longest ago, so that jobs
+        // which the budget does not cover come first in the next round.
         preemptors.sort_by_key(|preemptor| (preemptor.urgency, preemptor.last_searched_round));
         let mut preemptors: VecDeque<QueuedPreemptor> = preemptors.into();
         while !search.budget.is_mostly_spent()
@@ -66,7 +67,8 @@
         {
             self.preempt_for(now, &preemptor, search);
         }
-        // The rest of the budget goes round among all: urgent work that finds nothing starves nobody.
+        // The rest of the budget is shared regardless of urgency, so that urgent jobs whose searches find nothing
+        // do not starve the others.
         preemptors.make_contiguous().sort_by_key(|preemptor| preemptor.last_searched_round);
         while !search.budget.is_spent()
             && let Some(preemptor) = preemptors.pop_front()
@@ -75,7 +77,8 @@
         }
     }
 
-    /// The waiting jobs of a plan that work may be stopped for. Reviews the wait of each for spot machines.
+    /// The waiting jobs of a plan that may preempt other work. Also reviews whether each should keep waiting for
+    /// spot machines.
     fn waiting_preemptors(
         &mut self,
         now: MonotonicTime,
@@ -101,7 +104,8 @@
         preemptors
     }
 
-    /// The paper's second fall-back: gives up on spot machines that don't come.
+    /// Stops provisioning spot machines for a job once its slack is less than its wait for one so far plus the
+    /// configured window (eq. 8 of the paper that [`crate::core::placement`] follows).
     fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, waiting: &Waiting) {
         let window_s = self.tuning.spot_window_s;
         let Some(job) = self.jobs.live.get_mut(id) else { return };
@@ -110,19 +114,19 @@
             return;
         }
         let since = *job.spot_wait_since.get_or_insert(now);
-        let due_s = view.due_s.unwrap_or(DUE_WITHOUT_DEADLINE * waiting.finish_s);
+        let due_s = view.due_s.unwrap_or(DEFAULT_DEADLINE_FACTOR * waiting.finish_s);
         let sub_deadline_s = placement::sub_deadline(due_s, view.run_s, true);
         let waited_s = (now - since).as_secs_f64();
         if !job.no_new_spot && placement::spot_wait_is_over(sub_deadline_s, waiting.finish_s, waited_s, window_s) {
-            debug!("job waits for spot machines no longer: job={id}");
+            debug!("job has waited too long for spot machines, requesting no more for it: job={id}");
             job.no_new_spot = true;
         }
     }
 
-    /// Whether other work may be stopped for a waiting job.
+    /// Whether a waiting job may preempt other work.
     fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &Waiting) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
-        // Work is only stopped for a job that would start too late otherwise.
+        // A job that is expected to start within its objective without preemption does not preempt.
         let slo_s = self.jobs.live.get(id).and_then(|job| self.settings.start_slo_s(&job.spec.class, view.guaranteed));
         urgent && !slo_s.is_some_and(|slo_s| waiting.ready_s > 0.0 && view.age_s + waiting.ready_s <= slo_s)
     }
@@ -131,7 +135,7 @@
         let Some(job) = self.jobs.live.get_mut(&preemptor.id) else { return };
         job.last_preemption_round = self.rounds.count();
         if job.spec.kind == Kind::Gang {
-            // All of it or nothing: work is stopped only where that is enough.
+            // A gang cannot start in part, so work is preempted only if that frees capacity for all its tasks.
             self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
         } else {
             let (id, tasks) = (&preemptor.id, preemptor.tasks);
@@ -153,8 +157,8 @@
         self.preempt_tasks(now, search, &PreemptionRequest { job: *id, target, tasks, pools })
     }
 
-    /// Stops work of lower priority where that makes capacity for tasks of a job, and reserves that. Returns for
-    /// how many.
+    /// Stops work of lower priority where that frees capacity for tasks of a job, and reserves the capacity.
+    /// Returns the number of tasks that capacity was reserved for.
     pub(super) fn preempt_tasks(
         &mut self,
         now: MonotonicTime,
@@ -163,7 +167,7 @@
     ) -> u32 {
         let before = self.cost.read();
         let id = &request.job;
-        let mut zones = self.zones_of(id);
+        let mut zones = self.zones_in_use(id);
         let mut candidates = self.candidates_for(now, search, request, &zones);
         let mut reserved = 0;
         while reserved < request.tasks && !self.reservations_exhausted() {
@@ -174,7 +178,7 @@
             let preemptor = Preemptor { id, job, target: request.target };
             let Some(eviction) = self.eviction_for(now, preemptor, &machine, &zones) else { continue };
             if candidates.has_better_than(eviction.loss) {
-                // Something else has been stopped or reserved there since.
+                // The loss has grown since the machine was queued, as its tasks or reservations have changed.
                 candidates.push(eviction.loss, position);
                 continue;
             }
@@ -196,8 +200,9 @@
         self.reservations.len() >= MIN_RESERVATIONS + MAX_RESERVATIONS_PER_MACHINE * self.machines.known.len()
     }
 
-    /// The machines where stopping work makes capacity for a task of a job: all of them in small fleets, in large
-    /// ones others in each round.
+    /// The machines where stopping work frees capacity for a task of the job. At most [`MAX_EXAMINED_MACHINES`]
+    /// machines
+    /// are examined, starting at another one in each round; for a gang all are.
     fn candidates_for(
         &self,
         now: MonotonicTime,
@@ -211,20 +216,20 @@
         let (need, urgency) = (Resources::of_task(&job.spec), self.urgency(&request.job, job));
         self.cost.add_jobs(1);
         let index = search.index(self, now);
-        let promising = index.promising(&request.pools, urgency, &need);
-        if promising.is_empty() {
+        let candidate_pools = index.pools_that_may_fit(&request.pools, urgency, &need);
+        if candidate_pools.is_empty() {
             return candidates;
         }
         self.cost.add_machines(index.machines.len());
-        let suited = |position: &usize| {
+        let may_fit = |position: &usize| {
             let machine = &index.machines[*position];
-            machine.reclaimable_by(urgency).covers(&need) && promising.contains(&machine.pool)
+            machine.reclaimable_by(urgency).covers(&need) && candidate_pools.contains(&machine.pool)
         };
         let count = index.machines.len();
-        let first = (self.rounds.count() as usize).wrapping_mul(MAX_CANDIDATES) % count.max(1);
-        // A gang was found to have capacity on all of them together.
-        let most = if job.spec.kind == Kind::Gang { count } else { MAX_CANDIDATES };
-        for position in (first..count).chain(0..first).filter(suited).take(most) {
+        let first = (self.rounds.count() as usize).wrapping_mul(MAX_EXAMINED_MACHINES) % count.max(1);
+        // The capacity found for a gang may be spread over all machines.
+        let most = if job.spec.kind == Kind::Gang { count } else { MAX_EXAMINED_MACHINES };
+        for position in (first..count).chain(0..first).filter(may_fit).take(most) {
             let machine = &index.machines[position];
             if let Some(eviction) = self.eviction_for(now, preemptor, &machine.id, zones) {
                 candidates.push(eviction.loss, position);
@@ -233,10 +238,10 @@
         candidates
     }
 
-    /// The zones in which a job's tasks are placed, or capacity is reserved for them.
-    fn zones_of(&self, id: &JobId) -> Vec<ZoneCount> {
-        let zones_matter = |job: &&Job| job.spec.spread || job.spec.one_zone;
-        let Some(job) = self.jobs.live.get(id).filter(zones_matter) else { return Vec::new() };
+    /// The zones in which a job's tasks are placed or have reservations. Empty if it has no zone constraint.
+    fn zones_in_use(&self, id: &JobId) -> Vec<ZoneCount> {
+        let has_zone_constraint = |job: &&Job| job.spec.spread || job.spec.one_zone;
+        let Some(job) = self.jobs.live.get(id).filter(has_zone_constraint) else { return Vec::new() };
         let mut zones = zone_counts(job, &self.machines.known);
         let reserved = self.reservations.of(id).filter_map(|reservation| self.machines.known.get(&reservation.machine));
         zones.extend(reserved.map(|machine| ZoneCount { zone: machine.zone, count: 1 }));
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -1,5 +1,6 @@
-//! What each machine could free for urgent work, by priority, gathered once for many jobs. Checking a machine
-//! for a job then takes a few comparisons; its tasks are passed over only where it may have the capacity.
+//! An index of the resources that preemption could free on each machine, by priority. It is built once for many
+//! jobs: checking a machine for a job takes a few comparisons, and its tasks are examined only if it may have
+//! enough capacity.
 
 use super::Scheduler;
 use crate::core::jobs::{Job, priority_number};
@@ -10,36 +11,36 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// How many priorities there are; [`priority_number`] is below it.
+/// Number of priorities; [`priority_number`] is below it.
 const PRIORITIES: usize = 4;
-/// Operations that one search for many jobs may take for each machine.
+/// Operation budget of one search, per machine of the fleet.
 const SEARCH_OPERATIONS_PER_MACHINE: u64 = 32;
-/// Operations that it may take in any fleet, besides those for its machines.
+/// Operation budget of one search in a fleet of any size, in addition to that per machine.
 const MIN_SEARCH_OPERATIONS: u64 = 16_384;
 
-/// How urgent work is that other work may be stopped for.
+/// Urgency of work that may preempt other work.
 #[derive(Clone, Copy)]
 pub(super) struct Urgency {
-    /// As [`priority_number`] gives it; the lowest is the most urgent.
+    /// As given by [`priority_number`]; the lowest is the most urgent.
     pub(super) priority: usize,
-    /// Within its team's guarantee: then work of the same priority beyond a guarantee gives way too.
+    /// Within its team's guarantee, so that it may also preempt work of the same priority beyond a guarantee.
     pub(super) guaranteed: bool,
 }
 
-/// A machine that may get tasks now.
+/// A usable machine, with what preemption could free on it.
 pub(super) struct IndexedMachine {
     pub(super) id: MachineId,
     pub(super) pool: InstancePool,
     /// Neither used nor reserved.
     pub(super) free: Resources,
-    /// By priority, what would be free without the tasks of lower priority and those that stop already.
+    /// By priority, what would be free without the tasks of lower priority and the tasks already being stopped.
     reclaimable: [Resources; PRIORITIES],
-    /// By priority, what its tasks beyond any guarantee use.
+    /// By priority, what its tasks that are beyond their team's guarantee use.
     over_guarantee: [Resources; PRIORITIES],
 }
 
 impl IndexedMachine {
-    /// The most that could become free for such work.
+    /// Upper bound on what could become free for work of this urgency.
     pub(super) fn reclaimable_by(&self, urgency: Urgency) -> Resources {
         let mut reclaimable = self.reclaimable[urgency.priority];
         if urgency.guaranteed {
@@ -49,29 +50,29 @@
     }
 }
 
-/// By priority, at least what any machine of an instance pool could free.
+/// By priority, an upper bound on what any single machine of an instance pool could free.
 #[derive(Default)]
 struct ReclaimableByPool {
-    to_any: [Resources; PRIORITIES],
-    to_guaranteed: [Resources; PRIORITIES],
+    for_any: [Resources; PRIORITIES],
+    for_guaranteed: [Resources; PRIORITIES],
 }
 
 impl ReclaimableByPool {
     fn include(&mut self, machine: &IndexedMachine) {
         for priority in 0..PRIORITIES {
             let reclaimable = |guaranteed| machine.reclaimable_by(Urgency { priority, guaranteed });
-            self.to_any[priority].max_with(&reclaimable(false));
-            self.to_guaranteed[priority].max_with(&reclaimable(true));
+            self.for_any[priority].max_with(&reclaimable(false));
+            self.for_guaranteed[priority].max_with(&reclaimable(true));
         }
     }
 
     fn may_reclaim(&self, urgency: Urgency, need: &Resources) -> bool {
-        let reclaimable = if urgency.guaranteed { &self.to_guaranteed } else { &self.to_any };
+        let reclaimable = if urgency.guaranteed { &self.for_guaranteed } else { &self.for_any };
         reclaimable[urgency.priority].covers(need)
     }
 }
 
-/// The machines that may get tasks, in the order of their names.
+/// The usable machines, sorted by id.
 pub(super) struct PreemptionIndex {
     pub(super) machines: Vec<IndexedMachine>,
     pools: BTreeMap<InstancePool, ReclaimableByPool>,
@@ -86,8 +87,8 @@
         PreemptionIndex { machines, pools }
     }
 
-    /// Those of the permitted pools in which some machine may have had the capacity when the index was built.
-    pub(super) fn promising(
+    /// The permitted pools in which some machine may have had enough capacity when the index was built.
+    pub(super) fn pools_that_may_fit(
         &self,
         permitted: &BTreeSet<InstancePool>,
         urgency: Urgency,
@@ -104,53 +105,53 @@
     }
 }
 
-/// The operations that a search may still take.
+/// The operations that a search may still perform, as counted by the scheduler's cost meter.
 pub(super) struct OperationBudget {
-    all: u64,
+    total: u64,
     left: u64,
 }
 
 impl OperationBudget {
     fn new(machines: usize) -> OperationBudget {
-        let all = MIN_SEARCH_OPERATIONS + SEARCH_OPERATIONS_PER_MACHINE * machines as u64;
-        OperationBudget { all, left: all }
+        let total = MIN_SEARCH_OPERATIONS + SEARCH_OPERATIONS_PER_MACHINE * machines as u64;
+        OperationBudget { total, left: total }
     }
 
-    /// Takes off what a part of the search took.
+    /// Deducts the operations of a part of the search.
     pub(super) fn spend(&mut self, operations: u64) {
         self.left = self.left.saturating_sub(operations);
     }
 
-    /// Whether nothing is left.
+    /// Whether no operations are left.
     pub(super) fn is_spent(&self) -> bool {
         self.left == 0
     }
 
-    /// Whether so much is spent that the rest is for those who have waited longest for a search.
+    /// Whether only the last quarter is left, which goes to the jobs that were searched for longest ago.
     pub(super) fn is_mostly_spent(&self) -> bool {
-        self.left < self.all / 4
+        self.left < self.total / 4
     }
 }
 
-/// A search for capacity for many jobs: its index, built when it is first needed, and its budget. No tasks are
-/// placed meanwhile.
+/// A search for capacity for many jobs, with an index that is built on first use and an operation budget. The
+/// index is not updated when tasks are placed, so a new search is needed after that.
 pub(super) struct PreemptionSearch {
     index: Option<PreemptionIndex>,
     pub(super) budget: OperationBudget,
 }
 
 impl PreemptionSearch {
-    /// A search among so many machines.
+    /// A search in a fleet of this many machines.
     pub(super) fn new(machines: usize) -> PreemptionSearch {
         PreemptionSearch { index: None, budget: OperationBudget::new(machines) }
     }
 
-    /// The index, which is built if there is none yet.
+    /// The index, built on first use.
     pub(super) fn index(&mut self, scheduler: &Scheduler, now: MonotonicTime) -> &PreemptionIndex {
         self.index.get_or_insert_with(|| scheduler.build_preemption_index(now))
     }
 
-    /// Indexes a machine anew whose tasks or reservations have changed.
+    /// Updates the index entry of a machine whose tasks or reservations have changed.
     pub(super) fn refresh(&mut self, scheduler: &Scheduler, now: MonotonicTime, id: &MachineId) {
         let Some(index) = &mut self.index else { return };
         let Some(position) = index.position(id) else { return };
@@ -162,11 +163,11 @@
     }
 }
 
-/// A machine where stopping work makes capacity, by what would be lost: the least first, then the first by name.
+/// A machine where stopping work frees capacity. Ordered by the loss that this causes, then by machine id.
 #[derive(Clone, Copy, PartialEq)]
 struct Candidate {
     loss: f64,
-    /// Its position in the index.
+    /// Position of the machine in the index.
     position: usize,
 }
 
@@ -184,36 +185,36 @@
     }
 }
 
-/// Candidates, the one to be taken first on top.
+/// Candidate machines, the one with the least loss on top.
 #[derive(Default)]
 pub(super) struct Candidates(BinaryHeap<Reverse<Candidate>>);
 
 impl Candidates {
-    /// Adds a machine by its position in the index.
+    /// Adds the machine at a position of the index.
     pub(super) fn push(&mut self, loss: f64, position: usize) {
         self.0.push(Reverse(Candidate { loss, position }));
     }
 
-    /// Takes out the machine where the least would be lost. Returns its position in the index.
+    /// Removes the machine with the least loss and returns its position in the index.
     pub(super) fn pop(&mut self) -> Option<usize> {
         self.0.pop().map(|Reverse(candidate)| candidate.position)
     }
 
-    /// Whether another machine would lose less than this.
+    /// Whether some machine causes less loss than this.
     pub(super) fn has_better_than(&self, loss: f64) -> bool {
         self.0.peek().is_some_and(|Reverse(candidate)| candidate.loss < loss)
     }
 }
 
 impl Scheduler {
-    /// All machines that may get tasks now, and what each could free.
+    /// Indexes all usable machines.
     fn build_preemption_index(&self, now: MonotonicTime) -> PreemptionIndex {
         self.cost.add_machines(self.machines.known.len());
         let indexed = self.machines.known.iter().filter_map(|(id, machine)| self.index_machine(now, id, machine));
         PreemptionIndex::new(indexed.collect())
     }
 
-    /// None: the machine may not get tasks now.
+    /// `None` if the machine is not usable.
     fn index_machine(&self, now: MonotonicTime, id: &MachineId, machine: &Machine) -> Option<IndexedMachine> {
         if !machine.usable(now, self.heartbeat_timeout()) {
             return None;
@@ -224,9 +225,9 @@
         let mut over_guarantee = [Resources::default(); PRIORITIES];
         for (key, allocation) in machine.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
             let priority = priority_number(allocation.priority) as usize;
-            // What is already told to stop will be free soon, for anyone.
-            let served_below = if allocation.stop.is_some() { PRIORITIES } else { priority };
-            reclaimable[..served_below].iter_mut().for_each(|reclaimable| reclaimable.add(&allocation.need));
+            // Resources of tasks that are being stopped will soon be free for work of any priority.
+            let available_below = if allocation.stop.is_some() { PRIORITIES } else { priority };
+            reclaimable[..available_below].iter_mut().for_each(|reclaimable| reclaimable.add(&allocation.need));
             if allocation.stop.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
                 over_guarantee[priority].add(&allocation.need);
             }
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -1,6 +1,6 @@
-//! Capacity on machines that is kept for tasks of a job. Work was stopped to make it, or a gang waits until
-//! it has capacity for all of its tasks; without a reservation other work would take the capacity as soon as it
-//! is free, and be stopped again.
+//! Reservations of machine capacity for tasks of a job: capacity that work is being preempted for, or that a gang
+//! gathers until it has enough for all its tasks. Without a reservation, other work would take the capacity as soon
+//! as it is free, and would be preempted in turn.
 
 use super::Scheduler;
 use crate::core::machine::{Machine, Resources};
@@ -10,127 +10,130 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Kept for this long unless it is used or renewed.
+/// A reservation that is neither used nor renewed expires after this time.
 const RESERVATION_TTL: Millis = Millis(4_000);
-/// Reservations that one tick tries to use.
+/// Limit on the reservations that one tick tries to use.
 const MAX_RESERVATIONS_PER_TICK: usize = 2_048;
 
-/// Numbers reservations in the order in which they were made, which is also that in which they expire.
-type Number = u64;
+/// Sequence number of a reservation. Reservations expire in the order in which they were made.
+type ReservationNumber = u64;
 
-/// Capacity for one task.
+/// Capacity reserved for one task.
 pub(super) struct Reservation {
     pub(super) machine: MachineId,
     pub(super) job: JobId,
     pub(super) need: Resources,
-    until: MonotonicTime,
+    expires_at: MonotonicTime,
 }
 
-/// All reservations, indexed by machine and by job: each look-up costs what it finds.
+/// All reservations. Indexes by machine and by job make the cost of a look-up proportional to its result.
 #[derive(Default)]
 pub(super) struct Reservations {
-    by_number: BTreeMap<Number, Reservation>,
-    by_machine: BTreeMap<MachineId, BTreeSet<Number>>,
-    by_job: BTreeMap<JobId, BTreeSet<Number>>,
-    last: Number,
-    /// The last job whose reservations were tried: the next ones have their turn.
-    tried_to: Option<JobId>,
+    by_number: BTreeMap<ReservationNumber, Reservation>,
+    by_machine: BTreeMap<MachineId, BTreeSet<ReservationNumber>>,
+    by_job: BTreeMap<JobId, BTreeSet<ReservationNumber>>,
+    last_number: ReservationNumber,
+    /// The last job whose reservations a tick tried to use; the next tick starts after it.
+    last_tried_job: Option<JobId>,
 }
 
 impl Reservations {
-    /// How many there are.
+    /// Number of reservations.
     pub(super) fn len(&self) -> usize {
         self.by_number.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no reservations.
     pub(super) fn is_empty(&self) -> bool {
         self.by_number.is_empty()
     }
 
-    /// Those on a machine, the oldest first.
+    /// The reservations on a machine, oldest first.
     pub(super) fn on(&self, machine: &MachineId) -> impl Iterator<Item = &Reservation> {
-        self.numbered(self.by_machine.get(machine))
+        self.resolve(self.by_machine.get(machine))
     }
 
-    /// Those of a job, the oldest first.
+    /// The reservations of a job, oldest first.
     pub(super) fn of(&self, job: &JobId) -> impl Iterator<Item = &Reservation> {
-        self.numbered(self.by_job.get(job))
+        self.resolve(self.by_job.get(job))
     }
 
-    /// How many a job has.
+    /// Number of reservations of a job.
     pub(super) fn count_of(&self, job: &JobId) -> usize {
         self.by_job.get(job).map_or(0, BTreeSet::len)
     }
 
-    fn numbered<'a>(&'a self, numbers: Option<&'a BTreeSet<Number>>) -> impl Iterator<Item = &'a Reservation> {
+    fn resolve<'a>(
+        &'a self,
+        numbers: Option<&'a BTreeSet<ReservationNumber>>,
+    ) -> impl Iterator<Item = &'a Reservation> {
         numbers.into_iter().flatten().filter_map(|number| self.by_number.get(number))
     }
 
-    /// Jobs in the order of their names, from the one after `last` on and round again, until they have
-    /// `most` reservations between them. At least one job, if there is any.
-    fn jobs_after(&self, last: Option<JobId>, most: usize) -> Vec<JobId> {
+    /// Jobs with reservations, in the order of their ids, starting after `last` and wrapping around, until they
+    /// have `limit` reservations together. At least one job, if any has reservations.
+    fn jobs_after(&self, last: Option<JobId>, limit: usize) -> Vec<JobId> {
         let from = last.map_or(Bound::Unbounded, Bound::Excluded);
         let later = self.by_job.range((from, Bound::Unbounded));
         let earlier = last.into_iter().flat_map(|last| self.by_job.range(..=last));
-        let mut seen = 0;
-        let fits = |(_, numbers): &(&JobId, &BTreeSet<Number>)| {
-            let goes_on = seen < most;
-            seen += numbers.len();
-            goes_on
+        let mut total = 0;
+        let is_within_limit = |(_, numbers): &(&JobId, &BTreeSet<ReservationNumber>)| {
+            let within_limit = total < limit;
+            total += numbers.len();
+            within_limit
         };
-        later.chain(earlier).take_while(fits).map(|(job, _)| *job).collect()
+        later.chain(earlier).take_while(is_within_limit).map(|(job, _)| *job).collect()
     }
 
-    /// Keeps capacity for one task of the job until [`RESERVATION_TTL`] has passed.
+    /// Reserves capacity for one task of the job. The reservation expires after [`RESERVATION_TTL`].
     pub(super) fn add(&mut self, now: MonotonicTime, machine: MachineId, job: JobId, need: Resources) {
-        self.last += 1;
-        self.by_machine.entry(machine.clone()).or_default().insert(self.last);
-        self.by_job.entry(job).or_default().insert(self.last);
-        self.by_number.insert(self.last, Reservation { machine, job, need, until: now + RESERVATION_TTL });
+        self.last_number += 1;
+        self.by_machine.entry(machine.clone()).or_default().insert(self.last_number);
+        self.by_job.entry(job).or_default().insert(self.last_number);
+        self.by_number.insert(self.last_number, Reservation { machine, job, need, expires_at: now + RESERVATION_TTL });
     }
 
-    /// Drops those whose time has passed.
+    /// Removes the expired reservations.
     pub(super) fn expire(&mut self, now: MonotonicTime) {
         while let Some((number, first)) = self.by_number.first_key_value()
-            && first.until <= now
+            && first.expires_at <= now
         {
             self.remove(*number);
         }
     }
 
-    /// One task of the job starts on the machine: drops its oldest reservation there.
+    /// Removes the job's oldest reservation on the machine, as one of its tasks starts there.
     pub(super) fn use_one(&mut self, job: &JobId, machine: &MachineId) {
         let on_machine = self.by_machine.get(machine);
         let of_job = self.by_job.get(job);
-        let both = on_machine.zip(of_job).and_then(|(a, b)| a.intersection(b).next().copied());
-        if let Some(number) = both {
+        let oldest = on_machine.zip(of_job).and_then(|(a, b)| a.intersection(b).next().copied());
+        if let Some(number) = oldest {
             self.remove(number);
         }
     }
 
-    /// Drops all that a job has.
+    /// Removes all reservations of a job.
     pub(super) fn release(&mut self, job: &JobId) {
         for number in self.by_job.get(job).cloned().unwrap_or_default() {
             self.remove(number);
         }
     }
 
-    /// The jobs whose reservations are tried next, each in its turn.
-    fn next_jobs(&mut self, most: usize) -> Vec<JobId> {
-        let jobs = self.jobs_after(self.tried_to, most);
-        self.tried_to = jobs.last().copied();
+    /// The jobs whose reservations are to be tried next, round robin.
+    fn next_jobs(&mut self, limit: usize) -> Vec<JobId> {
+        let jobs = self.jobs_after(self.last_tried_job, limit);
+        self.last_tried_job = jobs.last().copied();
         jobs
     }
 
-    fn remove(&mut self, number: Number) {
+    fn remove(&mut self, number: ReservationNumber) {
         let Some(reservation) = self.by_number.remove(&number) else { return };
         remove_from(&mut self.by_machine, &reservation.machine, number);
         remove_from(&mut self.by_job, &reservation.job, number);
     }
 }
 
-fn remove_from<K: Ord>(index: &mut BTreeMap<K, BTreeSet<Number>>, key: &K, number: Number) {
+fn remove_from<K: Ord>(index: &mut BTreeMap<K, BTreeSet<ReservationNumber>>, key: &K, number: ReservationNumber) {
     let Some(numbers) = index.get_mut(key) else { return };
     numbers.remove(&number);
     if numbers.is_empty() {
@@ -138,25 +141,30 @@
     }
 }
 
-/// What came of an attempt to use a job's reservations.
+/// Result of trying to use a job's reservations.
 #[derive(Clone, Copy, PartialEq)]
 enum ReservationUse {
-    /// The job needs none of them any more.
+    /// The job no longer needs any of them.
     Done,
-    /// The job keeps what is left of them.
+    /// The job keeps the remaining ones.
     Pending,
 }
 
 impl Scheduler {
-    /// What of a machine is neither used nor reserved, but for one job's reservations if that is named.
-    pub(super) fn unreserved_capacity(&self, id: &MachineId, machine: &Machine, but_for: Option<&JobId>) -> Resources {
+    /// The capacity of a machine that is neither used nor reserved. Reservations of `except_job` do not count.
+    pub(super) fn unreserved_capacity(
+        &self,
+        id: &MachineId,
+        machine: &Machine,
+        except_job: Option<&JobId>,
+    ) -> Resources {
         let mut free = machine.free(&self.catalog.types[machine.kind]);
-        let reservations = self.reservations.on(id).filter(|reservation| but_for != Some(&reservation.job));
+        let reservations = self.reservations.on(id).filter(|reservation| except_job != Some(&reservation.job));
         reservations.for_each(|reservation| free.sub(&reservation.need));
         free
     }
 
-    /// Starts the tasks whose reserved capacity is free by now.
+    /// Starts tasks whose reserved capacity has become free.
     pub(super) fn use_reservations(&mut self, now: MonotonicTime) {
         self.reservations.expire(now);
         let mut done: BTreeSet<JobId> = BTreeSet::new();
@@ -176,7 +184,7 @@
         done.iter().for_each(|id| self.reservations.release(id));
     }
 
-    /// Starts a gang once all of its tasks have a reservation and may start.
+    /// Starts a gang once all its tasks have reservations and may start.
     fn start_reserved_gang(&mut self, now: MonotonicTime, id: &JobId, mut machines: Vec<MachineId>) -> ReservationUse {
         let Some(job) = self.jobs.live.get(id) else { return ReservationUse::Done };
         let tasks = job.spec.tasks;
@@ -194,7 +202,7 @@
         ReservationUse::Done
     }
 
-    /// Starts a ready task on each machine that has a reservation and may take it.
+    /// Starts a ready task for each reservation whose machine may take it.
     fn start_reserved_tasks(&mut self, now: MonotonicTime, id: &JobId, machines: Vec<MachineId>) -> ReservationUse {
         for machine in machines {
             let Some(index) = self.jobs.live.get(id).and_then(|job| job.ready.first().copied()) else {
--- a/src/core/scheduler/reservations/tests.rs
+++ b/src/core/scheduler/reservations/tests.rs
@@ -18,23 +18,30 @@
     }
     assert_eq!((reservations.on(&machine(1)).count(), reservations.of(&job(1)).count()), (3, 3));
     reservations.use_one(&job(1), &machine(1));
-    assert_eq!(reservations.of(&job(1)).count(), 2, "one task, one reservation");
+    assert_eq!(reservations.of(&job(1)).count(), 2, "one task uses one reservation");
     assert_eq!(reservations.count_of(&job(1)), 2);
     reservations.release(&job(1));
     assert_eq!(reservations.jobs_after(None, 10), [job(2)]);
     reservations.expire(MonotonicTime(0) + RESERVATION_TTL);
     assert!(reservations.is_empty());
-    assert!(reservations.by_machine.is_empty() && reservations.by_job.is_empty(), "the indexes keep nothing");
+    assert!(
+        reservations.by_machine.is_empty() && reservations.by_job.is_empty(),
+        "expired reservations are removed from the indexes"
+    );
 }
 
 #[test]
-fn reservations_take_turns_over_all_jobs() {
+fn jobs_after_returns_jobs_round_robin() {
     let mut reservations = Reservations::default();
     for n in [1, 1, 1, 2, 3, 4] {
         reservations.add(MonotonicTime(0), machine(n), job(n), NEED);
     }
-    assert_eq!(reservations.jobs_after(None, 2), [job(1)], "a job with more than fit is looked at all the same");
+    assert_eq!(
+        reservations.jobs_after(None, 2),
+        [job(1)],
+        "a job with more reservations than the limit is still returned"
+    );
     assert_eq!(reservations.jobs_after(Some(job(1)), 2), [job(2), job(3)]);
-    assert_eq!(reservations.jobs_after(Some(job(3)), 2), [job(4), job(1)], "round again");
-    assert_eq!(reservations.jobs_after(Some(job(3)), 100).len(), 4, "each once");
+    assert_eq!(reservations.jobs_after(Some(job(3)), 2), [job(4), job(1)], "wraps around after the last job");
+    assert_eq!(reservations.jobs_after(Some(job(3)), 100).len(), 4, "each job once");
 }
