--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -1,4 +1,4 @@
-//! What jobs inherit from the jobs that depend on them: priorities, deadlines and ranks.
+//! Computes the constraints that jobs inherit from the jobs that depend on them: priorities, deadlines and ranks.
 
 use super::Scheduler;
 use crate::core::dependencies::JobTiming;
@@ -9,8 +9,8 @@
 use crate::wire::JobSpec;
 
 impl Scheduler {
-    /// Works out anew what each job inherits. Where its priority changes by that, so does the priority of
-    /// its allocations.
+    /// Recomputes the inherited constraints of all jobs, and updates the priority of the allocations of jobs whose
+    /// priority has changed.
     pub(super) fn inherit(&mut self, wall: WallTime) {
         let inherited = self.jobs.inherited(|job| self.job_timing(wall, job));
         for id in self.jobs.set_inherited(inherited) {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The mean rate at which the machine types open to a job fetch images, in GB per second; 1 if none is
-    /// open or the mean is zero.
+    /// Mean image fetch rate of the machine types that a job permits, in GB per second. 1 if there is no such type or
+    /// the mean is zero.
     fn mean_fetch_rate(&self, spec: &JobSpec) -> f64 {
         let types = self.catalog.types.iter().filter(|machine_type| submissions::type_allows(spec, machine_type));
         let rates = types.map(|machine_type| machine_type.fetch_gb_per_s);
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -1,4 +1,4 @@
-//! The live jobs with their dependencies, and what the scheduler remembers of jobs that have ended.
+//! The live jobs, their dependencies, and the ids of recently ended jobs.
 
 use crate::core::dependencies::{DependencyGraph, InheritedConstraints, JobTiming};
 use crate::core::jobs::{ClassTimes, Job};
@@ -8,44 +8,43 @@
 use crate::wire::JobSpec;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most ended jobs that are remembered, so that late messages about them are ignored.
+/// Limit on the ended jobs that are remembered, so that late messages about them are ignored.
 const MAX_RECENTLY_TERMINATED: usize = 1024;
 
-/// Most jobs that the key-value store is asked about at once.
+/// Limit on the jobs in one look-up in the key-value store.
 const MAX_LOOKUPS: usize = 16;
 
-/// After a look-up that found nothing, none is made for this long.
+/// Delay until the next look-up after one that found nothing.
 const LOOKUP_RETRY_INTERVAL: Millis = Millis(500);
 
 /// The live jobs and their dependencies.
 ///
-/// The dependency graph knows the dependencies of exactly the live jobs, and a job that has ended doesn't
-/// come back while it is remembered.
+/// The dependency graph holds the dependencies of exactly the live jobs. A job that has ended is not inserted again
+/// while it is remembered.
 pub(super) struct JobTable {
-    /// The live jobs by id. They are added by [`JobTable::insert`] and removed by [`JobTable::terminate`]
-    /// only.
+    /// The live jobs by id. Only [`JobTable::insert`] adds jobs and only [`JobTable::terminate`] removes them.
     pub(super) live: BTreeMap<JobId, Job>,
     dependencies: DependencyGraph,
-    /// The store is being asked how dependencies have ended.
+    /// A look-up of the outcomes of dependencies is in flight.
     lookup_in_flight: bool,
-    /// No look-up starts before then.
+    /// No look-up starts before this time.
     next_lookup_at: MonotonicTime,
-    /// The latest jobs that have ended, the oldest first.
+    /// The most recently ended jobs, oldest first.
     recently_terminated: VecDeque<JobId>,
-    /// How long the tasks of each class of jobs really run.
+    /// Observed run times of the tasks of each job class.
     class_times: ClassTimes,
 }
 
-/// What the end of a job has changed.
+/// The effects of a job's end on the table.
 pub(super) struct Termination {
-    /// The job as it was; none: it wasn't live here.
+    /// The removed job; `None` if it was not live here.
     pub(super) job: Option<Job>,
-    /// Whether other jobs depend on one job less now.
+    /// Whether live jobs depended on it and no longer do.
     pub(super) released_dependents: bool,
 }
 
 impl JobTable {
-    /// A table without jobs.
+    /// An empty table.
     pub(super) fn new(now: MonotonicTime) -> JobTable {
         JobTable {
             live: BTreeMap::new(),
@@ -62,19 +61,19 @@
         self.class_times.expect(&spec.class, spec.estimate_s)
     }
 
-    /// A task of a live job has run for `ran_s` seconds.
+    /// Records that a task of a live job has run for `ran_s` seconds.
     pub(super) fn learn_run_time(&mut self, id: &JobId, ran_s: f64) {
         if let Some(job) = self.live.get(id) {
             self.class_times.learn(&job.spec.class, job.spec.estimate_s, ran_s);
         }
     }
 
-    /// A live job.
+    /// The live job with this id.
     pub(super) fn get(&self, id: &JobId) -> Option<&Job> {
         self.live.get(id)
     }
 
-    /// A live job, to change it.
+    /// Mutable access to the live job with this id.
     pub(super) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.live.get_mut(id)
     }
@@ -84,28 +83,28 @@
         self.live.iter()
     }
 
-    /// How many jobs are live.
+    /// Number of live jobs.
     pub(super) fn len(&self) -> usize {
         self.live.len()
     }
 
-    /// Whether a job is live or has ended lately. The watch may tell of a job's acceptance after its end has
-    /// come by another way.
+    /// Whether a job is live or ended recently. The watch on the store may report a job's acceptance after its end
+    /// has become known by other means.
     pub(super) fn is_known(&self, id: &JobId) -> bool {
         self.live.contains_key(id) || self.recently_terminated.contains(id)
     }
 
-    /// Adds a live job that isn't known yet.
+    /// Adds a live job that is not known yet.
     pub(super) fn insert(&mut self, id: JobId, job: Job) {
         self.dependencies.add(id, &job.depends_on, |dependency| self.live.contains_key(dependency));
         self.live.insert(id, job);
     }
 
-    /// A job has ended, live here or not. Its dependents no longer wait for it once it is done, and have to
-    /// be cancelled too if it was cancelled.
+    /// Records the end of a job, which need not be live here. If it is done, its dependents no longer wait for it;
+    /// if it was cancelled, they have to be cancelled as well.
     pub(super) fn terminate(&mut self, id: &JobId, outcome: JobOutcome) -> Termination {
         self.remember_terminated(id);
-        let released_dependents = self.settle_dependents(id, outcome);
+        let released_dependents = self.apply_outcome_to_dependents(id, outcome);
         let job = self.live.remove(id);
         if let Some(job) = &job {
             self.dependencies.remove(id, &job.depends_on);
@@ -123,8 +122,8 @@
         }
     }
 
-    /// Hands the outcome of a job to its dependents. Returns whether some of them no longer wait for it.
-    fn settle_dependents(&mut self, id: &JobId, outcome: JobOutcome) -> bool {
+    /// Applies the outcome of a job to its dependents. Returns whether any of them no longer waits for it.
+    fn apply_outcome_to_dependents(&mut self, id: &JobId, outcome: JobOutcome) -> bool {
         let mut released = false;
         for dependent in self.dependencies.ended(id, outcome) {
             let Some(job) = self.live.get_mut(&dependent) else { continue };
@@ -137,17 +136,17 @@
         released
     }
 
-    /// Whether some live job depends on this one.
+    /// Whether a live job depends on this one.
     pub(super) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependencies.has_dependents(id)
     }
 
-    /// Live jobs that have to be cancelled, as a job that they depend on was.
+    /// Live jobs that have to be cancelled because a job that they depend on was.
     pub(super) fn cascade_cancelled(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.dependencies.cascade_cancelled().filter_map(|id| Some((id, self.live.get(id)?)))
     }
 
-    /// Starts a look-up of how dependencies have ended: the jobs to ask the store about. Empty: none is due.
+    /// Starts a look-up of the outcomes of dependencies and returns the jobs to look up. Empty if none is due.
     pub(super) fn start_lookup(&mut self, now: MonotonicTime) -> Vec<JobId> {
         if self.lookup_in_flight || now < self.next_lookup_at {
             return Vec::new();
@@ -157,7 +156,7 @@
         ids
     }
 
-    /// The look-up in flight has ended, and found jobs that have ended or none.
+    /// Records the end of the look-up in flight. `found` says whether it found any job that has ended.
     pub(super) fn finish_lookup(&mut self, now: MonotonicTime, found: bool) {
         self.lookup_in_flight = false;
         if !found {
@@ -165,13 +164,13 @@
         }
     }
 
-    /// What each job inherits from its dependents, given the timing of each live job.
+    /// The constraints that each job inherits from its dependents, given the timing of each live job.
     pub(super) fn inherited(&self, timing: impl Fn(&Job) -> JobTiming) -> BTreeMap<JobId, InheritedConstraints> {
         self.dependencies.inherit(|id| self.live.get(id).map(&timing))
     }
 
-    /// Sets what the live jobs inherit; those that aren't named inherit nothing. Returns the jobs whose
-    /// priority has changed by it.
+    /// Sets the inherited constraints of all live jobs; jobs missing from `inherited` inherit none. Returns the jobs
+    /// whose priority has changed.
     pub(super) fn set_inherited(&mut self, mut inherited: BTreeMap<JobId, InheritedConstraints>) -> Vec<JobId> {
         let mut changed = Vec::new();
         for (id, job) in &mut self.live {
@@ -184,7 +183,8 @@
         changed
     }
 
-    /// Live jobs whose record is no newer than this revision and that aren't among those listed at it.
+    /// Live jobs that are missing from the list of jobs stored at `revision`. Jobs with a newer record do not count,
+    /// as they cannot be in the list.
     pub(super) fn missing_from(&self, listed: &BTreeSet<JobId>, revision: u64) -> Vec<JobId> {
         let missing = self.live.iter().filter(|(id, job)| !listed.contains(*id) && job.revision.0 <= revision);
         missing.map(|(id, _)| *id).collect()
--- a/src/core/scheduler/job_table/tests.rs
+++ b/src/core/scheduler/job_table/tests.rs
@@ -1,5 +1,3 @@
-//! The job table by itself.
-
 use super::*;
 use crate::core::records::LiveRecord;
 use crate::ids::Revision;
@@ -81,16 +79,20 @@
     table.terminate(&id(1), JobOutcome::Unknown);
     assert!(table.get(&id(2)).unwrap().is_waiting());
     assert_eq!(table.start_lookup(START), [id(1)]);
-    assert!(table.start_lookup(START).is_empty(), "one is in flight");
+    assert!(table.start_lookup(START).is_empty(), "a look-up is in flight");
     table.finish_lookup(START, false);
     assert!(table.start_lookup(START + Millis(499)).is_empty());
     assert_eq!(table.start_lookup(START + Millis(500)), [id(1)]);
     table.finish_lookup(START + Millis(600), true);
-    assert_eq!(table.start_lookup(START + Millis(600)), [id(1)], "only a look-up in vain delays the next");
+    assert_eq!(
+        table.start_lookup(START + Millis(600)),
+        [id(1)],
+        "only a look-up that found nothing delays the next one"
+    );
 }
 
 #[test]
-fn a_look_up_that_is_not_due_leaves_the_next_one_free() {
+fn an_empty_look_up_does_not_block_the_next_one() {
     let mut table = table(&[(1, &[])]);
     assert!(table.start_lookup(START).is_empty());
     table.insert(id(2), job(2, &[9]));
@@ -98,25 +100,25 @@
 }
 
 #[test]
-fn the_latest_ended_jobs_are_remembered() {
+fn recently_ended_jobs_are_remembered() {
     let mut table = table(&[]);
     for number in 0..=MAX_RECENTLY_TERMINATED {
         table.terminate(&id(number), JobOutcome::Cancelled);
         table.terminate(&id(number), JobOutcome::Cancelled);
     }
-    assert!(!table.is_known(&id(0)), "the oldest is forgotten");
+    assert!(!table.is_known(&id(0)), "the oldest ended job is no longer remembered");
     assert!((1..=MAX_RECENTLY_TERMINATED).all(|number| table.is_known(&id(number))));
 }
 
 #[test]
-fn only_older_jobs_are_missing_from_a_list() {
+fn missing_from_ignores_jobs_newer_than_the_list() {
     let table = table(&[(3, &[]), (4, &[]), (5, &[])]);
     assert_eq!(table.missing_from(&BTreeSet::from([id(3)]), 4), [id(4)]);
     assert_eq!(table.missing_from(&BTreeSet::new(), 5), [id(3), id(4), id(5)]);
 }
 
 #[test]
-fn inherited_priorities_are_set_and_taken_back() {
+fn inherited_priorities_are_set_and_reset() {
     use crate::wire::Priority;
     let mut table = table(&[(1, &[]), (2, &[])]);
     let high = InheritedConstraints { priority: Priority::High, due_s: None, slo_deadlines: vec![], rank_s: 1.0 };
--- a/src/core/scheduler/quota.rs
+++ b/src/core/scheduler/quota.rs
@@ -1,7 +1,7 @@
-//! What each team possibly uses, against its limit and its guarantee.
+//! Tracks each team's possible resource usage against its limit and its guarantee.
 //!
-//! A team's limit (`cpus_max`, `gpus_max` in the settings) is never exceeded, whatever isn't known of a machine.
-//! Its guarantee (`cpus`, `gpus`) decides which of its jobs may have other teams' work stopped for them.
+//! A team's limit (`cpus_max`, `gpus_max` in the settings) is never exceeded: usage that is uncertain counts in full.
+//! Its guarantee (`cpus`, `gpus`) decides which of its jobs may preempt work that other teams run beyond theirs.
 
 use crate::config::Team;
 use crate::core::jobs::Job;
@@ -13,18 +13,19 @@
 
 /// Stands for "no limit" in messages to planners.
 const UNLIMITED: f64 = 1e12;
-/// Sums of fractions of processors may exceed a limit or a guarantee by this much.
+/// Tolerance for rounding errors in sums of fractional resources.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What is possibly on machines, by team.
+/// Resources that are possibly in use on all machines.
 pub(super) struct QuotaUsage {
+    /// By team number.
     teams: Vec<Resources>,
-    /// All of every machine whose tasks aren't known: it may hold any team's.
+    /// Total capacity of all machines whose tasks are not fully known: they may be any team's.
     unreconciled: Resources,
 }
 
 impl QuotaUsage {
-    /// Counts everything possibly on a machine, and all of a machine that isn't reconciled.
+    /// Sums up everything possibly in use; a machine that is not reconciled counts with its whole capacity.
     fn count(teams: usize, machines: &BTreeMap<MachineId, Machine>, types: &[MachineType]) -> QuotaUsage {
         let mut usage = QuotaUsage { teams: vec![Resources::default(); teams], unreconciled: Resources::default() };
         for machine in machines.values() {
@@ -41,20 +42,20 @@
     }
 }
 
-/// The teams' quotas as of now.
+/// The teams' quotas and their current usage.
 pub(super) struct QuotaTracker {
-    /// The teams in the order of the settings, which is also that of their numbers.
+    /// The teams by number, in the order of the settings.
     teams: Vec<Team>,
     team_names: Vec<String>,
-    /// What each team possibly uses: counted when it is needed, kept up by starts, and dropped
-    /// whenever a heartbeat may have added to it.
+    /// Possible usage by team. Computed on demand, updated at each start, and discarded whenever a heartbeat may
+    /// have changed what is on a machine.
     usage: Option<QuotaUsage>,
     /// The jobs within their team's guarantee, as of the last round.
     pub(super) within_guarantee: BTreeSet<JobId>,
 }
 
 impl QuotaTracker {
-    /// No usage is known yet, and no job is within a guarantee.
+    /// A tracker without cached usage and without jobs within a guarantee.
     pub(super) fn new(teams: &[Team]) -> QuotaTracker {
         let team_names = teams.iter().map(|team| team.name.clone()).collect();
         QuotaTracker { teams: teams.to_vec(), team_names, usage: None, within_guarantee: BTreeSet::new() }
@@ -65,20 +66,20 @@
         &self.team_names
     }
 
-    /// What is on machines may have changed otherwise than by [`QuotaTracker::record_start`].
+    /// Discards the cached usage, as it may have changed other than by [`QuotaTracker::record_start`].
     pub(super) fn invalidate_usage(&mut self) {
         self.usage = None;
     }
 
-    /// A task of the team has been placed on a machine.
+    /// Adds a task of the team that has been placed on a machine.
     pub(super) fn record_start(&mut self, team: u32, need: &Resources) {
         if let Some(usage) = &mut self.usage {
             usage.teams[team as usize].add(need);
         }
     }
 
-    /// Whether the team's limit lets so many more tasks of this need start. A team that isn't known may start
-    /// nothing.
+    /// Whether the team's limit permits starting `tasks` more tasks with this need. An unknown team may not start
+    /// any.
     pub(super) fn fits(
         &mut self,
         team: u32,
@@ -87,31 +88,31 @@
         machines: &BTreeMap<MachineId, Machine>,
         types: &[MachineType],
     ) -> bool {
-        let Some(limits) = self.teams.get(team as usize) else { return false };
-        if limits.cpus_max <= 0.0 && limits.gpus_max <= 0.0 {
+        let Some(quota) = self.teams.get(team as usize) else { return false };
+        if quota.cpus_max <= 0.0 && quota.gpus_max <= 0.0 {
             return true;
         }
         let usage = self.usage.get_or_insert_with(|| QuotaUsage::count(self.teams.len(), machines, types));
         let mut used = usage.teams[team as usize];
         used.add(&usage.unreconciled);
-        let fits = |most: f64, used: f64, need: f64| most <= 0.0 || used + need * tasks <= most + ROUNDING_TOLERANCE;
-        fits(limits.cpus_max, used.cpus, need.cpus) && fits(limits.gpus_max, used.gpus, need.gpus)
+        let fits = |limit: f64, used: f64, need: f64| limit <= 0.0 || used + need * tasks <= limit + ROUNDING_TOLERANCE;
+        fits(quota.cpus_max, used.cpus, need.cpus) && fits(quota.gpus_max, used.gpus, need.gpus)
     }
 
-    /// What each team may still use.
+    /// The resources that each team may still use under its limit.
     pub(super) fn headrooms(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
         types: &[MachineType],
     ) -> Vec<TeamHeadroom> {
         let usage = self.usage.get_or_insert_with(|| QuotaUsage::count(self.teams.len(), machines, types));
-        let left = |most: f64, used: f64, unreconciled: f64| {
-            if most > 0.0 { (most - used - unreconciled).max(0.0) } else { UNLIMITED }
+        let remaining = |limit: f64, used: f64, unreconciled: f64| {
+            if limit > 0.0 { (limit - used - unreconciled).max(0.0) } else { UNLIMITED }
         };
         let headroom = |(number, (team, used)): (usize, (&Team, &Resources))| TeamHeadroom {
             team: number as u32,
-            cpus: left(team.cpus_max, used.cpus, usage.unreconciled.cpus),
-            gpus: left(team.gpus_max, used.gpus, usage.unreconciled.gpus),
+            cpus: remaining(team.cpus_max, used.cpus, usage.unreconciled.cpus),
+            gpus: remaining(team.gpus_max, used.gpus, usage.unreconciled.gpus),
         };
         self.teams.iter().zip(&usage.teams).enumerate().map(headroom).collect()
     }
@@ -121,8 +122,8 @@
         self.within_guarantee.contains(job)
     }
 
-    /// Notes the jobs that fit into their team's guarantee together with the team's earlier ones. Jobs that
-    /// wait for others take nothing of it.
+    /// Updates the set of jobs that fit into their team's guarantee together with the team's earlier jobs. Jobs
+    /// that wait for dependencies do not count.
     pub(super) fn update_guaranteed_jobs(&mut self, jobs: &BTreeMap<JobId, Job>) {
         let mut by_team: BTreeMap<u32, Vec<(&JobId, &Job)>> = BTreeMap::new();
         for (id, job) in jobs.iter().filter(|(_, job)| !job.is_waiting()) {
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -80,24 +80,24 @@
 }
 
 #[test]
-fn fits_counts_what_is_possibly_on_machines_against_the_limit() {
+fn fits_counts_possible_usage_against_the_limit() {
     let fleet = fleet(vec![
         allocation(Some(LIMITED), TaskPhase::Running),
         allocation(Some(LIMITED), TaskPhase::Exited),
         allocation(Some(UNBOUNDED), TaskPhase::Running),
     ]);
     let mut quota = tracker();
-    assert!(quota.fits(LIMITED, &cpus(4.0), 3.0, &fleet, &machine_types()), "4 used and 12 more are the limit of 16");
+    assert!(quota.fits(LIMITED, &cpus(4.0), 3.0, &fleet, &machine_types()), "4 used and 12 more reach the limit of 16");
     assert!(!quota.fits(LIMITED, &cpus(4.0), 4.0, &fleet, &machine_types()));
     assert!(quota.fits(UNBOUNDED, &cpus(4.0), 1_000.0, &fleet, &machine_types()), "no limit is set");
-    assert!(!quota.fits(2, &cpus(1.0), 1.0, &fleet, &machine_types()), "an unknown team starts nothing");
+    assert!(!quota.fits(2, &cpus(1.0), 1.0, &fleet, &machine_types()), "an unknown team may not start any task");
 }
 
 #[test]
-fn an_unreconciled_machine_counts_whole_against_every_limit() {
+fn a_machine_with_unknown_tasks_counts_fully_against_every_limit() {
     for unreconciled in [true, false] {
-        let stray = if unreconciled { None } else { Some(UNBOUNDED) };
-        let mut fleet = fleet(vec![allocation(stray, TaskPhase::Running)]);
+        let allocation_team = if unreconciled { None } else { Some(UNBOUNDED) };
+        let mut fleet = fleet(vec![allocation(allocation_team, TaskPhase::Running)]);
         let mut quota = tracker();
         assert_eq!(quota.fits(LIMITED, &cpus(16.0), 1.0, &fleet, &machine_types()), !unreconciled);
         fleet.values_mut().for_each(|machine| machine.reconciled = false);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn starts_count_at_once_and_other_changes_after_an_invalidation() {
+fn usage_includes_starts_at_once_and_other_changes_after_invalidation() {
     let mut quota = tracker();
     let empty = fleet(Vec::new());
     assert!(quota.fits(LIMITED, &cpus(16.0), 1.0, &empty, &machine_types()));
@@ -118,7 +118,7 @@
     assert_eq!((headrooms[0].cpus, headrooms[0].gpus), (12.0, UNLIMITED));
     assert_eq!((headrooms[1].cpus, headrooms[1].gpus), (UNLIMITED, UNLIMITED));
     quota.invalidate_usage();
-    assert_eq!(quota.headrooms(&empty, &machine_types())[0].cpus, 16.0, "counted anew from the machines");
+    assert_eq!(quota.headrooms(&empty, &machine_types())[0].cpus, 16.0, "recomputed from the machines");
 }
 
 #[test]
@@ -135,7 +135,11 @@
     ]);
     quota.update_guaranteed_jobs(&jobs);
     let guaranteed: Vec<JobId> = jobs.keys().filter(|id| quota.is_within_guarantee(id)).copied().collect();
-    assert_eq!(guaranteed, [job_id(2), job_id(3)], "8 of 8; the third is beyond, and no guarantee is set for the last");
+    assert_eq!(
+        guaranteed,
+        [job_id(2), job_id(3)],
+        "these two use all 8 processors of the guarantee, and the unbounded team has none"
+    );
     quota.update_guaranteed_jobs(&BTreeMap::new());
-    assert!(!quota.is_within_guarantee(&job_id(2)), "only the jobs of the last round");
+    assert!(!quota.is_within_guarantee(&job_id(2)), "only jobs of the last update count");
 }
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: machines that are idle for long, and the termination of retiring ones.
+//! Scaling in: detects idle machines and terminates retiring ones.
 
 use super::Scheduler;
 use super::effects::Effect;
@@ -9,17 +9,18 @@
 use crate::wire::MachineType;
 use log::info;
 
-/// Machines terminated by one request at most.
+/// Limit on the machines in one termination request.
 const MAX_TERMINATIONS_PER_REQUEST: usize = 100;
 
-/// How long a machine of this type may be idle. GPU machines boot slowly and are few, so they stay longer.
+/// How long a machine of this type may be idle before it is retired. GPU machines boot slowly and are scarce, so
+/// they are kept longer.
 pub(super) fn idle_timeout(tuning: &Tuning, machine_type: &MachineType) -> Millis {
     let factor = if machine_type.gpus > 0.0 { tuning.gpu_idle_factor } else { 1.0 };
     Millis::from_secs_f64(tuning.idle_s * factor)
 }
 
-/// Keeps account of since when a machine is idle; whether it is for longer than `timeout`, with no
-/// orders under way.
+/// Updates `idle_since` of a machine. Returns whether it has been idle for longer than `timeout` and has no orders
+/// queued or in flight.
 pub(super) fn review_idleness(machine: &mut Machine, now: MonotonicTime, timeout: Millis) -> bool {
     if machine.busy() || !machine.reconciled {
         machine.idle_since = None;
@@ -32,14 +33,14 @@
     now - since > timeout && machine.outbox.is_empty() && machine.in_flight.is_none()
 }
 
-/// Whether a termination is to be asked for now.
+/// Whether the cloud is to be asked now to terminate the machine.
 pub(super) fn is_termination_due(machine: &Machine, now: MonotonicTime) -> bool {
     machine.retiring && !machine.termination_in_flight && machine.terminate_after <= now
 }
 
 impl Scheduler {
-    /// Has retiring machines terminated, and after them those that are idle: as many as one request may
-    /// state. The others have their turn at the next review.
+    /// Retires the idle machines and requests the termination of `retiring` and then `idle` machines, up to
+    /// [`MAX_TERMINATIONS_PER_REQUEST`]. The next review handles the others.
     pub(super) fn terminate(&mut self, retiring: Vec<MachineId>, idle: Vec<MachineId>) {
         let mut terminations = retiring;
         for id in idle {
--- a/src/core/scheduler/scale_in/tests.rs
+++ b/src/core/scheduler/scale_in/tests.rs
@@ -4,22 +4,22 @@
 
 const TIMEOUT: Millis = Millis(20_000);
 
-fn up() -> Machine {
+fn machine_that_is_up() -> Machine {
     let mut machine = Machine::new(String::new(), 0, 0, false, MonotonicTime(0));
     machine.up = true;
     machine
 }
 
 #[test]
-fn review_idleness_counts_from_the_first_review_that_finds_the_machine_empty() {
-    let mut machine = up();
+fn review_idleness_measures_from_the_first_review_that_finds_no_tasks() {
+    let mut machine = machine_that_is_up();
     assert!(!review_idleness(&mut machine, MonotonicTime(1_000), TIMEOUT));
     assert!(!review_idleness(&mut machine, MonotonicTime(21_000), TIMEOUT));
     assert!(review_idleness(&mut machine, MonotonicTime(21_001), TIMEOUT));
 }
 
 #[test]
-fn review_idleness_spares_machines_that_may_hold_or_get_something() {
+fn review_idleness_is_false_for_machines_that_may_have_or_get_tasks() {
     let after = MonotonicTime(60_000);
     let attempt = crate::ids::Attempt(1);
     let task = TaskId::parse("req-000001/0").unwrap();
@@ -27,12 +27,12 @@
     let cases: [(&str, Change); 5] = [
         ("unreconciled", |machine, _| machine.reconciled = false),
         ("not up", |machine, _| machine.up = false),
-        ("retiring already", |machine, _| machine.retiring = true),
-        ("orders to be sent", |machine, order| machine.queue_order(order)),
-        ("orders unanswered", |machine, _| machine.in_flight = Some(crate::ids::RequestId(1))),
+        ("already retiring", |machine, _| machine.retiring = true),
+        ("orders queued", |machine, order| machine.queue_order(order)),
+        ("orders in flight", |machine, _| machine.in_flight = Some(crate::ids::RequestId(1))),
     ];
     for (case, change) in cases {
-        let mut machine = up();
+        let mut machine = machine_that_is_up();
         machine.idle_since = Some(MonotonicTime(0));
         change(&mut machine, Order::Clear { task, attempt });
         assert!(!review_idleness(&mut machine, after, TIMEOUT), "{case}");
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn is_termination_due_for_a_retiring_machine_that_the_cloud_is_not_asked_for() {
-    let mut machine = up();
+fn is_termination_due_for_a_retiring_machine_without_a_request_in_flight() {
+    let mut machine = machine_that_is_up();
     assert!(!is_termination_due(&machine, MonotonicTime(0)));
     machine.retiring = true;
     assert!(is_termination_due(&machine, MonotonicTime(0)));
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: requests to the cloud for more machines, and what comes of them.
+//! Scaling out: requests machines from the cloud and handles the results.
 
 use super::Scheduler;
 use super::effects::{Effect, ProvisionOutcome};
@@ -11,17 +11,17 @@
 use log::{info, warn};
 use std::collections::BTreeMap;
 
-/// Machines asked for by one request at most.
+/// Limit on the machines in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// A request whose result isn't known is repeated after this time.
+/// Delay before a request whose result is unknown is sent again.
 const PROVISION_RETRY_INTERVAL: Millis = Millis(2_000);
 
-/// Loads within this of a whole number of machines count as that number.
+/// Tolerance for rounding errors when a load is rounded up to whole machines.
 const LOAD_EPSILON: f64 = 1e-6;
 
 impl Scheduler {
-    /// What came of the request for machines of this name.
+    /// Handles the result of the provisioning request with this name.
     pub fn on_provisioned(&mut self, now: MonotonicTime, name: &str, result: ProvisionOutcome) {
         let Some(request) = self.provisioner.get(name) else { return };
         let pool = request.pool;
@@ -35,27 +35,27 @@
                 } else {
                     self.provisioner.on_granted(pool);
                 }
-                self.enter_provisioned_machines(now, pool, &names);
+                self.add_provisioned_machines(now, pool, &names);
             }
             ProvisionOutcome::NoCapacity => {
-                info!("no capacity: {}", self.catalog.describe(pool));
+                info!("cloud has no capacity: {}", self.catalog.describe(pool));
                 self.provisioner.close(name);
                 self.provisioner.on_refused(pool, now);
             }
             ProvisionOutcome::Malformed => {
-                warn!("the cloud finds a request malformed: {}", self.catalog.describe(pool));
+                warn!("cloud rejected provisioning request as malformed: {}", self.catalog.describe(pool));
                 self.provisioner.close(name);
                 self.provisioner.on_refused(pool, now);
             }
             ProvisionOutcome::Unknown => {
-                // The same name again provisions nothing twice.
+                // The request keeps its name, which makes the retry idempotent.
                 self.provisioner.retry(name, now + PROVISION_RETRY_INTERVAL);
             }
         }
         self.rounds.request();
     }
 
-    fn enter_provisioned_machines(&mut self, now: MonotonicTime, pool: InstancePool, names: &[String]) {
+    fn add_provisioned_machines(&mut self, now: MonotonicTime, pool: InstancePool, names: &[String]) {
         for id in names.iter().filter_map(|name| MachineId::parse(name)) {
             if !self.machines.is_terminated(&id) {
                 let machine = || Machine::new(String::new(), pool.kind, pool.zone, pool.spot, now);
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Takes in what the plans of a round ask for, and sends the requests that are due.
-    pub(super) fn scale_out(&mut self, now: MonotonicTime, scale_out: &[ScaleOutRequest]) {
+    /// Turns the scale-out requests of a round's plans into provisioning requests, and sends those that are due.
+    pub(super) fn scale_out(&mut self, now: MonotonicTime, requests: &[ScaleOutRequest]) {
         let mut loads: BTreeMap<InstancePool, f64> = BTreeMap::new();
-        for requested in scale_out {
-            let pool = InstancePool { kind: requested.kind as usize, zone: requested.zone, spot: requested.spot };
+        for request in requests {
+            let pool = InstancePool { kind: request.kind as usize, zone: request.zone, spot: request.spot };
             if self.catalog.has_pool(pool) {
-                *loads.entry(pool).or_default() += requested.load.clamp(0.0, 1.0);
+                *loads.entry(pool).or_default() += request.load.clamp(0.0, 1.0);
             }
         }
         for (pool, load) in loads {
