--- a/src/core/scheduler/catalog.rs
+++ b/src/core/scheduler/catalog.rs
@@ -1,34 +1,34 @@
-//! The machine types, zones and images that the scheduler knows, each by a number.
+//! The known machine types, zones and images, which the scheduler refers to by number.
 
 use crate::core::provisioning::InstancePool;
 use crate::wire::MachineType;
 use std::collections::HashMap;
 
-/// Types keep their numbers for as long as a leader leads.
+/// Numbers of machine types, zones and images. They do not change during a leader's term.
 pub(super) struct Catalog {
     /// Machine types, by number.
     pub(super) types: Vec<MachineType>,
     /// Names of zones, by number.
     pub(super) zones: Vec<String>,
-    /// Numbers of images, given as they are first seen.
+    /// Numbers of images by name, assigned in the order in which images are first seen.
     images: HashMap<String, u32>,
 }
 
 impl Catalog {
-    /// Of these types and zones, without images.
+    /// A catalog of these types and zones, without images.
     pub(super) fn new(types: Vec<MachineType>, zones: Vec<String>) -> Catalog {
         Catalog { types, zones, images: HashMap::new() }
     }
 
-    /// The numbers of a type and of a zone; none: one of them is unknown.
+    /// The numbers of a machine type and a zone; `None` if either is unknown.
     pub(super) fn place_of(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
         let kind = self.types.iter().position(|machine_type| machine_type.name == kind)?;
         let zone = self.zones.iter().position(|known| known == zone)?;
         Some((kind, zone as u32))
     }
 
-    /// Takes in the cloud's list of types: prices may move, while known types keep their numbers.
-    /// How many types are new.
+    /// Updates the types from the cloud's list, as prices may change. Known types keep their numbers. Returns the
+    /// number of new types.
     pub(super) fn set_types(&mut self, types: Vec<MachineType>) -> usize {
         let before = self.types.len();
         for machine_type in types {
@@ -40,12 +40,12 @@
         self.types.len() - before
     }
 
-    /// The number of an image; none: it hasn't been given one.
+    /// The number of an image; `None` if none has been assigned.
     pub(super) fn image_number(&self, image: &str) -> Option<u32> {
         self.images.get(image).copied()
     }
 
-    /// The number of an image, which is given one if it has none.
+    /// The number of an image, which is assigned if it has none.
     pub(super) fn assign_image_number(&mut self, image: &str) -> u32 {
         let next = self.images.len() as u32;
         *self.images.entry(image.to_string()).or_insert(next)
@@ -56,7 +56,7 @@
         pool.kind < self.types.len() && (pool.zone as usize) < self.zones.len()
     }
 
-    /// A pool as log lines state it.
+    /// Log fields that describe a pool.
     pub(super) fn describe(&self, pool: InstancePool) -> String {
         format!("kind={} zone={} spot={}", self.types[pool.kind].name, self.zones[pool.zone as usize], pool.spot)
     }
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -1,4 +1,4 @@
-//! Moves replicas of services together, so that machines which do nothing else can be terminated.
+//! Consolidates service replicas onto fewer machines, so that machines which run nothing else can be terminated.
 
 use super::Scheduler;
 use super::planner_view::zone_counts;
@@ -9,27 +9,27 @@
 use crate::wire::Kind;
 use log::info;
 
-/// At most one replica moves in this time.
+/// Minimum time between two replica moves.
 const REPLICA_MOVE_INTERVAL: Millis = Millis(1_000);
-/// A machine of which at least this part is in use isn't emptied.
+/// Replicas are only moved off machines whose utilization is below this.
 const MAX_SOURCE_UTILIZATION: f64 = 0.5;
-/// Operations that one search may take for each machine; the next one goes on from there.
+/// Operation budget of one search, per machine of the fleet. The next search continues where this one stopped.
 const OPERATIONS_PER_MACHINE: usize = 64;
-/// Operations that it may take in any fleet, besides those for its machines.
+/// Operation budget of one search in a fleet of any size, in addition to that per machine.
 const MIN_OPERATIONS: usize = 16_384;
-/// Stands for the capacity of a machine type that has none.
+/// Stands in for a processor or memory capacity below this, to avoid division by zero.
 const MIN_CAPACITY: f64 = 0.1;
 
-/// A machine with work on it, and how much of it is in use.
+/// A machine with work on it, and its utilization.
 struct LoadedMachine<'a> {
     id: &'a MachineId,
     machine: &'a Machine,
-    /// From 0 to 1, of what is scarcest on it.
+    /// Used share, 0 to 1, of processors or memory, whichever is higher.
     utilization: f64,
     free: Resources,
 }
 
-/// A replica that should be on another machine.
+/// A planned move of a replica to another machine.
 struct ReplicaMove {
     from: MachineId,
     to: MachineId,
@@ -37,30 +37,30 @@
     need: Resources,
 }
 
-/// What came of a search for a replica to move.
+/// Result of a search for a replica to move.
 struct MoveSearch {
     found: Option<ReplicaMove>,
-    /// Machines that were tried in vain, if the search isn't through.
+    /// If the budget ran out: how many source machines have been tried in vain, by this search and those before.
     sources_tried: usize,
 }
 
-/// Where the search for replicas to move goes on.
+/// State of the consolidation between searches.
 pub(super) struct Consolidation {
     next_move_at: MonotonicTime,
-    /// Machines that the last search began with, in vain, before its budget was spent.
+    /// Source machines that the next search skips, as earlier searches tried them before the budget ran out.
     sources_tried: usize,
 }
 
 impl Consolidation {
-    /// The first search may begin now.
+    /// The first search may start now.
     pub(super) fn new(now: MonotonicTime) -> Consolidation {
         Consolidation { next_move_at: now, sources_tried: 0 }
     }
 }
 
 impl Scheduler {
-    /// Moves a replica off a machine that does nothing else, onto one that is busy anyway, so that the
-    /// former can be terminated. One at a time, and only while nothing waits.
+    /// Moves one replica off a machine that runs nothing but replicas to a machine that is in use anyway, so that
+    /// the former can be terminated in the end. Only while no tasks wait and there are no reservations.
     pub(super) fn consolidate_replicas(&mut self, now: MonotonicTime) {
         if now < self.consolidation.next_move_at
             || !self.reservations.is_empty()
@@ -72,28 +72,30 @@
         let search = self.find_move(now);
         self.consolidation.sources_tried = search.sources_tried;
         let Some(ReplicaMove { from, to, replica, need }) = search.found else { return };
-        info!("moving a replica: task={} from={from} to={to}", replica.0);
+        info!("moving replica to consolidate machines: task={} from={from} to={to}", replica.0);
         self.stop_task(&from, &replica);
         self.reservations.add(now, to, replica.0.job, need);
     }
 
-    /// A replica to move off the machine on which the most is wasted.
+    /// Searches for a replica to move, starting with the machine whose unused capacity costs the most.
     fn find_move(&self, now: MonotonicTime) -> MoveSearch {
         let heartbeat_timeout = self.heartbeat_timeout();
         let usable = |machine: &Machine| machine.usable(now, heartbeat_timeout) && machine.busy();
         let machines = self.machines.known.iter().filter(|(_, machine)| usable(machine));
-        let mut loaded: Vec<LoadedMachine> = machines.map(|(id, machine)| self.loaded(id, machine)).collect();
-        // The fullest first.
+        let mut loaded: Vec<LoadedMachine> = machines.map(|(id, machine)| self.loaded_machine(id, machine)).collect();
+        // Highest utilization first.
         loaded.sort_by(|a, b| b.utilization.total_cmp(&a.utilization).then(b.id.cmp(a.id)));
-        let mut sources: Vec<&LoadedMachine> = loaded.iter().filter(|source| self.may_be_emptied(source)).collect();
-        let waste = |source: &LoadedMachine| self.catalog.types[source.machine.kind].price * (1.0 - source.utilization);
-        sources.sort_by(|a, b| waste(b).total_cmp(&waste(a)).then(a.id.cmp(b.id)));
+        let mut sources: Vec<&LoadedMachine> =
+            loaded.iter().filter(|source| self.is_consolidation_source(source)).collect();
+        let unused_cost =
+            |source: &LoadedMachine| self.catalog.types[source.machine.kind].price * (1.0 - source.utilization);
+        sources.sort_by(|a, b| unused_cost(b).total_cmp(&unused_cost(a)).then(a.id.cmp(b.id)));
         let mut operations = self.machines.known.len();
-        let most = MIN_OPERATIONS + OPERATIONS_PER_MACHINE * self.machines.known.len();
-        let tried = self.consolidation.sources_tried.min(sources.len());
+        let budget = MIN_OPERATIONS + OPERATIONS_PER_MACHINE * self.machines.known.len();
+        let skipped = self.consolidation.sources_tried.min(sources.len());
         let mut search = MoveSearch { found: None, sources_tried: 0 };
-        for (position, source) in sources.iter().enumerate().skip(tried) {
-            if operations > most {
+        for (position, source) in sources.iter().enumerate().skip(skipped) {
+            if operations > budget {
                 search.sources_tried = position;
                 break;
             }
@@ -106,7 +108,7 @@
         search
     }
 
-    fn loaded<'a>(&self, id: &'a MachineId, machine: &'a Machine) -> LoadedMachine<'a> {
+    fn loaded_machine<'a>(&self, id: &'a MachineId, machine: &'a Machine) -> LoadedMachine<'a> {
         let machine_type = &self.catalog.types[machine.kind];
         let used = machine.used();
         let cpus = used.cpus / machine_type.cpus.max(MIN_CAPACITY);
@@ -116,8 +118,8 @@
         LoadedMachine { id, machine, utilization: cpus.max(memory), free }
     }
 
-    /// Whether a machine does nothing but run a few replicas.
-    fn may_be_emptied(&self, source: &LoadedMachine) -> bool {
+    /// Whether a machine runs only service replicas that are not being stopped, and has low utilization.
+    fn is_consolidation_source(&self, source: &LoadedMachine) -> bool {
         let is_service =
             |key: &TaskAttempt| self.jobs.live.get(&key.0.job).is_some_and(|job| job.spec.kind == Kind::Service);
         let is_settled_replica = |(key, allocation): (&TaskAttempt, &Allocation)| {
@@ -128,16 +130,17 @@
             && source.machine.allocations.iter().all(is_settled_replica)
     }
 
-    /// A replica of a machine that another one, of `loaded`, can take: the fullest that can. Counts the machines
-    /// that were looked at in `operations`.
+    /// Finds a replica on `source` that another machine of `targets` can take, and the machine with the highest
+    /// utilization that can. `targets` is sorted by descending utilization. Adds the number of examined machines to
+    /// `operations`.
     fn move_from(
         &self,
         now: MonotonicTime,
         source: &LoadedMachine,
-        loaded: &[LoadedMachine],
+        targets: &[LoadedMachine],
         operations: &mut usize,
     ) -> Option<ReplicaMove> {
-        let from_gpus = self.catalog.types[source.machine.kind].gpus > 0.0;
+        let source_has_gpus = self.catalog.types[source.machine.kind].gpus > 0.0;
         for (key, allocation) in &source.machine.allocations {
             let Some(job) = self.jobs.live.get(&key.0.job) else { continue };
             let mut zones = zone_counts(job, &self.machines.known);
@@ -151,8 +154,9 @@
                     && self.permits(spec, target.machine)
                     && placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &zones, target.machine.zone)
             };
-            let fuller = loaded.iter().take_while(|target| from_gpus || target.utilization > source.utilization);
-            if let Some(to) = fuller.inspect(|_| *operations += 1).find(fits) {
+            let candidates =
+                targets.iter().take_while(|target| source_has_gpus || target.utilization > source.utilization);
+            if let Some(to) = candidates.inspect(|_| *operations += 1).find(fits) {
                 return Some(ReplicaMove {
                     from: source.id.clone(),
                     to: to.id.clone(),
--- a/src/core/scheduler/gpu_demand.rs
+++ b/src/core/scheduler/gpu_demand.rs
@@ -1,76 +1,73 @@
-//! How many GPUs jobs have wanted lately, and so how many GPU machines work without GPUs may fill.
+//! Tracks the recent GPU demand of jobs, from which follows how many GPU machines work without GPUs may fill.
 
 use crate::time::MonotonicTime;
 
-/// Seconds for which the most GPUs that jobs have wanted are kept free for them: about a run of the work
-/// that could have had them.
-const MEMORY_S: f64 = 15.0;
+/// Time over which a past peak of the GPU demand decays: about one run of the work without GPUs that could use the
+/// GPU machines in the meantime.
+const DEMAND_DECAY_S: f64 = 15.0;
 
-/// A maximum that fades to what is measured now.
+/// A peak value that decays towards the latest measurement.
 #[derive(Clone, Copy, Default)]
-struct FadingMaximum(f64);
+struct DecayingPeak(f64);
 
-impl FadingMaximum {
-    /// Takes in a measurement, and goes by the part `fade` of the way down to it. Returns the maximum.
-    fn update(&mut self, measured: f64, fade: f64) -> f64 {
-        self.0 = measured.max(self.0 + (measured - self.0) * fade);
+impl DecayingPeak {
+    /// Adds a measurement: moves the value the fraction `decay` of the way down to it, or up to it if it is higher.
+    /// Returns the new value.
+    fn update(&mut self, measured: f64, decay: f64) -> f64 {
+        self.0 = measured.max(self.0 + (measured - self.0) * decay);
         self.0
     }
 }
 
-/// The most GPUs that jobs have had in each zone and waited for in all, fading to what it is now.
+/// Recent peaks of the GPUs in use in each zone and of the GPUs that tasks waited for in all zones together.
 pub(super) struct GpuDemand {
-    in_use: Vec<FadingMaximum>,
-    waited_for: FadingMaximum,
+    in_use: Vec<DecayingPeak>,
+    waiting: DecayingPeak,
     updated_at: MonotonicTime,
 }
 
-/// GPUs that nobody has wanted lately.
-pub(super) struct UnwantedGpus {
+/// GPUs beyond recent demand.
+pub(super) struct SpareGpus {
     by_zone: Vec<f64>,
-    /// Less than the zones together by what is waited for.
-    in_all: f64,
+    /// Sum of the zones minus the GPUs that tasks wait for, which may be in any zone.
+    total: f64,
 }
 
 impl GpuDemand {
-    /// No GPUs have been wanted yet.
+    /// State without any past demand.
     pub(super) fn new(zones: usize, now: MonotonicTime) -> GpuDemand {
-        GpuDemand {
-            in_use: vec![FadingMaximum::default(); zones],
-            waited_for: FadingMaximum::default(),
-            updated_at: now,
-        }
+        GpuDemand { in_use: vec![DecayingPeak::default(); zones], waiting: DecayingPeak::default(), updated_at: now }
     }
 
-    /// Takes in how many GPUs are installed and in use by zone, and how many are waited for; the latter may be
-    /// in any zone. Returns the rest.
+    /// Records the GPUs in use by zone and the GPUs that tasks wait for in any zone. Returns the installed GPUs
+    /// beyond recent demand.
     pub(super) fn update(
         &mut self,
         now: MonotonicTime,
         installed: Vec<f64>,
         in_use: &[f64],
-        waited_for: f64,
-    ) -> UnwantedGpus {
-        let fade = ((now - self.updated_at).as_secs_f64() / MEMORY_S).min(1.0);
+        waiting: f64,
+    ) -> SpareGpus {
+        let decay = ((now - self.updated_at).as_secs_f64() / DEMAND_DECAY_S).min(1.0);
         self.updated_at = now;
         let mut by_zone = installed;
-        for ((maximum, used), left) in self.in_use.iter_mut().zip(in_use).zip(&mut by_zone) {
-            *left -= maximum.update(*used, fade);
+        for ((peak, used), left) in self.in_use.iter_mut().zip(in_use).zip(&mut by_zone) {
+            *left -= peak.update(*used, decay);
         }
-        let in_all = by_zone.iter().sum::<f64>() - self.waited_for.update(waited_for, fade);
-        UnwantedGpus { by_zone, in_all }
+        let total = by_zone.iter().sum::<f64>() - self.waiting.update(waiting, decay);
+        SpareGpus { by_zone, total }
     }
 }
 
-impl UnwantedGpus {
-    /// Takes that many GPUs of a zone, if so many are not wanted. False: they are.
+impl SpareGpus {
+    /// Takes this many GPUs of a zone. Returns false, and takes none, if fewer are spare.
     pub(super) fn take(&mut self, zone: u32, gpus: f64) -> bool {
         let left = &mut self.by_zone[zone as usize];
-        if left.min(self.in_all) < gpus {
+        if left.min(self.total) < gpus {
             return false;
         }
         *left -= gpus;
-        self.in_all -= gpus;
+        self.total -= gpus;
         true
     }
 }
--- a/src/core/scheduler/gpu_lending.rs
+++ b/src/core/scheduler/gpu_lending.rs
@@ -1,4 +1,5 @@
-//! Which GPU machines work without GPUs may fill, and how far.
+//! GPU lending: decides which GPU machines may be filled with work without GPUs, and how much capacity has to be left
+//! for GPU jobs on the others.
 
 use super::Scheduler;
 use super::gpu_demand::GpuDemand;
@@ -9,15 +10,15 @@
 use crate::wire::{Kind, MachineType, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sums of fractions of processors may exceed a headroom by this much.
+/// Tolerance for rounding errors in sums of fractional resources.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What GPU jobs need of GPU machines, and what is left of these for other work.
+/// What GPU jobs need on GPU machines, and which GPU machines are lent to other work.
 pub(super) struct GpuLending {
-    /// For each type the most that a GPU job has asked of it.
+    /// By machine type, the largest need of a GPU job that permits the type, for each resource separately.
     pub(super) needs: Vec<Resources>,
     demand: GpuDemand,
-    /// GPU machines that work without GPUs may fill, as of the last round.
+    /// GPU machines that work without GPUs may fill completely, as of the last round.
     pub(super) lendable: BTreeSet<MachineId>,
 }
 
@@ -25,12 +26,12 @@
 struct IdleGpuMachine<'a> {
     id: &'a MachineId,
     machine: &'a Machine,
-    /// Processors that work without GPUs uses on it.
+    /// Processors in use on it.
     used_cpus: f64,
 }
 
 impl GpuLending {
-    /// No GPU job is known yet, and no machine is lent.
+    /// State without any known GPU job and without lendable machines.
     pub(super) fn new(types: usize, zones: usize, now: MonotonicTime) -> GpuLending {
         GpuLending {
             needs: vec![Resources::default(); types],
@@ -39,16 +40,16 @@
         }
     }
 
-    /// Whether work without GPUs may fill the machine, as of the last round.
+    /// Whether work without GPUs may fill the machine completely, as of the last round.
     pub(super) fn is_lendable(&self, id: &MachineId) -> bool {
         self.lendable.contains(id)
     }
 
-    /// Chooses the GPU machines that work without GPUs may fill: of each zone's, as many as GPU jobs haven't
-    /// wanted lately, and those first that do such work already. Filled as they come free, they
-    /// would be cleared for the next GPU job, and what ran there would start over each time.
+    /// Chooses the GPU machines that work without GPUs may fill completely: in each zone as many as recent GPU demand
+    /// leaves, and first those that run most of such work already. If any GPU machine could be filled as soon as it is
+    /// free, the next GPU job would preempt that work, which would then restart from the beginning each time.
     ///
-    /// `waiting_gpus` is how many GPUs the tasks that could start now want.
+    /// `waiting_gpus` is the number of GPUs that all startable tasks need.
     fn update_lendable(
         &mut self,
         now: MonotonicTime,
@@ -69,13 +70,15 @@
                 idle.push(IdleGpuMachine { id, machine, used_cpus: used.cpus });
             }
         }
-        let mut unwanted = self.demand.update(now, installed, &in_use, waiting_gpus);
+        let mut spare_gpus = self.demand.update(now, installed, &in_use, waiting_gpus);
         idle.sort_by(|a, b| b.used_cpus.total_cmp(&a.used_cpus).then(a.id.cmp(b.id)));
-        let lent = idle.into_iter().filter(|idle| unwanted.take(idle.machine.zone, types[idle.machine.kind].gpus));
-        self.lendable = lent.map(|idle| idle.id.clone()).collect();
+        let lendable =
+            idle.into_iter().filter(|idle| spare_gpus.take(idle.machine.zone, types[idle.machine.kind].gpus));
+        self.lendable = lendable.map(|idle| idle.id.clone()).collect();
     }
 
-    /// What urgent work without GPUs may still take of a GPU machine of this type.
+    /// Resources that work of high priority without GPUs may still take on a GPU machine. The largest need of a GPU
+    /// job is always left, as GPU jobs do not preempt such work.
     pub(super) fn urgent_headroom(&self, machine: &Machine, machine_type: &MachineType) -> Resources {
         let mut headroom = Resources::of_type(machine_type);
         headroom.sub(&self.needs[machine.kind]);
@@ -86,19 +89,25 @@
         headroom
     }
 
-    /// What work without GPUs that can be stopped for GPU jobs may still take of a GPU machine of this type.
-    pub(super) fn preemptible_headroom(&self, machine: &Machine, machine_type: &MachineType, lent: bool) -> Resources {
+    /// Resources that work of lower priority without GPUs, which GPU jobs may preempt, may still take on a GPU
+    /// machine. Unless the machine is lendable or runs GPU work, the largest need of a GPU job is left.
+    pub(super) fn preemptible_headroom(
+        &self,
+        machine: &Machine,
+        machine_type: &MachineType,
+        lendable: bool,
+    ) -> Resources {
         let mut headroom = machine.free(machine_type);
-        let gpu_work =
+        let runs_gpu_work =
             machine.allocations.values().any(|allocation| !allocation.has_exited() && allocation.need.gpus > 0.0);
-        if !lent && !gpu_work {
+        if !lendable && !runs_gpu_work {
             headroom.sub(&self.needs[machine.kind]);
         }
         headroom
     }
 
-    /// Whether a planned start of a task of the job leaves GPU jobs their headroom. Planners keep to that, but
-    /// not knowing of each other they may all give the same machine what is left there.
+    /// Whether starting a task of the job leaves the headroom of GPU jobs on the machine. Planners respect the
+    /// headroom, but as they plan independently, several of them may use the same remaining capacity.
     pub(super) fn preserves_headroom(
         &self,
         job: &Job,
@@ -120,7 +129,7 @@
 }
 
 impl Scheduler {
-    /// Chooses the GPU machines that work without GPUs may fill, given the jobs whose tasks could start now.
+    /// Updates the GPU machines that work without GPUs may fill completely, given the jobs with startable tasks.
     pub(super) fn update_lendable_gpu_machines(&mut self, now: MonotonicTime, waiting: &BTreeSet<JobId>) {
         let jobs = waiting.iter().filter_map(|id| self.jobs.live.get(id));
         let waiting_gpus: f64 = jobs.map(|job| job.startable_tasks() as f64 * job.spec.gpus).sum();
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -91,8 +91,8 @@
     ) -> MachineView {
         let machine_type = &self.catalog.types[machine.kind];
         let urgent = self.gpus.urgent_headroom(machine, machine_type);
-        let may_be_filled = !machine.up || self.gpus.is_lendable(id);
-        let preemptible = self.gpus.preemptible_headroom(machine, machine_type, may_be_filled);
+        let lendable = !machine.up || self.gpus.is_lendable(id);
+        let preemptible = self.gpus.preemptible_headroom(machine, machine_type, lendable);
         let age_s = (now - machine.since).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
