--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -1,6 +1,7 @@
-//! Failure detection: leases that expire, suspected machines, and the machines to retire.
+//! Failure detection: expired leases, suspected machines, and the decision to retire a machine.
 //!
-//! Only an expired lease or a termination proves a machine's tasks gone; suspicion merely retires it.
+//! Missing heartbeats only make a machine suspected, and a suspected machine is retired. Its tasks count as
+//! lost only once its lease has expired or the cloud has terminated it.
 
 use super::Scheduler;
 use super::scale_in::{idle_timeout, is_termination_due, review_idleness};
@@ -13,66 +14,68 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Added to the lease before it counts as expired: for the message's way to the worker.
+/// Added to the lease before it counts as expired, to cover the delivery time of the response that renewed it.
 const LEASE_MARGIN: Millis = Millis(300);
 
-/// Part of the lease without heartbeats after which a machine is suspected.
+/// A machine is suspected after this fraction of a lease without a heartbeat.
 const SUSPICION_LEASE_FACTOR: f64 = 0.55;
 
-/// The same where the leader's load or the network is the likelier cause.
-const EXCUSED_SUSPICION_LEASE_FACTOR: f64 = 3.0;
+/// Replaces [`SUSPICION_LEASE_FACTOR`] while an overloaded leader or a network fault is the likelier cause of
+/// missing heartbeats.
+const LENIENT_SUSPICION_LEASE_FACTOR: f64 = 3.0;
 
-/// How many times its type's boot time a machine may take to come up.
+/// Multiple of its type's boot time within which a provisioned machine must send its first heartbeat.
 const BOOT_TIMEOUT_FACTOR: f64 = 3.5;
 
-/// The shortest time that a machine has to come up, in seconds.
+/// Lower bound of the boot timeout, in seconds.
 const MIN_BOOT_TIMEOUT_S: f64 = 60.0;
 
-/// Where many machines are suspected at once: rather a cut, a peer that has ended or a leader just
-/// elected than dead machines.
+/// Where so many heartbeats are late at once that a network partition, a failed peer or a recent election is
+/// the likelier cause than failed machines.
 struct MassSuspicion {
+    /// Across all machines.
     everywhere: bool,
-    /// Of those whose heartbeats came this way.
+    /// Among the machines whose heartbeats arrive over these routes.
     routes: BTreeSet<Option<HeartbeatRoute>>,
 }
 
-/// Whether so many of the machines that are up are in trouble that the machines themselves are hardly
-/// its cause.
+/// Whether `count` affected machines out of `up` running ones are too many for independent machine failures:
+/// at least three, and more than a third.
 fn is_mass_failure(count: usize, up: usize) -> bool {
     count > 2 && count * 3 > up
 }
 
 /// Why a machine is retired.
 enum RetirementReason {
-    /// It was provisioned, and no heartbeat has come for longer than it may take to boot.
-    NeverCameUp,
-    /// Its heartbeats have been late for this long.
+    /// It was provisioned but sent no heartbeat within the boot timeout.
+    BootTimeout,
+    /// No heartbeat of it has been accepted for this long.
     Suspected(Millis),
-    /// It doesn't acknowledge its token: responses and orders don't reach it.
+    /// It doesn't acknowledge its fencing token, so responses and orders probably don't reach it.
     Unacknowledged,
-    /// It is empty, and the cloud reclaims it.
+    /// The cloud reclaims it, and no task is left on it.
     Reclaimed,
-    /// It is empty and quarantined.
+    /// It is quarantined, and no task is left on it.
     Quarantined,
 }
 
 impl fmt::Display for RetirementReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RetirementReason::NeverCameUp => f.write_str("it has not come up"),
+            RetirementReason::BootTimeout => f.write_str("no heartbeat within its boot timeout"),
             RetirementReason::Suspected(late) => write!(f, "suspected, no heartbeat for_s={:.1}", late.as_secs_f64()),
-            RetirementReason::Unacknowledged => f.write_str("it doesn't acknowledge its token"),
-            RetirementReason::Reclaimed => f.write_str("it is reclaimed and empty"),
-            RetirementReason::Quarantined => f.write_str("it is quarantined and empty"),
+            RetirementReason::Unacknowledged => f.write_str("its fencing token was not acknowledged within a lease"),
+            RetirementReason::Reclaimed => f.write_str("reclaimed by the cloud and empty"),
+            RetirementReason::Quarantined => f.write_str("quarantined and empty"),
         }
     }
 }
 
 impl RetirementReason {
-    /// A machine that is retired once it is empty was logged when it was reclaimed or quarantined.
+    /// `Debug` for machines that were already logged when they were reclaimed or quarantined.
     fn log_level(&self) -> Level {
         match self {
-            RetirementReason::NeverCameUp | RetirementReason::Suspected(_) | RetirementReason::Unacknowledged => {
+            RetirementReason::BootTimeout | RetirementReason::Suspected(_) | RetirementReason::Unacknowledged => {
                 Level::Info
             }
             RetirementReason::Reclaimed | RetirementReason::Quarantined => Level::Debug,
@@ -80,11 +83,11 @@
     }
 }
 
-/// What one review of the machines decides by.
+/// Cluster-wide inputs of one review, the same for all machines.
 struct Review {
     now: MonotonicTime,
-    /// Since when this leader has its cluster state.
-    since: MonotonicTime,
+    /// When this leader finished loading the cluster state.
+    loaded_at: MonotonicTime,
     lease: Millis,
     list_lag: Millis,
     is_overloaded: bool,
@@ -93,24 +96,24 @@
 }
 
 impl Review {
-    /// How long a machine's heartbeats may be missing until it is suspected.
+    /// How long a machine may go without an accepted heartbeat until it is suspected.
     fn suspicion_timeout(&self, machine: &Machine) -> Millis {
         let suspicion = &self.mass_suspicion;
-        let excused = self.is_overloaded || suspicion.everywhere || suspicion.routes.contains(&machine.route);
-        let factor = if excused { EXCUSED_SUSPICION_LEASE_FACTOR } else { SUSPICION_LEASE_FACTOR };
+        let is_lenient = self.is_overloaded || suspicion.everywhere || suspicion.routes.contains(&machine.route);
+        let factor = if is_lenient { LENIENT_SUSPICION_LEASE_FACTOR } else { SUSPICION_LEASE_FACTOR };
         let timeout = self.lease.mul_f64(factor);
-        // A worker may need some seconds to find a new leader: until it has, its heartbeats may be
-        // missing for a lease.
+        // After an election a worker may need some seconds to find the new leader, so its heartbeats may be
+        // missing for up to a lease.
         if machine.token_acknowledged { timeout } else { timeout.max(self.lease) }
     }
 
     fn retirement_reason(&self, machine: &Machine, machine_type: &MachineType) -> Option<RetirementReason> {
         let boot_s = (machine_type.boot_s * BOOT_TIMEOUT_FACTOR).max(MIN_BOOT_TIMEOUT_S);
         let boot_timeout = Millis::from_secs_f64(boot_s) + self.list_lag;
-        let late = self.now - machine.last_heartbeat.max(self.since);
+        let late = self.now - machine.last_heartbeat.max(self.loaded_at);
         if !machine.up && machine.registration == Registration::Unregistered && self.now - machine.since > boot_timeout
         {
-            Some(RetirementReason::NeverCameUp)
+            Some(RetirementReason::BootTimeout)
         } else if machine.registration == Registration::Registered && late > self.suspicion_timeout(machine) {
             Some(RetirementReason::Suspected(late))
         } else if is_unacknowledged(machine, self.now, self.lease) && !self.many_unacknowledged {
@@ -127,19 +130,20 @@
     }
 }
 
-/// The machine has been answered for longer than a lease without acknowledging its token.
+/// Whether the machine has been sent responses for longer than a lease without acknowledging its fencing token.
 fn is_unacknowledged(machine: &Machine, now: MonotonicTime, lease: Millis) -> bool {
     machine.unacknowledged_since.is_some_and(|since| now - since > lease)
 }
 
 impl Scheduler {
-    /// Past its lease a worker that nobody answered has killed all its tasks (PROTOCOL, leases).
+    /// Expires the leases of machines whose heartbeats nobody has answered for longer than a lease. Such a worker
+    /// has killed all its tasks (see "leases" in PROTOCOL), so they are removed as lost.
     pub(super) fn expire_leases(&mut self, now: MonotonicTime) {
         let lease = self.limits.lease.plus_clock_drift() + LEASE_MARGIN;
         let mut expired = Vec::new();
         for (id, machine) in &mut self.machines.known {
-            // Before this leader, answers may have been given until it was elected.
-            let answered_at = machine.last_heartbeat.max(self.since);
+            // Other leaders or the loading leader itself may have answered until the cluster state was loaded.
+            let answered_at = machine.last_heartbeat.max(self.loaded_at);
             if now - answered_at.max(machine.agent_epoch_first_heard) <= lease {
                 continue;
             }
@@ -157,7 +161,7 @@
             if !machine.allocations.is_empty() {
                 info!("machine {id}: lease expired, tasks={}", machine.allocations.len());
             }
-            // Messages of the ended agent epoch that come late mean nothing any more.
+            // Advancing the epoch makes delayed messages of the ended agent epoch count as outdated.
             if machine.agent_epoch.0 > 0 {
                 machine.agent_epoch.0 += 1;
                 machine.sequence.0 = 0;
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Retires machines that have failed or are idle, and has retiring ones terminated.
+    /// Reviews all machines: retires those that have failed or are idle, and terminates retiring ones when due.
     pub(super) fn review_machines(&mut self, now: MonotonicTime) {
         let review = self.start_review(now);
         let mut retiring: Vec<MachineId> = Vec::new();
@@ -192,7 +196,7 @@
         self.terminate(retiring, idle);
     }
 
-    /// Looks at all machines together, before each is decided on.
+    /// Gathers the cluster-wide inputs before the machines are decided on one by one.
     fn start_review(&mut self, now: MonotonicTime) -> Review {
         let lease = self.limits.lease;
         let machines = || self.machines.known.values();
@@ -202,7 +206,7 @@
         self.machines.many_unacknowledged = many_unacknowledged;
         Review {
             now,
-            since: self.since,
+            loaded_at: self.loaded_at,
             lease,
             list_lag: self.limits.list_lag,
             is_overloaded: self.load.is_overloaded(),
@@ -222,7 +226,7 @@
         }
         let up = counts.values().map(|(up, _)| up).sum();
         let late = counts.values().map(|(_, late)| late).sum();
-        // Machines that were never heard from tell nothing about a route.
+        // Machines without an accepted heartbeat have no route, so they say nothing about one.
         let on_route = |(route, (up, late)): (&Option<HeartbeatRoute>, &(usize, usize))| {
             (route.is_some() && is_mass_failure(*late, *up)).then_some(*route)
         };
@@ -230,27 +234,29 @@
         MassSuspicion { everywhere: is_mass_failure(late, up), routes }
     }
 
-    /// Leading for long enough that workers which can find this leader have done so. Before that,
-    /// missing heartbeats prove nothing, and two leaders would hand over to and fro.
+    /// Whether the cluster state was loaded longer than a lease ago, so that every worker that can reach this
+    /// leader has found it. Before that, missing heartbeats prove nothing, and acting on them could make two
+    /// controllers hand leadership back and forth.
     pub fn settled(&self, now: MonotonicTime) -> bool {
-        now - self.since > self.limits.lease
+        now - self.loaded_at > self.limits.lease
     }
 
-    /// Machines whose heartbeats are missing, and how many machines should send some.
+    /// The machines whose heartbeats are late, and the number of machines that are expected to send heartbeats.
     pub fn suspected_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
-        // Less than what makes a machine unusable: a cut leaves little time to find another leader.
+        // Shorter than `heartbeat_timeout`: in a network partition little time is left to find another leader
+        // before leases expire.
         let timeout = self.limits.heartbeat.mul_f64(1.25) + Millis(500);
         let is_expected = |machine: &Machine| machine.registration == Registration::Registered && !machine.retiring;
         let expected = || self.machines.known.iter().filter(|(_, machine)| is_expected(machine));
-        // Those on their way to a new leader must still be sent to it.
+        // Until this leader is settled, workers that have not found it yet don't count as late.
         let settled = self.settled(now);
         let suspected = expected().filter(|(_, machine)| {
-            (settled || machine.token_acknowledged) && now - machine.last_heartbeat.max(self.since) > timeout
+            (settled || machine.token_acknowledged) && now - machine.last_heartbeat.max(self.loaded_at) > timeout
         });
         (suspected.map(|(id, _)| id.to_string()).collect(), expected().count())
     }
 
-    /// A worker whose last heartbeat is older gets no new tasks.
+    /// The age of a machine's last heartbeat beyond which it gets no new tasks.
     pub(super) fn heartbeat_timeout(&self) -> Millis {
         self.limits.heartbeat.mul_f64(2.0) + Millis(500)
     }
--- a/src/core/scheduler/failure_detection/tests.rs
+++ b/src/core/scheduler/failure_detection/tests.rs
@@ -7,7 +7,7 @@
     .unwrap()
 }
 
-/// A machine that has done all that is expected of it by 100 s.
+/// A healthy machine whose last heartbeat came at 100 s.
 fn registered() -> Machine {
     let mut machine = Machine::new(String::new(), 0, 0, false, MonotonicTime(0));
     machine.up = true;
@@ -20,7 +20,7 @@
 fn review(now: u64) -> Review {
     Review {
         now: MonotonicTime(now),
-        since: MonotonicTime(0),
+        loaded_at: MonotonicTime(0),
         lease: Millis(10_000),
         list_lag: Millis(1_000),
         is_overloaded: false,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn retirement_reason_waits_longer_where_the_machine_is_hardly_the_cause() {
+fn retirement_reason_waits_longer_where_the_machine_is_unlikely_to_be_the_cause() {
     let machine = registered();
     let overloaded = Review { is_overloaded: true, ..review(130_000) };
     let everywhere = MassSuspicion { everywhere: true, routes: BTreeSet::new() };
@@ -67,26 +67,29 @@
 fn retirement_reason_waits_for_a_machine_to_boot() {
     let machine = Machine::new(String::new(), 0, 0, false, MonotonicTime(0));
     assert_eq!(reason(&review(106_000), &machine), None);
-    assert_eq!(reason(&review(106_001), &machine).as_deref(), Some("it has not come up"));
+    assert_eq!(reason(&review(106_001), &machine).as_deref(), Some("no heartbeat within its boot timeout"));
 }
 
 #[test]
-fn retirement_reason_of_unacknowledged_tokens_needs_that_few_machines_have_them() {
+fn retirement_reason_ignores_unacknowledged_tokens_while_many_machines_have_them() {
     let mut machine = registered();
     machine.unacknowledged_since = Some(MonotonicTime(90_000));
     assert_eq!(reason(&review(100_000), &machine), None);
-    assert_eq!(reason(&review(100_001), &machine).as_deref(), Some("it doesn't acknowledge its token"));
+    assert_eq!(
+        reason(&review(100_001), &machine).as_deref(),
+        Some("its fencing token was not acknowledged within a lease")
+    );
     assert_eq!(reason(&Review { many_unacknowledged: true, ..review(100_001) }, &machine), None);
 }
 
 #[test]
-fn retirement_reason_takes_reclaimed_and_quarantined_machines_only_when_nothing_may_be_on_them() {
+fn retirement_reason_spares_reclaimed_and_quarantined_machines_until_they_are_reconciled() {
     let mut reclaimed = registered();
     reclaimed.spot_notice = true;
     let mut quarantined = registered();
     (quarantined.errors, quarantined.quarantined_until) = (QUARANTINE_ERROR_THRESHOLD, MonotonicTime(101_000));
     for (mut machine, expected) in
-        [(reclaimed, "it is reclaimed and empty"), (quarantined, "it is quarantined and empty")]
+        [(reclaimed, "reclaimed by the cloud and empty"), (quarantined, "quarantined and empty")]
     {
         assert_eq!(reason(&review(100_000), &machine).as_deref(), Some(expected));
         machine.reconciled = false;
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -1,7 +1,8 @@
-//! Accepting a worker's heartbeat and answering it.
+//! Processing of worker heartbeats: validation, lease renewal, and reconciliation of the cluster state with
+//! the tasks that the worker lists.
 //!
-//! A response renews the worker's lease (PROTOCOL, leases), so each reason not to give one is a
-//! [`HeartbeatRejection`].
+//! A response renews the worker's lease (see "leases" in PROTOCOL). Every reason to withhold it is therefore
+//! an explicit [`HeartbeatRejection`].
 
 use super::Scheduler;
 use super::orders::MAX_ORDERS_PER_MESSAGE;
@@ -12,49 +13,50 @@
 use log::{Level, info, log, warn};
 use thiserror::Error;
 
-/// Why a heartbeat gets no response. The worker's lease isn't renewed.
+/// Why a heartbeat gets no response; the worker's lease is then not renewed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HeartbeatRejection {
-    /// The machine's name can't be part of a stored key.
-    #[error("the machine's name is malformed")]
+    /// The machine's name is not a valid [`MachineId`], so it can't be part of a stored key.
+    #[error("malformed machine name")]
     MalformedName,
     /// The cloud has terminated the machine.
-    #[error("the machine is terminated")]
+    #[error("machine is terminated")]
     Terminated,
-    /// Machines are recorded before their first order and until their termination is proven, so a
-    /// heartbeat that lists tasks of a machine without a record is a late copy.
-    #[error("the machine has no record and lists tasks={tasks}")]
+    /// The machine is not in the machine table, yet the heartbeat lists tasks. A machine's record is stored
+    /// before its first order and deleted only after its termination, so this is a delayed duplicate from a
+    /// machine that no longer exists.
+    #[error("machine has no record but lists tasks={tasks}")]
     NoRecord {
-        /// How many tasks it lists.
+        /// Number of tasks listed in the heartbeat.
         tasks: usize,
     },
-    /// The machine's type or its zone is in neither the settings nor the cloud's list of types.
-    #[error("unknown type or zone, kind={kind} zone={zone}")]
+    /// The machine's type or zone is in neither the settings nor the cloud's list of machine types.
+    #[error("unknown machine type or zone, kind={kind} zone={zone}")]
     UnknownPool {
-        /// The type that the worker states.
+        /// Machine type stated by the worker.
         kind: String,
-        /// The zone that the worker states.
+        /// Zone stated by the worker.
         zone: String,
     },
-    /// Of an agent epoch that has ended, or a copy of a heartbeat that was accepted before. No worker
-    /// waits for a response to it, and it is no sign of life.
-    #[error("a copy, or of an agent epoch that has ended")]
+    /// The heartbeat belongs to an agent epoch that has ended, or is a duplicate of (or older than) one that
+    /// was already accepted. No worker waits for the response, and it doesn't show that the machine is alive.
+    #[error("duplicate heartbeat, or from an agent epoch that has ended")]
     Superseded,
-    /// Responses haven't reached the worker for a lease. Without them its lease runs out, which
-    /// proves it empty.
-    #[error("the worker doesn't acknowledge its token")]
+    /// The worker has not acknowledged its fencing token for longer than a lease, so responses probably don't
+    /// reach it. Without a response its lease expires, which proves that no task is left on it.
+    #[error("worker has not acknowledged its fencing token within a lease")]
     UnacknowledgedToken,
-    /// More stops are due than one message may carry. A response without all of them would renew the
-    /// lease of tasks that must end.
-    #[error("too many for a response, stops={stops}")]
+    /// More stop orders are due than fit in one message. A response without all of them would renew the
+    /// lease over tasks that must end.
+    #[error("more stop orders due than a response can carry, stops={stops}")]
     TooManyStops {
-        /// How many stops are due.
+        /// Number of stop orders due.
         stops: usize,
     },
 }
 
 impl HeartbeatRejection {
-    /// Whether operators should look into it; the others are expected on a lossy network.
+    /// Whether an operator should investigate. The other rejections are expected on a lossy network.
     fn needs_attention(&self) -> bool {
         match self {
             HeartbeatRejection::UnknownPool { .. } | HeartbeatRejection::TooManyStops { .. } => true,
@@ -68,10 +70,10 @@
 }
 
 impl Scheduler {
-    /// Accepts a heartbeat that has come directly from its worker.
+    /// Processes a heartbeat that was received directly from its worker.
     ///
     /// # Errors
-    /// Why it isn't answered.
+    /// Returns the reason why the heartbeat gets no response.
     pub fn on_heartbeat(
         &mut self,
         now: MonotonicTime,
@@ -80,10 +82,10 @@
         self.on_heartbeat_via(now, heartbeat, HeartbeatRoute::DIRECT)
     }
 
-    /// Accepts a worker's heartbeat that has come by `route`.
+    /// Processes a worker's heartbeat that was received over `route`.
     ///
     /// # Errors
-    /// Why it isn't answered.
+    /// Returns the reason why the heartbeat gets no response.
     pub fn on_heartbeat_via(
         &mut self,
         now: MonotonicTime,
@@ -93,7 +95,7 @@
         let response = self.accept_heartbeat(now, heartbeat, route);
         if let Err(rejection) = &response {
             let level = if rejection.needs_attention() { Level::Warn } else { Level::Debug };
-            log!(level, "machine {}: heartbeat not answered: {rejection}", heartbeat.machine);
+            log!(level, "machine {}: heartbeat rejected: {rejection}", heartbeat.machine);
         }
         response
     }
@@ -109,16 +111,16 @@
             return Err(HeartbeatRejection::Terminated);
         }
         if !self.machines.known.contains_key(&id) {
-            self.enter_reporting_machine(now, &id, heartbeat)?;
+            self.add_reporting_machine(now, &id, heartbeat)?;
         }
-        self.record_sign_of_life(now, &id, heartbeat)?;
+        self.record_liveness(now, &id, heartbeat)?;
         let is_newer = self.apply_heartbeat(now, &id, heartbeat);
         self.renew_lease(now, &id, heartbeat.token, route)?;
         self.respond(&id, is_newer)
     }
 
-    /// Enters a machine that this leader hears of by its first heartbeat.
-    fn enter_reporting_machine(
+    /// Adds a machine that was unknown until this, its first heartbeat.
+    fn add_reporting_machine(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
@@ -131,14 +133,16 @@
             let (kind, zone) = (heartbeat.kind.clone(), heartbeat.zone.clone());
             return Err(HeartbeatRejection::UnknownPool { kind, zone });
         };
-        // Nobody has ordered anything here: orders come after the machine's record.
+        // No leader has sent it orders, as a machine's record is stored before its first order. So it counts
+        // as reconciled from the start.
         let machine = Machine::new(heartbeat.endpoint.clone(), kind, zone, heartbeat.spot, now);
         self.machines.known.insert(id.clone(), machine);
         Ok(())
     }
 
-    /// The heartbeat is later than all earlier ones: its agent epoch goes on.
-    fn record_sign_of_life(
+    /// Records the heartbeat as the machine's latest, which shows that its agent epoch is still alive. Rejects
+    /// duplicates and heartbeats of agent epochs that have ended.
+    fn record_liveness(
         &mut self,
         now: MonotonicTime,
         id: &MachineId,
@@ -158,8 +162,8 @@
         Ok(())
     }
 
-    /// Decides whether the response may renew the worker's lease. Also a heartbeat that an answer to
-    /// orders has overtaken renews it.
+    /// Decides whether the response may renew the worker's lease. A heartbeat whose contents are outdated by a
+    /// later answer to orders still renews it.
     fn renew_lease(
         &mut self,
         now: MonotonicTime,
@@ -180,8 +184,8 @@
         Ok(())
     }
 
-    /// The response to an accepted heartbeat. It carries every stop that is due, whatever else is under
-    /// way: a worker whose lease it renews must not keep a cancelled task.
+    /// Builds the response to an accepted heartbeat. It carries every stop order that is due, even while other
+    /// orders are in flight: a worker whose lease is renewed must not keep running a cancelled task.
     fn respond(&mut self, id: &MachineId, is_newer: bool) -> Result<HeartbeatResponse, HeartbeatRejection> {
         let machine = self.machines.known.get_mut(id).ok_or(HeartbeatRejection::Terminated)?;
         let token = FencingToken::new(self.term, machine.fence);
@@ -192,20 +196,21 @@
         }
         machine.outbox.retain(|order| !matches!(order, Order::Stop { .. }));
         if is_newer && machine.in_flight.is_none() {
-            // Runs only go out directly, where an answer proves them; clears may ride along.
-            let left = MAX_ORDERS_PER_MESSAGE - orders.len();
+            // Run orders are only sent directly, where the worker's answer confirms them. Clear orders may go
+            // with the response.
+            let remaining = MAX_ORDERS_PER_MESSAGE - orders.len();
             let (clears, mut rest): (Vec<Order>, Vec<Order>) =
                 machine.outbox.drain(..).partition(|order| matches!(order, Order::Clear { .. }));
-            rest.extend_from_slice(clears.get(left..).unwrap_or_default());
-            orders.extend(clears.into_iter().take(left));
+            rest.extend_from_slice(clears.get(remaining..).unwrap_or_default());
+            orders.extend(clears.into_iter().take(remaining));
             machine.outbox = rest;
         }
         self.flush_machine(id);
         Ok(HeartbeatResponse { token, orders })
     }
 
-    /// Brings the cluster state up to date with what a worker lists, in a heartbeat or in an answer to
-    /// orders. False: a later message has been applied before, so nothing was done.
+    /// Updates the cluster state with the task list that a worker sent, in a heartbeat or in an answer to
+    /// orders. Returns `false` and changes nothing if a later message was already applied.
     pub(super) fn apply_heartbeat(&mut self, now: MonotonicTime, id: &MachineId, heartbeat: &Heartbeat) -> bool {
         let Some(machine) = self.machines.known.get_mut(id) else { return false };
         if (heartbeat.agent_epoch, heartbeat.sequence) <= (machine.agent_epoch, machine.sequence) {
@@ -218,9 +223,12 @@
             info!("machine {id} is up after_s={:.0}", (now - machine.since).as_secs_f64());
         }
         if heartbeat.agent_epoch > machine.agent_epoch && machine.agent_epoch.0 > 0 {
-            // The worker has killed and forgotten all that it had.
+            // With a new agent epoch the worker has killed and forgotten all tasks of the previous one.
             if !machine.allocations.is_empty() {
-                info!("machine {id}: new agent epoch, tasks={}", machine.allocations.len());
+                info!(
+                    "machine {id}: new agent epoch, tasks of the previous one are lost, tasks={}",
+                    machine.allocations.len()
+                );
             }
             self.remove_all_lost_tasks(id, false);
         }
@@ -234,19 +242,19 @@
         self.apply_task_list(now, id, &heartbeat.tasks);
         let Some(machine) = self.machines.known.get_mut(id) else { return false };
         let is_newly_reconciled = machine.reconcile(heartbeat.token, self.term);
-        let awaits_registration = machine.registration == Registration::Unregistered && !machine.retiring;
-        let gone = machine.unlisted_tasks(heartbeat.token);
-        if is_newly_reconciled || awaits_registration {
+        let needs_registration = machine.registration == Registration::Unregistered && !machine.retiring;
+        let lost = machine.unlisted_tasks(heartbeat.token);
+        if is_newly_reconciled || needs_registration {
             self.rounds.request();
         }
-        self.remove_lost_tasks(id, gone, false);
+        self.remove_lost_tasks(id, lost, false);
         true
     }
 
-    /// The first notice that a machine is reclaimed in `notice_s` seconds drains it.
+    /// Drains a machine on the first notice that the cloud reclaims it in `notice_s` seconds.
     fn apply_spot_notice(&mut self, now: MonotonicTime, id: &MachineId, notice_s: f64) {
         let Some(machine) = self.machines.known.get_mut(id).filter(|machine| !machine.spot_notice) else { return };
-        info!("machine {id} is reclaimed soon, notice_s={notice_s:.0}");
+        info!("machine {id}: spot reclamation notice, notice_s={notice_s:.0}");
         machine.spot_notice = true;
         if machine.spot {
             self.spot_lives.ended((now - machine.since).as_secs_f64());
@@ -267,13 +275,13 @@
             let key = (task, listed.attempt);
             let job = self.jobs.live.get(&task.job);
             match machine.allocations.get_mut(&key) {
-                // Most of what workers list, they have listed before.
+                // The common case: nothing has changed since the last list.
                 Some(allocation)
                     if allocation.is_unchanged(listed.phase) && job.is_some_and(|job| job.goes_on(&key)) =>
                 {
                     allocation.last_listed = machine.heartbeats_applied;
                 }
-                // Done, and kept by the worker until that is durable.
+                // Done and already processed; the worker keeps it until the completion is stored.
                 Some(allocation)
                     if allocation.has_exited()
                         && listed.is_done()
@@ -290,9 +298,9 @@
     }
 }
 
-/// The response of a leader that is still loading its cluster state. It can't tell which tasks are
-/// cancelled, so it renews no lease over any: workers drop a response without a token, but it keeps
-/// them at this controller.
+/// The response of a leader that is still loading the cluster state. It can't tell which tasks are cancelled,
+/// so it must not renew the lease of a worker that runs tasks: such a worker gets no token and so ignores the
+/// response, but doesn't look for another controller either.
 pub fn response_before_load(term: Term, heartbeat: &Heartbeat) -> HeartbeatResponse {
     let is_empty = heartbeat.tasks.iter().all(|listed| listed.phase == TaskPhase::Exited);
     let token = if is_empty { FencingToken::new(term, 0) } else { FencingToken::NONE };
--- a/src/core/scheduler/heartbeats/tests.rs
+++ b/src/core/scheduler/heartbeats/tests.rs
@@ -16,7 +16,7 @@
     Scheduler::new(sample_settings(), Tuning::default(), vec![machine_type], TERM, record, MonotonicTime(0))
 }
 
-/// The first heartbeat of a machine that nobody has ordered anything on.
+/// The first heartbeat of a machine that has never been sent an order.
 fn first_heartbeat() -> Heartbeat {
     Heartbeat {
         machine: "m-000001".into(),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn on_heartbeat_rejects_machines_that_it_cannot_enter() {
+fn on_heartbeat_rejects_machines_that_cannot_be_added() {
     let listed = TaskStatus {
         task: TaskId::parse("req-000001/0"),
         attempt: Attempt(1),
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn on_heartbeat_rejects_copies_and_terminated_machines() {
+fn on_heartbeat_rejects_duplicates_and_terminated_machines() {
     let mut scheduler = scheduler();
     let mut heartbeat = first_heartbeat();
     assert!(scheduler.on_heartbeat(MonotonicTime(10), &heartbeat).is_ok());
-    let copy = scheduler.on_heartbeat(MonotonicTime(20), &heartbeat);
-    assert_eq!(copy, Err(HeartbeatRejection::Superseded));
+    let duplicate = scheduler.on_heartbeat(MonotonicTime(20), &heartbeat);
+    assert_eq!(duplicate, Err(HeartbeatRejection::Superseded));
     scheduler.on_terminated(MonotonicTime(30), &[MachineId::parse("m-000001").unwrap()], true);
     heartbeat.sequence.0 += 1;
     let terminated = scheduler.on_heartbeat(MonotonicTime(40), &heartbeat);
@@ -82,15 +82,15 @@
         heartbeat.sequence.0 += after.0;
         scheduler.on_heartbeat(MonotonicTime(10) + after, &heartbeat).map(|response| response.token)
     };
-    let own = FencingToken::new(TERM, 0);
-    assert_eq!(send(Millis(0), FencingToken::NONE), Ok(own));
-    assert_eq!(send(lease, FencingToken::NONE), Ok(own));
+    let current = FencingToken::new(TERM, 0);
+    assert_eq!(send(Millis(0), FencingToken::NONE), Ok(current));
+    assert_eq!(send(lease, FencingToken::NONE), Ok(current));
     assert_eq!(send(lease + Millis(1), FencingToken::NONE), Err(HeartbeatRejection::UnacknowledgedToken));
-    assert_eq!(send(lease + Millis(2), own), Ok(own));
+    assert_eq!(send(lease + Millis(2), current), Ok(current));
 }
 
 #[test]
-fn on_heartbeat_rejects_a_worker_that_more_stops_are_due_to_than_a_message_carries() {
+fn on_heartbeat_rejects_a_worker_with_more_due_stops_than_fit_in_a_message() {
     let running = |index| TaskStatus {
         task: TaskId::parse(&format!("req-000001/{index}")),
         attempt: Attempt(1),
@@ -104,7 +104,7 @@
         let mut heartbeat = first_heartbeat();
         assert!(scheduler.on_heartbeat(MonotonicTime(10), &heartbeat).is_ok());
         heartbeat.sequence.0 += 1;
-        // Of a job that isn't live, so that each is to be stopped.
+        // The job isn't live, so each of its tasks has to be stopped.
         heartbeat.tasks = (0..tasks).map(running).collect();
         let response = scheduler.on_heartbeat(MonotonicTime(20), &heartbeat).map(|response| response.orders.len());
         let expected =
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -98,8 +98,9 @@
 
     /// All that the store holds has been loaded.
     pub fn finish_load(&mut self, now: MonotonicTime) {
-        // Until now heartbeats were answered without the cluster state, which renewed workers' leases.
-        self.since = now;
+        // Leases count from here: until now heartbeats were answered without the cluster state
+        // (`response_before_load`), which renewed the leases of empty workers.
+        self.loaded_at = now;
         info!(
             "cluster state loaded: term={} jobs={} machines={}",
             self.term,
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -103,9 +103,9 @@
     /// The key-value store doesn't answer here but may answer other controllers: they may have
     /// accepted cancellations that aren't known here.
     in_doubt: bool,
-    /// When the cluster state was loaded. Responses to heartbeats that this scheduler didn't send are
-    /// older.
-    since: MonotonicTime,
+    /// When loading of the cluster state finished. Any heartbeat response that didn't come from this
+    /// scheduler, and may have renewed a lease, is older.
+    loaded_at: MonotonicTime,
     catalog: Catalog,
     jobs: JobTable,
     machines: MachineTable,
@@ -166,7 +166,7 @@
         Scheduler {
             spot_lives: SpotLives::new(tuning.spot_median_s, tuning.spot_sigma),
             in_doubt: false,
-            since: now,
+            loaded_at: now,
             gpus: GpuLending::new(types.len(), zones.len(), now),
             catalog: Catalog::new(types, zones),
             jobs: JobTable::new(now),
