--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -1,4 +1,4 @@
-//! What the cloud says of machines: its list of them, and terminations that it has carried out.
+//! Reconciliation of the machine table with the cloud: its machine list and the results of terminations.
 
 use super::Scheduler;
 use crate::core::machine::{Machine, Registration};
@@ -7,14 +7,16 @@
 use crate::wire::{ListPhase, ListedMachine};
 use log::info;
 
-/// A termination that the cloud refused or didn't answer is repeated after this time.
+/// Delay before a termination that the cloud refused or didn't answer is retried.
 const TERMINATION_RETRY_INTERVAL: Millis = Millis(1_000);
 
-/// A machine that the cloud lists as running has this long, beyond the list's lag, to send a heartbeat.
-const NEVER_HEARD_TIMEOUT: Millis = Millis(60_000);
+/// How long, in addition to the list's lag, an unknown machine that the cloud lists as running may take to send
+/// its first heartbeat before it is retired.
+const FIRST_HEARTBEAT_TIMEOUT: Millis = Millis(60_000);
 
 impl Scheduler {
-    /// The cloud has carried out a termination (`ok`), or it isn't known whether it has.
+    /// The result of an [`Effect::Terminate`](super::Effect::Terminate): the machines are terminated if `ok`,
+    /// otherwise it isn't known whether they are, and the termination is retried.
     pub fn on_terminated(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) {
         for id in ids {
             if ok {
@@ -24,7 +26,7 @@
                 machine.terminate_after = now + TERMINATION_RETRY_INTERVAL;
             }
         }
-        self.machines.forget_terminated();
+        self.machines.trim_terminated();
     }
 
     fn remove_terminated_machine(&mut self, now: MonotonicTime, id: &MachineId) {
@@ -39,7 +41,7 @@
         self.rounds.request();
     }
 
-    /// The cloud's list of machines.
+    /// Processes the cloud's list of machines, which may lag behind their actual state.
     pub fn on_list(&mut self, now: MonotonicTime, list: &[ListedMachine]) {
         for listed in list {
             let Some(id) = MachineId::parse(&listed.id) else { continue };
@@ -49,14 +51,15 @@
             if listed.phase == ListPhase::Failed {
                 self.retire_failed_machine(now, id, listed);
             } else if self.machines.known.contains_key(&id) {
-                self.machines.clear_never_heard(&id);
+                self.machines.stop_awaiting_first_heartbeat(&id);
             } else {
-                self.enter_listed_machine(now, id, listed);
+                self.add_listed_machine(now, id, listed);
             }
         }
     }
 
-    /// The machine has stopped of its own accord; terminating it proves that nothing is left on it.
+    /// Retires a machine that has failed according to the cloud. Only its termination proves that no task is left
+    /// on it.
     fn retire_failed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         if !self.machines.known.contains_key(&id) {
             let Some((kind, zone)) = self.catalog.place_of(&listed.kind, &listed.zone) else { return };
@@ -68,22 +71,22 @@
         }
     }
 
-    /// Enters a machine that this leader knows by the cloud's list only.
-    fn enter_listed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
+    /// Adds a machine that is unknown except for the cloud's list.
+    fn add_listed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         let Some((kind, zone)) = self.catalog.place_of(&listed.kind, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
-        // Its age may reach back to before this process began.
+        // The subtraction saturates, as the machine may be older than this process's monotonic clock.
         machine.since = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
         if listed.phase == ListPhase::Running {
-            // It may be gone already, as the list is late, or about to send a heartbeat.
-            let since = self.machines.never_heard_since(&id, now);
-            if now - since < NEVER_HEARD_TIMEOUT + self.limits.list_lag {
+            // The list lags, so the machine may already be terminated; or its first heartbeat is on its way.
+            let since = self.machines.awaiting_first_heartbeat_since(&id, now);
+            if now - since < FIRST_HEARTBEAT_TIMEOUT + self.limits.list_lag {
                 return;
             }
             machine.retiring = true;
-            self.machines.clear_never_heard(&id);
+            self.machines.stop_awaiting_first_heartbeat(&id);
         }
-        info!("machine {id} is in the cloud's list: kind={} zone={}", listed.kind, listed.zone);
+        info!("machine {id} added from the cloud's list: kind={} zone={}", listed.kind, listed.zone);
         self.machines.known.insert(id, machine);
         self.rounds.request();
     }
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -257,7 +257,7 @@
         info!("machine {id}: spot reclamation notice, notice_s={notice_s:.0}");
         machine.spot_notice = true;
         if machine.spot {
-            self.spot_lives.ended((now - machine.since).as_secs_f64());
+            self.spot_lives.record_reclamation((now - machine.since).as_secs_f64());
         }
         self.drain(now, id, notice_s);
     }
--- a/src/core/scheduler/load.rs
+++ b/src/core/scheduler/load.rs
@@ -1,45 +1,45 @@
-//! How busy the processor of the leader is, measured by how late its ticks come.
+//! The leader's CPU load, measured by the lateness of its ticks.
 
 use super::TICK_INTERVAL;
 use crate::time::{Millis, MonotonicTime};
 
-/// Weight of the latest tick in the average.
+/// Weight of the latest tick in the moving average of the lateness.
 const LAG_WEIGHT: f64 = 0.1;
 
-/// With ticks this late on average heartbeats wait unread, so that late heartbeats say little about
-/// machines.
+/// At this average lateness of ticks, received heartbeats wait to be processed, so late heartbeats say little
+/// about machines.
 const OVERLOAD_LAG_THRESHOLD_MS: f64 = 250.0;
 
-/// The last tick, and how late ticks come on average.
+/// Exponentially weighted moving average of the lateness of ticks.
 pub(super) struct LoadMeter {
-    ticked_at: MonotonicTime,
+    last_tick: MonotonicTime,
     lag_ms: f64,
 }
 
 impl LoadMeter {
-    /// Of a scheduler that begins now.
+    /// Creates a meter without lag whose first tick is due one [`TICK_INTERVAL`] after `now`.
     pub(super) fn new(now: MonotonicTime) -> LoadMeter {
-        LoadMeter { ticked_at: now, lag_ms: 0.0 }
+        LoadMeter { last_tick: now, lag_ms: 0.0 }
     }
 
-    /// A tick has come.
+    /// Records a tick, and averages in how much later than [`TICK_INTERVAL`] after the previous one it comes.
     pub(super) fn record_tick(&mut self, now: MonotonicTime) {
-        let late_ms = (now - self.ticked_at).0.saturating_sub(TICK_INTERVAL.0) as f64;
-        self.ticked_at = now;
+        let late_ms = (now - self.last_tick).0.saturating_sub(TICK_INTERVAL.0) as f64;
+        self.last_tick = now;
         self.lag_ms += LAG_WEIGHT * (late_ms - self.lag_ms);
     }
 
-    /// How late ticks come on average, in milliseconds.
+    /// The average lateness of ticks in milliseconds.
     pub(super) fn lag_ms(&self) -> f64 {
         self.lag_ms
     }
 
-    /// The same, rounded down.
+    /// The average lateness of ticks, rounded down to whole milliseconds.
     pub(super) fn lag(&self) -> Millis {
         Millis(self.lag_ms as u64)
     }
 
-    /// Heartbeats may be late because of this leader itself.
+    /// Whether the leader's own load may be the cause of late heartbeats.
     pub(super) fn is_overloaded(&self) -> bool {
         self.lag_ms >= OVERLOAD_LAG_THRESHOLD_MS
     }
--- a/src/core/scheduler/load/tests.rs
+++ b/src/core/scheduler/load/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn load_meter_counts_only_what_ticks_are_late() {
+fn load_meter_averages_the_lateness_of_ticks() {
     let mut load = LoadMeter::new(MonotonicTime(0));
     for tick in 1..=100 {
         load.record_tick(MonotonicTime(tick * TICK_INTERVAL.0));
--- a/src/core/scheduler/machine_table.rs
+++ b/src/core/scheduler/machine_table.rs
@@ -1,4 +1,5 @@
-//! The machines that the scheduler knows, and what it remembers of others.
+//! The table of all machines that may exist, with the terminated machines whose late messages must be
+//! rejected.
 
 use crate::core::machine::Machine;
 use crate::core::provisioning::InstancePool;
@@ -6,74 +7,77 @@
 use crate::time::{Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Leases and late heartbeats are looked at this often; each review goes through all machines.
+/// Interval between reviews of leases and late heartbeats. A review iterates over all machines.
 const REVIEW_INTERVAL: Millis = Millis(200);
 
-/// How many terminated machines are remembered.
+/// Maximum number of terminated machines that are remembered.
 const MAX_TERMINATED_REMEMBERED: usize = 4096;
 
-/// All machines, whatever their state.
+/// All machines, in whatever state, and the state of their reviews.
 pub(super) struct MachineTable {
     /// Every machine that may exist, by name.
     pub(super) known: BTreeMap<MachineId, Machine>,
-    /// Terminated for good; late heartbeats of theirs mean nothing.
+    /// Machines that the cloud has terminated. Their delayed heartbeats are rejected.
     terminated: BTreeSet<MachineId>,
-    /// Listed as running by the cloud, but never heard of: since when.
-    never_heard: BTreeMap<MachineId, MonotonicTime>,
-    /// Where machines may not be reconciled yet, as of the last round; none is added after the load.
+    /// Machines that the cloud lists as running but that haven't sent a heartbeat yet, with the time at which
+    /// this was first seen.
+    awaiting_first_heartbeat: BTreeMap<MachineId, MonotonicTime>,
+    /// Instance pools with machines that may not be reconciled yet, as of the last round. Pools are only added
+    /// while the cluster state is loaded.
     pub(super) unreconciled: BTreeSet<InstancePool>,
-    /// So many machines don't acknowledge their token that it is rather this controller that
-    /// is slow or cut off.
+    /// So many machines don't acknowledge their fencing token that this controller is probably slow or
+    /// partitioned itself.
     pub(super) many_unacknowledged: bool,
-    reviewed_at: MonotonicTime,
+    last_review: MonotonicTime,
 }
 
 impl MachineTable {
-    /// Without machines, as just reviewed.
+    /// Creates an empty table; the first review is due one interval after `now`.
     pub(super) fn new(now: MonotonicTime) -> MachineTable {
         MachineTable {
             known: BTreeMap::new(),
             terminated: BTreeSet::new(),
-            never_heard: BTreeMap::new(),
+            awaiting_first_heartbeat: BTreeMap::new(),
             unreconciled: BTreeSet::new(),
             many_unacknowledged: false,
-            reviewed_at: now,
+            last_review: now,
         }
     }
 
-    /// Whether the cloud is known to have terminated this machine.
+    /// Whether the cloud is known to have terminated the machine.
     pub(super) fn is_terminated(&self, id: &MachineId) -> bool {
         self.terminated.contains(id)
     }
 
-    /// The cloud has terminated this machine.
+    /// Removes a machine that the cloud has terminated, and remembers it as terminated.
     pub(super) fn remove_terminated(&mut self, id: &MachineId) {
         self.known.remove(id);
         self.terminated.insert(id.clone());
     }
 
-    /// Forgets terminated machines beyond the limit, the lowest names first.
-    pub(super) fn forget_terminated(&mut self) {
+    /// Forgets terminated machines beyond the limit, lowest names first.
+    pub(super) fn trim_terminated(&mut self) {
         while self.terminated.len() > MAX_TERMINATED_REMEMBERED {
             self.terminated.pop_first();
         }
     }
 
-    /// The cloud lists this machine as running, and no heartbeat of it has come: since when.
-    pub(super) fn never_heard_since(&mut self, id: &MachineId, now: MonotonicTime) -> MonotonicTime {
-        *self.never_heard.entry(id.clone()).or_insert(now)
+    /// Records that the cloud lists the machine as running without a heartbeat of it, and returns when this was
+    /// first seen.
+    pub(super) fn awaiting_first_heartbeat_since(&mut self, id: &MachineId, now: MonotonicTime) -> MonotonicTime {
+        *self.awaiting_first_heartbeat.entry(id.clone()).or_insert(now)
     }
 
-    /// The machine has been entered.
-    pub(super) fn clear_never_heard(&mut self, id: &MachineId) {
-        self.never_heard.remove(id);
+    /// Stops waiting for the machine's first heartbeat, because it is in the table now.
+    pub(super) fn stop_awaiting_first_heartbeat(&mut self, id: &MachineId) {
+        self.awaiting_first_heartbeat.remove(id);
     }
 
-    /// Whether a review of all machines is due; the next one counts from now then.
-    pub(super) fn take_review(&mut self, now: MonotonicTime) -> bool {
-        let is_due = now - self.reviewed_at >= REVIEW_INTERVAL;
+    /// Returns whether a review of all machines is due, and if so starts the next interval.
+    pub(super) fn take_due_review(&mut self, now: MonotonicTime) -> bool {
+        let is_due = now - self.last_review >= REVIEW_INTERVAL;
         if is_due {
-            self.reviewed_at = now;
+            self.last_review = now;
         }
         is_due
     }
--- a/src/core/scheduler/machine_table/tests.rs
+++ b/src/core/scheduler/machine_table/tests.rs
@@ -13,24 +13,24 @@
     }
     assert!(table.known.is_empty());
     assert!(table.is_terminated(&id(0)));
-    table.forget_terminated();
+    table.trim_terminated();
     assert!(!table.is_terminated(&id(0)));
     assert!(table.is_terminated(&id(1)) && table.is_terminated(&id(MAX_TERMINATED_REMEMBERED)));
 }
 
 #[test]
-fn machine_table_keeps_since_when_a_machine_was_never_heard() {
+fn machine_table_keeps_when_a_missing_first_heartbeat_was_first_seen() {
     let mut table = MachineTable::new(MonotonicTime(0));
-    assert_eq!(table.never_heard_since(&id(1), MonotonicTime(10)), MonotonicTime(10));
-    assert_eq!(table.never_heard_since(&id(1), MonotonicTime(20)), MonotonicTime(10));
-    table.clear_never_heard(&id(1));
-    assert_eq!(table.never_heard_since(&id(1), MonotonicTime(30)), MonotonicTime(30));
+    assert_eq!(table.awaiting_first_heartbeat_since(&id(1), MonotonicTime(10)), MonotonicTime(10));
+    assert_eq!(table.awaiting_first_heartbeat_since(&id(1), MonotonicTime(20)), MonotonicTime(10));
+    table.stop_awaiting_first_heartbeat(&id(1));
+    assert_eq!(table.awaiting_first_heartbeat_since(&id(1), MonotonicTime(30)), MonotonicTime(30));
 }
 
 #[test]
-fn machine_table_take_review_is_true_once_an_interval() {
+fn machine_table_take_due_review_is_true_once_per_interval() {
     let mut table = MachineTable::new(MonotonicTime(0));
-    assert!(!table.take_review(MonotonicTime(REVIEW_INTERVAL.0 - 1)));
-    assert!(table.take_review(MonotonicTime(REVIEW_INTERVAL.0)));
-    assert!(!table.take_review(MonotonicTime(REVIEW_INTERVAL.0 + 1)));
+    assert!(!table.take_due_review(MonotonicTime(REVIEW_INTERVAL.0 - 1)));
+    assert!(table.take_due_review(MonotonicTime(REVIEW_INTERVAL.0)));
+    assert!(!table.take_due_review(MonotonicTime(REVIEW_INTERVAL.0 + 1)));
 }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -55,7 +55,7 @@
 use self::quota::QuotaTracker;
 use self::reservations::Reservations;
 use self::rounds::Rounds;
-use self::spot_lives::SpotLives;
+use self::spot_lives::SpotLifetimes;
 use self::writes::WriteQueue;
 use crate::config::{Settings, Tuning};
 use crate::core::completion_bitmap::BitmapLayout;
@@ -116,7 +116,7 @@
     reservations: Reservations,
     consolidation: Consolidation,
     provisioner: Provisioner,
-    spot_lives: SpotLives,
+    spot_lives: SpotLifetimes,
     shards: ShardAssignment,
     load: LoadMeter,
     attempts: u64,
@@ -164,7 +164,7 @@
         let peers = settings.peers.iter().map(|p| p.name.clone());
         let shards = ShardAssignment::new(&settings.name, peers, cluster.teams.len() as u32, now);
         Scheduler {
-            spot_lives: SpotLives::new(tuning.spot_median_s, tuning.spot_sigma),
+            spot_lives: SpotLifetimes::new(tuning.spot_median_s, tuning.spot_sigma),
             in_doubt: false,
             loaded_at: now,
             gpus: GpuLending::new(types.len(), zones.len(), now),
--- a/src/core/scheduler/spot_lives.rs
+++ b/src/core/scheduler/spot_lives.rs
@@ -1,39 +1,43 @@
-//! How long spot machines live before they are reclaimed.
+//! Estimate of how long spot machines live before the cloud reclaims them.
 
-/// With how many observations the settings' values weigh in.
+/// Number of observations that the configured median counts as.
 const PRIOR_WEIGHT: f64 = 20.0;
 
-/// Observations beyond this number no longer make the estimate slower to change.
+/// Observations beyond this number don't lower the weight of the next one any further, so the estimate keeps
+/// adapting.
 const MAX_OBSERVATIONS: f64 = 200.0;
 
-/// The log-normal of spot machines' lives: starts at the settings' median and shifts with what is
-/// seen (ours: the paper leaves the fit to "historical data").
-pub(super) struct SpotLives {
-    /// Mean of the logarithm of the life in seconds.
+/// Log-normal distribution of spot machines' lifetimes. Its median starts at the configured value and moves with
+/// each observed reclamation. The update rule is our own: the paper that [`crate::core::placement`] implements
+/// only says that the distribution is fitted to "historical data".
+pub(super) struct SpotLifetimes {
+    /// Mean of the logarithm of the lifetime in seconds.
     mu: f64,
-    /// Standard deviation of the logarithm of the life in seconds.
+    /// Standard deviation of the logarithm of the lifetime in seconds.
     sigma: f64,
+    /// Number of observed reclamations.
     observations: f64,
 }
 
-impl SpotLives {
-    /// By the settings: the median life in seconds, and the standard deviation of its logarithm.
-    pub(super) fn new(median_s: f64, sigma: f64) -> SpotLives {
-        SpotLives { mu: median_s.ln(), sigma, observations: 0.0 }
+impl SpotLifetimes {
+    /// Creates the distribution from its median in seconds and the standard deviation of the lifetime's
+    /// logarithm.
+    pub(super) fn new(median_s: f64, sigma: f64) -> SpotLifetimes {
+        SpotLifetimes { mu: median_s.ln(), sigma, observations: 0.0 }
     }
 
-    /// Mean of the logarithm of the life in seconds.
+    /// Mean of the logarithm of the lifetime in seconds.
     pub(super) fn mu(&self) -> f64 {
         self.mu
     }
 
-    /// Standard deviation of the logarithm of the life in seconds.
+    /// Standard deviation of the logarithm of the lifetime in seconds.
     pub(super) fn sigma(&self) -> f64 {
         self.sigma
     }
 
-    /// A spot machine of this age in seconds was reclaimed.
-    pub(super) fn ended(&mut self, age_s: f64) {
+    /// Updates the estimate with a spot machine that was reclaimed at this age in seconds.
+    pub(super) fn record_reclamation(&mut self, age_s: f64) {
         self.observations += 1.0;
         let weight = 1.0 / (PRIOR_WEIGHT + self.observations.min(MAX_OBSERVATIONS));
         let mu = self.mu + weight * (age_s.max(1.0).ln() - self.mu);
--- a/src/core/scheduler/ticks.rs
+++ b/src/core/scheduler/ticks.rs
@@ -1,26 +1,26 @@
-//! The scheduler's tick: everything that happens by time, in its order.
+//! The scheduler's tick: all periodic work, in a fixed order.
 
 use super::Scheduler;
 use crate::time::{Millis, MonotonicTime, WallTime};
 
-/// Time between two rounds at most, however late ticks come, in milliseconds.
+/// Upper bound of the interval between two rounds in milliseconds, however late ticks come.
 const MAX_ROUND_INTERVAL_MS: f64 = 1_500.0;
 
-/// By how much each millisecond of lag lengthens the time between two rounds.
+/// Milliseconds by which each millisecond of lag lengthens the interval between two rounds.
 const ROUND_INTERVAL_PER_LAG: f64 = 6.0;
 
 impl Scheduler {
-    /// Does what is due; the edges call it each [`super::TICK_INTERVAL`].
+    /// Runs the periodic work that is due. The caller invokes it once per [`super::TICK_INTERVAL`].
     pub fn tick(&mut self, now: MonotonicTime, wall: WallTime) {
         self.load.record_tick(now);
-        if self.machines.take_review(now) {
+        if self.machines.take_due_review(now) {
             self.expire_leases(now);
             self.review_machines(now);
         }
         self.look_up_dependencies(now);
         self.write(now, wall);
-        // Rounds are the bulk of the work: where ticks come late, rounds come seldom, and each
-        // decides more.
+        // Rounds are most of the scheduler's work. When ticks come late, rounds are spaced further apart, and
+        // each covers more changes.
         let interval_ms = self.tuning.round_ms + ROUND_INTERVAL_PER_LAG * self.load.lag_ms();
         let interval = Millis(interval_ms.min(MAX_ROUND_INTERVAL_MS) as u64);
         self.rebalance_shards(now);
@@ -33,7 +33,7 @@
         self.flush_orders();
     }
 
-    /// By how much ticks come late on average: a measure of the processor's load.
+    /// The average lateness of ticks, a measure of the leader's CPU load.
     pub fn lag(&self) -> Millis {
         self.load.lag()
     }
