--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -119,7 +119,8 @@
     spot_lives: SpotLifetimes,
     shards: ShardAssignment,
     load: LoadMeter,
-    attempts: u64,
+    /// Sequence number of the last attempt number given out in this term.
+    last_attempt: u64,
     last_request: RequestId,
     orders: OutstandingOrders,
     effects: Vec<Effect>,
@@ -179,7 +180,7 @@
             provisioner: Provisioner::default(),
             shards,
             load: LoadMeter::new(now),
-            attempts: 0,
+            last_attempt: 0,
             last_request: RequestId(0),
             orders: OutstandingOrders::default(),
             effects: Vec::new(),
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to workers: the outboxes, what is sent and comes of it, and stopping and draining.
+//! Orders to workers: sending the machines' outboxes, processing the results, and stopping tasks and draining
+//! machines.
 
 use super::Scheduler;
 use super::effects::{Effect, OrdersResult};
@@ -9,17 +10,18 @@
 use crate::wire::{DirectOrders, Kind, Order};
 use log::debug;
 
-/// Orders in one message at most: messages are limited to 64 KiB.
+/// Maximum number of orders in one message, which may be 64 KiB at most.
 pub(super) const MAX_ORDERS_PER_MESSAGE: usize = 500;
 
-/// What a task gets beyond the time that it takes to save, in seconds.
+/// Seconds that a stopped task gets in addition to the time that its job takes to save a checkpoint.
 const SAVE_LEEWAY_MARGIN_S: f64 = 0.5;
 
-/// The part of a spot notice in which a task must be expected to end, to be left running.
+/// On a spot notice a task is left running if it is expected to end within this fraction of the notice.
 const DRAIN_FRACTION: f64 = 0.7;
 
 impl Scheduler {
-    /// The result of the orders that were sent as `request`.
+    /// Processes the result of an [`Effect::Orders`] with this request number. Results of unknown requests are
+    /// ignored.
     pub fn on_orders_result(&mut self, now: MonotonicTime, request: RequestId, result: OrdersResult) {
         let Some(SentOrders { machine: id, runs }) = self.orders.take(request) else { return };
         let Some(machine) = self.machines.known.get_mut(&id) else { return };
@@ -36,13 +38,13 @@
                 self.apply_heartbeat(now, &id, &heartbeat);
             }
             OrdersResult::Rejected(heartbeat) => {
-                // Nothing of it was carried out, nor will it be.
+                // None of the orders was executed, nor will be.
                 self.remove_lost_tasks(&id, runs, false);
                 self.apply_heartbeat(now, &id, &heartbeat);
             }
             OrdersResult::Unknown => {
-                // The orders may be carried out at any time within the agent epoch, so the fence
-                // rises: once the worker has stated it in a heartbeat, it refuses them.
+                // The orders may still be executed at any time during this agent epoch, so the fence is raised:
+                // once the worker states the new fence in a heartbeat, it refuses them.
                 if machine.fence >= MAX_FENCE {
                     machine.retiring = true;
                 } else {
@@ -55,7 +57,7 @@
         self.flush_machine(&id);
     }
 
-    /// Stops a task, or the whole gang that it belongs to, leaving it time to save.
+    /// Stops a task, or its whole gang, with a grace period for saving a checkpoint if the job makes any.
     pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
         let Some(job) = self.jobs.live.get(&key.0.job) else { return };
         let leeway_s = if job.saves() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
@@ -73,9 +75,9 @@
         }
     }
 
-    /// Graceful eviction from a machine that the cloud reclaims in `left_s` seconds: services and tasks
-    /// that can't be expected to end in time are stopped, so that they save and start elsewhere.
-    pub(super) fn drain(&mut self, now: MonotonicTime, id: &MachineId, left_s: f64) {
+    /// Drains a machine that the cloud reclaims in `notice_s` seconds: services, and tasks that are not expected
+    /// to end in time, are stopped so that they can save a checkpoint and restart elsewhere.
+    pub(super) fn drain(&mut self, now: MonotonicTime, id: &MachineId, notice_s: f64) {
         let Some(machine) = self.machines.known.get(id) else { return };
         let evicted: Vec<TaskAttempt> = machine
             .allocations
@@ -83,9 +85,9 @@
             .filter(|(_, allocation)| !allocation.has_exited() && allocation.stop.is_none())
             .filter(|((task, _), allocation)| {
                 let ran_s = allocation.running_since.map(|since| (now - since).as_secs_f64());
-                let task_left_s = ran_s.map_or(f64::INFINITY, |ran_s| allocation.run_s - ran_s);
+                let remaining_s = ran_s.map_or(f64::INFINITY, |ran_s| allocation.run_s - ran_s);
                 let is_service = self.jobs.live.get(&task.job).is_some_and(|job| job.spec.kind == Kind::Service);
-                is_service || task_left_s > left_s * DRAIN_FRACTION
+                is_service || remaining_s > notice_s * DRAIN_FRACTION
             })
             .map(|(key, _)| *key)
             .collect();
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Sends what is in the outboxes of machines that have no orders under way.
+    /// Sends the outboxes of all machines that have no orders in flight.
     pub(super) fn flush_orders(&mut self) {
         self.cost.add_machines(self.machines.known.len());
         let has_unsent = |machine: &Machine| !machine.outbox.is_empty() && machine.in_flight.is_none();
@@ -105,24 +107,24 @@
         }
     }
 
-    /// Sends what is in one machine's outbox: a heartbeat, of which there are many, must not cost a pass
-    /// over all machines.
+    /// Sends one machine's outbox, if it may get orders now. Heartbeats use this instead of
+    /// [`Scheduler::flush_orders`], as they are too frequent to iterate over all machines for each.
     pub(super) fn flush_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         if machine.outbox.is_empty() || machine.in_flight.is_some() || machine.fencing || !machine.up {
             return;
         }
         if machine.retiring {
-            // It gets no new tasks, but stops are still sent: its termination may take long.
+            // A retiring machine gets no new tasks, but stop orders are still sent, as its termination may take long.
             let unsent_runs: Vec<TaskAttempt> = runs_in(&machine.outbox);
             self.remove_lost_tasks(id, unsent_runs, false);
         }
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        // Clears can wait for the next heartbeat.
+        // Clear orders alone can wait for the response to the next heartbeat.
         if machine.outbox.iter().all(|order| matches!(order, Order::Clear { .. })) {
             return;
         }
-        let orders = take_first_orders(&mut machine.outbox);
+        let orders = take_next_orders(&mut machine.outbox);
         let token = FencingToken::new(self.term, machine.fence);
         let runs = runs_in(&orders);
         for key in &runs {
@@ -133,13 +135,13 @@
         self.last_request.0 += 1;
         let request = self.last_request;
         machine.in_flight = Some(request);
-        self.orders.sent(request, SentOrders { machine: id.clone(), runs });
+        self.orders.insert(request, SentOrders { machine: id.clone(), runs });
         let body = DirectOrders { token, agent_epoch: machine.agent_epoch, orders };
         self.effects.push(Effect::Orders { request, endpoint: machine.endpoint.clone(), body });
     }
 }
 
-/// The task attempts that these orders start, in the orders' order.
+/// The task attempts that these orders run, in the same sequence.
 fn runs_in(orders: &[Order]) -> Vec<TaskAttempt> {
     let run = |order: &Order| match order {
         Order::Run { task, attempt } => Some((*task, *attempt)),
@@ -148,9 +150,9 @@
     orders.iter().filter_map(run).collect()
 }
 
-/// Takes as many orders out of an outbox as one message may carry: what frees capacity goes before what
-/// needs it.
-fn take_first_orders(outbox: &mut Vec<Order>) -> Vec<Order> {
+/// Removes the orders of the next message from an outbox. Orders that free capacity come before those that need
+/// it.
+fn take_next_orders(outbox: &mut Vec<Order>) -> Vec<Order> {
     let mut orders = std::mem::take(outbox);
     orders.sort_by_key(|order| match order {
         Order::Clear { .. } => 0,
@@ -161,7 +163,7 @@
     orders
 }
 
-/// Orders a worker to stop a task within `leeway_s` seconds; the cluster state keeps the task until it is
+/// Queues an order to stop a task with a grace period of `leeway_s` seconds. The allocation stays until the task is
 /// proven gone.
 pub(super) fn stop_allocation(machine: &mut Machine, key: &TaskAttempt, leeway_s: f64) {
     let Some(allocation) = machine.allocations.get_mut(key) else { return };
@@ -170,9 +172,10 @@
     }
     allocation.stop = Some(allocation.stop.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
     let run = Order::Run { task: key.0, attempt: key.1 };
-    if let Some(at) = machine.outbox.iter().position(|order| *order == run) {
-        // Not sent yet: the order is dropped, and the next heartbeat shows the task absent.
-        machine.outbox.remove(at);
+    if let Some(position) = machine.outbox.iter().position(|order| *order == run) {
+        // The run order hasn't been sent, so it is dropped. Marked as answered, the allocation is removed when
+        // the next heartbeat doesn't list the task.
+        machine.outbox.remove(position);
         allocation.pending_run = Some(PendingRun { token: FencingToken(0), answered: true });
         return;
     }
--- a/src/core/scheduler/outstanding_orders.rs
+++ b/src/core/scheduler/outstanding_orders.rs
@@ -1,35 +1,36 @@
-//! The messages with orders that workers haven't answered yet.
+//! Messages with orders whose result isn't known yet.
 
 use crate::core::machine::TaskAttempt;
 use crate::ids::{MachineId, RequestId};
 use std::collections::HashMap;
 
-/// What was sent to one worker in one message.
+/// A message with orders that was sent to one worker.
 pub(super) struct SentOrders {
-    /// The machine that it was sent to.
+    /// The machine whose worker it was sent to.
     pub(super) machine: MachineId,
-    /// The task attempts that it orders to run.
+    /// The task attempts that its run orders start.
     pub(super) runs: Vec<TaskAttempt>,
 }
 
-/// Orders whose result isn't known, by request.
+/// Sent orders whose result isn't known, by request.
 #[derive(Default)]
 pub(super) struct OutstandingOrders {
     by_request: HashMap<RequestId, SentOrders>,
 }
 
 impl OutstandingOrders {
-    /// How many messages are unanswered.
+    /// Number of messages without a result.
     pub(super) fn len(&self) -> usize {
         self.by_request.len()
     }
 
-    /// A message is sent as `request`.
-    pub(super) fn sent(&mut self, request: RequestId, orders: SentOrders) {
+    /// Records orders that are sent under this request number.
+    pub(super) fn insert(&mut self, request: RequestId, orders: SentOrders) {
         self.by_request.insert(request, orders);
     }
 
-    /// The result of a request has come; none: it was of no request for orders, or has come before.
+    /// Removes and returns the orders that a result belongs to. Returns `None` if the request isn't one for orders
+    /// or its result was already processed.
     pub(super) fn take(&mut self, request: RequestId) -> Option<SentOrders> {
         self.by_request.remove(&request)
     }
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -4,7 +4,7 @@
 use super::eviction::PlacementTarget;
 use super::planner_view::{PlannedJob, PlannerView};
 use super::preemption_index::PreemptionSearch;
-use super::starts::GangPart;
+use super::starts::GangPlacement;
 use crate::ids::{JobId, MachineId};
 use crate::peer::{JobView, Placement, PlanOutput};
 use crate::time::MonotonicTime;
@@ -38,7 +38,7 @@
     pub(super) fn commit_plan(&mut self, now: MonotonicTime, view: &PlannerView, plan: &PlanOutput) {
         let mut search = PreemptionSearch::new(self.machines.known.len());
         // By the job's key in the view.
-        let mut gangs: BTreeMap<u32, Vec<GangPart>> = BTreeMap::new();
+        let mut gangs: BTreeMap<u32, Vec<GangPlacement>> = BTreeMap::new();
         for placement in &plan.placements {
             let Some(planned) = PlannedPlacement::look_up(view, placement) else { continue };
             let Some(job) = self.jobs.live.get_mut(&planned.job.id) else { continue };
@@ -104,7 +104,7 @@
                 break;
             }
             let attempt = self.next_attempt();
-            self.start(now, id, index, planned.machine, attempt);
+            self.start_task(now, id, index, planned.machine, attempt);
         }
     }
 
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -203,7 +203,7 @@
             if self.may_place(now, id, &machine, 1.0) {
                 self.reservations.use_one(id, &machine);
                 let attempt = self.next_attempt();
-                self.start(now, id, index, &machine, attempt);
+                self.start_task(now, id, index, &machine, attempt);
             }
         }
         ReservationUse::Pending
--- a/src/core/scheduler/starts.rs
+++ b/src/core/scheduler/starts.rs
@@ -1,4 +1,4 @@
-//! Starts of single tasks and of whole gangs, once they have been checked.
+//! Starting single tasks and whole gangs on machines that were chosen for them.
 
 use super::Scheduler;
 use crate::core::jobs::GangRun;
@@ -8,39 +8,41 @@
 use crate::wire::{JobSpec, Order};
 use log::debug;
 
-/// Stands for an image that no view has named yet.
+/// Stands for an image that has no number in the catalog yet.
 const UNKNOWN_IMAGE: u32 = u32::MAX;
-/// Images are fetched at this rate at the least, in GB per second, whatever a machine type says.
+/// Lower bound of a machine type's fetch rate in GB per second, so that fetch times stay finite.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// Some tasks of a gang and the machine that they are to start on.
-pub(super) type GangPart = (MachineId, u32);
+/// A machine and the number of a gang's tasks that are to start on it.
+pub(super) type GangPlacement = (MachineId, u32);
 
 impl Scheduler {
-    /// The number of the next start of a task or gang, which no leader has given before.
+    /// Returns an attempt number for the next start of a task or gang. No other start has the same number, as it
+    /// includes the term.
     pub(super) fn next_attempt(&mut self) -> Attempt {
-        self.attempts += 1;
-        Attempt::new(self.term, self.attempts)
+        self.last_attempt += 1;
+        Attempt::new(self.term, self.last_attempt)
     }
 
-    /// The number of a job's image.
+    /// The number of a job's image in the catalog.
     pub(super) fn image_number(&self, spec: &JobSpec) -> u32 {
         self.catalog.image_number(&spec.image).unwrap_or(UNKNOWN_IMAGE)
     }
 
-    /// The rate at which a machine fetches images, in GB per second.
+    /// The rate in GB per second at which a machine fetches images.
     pub(super) fn fetch_rate(&self, machine: &Machine) -> f64 {
         self.catalog.types[machine.kind].fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
 
-    /// Seconds until a machine can have a job's image.
+    /// Seconds until a job's image could be on a machine: the rest of a fetch in progress, or a whole fetch.
     pub(super) fn image_fetch_s(&self, now: MonotonicTime, spec: &JobSpec, machine: &Machine) -> f64 {
         let remaining_s = machine.image_ready_in_s(self.image_number(spec), now);
         remaining_s.unwrap_or_else(|| spec.image_gb / self.fetch_rate(machine))
     }
 
-    /// Starts a gang on these machines, or nothing of it if one of them can't take its part any more.
-    pub(super) fn start_gang(&mut self, now: MonotonicTime, job_id: &JobId, parts: &[GangPart]) {
+    /// Starts a gang on these machines. If one of them can't take its tasks any more, no task of the gang is
+    /// started.
+    pub(super) fn start_gang(&mut self, now: MonotonicTime, job_id: &JobId, parts: &[GangPlacement]) {
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.live.get_mut(job_id) else { return };
         job.gang = Some(GangRun { attempt, broken: false });
@@ -51,11 +53,11 @@
                 self.revert_gang_start(job_id);
                 return;
             }
-            self.start(now, job_id, index, machine, attempt);
+            self.start_task(now, job_id, index, machine, attempt);
         }
     }
 
-    /// Takes a gang's tasks off their machines again. Only while none of their orders has been sent.
+    /// Undoes the start of a gang. Only valid while none of its run orders has been sent.
     fn revert_gang_start(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.live.get_mut(job_id) else { return };
         job.gang = None;
@@ -73,8 +75,9 @@
         }
     }
 
-    /// Enters a task in the cluster state and queues its order; the cluster state always comes first.
-    pub(super) fn start(
+    /// Records a task attempt in the cluster state and queues its run order. The record always precedes the order, so
+    /// that no task can run that isn't accounted for.
+    pub(super) fn start_task(
         &mut self,
         now: MonotonicTime,
         job_id: &JobId,
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -1,4 +1,4 @@
-//! How tasks end: exits that workers report, tasks that are proven lost, and gangs that break with them.
+//! The end of tasks: exits that workers report, tasks that are proven lost, and stopping the rest of a gang.
 
 use super::Scheduler;
 use super::orders::stop_allocation;
@@ -8,32 +8,32 @@
 use crate::wire::{Cause, Kind, Order};
 use log::{debug, info};
 
-/// A machine on which this many tasks failed in a row, none of them by their job's fault, is quarantined
-/// for [`QUARANTINE_PERIOD`].
+/// A machine is quarantined for [`QUARANTINE_PERIOD`] after this many consecutive task failures that weren't
+/// their jobs' fault.
 pub(super) const QUARANTINE_ERROR_THRESHOLD: u32 = 2;
 
-/// How long a machine is avoided after a single failed task.
+/// How long a machine is quarantined after a first failed task.
 const FIRST_ERROR_QUARANTINE_PERIOD: Millis = Millis(10_000);
 
-/// How long a job waits at most after tasks that failed by its own fault, in seconds.
+/// Upper bound in seconds of the exponential backoff of a job whose tasks fail by its own fault.
 const MAX_JOB_ERROR_BACKOFF_S: f64 = 60.0;
 
-/// How long a job waits after a worker found no capacity for its task.
+/// How long no task of a job is started after a worker had no capacity for one.
 const NO_ROOM_BACKOFF: Millis = Millis(500);
 
-/// What a worker reports of a task that has exited.
+/// How a task ended, according to its worker.
 #[derive(Clone, Copy)]
 pub(super) struct TaskExit {
-    /// None: the worker stated no cause.
+    /// `None` if the worker stated no cause.
     pub(super) cause: Option<Cause>,
-    /// For how many seconds it ran, if all of its run was observed.
+    /// Run time in seconds. `None` if the run wasn't observed as a whole, so that its length is uncertain.
     pub(super) ran_s: Option<f64>,
-    /// A stop had been ordered.
+    /// Whether a stop had been ordered.
     pub(super) was_stopped: bool,
 }
 
 impl Scheduler {
-    /// A task has ended, according to its worker.
+    /// Processes the end of a task attempt that its worker reported.
     pub(super) fn on_task_exited(&mut self, now: MonotonicTime, id: &MachineId, key: &TaskAttempt, exit: TaskExit) {
         let (task, attempt) = key;
         let cause = exit.cause.unwrap_or(Cause::Other);
@@ -52,7 +52,7 @@
             | Cause::Unknown
             | Cause::Other => {
                 if !exit.was_stopped && cause != Cause::MatesGone {
-                    debug!("task {task} on {id} ended: cause={cause:?}");
+                    debug!("task {task} on machine {id} ended without success: cause={cause:?}");
                 }
                 job.requeue(task.index, is_reclaimed);
                 if cause == Cause::NoRoom {
@@ -65,16 +65,16 @@
         }
     }
 
-    /// A task is done. Its time counts towards its class and its machine's slowness; gangs' times don't,
-    /// as their tasks wait for each other.
+    /// Marks a task as done. Its run time updates the estimate for its job's class and its machine's slowness. Run
+    /// times of gang tasks are not used, as these tasks wait for each other.
     fn on_task_done(&mut self, now: MonotonicTime, id: &MachineId, task: &TaskId, ran_s: Option<f64>) {
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         if job.spec.kind == Kind::Gang {
-            // A gang completes as one.
+            // A gang is done as a whole as soon as one of its tasks reports success.
             for index in 0..job.spec.tasks {
                 job.set_done(index);
             }
-            self.review_slowness(now, id, None);
+            self.update_machine_after_success(now, id, None);
             return;
         }
         if let Some(ran_s) = ran_s {
@@ -86,20 +86,20 @@
             job.ran = (job.ran.0 + 1, job.ran.1 + ran_s);
             (job.ran.0 > 4).then(|| ran_s / (job.ran.1 / f64::from(job.ran.0)).max(0.1))
         });
-        self.review_slowness(now, id, ratio);
+        self.update_machine_after_success(now, id, ratio);
     }
 
-    /// Quarantines a machine that has turned out slow; on others a done task ends a row of failures.
-    /// `ratio`: how many times as long as its job's average the task ran.
-    fn review_slowness(&mut self, now: MonotonicTime, id: &MachineId, ratio: Option<f64>) {
+    /// Updates a machine after a done task: quarantines it if it has proven slow, otherwise resets its count of
+    /// consecutive failures. `ratio` is the task's run time over the average of its job.
+    fn update_machine_after_success(&mut self, now: MonotonicTime, id: &MachineId, ratio: Option<f64>) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let is_slow = ratio.is_some_and(|ratio| machine.record_slowdown(ratio));
         if machine.quarantined_until > now {
             return;
         }
         if is_slow {
-            // Like one that fails tasks: retired once it is empty.
-            info!("machine {id} is slow and quarantined, slowness={:.1}", machine.slowness);
+            // The same as for repeated failures, so the machine is retired once it is empty.
+            info!("machine {id} quarantined: its tasks run slowly, slowness={:.1}", machine.slowness);
             machine.quarantined_until = now + QUARANTINE_PERIOD;
             machine.errors = QUARANTINE_ERROR_THRESHOLD;
         } else {
@@ -107,13 +107,14 @@
         }
     }
 
-    /// A task has failed, by its job's or by its machine's fault.
+    /// Processes a failed task: either the job is at fault and backs off, or the failure counts against the
+    /// machine.
     fn on_task_failed(&mut self, now: MonotonicTime, id: &MachineId, task: &TaskId) {
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.requeue(task.index, false);
         job.errors += 1;
         job.error_machines.insert(id.clone(), now);
-        debug!("task {task} failed on {id}, errors={}", job.errors);
+        debug!("task {task} failed on machine {id}, errors={}", job.errors);
         if job.at_fault(now) {
             let backoff_s = f64::from(1u32 << job.errors.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
             job.pause_until = now + Millis::from_secs_f64(backoff_s);
@@ -126,27 +127,28 @@
         }
         if machine.errors >= QUARANTINE_ERROR_THRESHOLD {
             machine.quarantined_until = now + QUARANTINE_PERIOD;
-            info!("machine {id} fails tasks and is quarantined, errors={}", machine.errors);
+            info!("machine {id} quarantined: consecutive task failures, errors={}", machine.errors);
         } else {
             machine.quarantined_until = now + FIRST_ERROR_QUARANTINE_PERIOD;
         }
     }
 
-    /// All that was possibly on a machine is proven gone.
+    /// Removes all tasks of a machine, which are proven gone.
     pub(super) fn remove_all_lost_tasks(&mut self, id: &MachineId, reclaimed: bool) {
         let Some(machine) = self.machines.known.get(id) else { return };
         let keys: Vec<TaskAttempt> = machine.allocations.keys().copied().collect();
         self.remove_lost_tasks(id, keys, reclaimed);
     }
 
-    /// These task attempts are proven gone.
+    /// Removes these task attempts from a machine, which are proven gone.
     pub(super) fn remove_lost_tasks(&mut self, id: &MachineId, keys: Vec<TaskAttempt>, reclaimed: bool) {
         for key in keys {
             self.remove_lost_task(id, &key, reclaimed);
         }
     }
 
-    /// A task is proven to be gone without its worker's statement on how it ended.
+    /// Removes a task attempt that is proven gone, and makes the task ready again unless its worker had reported how
+    /// it ended. `reclaimed` says whether it was lost with a reclaimed spot machine.
     pub(super) fn remove_lost_task(&mut self, id: &MachineId, key: &TaskAttempt, reclaimed: bool) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = machine.allocations.remove(key) else { return };
@@ -165,11 +167,11 @@
         }
     }
 
-    /// Stops the rest of a gang's attempt; a new attempt starts once all of it is gone.
+    /// Stops the remaining tasks of a gang attempt after one has ended. The gang can start again once all are gone.
     pub(super) fn break_gang(&mut self, id: &JobId, attempt: Attempt) {
         let Some(job) = self.jobs.live.get_mut(id) else { return };
         if job.placed.is_empty() {
-            // Whatever attempt the last one was of.
+            // No task is left of any attempt, so the gang can start again.
             job.gang = None;
             return;
         }
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -1,4 +1,4 @@
-//! Applying the status of one task that a worker lists, and entering tasks that the cluster state lacks.
+//! Applies the status of a task that a worker lists, and adopts listed tasks that the cluster state lacks.
 
 use super::Scheduler;
 use super::orders::stop_allocation;
@@ -11,7 +11,7 @@
 use log::info;
 
 impl Scheduler {
-    /// Applies what a worker lists of one task attempt.
+    /// Applies the status of one task attempt in a worker's list.
     pub(super) fn apply_task_status(
         &mut self,
         now: MonotonicTime,
@@ -26,13 +26,13 @@
         }
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = machine.allocations.get_mut(key) else { return };
-        let before = allocation.phase;
+        let previous_phase = allocation.phase;
         allocation.last_listed = machine.heartbeats_applied;
         allocation.phase = Some(listed.phase);
         allocation.pending_run = None;
-        if listed.phase == TaskPhase::Running && before != Some(TaskPhase::Running) {
+        if listed.phase == TaskPhase::Running && previous_phase != Some(TaskPhase::Running) {
             allocation.running_since.get_or_insert(now);
-            if before == Some(TaskPhase::Pulling) {
+            if previous_phase == Some(TaskPhase::Pulling) {
                 self.rounds.request();
             }
         }
@@ -40,7 +40,7 @@
             self.stop_if_due(id, key, listed.phase);
             return;
         }
-        if before != Some(TaskPhase::Exited) {
+        if previous_phase != Some(TaskPhase::Exited) {
             self.rounds.request();
             let observed_since = allocation.running_since.filter(|_| allocation.fully_observed);
             let exit = TaskExit {
@@ -50,18 +50,18 @@
             };
             self.on_task_exited(now, id, key, exit);
         }
-        // The worker may forget it once a done task is durably so; other ends need no keeping.
-        let may_forget = match self.jobs.live.get(&task.job) {
+        // The worker must keep a done task until its completion is stored. Any other exit may be cleared at once.
+        let may_clear = match self.jobs.live.get(&task.job) {
             Some(job) if listed.is_done() => job.is_durably_done(task.index),
             _ => true,
         };
-        if may_forget && let Some(machine) = self.machines.known.get_mut(id) {
+        if may_clear && let Some(machine) = self.machines.known.get_mut(id) {
             machine.queue_order(Order::Clear { task: *task, attempt: *attempt });
         }
     }
 
-    /// Orders a stop of a task whose job has ended, that was stopped before, or that has no purpose any
-    /// more. A stop is repeated until it works.
+    /// Orders a stop of a listed task if its job has ended, its task is done elsewhere, its gang attempt is broken, or
+    /// a stop was already ordered. A stop is repeated until the task has exited.
     fn stop_if_due(&mut self, id: &MachineId, key: &TaskAttempt, phase: TaskPhase) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = machine.allocations.get(key) else { return };
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Enters a listed task that the cluster state doesn't have.
+    /// Adds an allocation for a listed task attempt that the cluster state lacks.
     fn adopt_task(&mut self, now: MonotonicTime, id: &MachineId, key: &TaskAttempt, listed: &TaskStatus) {
         let (task, attempt) = key;
         self.quota.invalidate_usage();
@@ -88,7 +88,7 @@
             if let Some(places) = job.placed.get(&task.index)
                 && listed.phase != TaskPhase::Exited
             {
-                // One of the two heartbeats is late, and which one isn't known: both count until one
+                // One of the two heartbeats is outdated, but it isn't known which. Both places count until one
                 // is proven gone.
                 info!("machine {id} lists task={task} attempt={attempt}, which is also placed on {places:?}");
             }
@@ -116,7 +116,7 @@
     }
 }
 
-/// An allocation of a task that nothing is known of but that it exists.
+/// An allocation of a task about which nothing but its existence is known.
 fn unknown_allocation(now: MonotonicTime) -> Allocation {
     Allocation {
         need: Resources::default(),
