--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -36,7 +36,7 @@
         self.remove_all_lost_tasks(id, pool.spot);
         self.machines.remove_terminated(id);
         if registration != Registration::Unregistered {
-            self.writes.delete_machine(id.clone());
+            self.writes.queue_machine_deletion(id.clone());
         }
         self.rounds.request();
     }
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -74,7 +74,7 @@
         self.rounds.request();
         let chunks = self.limits.layout.chunks(job.spec.tasks);
         let stored = chunks.iter().filter(|chunk| chunk.members(job.durably_done()).next().is_some());
-        self.writes.delete_bitmaps(stored.map(|chunk| chunk.key(id)));
+        self.writes.queue_bitmap_deletions(stored.map(|chunk| chunk.key(id)));
         for (index, machine_id, attempt) in job.places() {
             if let Some(machine) = self.machines.known.get_mut(machine_id) {
                 stop_allocation(machine, &(TaskId { job: *id, index }, attempt), 0.0);
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -118,7 +118,7 @@
     fn load_completion_bitmap(&mut self, row: KeyValue) -> Result<(), RowError> {
         let parsed = completion_bitmap::parse_key(&row.key);
         let Some((job, number)) = parsed.and_then(|(id, number)| Some((self.jobs.get_mut(&id)?, number))) else {
-            self.writes.delete_bitmaps([row.key]);
+            self.writes.queue_bitmap_deletions([row.key]);
             return Ok(());
         };
         let layout = &self.limits.layout;
--- a/src/core/scheduler/ticks.rs
+++ b/src/core/scheduler/ticks.rs
@@ -18,7 +18,7 @@
             self.review_machines(now);
         }
         self.look_up_dependencies(now);
-        self.write(now, wall);
+        self.send_writes(now, wall);
         // Rounds are most of the scheduler's work. When ticks come late, rounds are spaced further apart, and
         // each covers more changes.
         let interval_ms = self.tuning.round_ms + ROUND_INTERVAL_PER_LAG * self.load.lag_ms();
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -1,7 +1,8 @@
-//! Writes to the key-value store: what has to be stored is gathered from the cluster state, the most urgent
-//! first, and sent within the leader's share of the store's rate. Every transaction is guarded by the fence
-//! revision, so that nothing of an earlier leader, or of this one before an unanswered write, takes effect
-//! over newer writes.
+//! Writes to the key-value store. Pending changes are collected from the cluster state and sent, the most urgent
+//! first, within the leader's share of the store's write rate.
+//!
+//! Every transaction is conditional on the fence revision. So a delayed write, of an earlier leader or of this one
+//! from before the fence revision was refreshed, can't overwrite newer ones.
 
 mod queue;
 mod results;
@@ -19,18 +20,19 @@
 use fixedbitset::FixedBitSet;
 use log::warn;
 
-/// Part of the leader's rate that completion bitmaps may take.
+/// Fraction of the leader's write rate that completion bitmaps may use.
 const BITMAP_RATE_SHARE: f64 = 0.4;
 
-/// Least seconds between two writes of completion bitmaps.
+/// Minimum interval between two writes of completion bitmaps, in seconds.
 const MIN_BITMAP_INTERVAL_S: f64 = 1.5;
 
-/// Most orphaned bitmap chunks that one transaction deletes.
+/// Maximum number of orphaned bitmap chunks deleted in one transaction.
 const MAX_BITMAPS_DELETED_AT_ONCE: usize = 4;
 
 impl Scheduler {
-    /// Sends what has to be stored, the most urgent first, as far as the leader's rate allows.
-    pub(super) fn write(&mut self, now: MonotonicTime, wall: WallTime) {
+    /// Sends pending writes, the most urgent first, as far as the write rate and the limit of transactions in flight
+    /// allow.
+    pub(super) fn send_writes(&mut self, now: MonotonicTime, wall: WallTime) {
         self.writes.refill(now);
         if !self.writes.may_send(now) {
             return;
@@ -41,14 +43,14 @@
         }
         self.write_machines();
         self.write_cascaded_cancellations();
-        self.write_finished(wall);
-        // Of what can wait, one is sent at a time.
+        self.write_finished_jobs(wall);
+        // Of the writes that can wait, at most one is sent per call.
         if !self.write_completion_bitmaps(now) && !self.write_shards() {
             self.delete_orphaned_bitmaps();
         }
     }
 
-    /// Sends mutations guarded by the fence revision and by further preconditions.
+    /// Sends a transaction that is conditional on the fence revision and on the given preconditions.
     fn commit(&mut self, purpose: WritePurpose, preconditions: Vec<Precondition>, mutations: Vec<Mutation>) {
         self.last_request.0 += 1;
         let request = self.last_request;
@@ -58,7 +60,8 @@
         self.effects.push(Effect::Commit { request, transaction });
     }
 
-    /// Writes the leader's key again under the same lease: its new revision guards all that follows.
+    /// Rewrites the leader's key under the same store lease. Its new revision becomes the fence revision of all later
+    /// writes.
     fn refresh_fence(&mut self) {
         if !self.writes.start_fence_refresh() {
             return;
@@ -71,7 +74,8 @@
         }));
     }
 
-    /// Stores the records of machines before their first order, and deletes those of machines that are gone.
+    /// Stores the records of new machines, which must precede their first order, and deletes those of terminated
+    /// machines.
     fn write_machines(&mut self) {
         if !self.writes.has_tokens(1.0)
             || self.writes.is_in_flight(|purpose| matches!(purpose, WritePurpose::Machines { .. }))
@@ -86,7 +90,8 @@
         }
     }
 
-    /// The machines to be registered next, as many as fit in a transaction, and the writes of their records.
+    /// Marks unregistered machines as being registered, as many as fit in a transaction, and returns them with the
+    /// mutations that store their records.
     fn start_registrations(&mut self) -> (Vec<MachineId>, Vec<Mutation>) {
         let mut mutations = Vec::new();
         let mut register = Vec::new();
@@ -110,18 +115,18 @@
         (register, mutations)
     }
 
-    /// Cancels jobs that depend on a cancelled one.
+    /// Stores the cancellation of jobs that depend on a cancelled job.
     fn write_cascaded_cancellations(&mut self) {
         if !self.writes.has_tokens(1.0)
             || self.writes.is_in_flight(|purpose| matches!(purpose, WritePurpose::Cancel(_)))
         {
             return;
         }
-        let most = (self.limits.txn_ops / MUTATIONS_PER_TERMINATION).max(1);
+        let max_jobs = (self.limits.txn_ops / MUTATIONS_PER_TERMINATION).max(1);
         let mut preconditions = Vec::new();
         let mut mutations = Vec::new();
         let mut ids = Vec::new();
-        for (id, job) in self.jobs.cascade_cancelled().take(most) {
+        for (id, job) in self.jobs.cascade_cancelled().take(max_jobs) {
             preconditions.push(live_precondition(id, job.revision));
             mutations.extend(termination_mutations(id, &TerminalRecord::cancelled(job.spec.tasks)));
             ids.push(*id);
@@ -131,13 +136,13 @@
         }
     }
 
-    /// Ends jobs whose tasks are all done, first those that others depend on.
-    fn write_finished(&mut self, wall: WallTime) {
+    /// Stores the terminal records of jobs whose tasks are all done, starting with those that others depend on.
+    fn write_finished_jobs(&mut self, wall: WallTime) {
         let finished = self.jobs.iter().filter(|(_, job)| job.all_done() && !job.finishing);
         let mut finished: Vec<JobId> = finished.map(|(id, _)| *id).collect();
         finished.sort_by_key(|id| !self.jobs.has_dependents(id));
         for id in finished {
-            if !self.writes.has_tokens(1.0) || !self.writes.has_free_place() {
+            if !self.writes.has_tokens(1.0) || !self.writes.has_free_slot() {
                 break;
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
@@ -148,36 +153,37 @@
         }
     }
 
-    /// Stores which tasks are done, so that workers may forget them. The more jobs have changed, the longer
-    /// the interval. False: nothing was due.
+    /// Stores which tasks are done, so that workers may forget them. The interval grows with the number of changed
+    /// jobs, to stay within the rate for bitmaps. Returns `false` if nothing was due.
     fn write_completion_bitmaps(&mut self, now: MonotonicTime) -> bool {
         let jobs = self.jobs.iter();
         let changed: Vec<JobId> = jobs.filter(|(_, job)| job.has_unsaved_bitmap()).map(|(id, _)| *id).collect();
         let interval_s = changed.len() as f64 / (self.limits.write_rps * BITMAP_RATE_SHARE);
         let interval = Millis::from_secs_f64(interval_s.max(MIN_BITMAP_INTERVAL_S));
-        if changed.is_empty() || self.writes.since_bitmaps_written(now) < interval || !self.writes.has_tokens(2.0) {
+        if changed.is_empty() || self.writes.since_bitmap_write(now) < interval || !self.writes.has_tokens(2.0) {
             return false;
         }
-        self.writes.set_bitmaps_written(now);
+        self.writes.record_bitmap_write(now);
         let (bitmaps, mutations) = self.start_bitmap_writes(changed);
         self.commit(WritePurpose::CompletionBitmaps(bitmaps), Vec::new(), mutations);
         true
     }
 
-    /// The bitmaps of the first of these jobs, as many as fit in a transaction, and the writes of their
-    /// changed chunks. A job that alone has too many of them has the first ones written.
+    /// Starts the bitmap writes of as many of these jobs as fit in a transaction. Returns for each what will be durably
+    /// done, and the mutations that store the changed chunks. If the first job alone has too many chunks, only the
+    /// first ones of it are written.
     fn start_bitmap_writes(&mut self, changed: Vec<JobId>) -> (Vec<(JobId, FixedBitSet)>, Vec<Mutation>) {
-        let most = self.limits.txn_ops.min(self.writes.whole_tokens());
+        let max_mutations = self.limits.txn_ops.min(self.writes.whole_tokens());
         let mut mutations = Vec::new();
         let mut bitmaps = Vec::new();
         for id in changed {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let mut chunks = self.limits.layout.chunks(job.spec.tasks);
             chunks.retain(|chunk| chunk.differs(job.done(), job.durably_done()));
-            if mutations.len() + chunks.len() > most && !mutations.is_empty() {
+            if mutations.len() + chunks.len() > max_mutations && !mutations.is_empty() {
                 break;
             }
-            chunks.truncate(most);
+            chunks.truncate(max_mutations);
             let mut durably_done = job.durably_done().clone();
             for chunk in chunks {
                 durably_done.extend(chunk.members(job.done()));
@@ -185,14 +191,14 @@
             }
             job.start_bitmap_write();
             bitmaps.push((id, durably_done));
-            if mutations.len() >= most {
+            if mutations.len() >= max_mutations {
                 break;
             }
         }
         (bitmaps, mutations)
     }
 
-    /// Stores which controller plans for which team. False: nothing was due.
+    /// Stores the shard assignment if it has changed. Returns `false` if nothing was written.
     fn write_shards(&mut self) -> bool {
         if !self.writes.shards_unsaved() || !self.writes.has_spare_rate() {
             return false;
@@ -200,15 +206,15 @@
         self.writes.set_shards_saved();
         let value = serde_json::json!(self.shards.to_record(self.quota.team_names()));
         if value.to_string().len() > self.limits.value_bytes {
-            // The record only saves moves of teams after a change of leader; nothing depends on it.
-            warn!("shard assignment not stored, too many teams for one value: key={SHARDS_KEY}");
+            // Without the record the next leader only has to move teams again, so it is not essential.
+            warn!("shard assignment not stored, exceeds the maximum size of a value: key={SHARDS_KEY}");
             return false;
         }
         self.commit(WritePurpose::ShardAssignment, Vec::new(), vec![Mutation::put(SHARDS_KEY, value)]);
         true
     }
 
-    /// Deletes chunks of completion bitmaps whose job is over.
+    /// Deletes chunks of completion bitmaps whose job has ended.
     fn delete_orphaned_bitmaps(&mut self) {
         if !self.writes.has_orphaned_bitmaps() || !self.writes.has_spare_rate() {
             return;
--- a/src/core/scheduler/writes/queue.rs
+++ b/src/core/scheduler/writes/queue.rs
@@ -1,5 +1,5 @@
-//! The queue of writes to the key-value store: what is in flight, what waits, the rate that both are held
-//! to, and the fence revision that guards them.
+//! The queue of writes to the key-value store: transactions in flight, pending deletions, the rate limit, and the
+//! fence revision on which all transactions are conditional.
 
 use crate::core::election::LEADER_KEY;
 use crate::core::scheduler::CommitOutcome;
@@ -9,37 +9,37 @@
 use fixedbitset::FixedBitSet;
 use std::collections::{BTreeSet, HashMap};
 
-/// Most transactions in flight at once.
+/// Maximum number of transactions in flight.
 const MAX_COMMITS_IN_FLIGHT: usize = 6;
 
-/// Nothing is sent for this long after the store has refused a write or left it unanswered.
+/// Delay before the next write after the store has refused a write or left it unanswered.
 const FAILED_WRITE_BACKOFF: Millis = Millis(300);
 
-/// Writes that can wait are sent only while at least this part of the full rate is unused.
+/// Low-priority writes are sent only while at least this fraction of the rate limit is unused.
 const SPARE_RATE_THRESHOLD: f64 = 0.7;
 
-/// What a transaction in flight is for, and so what its result means.
+/// The purpose of a transaction, which determines how its result is processed.
 pub(super) enum WritePurpose {
-    /// Stores the records of machines before their first order, and deletes those of machines that are gone.
+    /// Stores the records of new machines and deletes those of terminated machines.
     Machines {
         /// Machines whose record is stored.
         register: Vec<MachineId>,
         /// Machines whose record is deleted.
         delete: Vec<MachineId>,
     },
-    /// Stores chunks of completion bitmaps: for each job, what is durably done once they are stored.
+    /// Stores chunks of completion bitmaps. Holds for each job which tasks are durably done once they are stored.
     CompletionBitmaps(Vec<(JobId, FixedBitSet)>),
     /// Stores the terminal record of a job that was done at this time.
     Finish(JobId, WallTime),
-    /// Stores the terminal records of jobs that are cancelled with a job that they depend on.
+    /// Stores the terminal records of jobs that are cancelled because a job that they depend on was.
     Cancel(Vec<JobId>),
-    /// Stores which controller plans for which team.
+    /// Stores the shard assignment: which controller plans for which team.
     ShardAssignment,
-    /// Deletes these keys of bitmap chunks whose job is over.
+    /// Deletes the bitmap chunks with these keys, whose job has ended.
     DeleteBitmaps(Vec<String>),
 }
 
-/// How far the refresh of the fence revision has come.
+/// State of the refresh of the fence revision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FenceRefresh {
     Idle,
@@ -50,39 +50,40 @@
 /// A transaction whose result isn't known yet.
 struct PendingWrite {
     purpose: WritePurpose,
-    /// The fence revision that guards it.
+    /// The fence revision on which it is conditional.
     fence_revision: Revision,
 }
 
-/// Writes in flight and waiting.
+/// Writes in flight and pending, with their rate limit and fence revision.
 ///
-/// After a commit without an answer none may be sent until [`WriteQueue::on_fence_refreshed`] has brought a
-/// newer fence revision: the caller asks [`WriteQueue::may_send`] and
-/// [`WriteQueue::needs_fence_refresh`] first.
+/// After a commit without an answer no other may be sent until [`WriteQueue::on_fence_refreshed`] has received a
+/// newer fence revision. The caller must check [`WriteQueue::may_send`] and
+/// [`WriteQueue::needs_fence_refresh`] before each commit.
 pub(in crate::core::scheduler) struct WriteQueue {
-    /// The revision of the leader's key that guards all writes: the term, until a write goes unanswered.
-    /// The store may still carry out such a write at any time, over newer ones. So the key is written
-    /// again, and what is guarded by its older revision never takes effect.
+    /// The revision of the leader's key on which all writes are conditional. It equals the term until a write goes
+    /// unanswered. The store could still apply such a write at any time and overwrite newer values. So the leader's
+    /// key is rewritten, which makes every write that is conditional on its older revision fail.
     fence_revision: Revision,
     fence_refresh: FenceRefresh,
     in_flight: HashMap<RequestId, PendingWrite>,
-    /// Machines whose record is to be deleted.
+    /// Machines whose record has to be deleted.
     machines_to_delete: BTreeSet<MachineId>,
-    /// Keys of bitmap chunks whose job is over.
+    /// Keys of bitmap chunks whose job has ended, to be deleted.
     orphaned_bitmaps: Vec<String>,
-    /// Whether the shard assignment differs from the stored one.
+    /// Whether the shard assignment has to be stored.
     shards_unsaved: bool,
-    /// Mutations per second that the leader may send.
+    /// Rate limit in mutations per second.
     rate: f64,
-    /// Mutations that may be sent now: at most those of one second.
+    /// Token bucket of the rate limit: mutations that may be sent now, at most those of one second.
     tokens: f64,
-    refilled_at: MonotonicTime,
-    bitmaps_written_at: MonotonicTime,
-    paused_until: MonotonicTime,
+    last_refill: MonotonicTime,
+    last_bitmap_write: MonotonicTime,
+    /// Nothing is sent before this time, because a write has failed.
+    backoff_until: MonotonicTime,
 }
 
 impl WriteQueue {
-    /// An empty queue of a leader of this term that may send `rate` mutations per second.
+    /// Creates an empty queue for a leader of this term with a limit of `rate` mutations per second.
     pub(in crate::core::scheduler) fn new(term: Term, rate: f64, now: MonotonicTime) -> WriteQueue {
         WriteQueue {
             fence_revision: Revision(term.0),
@@ -93,13 +94,13 @@
             shards_unsaved: true,
             rate,
             tokens: rate,
-            refilled_at: now,
-            bitmaps_written_at: now,
-            paused_until: now,
+            last_refill: now,
+            last_bitmap_write: now,
+            backoff_until: now,
         }
     }
 
-    /// The revision of the leader's key that guards the writes sent from now on.
+    /// The revision of the leader's key on which the next writes are conditional.
     pub(in crate::core::scheduler) fn fence_revision(&self) -> Revision {
         self.fence_revision
     }
@@ -109,59 +110,59 @@
         Precondition { key: LEADER_KEY.into(), revision: self.fence_revision.0 }
     }
 
-    /// Transactions whose result isn't known.
+    /// Number of transactions in flight.
     pub(in crate::core::scheduler) fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Whether a transaction with such a purpose is in flight.
+    /// Whether a transaction whose purpose satisfies the predicate is in flight.
     pub(super) fn is_in_flight(&self, purpose: impl Fn(&WritePurpose) -> bool) -> bool {
         self.in_flight.values().any(|write| purpose(&write.purpose))
     }
 
-    /// Adds the tokens of the time that has passed.
+    /// Adds the tokens for the time since the last refill.
     pub(super) fn refill(&mut self, now: MonotonicTime) {
-        let elapsed_s = (now - self.refilled_at).as_secs_f64();
+        let elapsed_s = (now - self.last_refill).as_secs_f64();
         self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate);
-        self.refilled_at = now;
+        self.last_refill = now;
     }
 
-    /// Whether something may be sent at all: no backoff is running and not too much is in flight.
+    /// Whether a write may be sent as far as backoff and the limit of transactions in flight are concerned.
     pub(super) fn may_send(&self, now: MonotonicTime) -> bool {
-        now >= self.paused_until && self.has_free_place()
+        now >= self.backoff_until && self.has_free_slot()
     }
 
-    /// Whether fewer than the most transactions are in flight.
-    pub(super) fn has_free_place(&self) -> bool {
+    /// Whether fewer transactions than the maximum are in flight.
+    pub(super) fn has_free_slot(&self) -> bool {
         self.in_flight.len() < MAX_COMMITS_IN_FLIGHT
     }
 
-    /// Whether the rate allows this many mutations now. A larger transaction may follow all the same: the
-    /// tokens then fall below zero.
+    /// Whether the rate limit allows this many mutations now. A transaction may nevertheless have more, which makes
+    /// the number of tokens negative and so delays the next ones.
     pub(super) fn has_tokens(&self, mutations: f64) -> bool {
         self.tokens >= mutations
     }
 
-    /// How many whole mutations the rate allows now.
+    /// Number of mutations that the rate limit allows now.
     pub(super) fn whole_tokens(&self) -> usize {
         self.tokens as usize
     }
 
-    /// Whether a write that can wait may be sent: most of the rate is unused, and nothing is in flight.
+    /// Whether a low-priority write may be sent: most of the rate limit is unused, and nothing is in flight.
     pub(super) fn has_spare_rate(&self) -> bool {
         self.tokens >= self.rate * SPARE_RATE_THRESHOLD && self.in_flight.is_empty()
     }
 
-    /// A transaction with this many mutations is sent.
+    /// Records a transaction that is sent with this many mutations.
     pub(super) fn start(&mut self, request: RequestId, purpose: WritePurpose, mutations: usize) {
         self.tokens -= mutations as f64;
         self.in_flight.insert(request, PendingWrite { purpose, fence_revision: self.fence_revision });
     }
 
-    /// The result of a transaction. Returns what it was for; none: it isn't in flight.
+    /// Processes the result of a transaction and returns its purpose, or `None` if it isn't in flight.
     ///
-    /// A write that the store refused or left unanswered starts a backoff. One that was left unanswered, or
-    /// that failed on the fence revision still in use, makes a refresh of that revision due.
+    /// A write that the store refused or left unanswered starts a backoff. A write that was left unanswered, or
+    /// whose fence precondition failed, makes a refresh due if it used the current fence revision.
     pub(super) fn finish(
         &mut self,
         now: MonotonicTime,
@@ -170,7 +171,7 @@
     ) -> Option<WritePurpose> {
         let write = self.in_flight.remove(&request)?;
         if matches!(result, CommitOutcome::Rejected | CommitOutcome::Unknown) {
-            self.paused_until = now + FAILED_WRITE_BACKOFF;
+            self.backoff_until = now + FAILED_WRITE_BACKOFF;
         }
         if (result.conflicts_on(LEADER_KEY) || *result == CommitOutcome::Unknown)
             && write.fence_revision == self.fence_revision
@@ -181,12 +182,13 @@
         Some(write.purpose)
     }
 
-    /// Whether no commit may be sent, as the fence revision has to be refreshed first.
+    /// Whether the fence revision has to be refreshed before another commit may be sent.
     pub(super) fn needs_fence_refresh(&self) -> bool {
         self.fence_refresh != FenceRefresh::Idle
     }
 
-    /// Starts the refresh of the fence revision; false: it is in flight or the rate doesn't allow it yet.
+    /// Starts the refresh of the fence revision. Returns `false` if none is due, it is already in flight, or the rate
+    /// limit doesn't allow it yet.
     pub(super) fn start_fence_refresh(&mut self) -> bool {
         if self.fence_refresh != FenceRefresh::Due || !self.has_tokens(1.0) {
             return false;
@@ -196,8 +198,8 @@
         true
     }
 
-    /// The result of a refresh: the revision that the leader's key has now. Without one, or with one that
-    /// isn't newer, the refresh is due again after a backoff. Returns whether commits may be sent again.
+    /// Processes the result of a refresh: the new revision of the leader's key. Without one, or with one that isn't
+    /// newer, the refresh is due again after a backoff. Returns whether commits may be sent again.
     pub(super) fn on_fence_refreshed(&mut self, now: MonotonicTime, revision: Option<Revision>) -> bool {
         match revision.filter(|revision| *revision > self.fence_revision) {
             Some(revision) => {
@@ -207,67 +209,67 @@
             }
             None => {
                 self.fence_refresh = FenceRefresh::Due;
-                self.paused_until = now + FAILED_WRITE_BACKOFF;
+                self.backoff_until = now + FAILED_WRITE_BACKOFF;
                 false
             }
         }
     }
 
-    /// The record of a machine is to be deleted.
-    pub(in crate::core::scheduler) fn delete_machine(&mut self, id: MachineId) {
+    /// Queues the deletion of a machine's record.
+    pub(in crate::core::scheduler) fn queue_machine_deletion(&mut self, id: MachineId) {
         self.machines_to_delete.insert(id);
     }
 
-    /// The next machines whose record is to be deleted. They stay in the queue until
-    /// [`WriteQueue::machines_deleted`].
-    pub(super) fn next_machines_to_delete(&self, most: usize) -> Vec<MachineId> {
-        self.machines_to_delete.iter().take(most).cloned().collect()
+    /// The first machines whose record has to be deleted, at most `limit`. They stay in the queue until
+    /// [`WriteQueue::on_machines_deleted`].
+    pub(super) fn next_machines_to_delete(&self, limit: usize) -> Vec<MachineId> {
+        self.machines_to_delete.iter().take(limit).cloned().collect()
     }
 
-    /// The records of these machines are deleted.
-    pub(super) fn machines_deleted(&mut self, ids: &[MachineId]) {
+    /// Removes machines from the queue whose records have been deleted.
+    pub(super) fn on_machines_deleted(&mut self, ids: &[MachineId]) {
         for id in ids {
             self.machines_to_delete.remove(id);
         }
     }
 
-    /// These keys of bitmap chunks are to be deleted.
-    pub(in crate::core::scheduler) fn delete_bitmaps(&mut self, keys: impl IntoIterator<Item = String>) {
+    /// Queues the deletion of bitmap chunks with these keys.
+    pub(in crate::core::scheduler) fn queue_bitmap_deletions(&mut self, keys: impl IntoIterator<Item = String>) {
         self.orphaned_bitmaps.extend(keys);
     }
 
-    /// Takes the next keys of bitmap chunks to be deleted out of the queue.
-    pub(super) fn take_orphaned_bitmaps(&mut self, most: usize) -> Vec<String> {
-        let count = self.orphaned_bitmaps.len().min(most);
+    /// Removes the first keys of bitmap chunks to delete from the queue, at most `limit`, and returns them.
+    pub(super) fn take_orphaned_bitmaps(&mut self, limit: usize) -> Vec<String> {
+        let count = self.orphaned_bitmaps.len().min(limit);
         self.orphaned_bitmaps.drain(..count).collect()
     }
 
-    /// Whether keys of bitmap chunks are to be deleted.
+    /// Whether the deletion of bitmap chunks is queued.
     pub(super) fn has_orphaned_bitmaps(&self) -> bool {
         !self.orphaned_bitmaps.is_empty()
     }
 
-    /// How long ago completion bitmaps were last sent.
-    pub(super) fn since_bitmaps_written(&self, now: MonotonicTime) -> Millis {
-        now - self.bitmaps_written_at
+    /// Time since completion bitmaps were last sent.
+    pub(super) fn since_bitmap_write(&self, now: MonotonicTime) -> Millis {
+        now - self.last_bitmap_write
     }
 
-    /// Completion bitmaps are sent.
-    pub(super) fn set_bitmaps_written(&mut self, now: MonotonicTime) {
-        self.bitmaps_written_at = now;
+    /// Records that completion bitmaps are sent.
+    pub(super) fn record_bitmap_write(&mut self, now: MonotonicTime) {
+        self.last_bitmap_write = now;
     }
 
-    /// Whether the shard assignment is to be stored.
+    /// Whether the shard assignment has to be stored.
     pub(super) fn shards_unsaved(&self) -> bool {
         self.shards_unsaved
     }
 
-    /// The shard assignment has changed, or its write has failed.
+    /// Records that the shard assignment has changed or that its write has failed.
     pub(in crate::core::scheduler) fn set_shards_unsaved(&mut self) {
         self.shards_unsaved = true;
     }
 
-    /// The shard assignment is stored as it is now, on its way there, or can't be stored.
+    /// Records that the shard assignment needs no write: it is stored, its write is in flight, or it can't be stored.
     pub(in crate::core::scheduler) fn set_shards_saved(&mut self) {
         self.shards_unsaved = false;
     }
--- a/src/core/scheduler/writes/results.rs
+++ b/src/core/scheduler/writes/results.rs
@@ -1,4 +1,4 @@
-//! What the result of a write means for the cluster state, by the purpose of the write.
+//! Processing of write results: updates the cluster state according to the purpose of the write.
 
 use super::queue::WritePurpose;
 use crate::core::election::LEADER_KEY;
@@ -11,16 +11,16 @@
 use log::{debug, info};
 
 impl Scheduler {
-    /// The result of an [`Effect::RefreshFence`](crate::core::scheduler::Effect::RefreshFence): the revision
-    /// that the leader's key has now; none: it isn't known, or the key is no longer this leader's.
+    /// Processes the result of an [`Effect::RefreshFence`](crate::core::scheduler::Effect::RefreshFence): the new
+    /// revision of the leader's key, or `None` if it isn't known or the key is no longer this leader's.
     pub fn on_fence_refreshed(&mut self, now: MonotonicTime, revision: Option<Revision>) {
         if self.writes.on_fence_refreshed(now, revision) {
             debug!("fence revision refreshed: revision={}", self.writes.fence_revision());
         }
     }
 
-    /// The result of an [`Effect::Commit`](crate::core::scheduler::Effect::Commit). An unknown request is
-    /// ignored.
+    /// Processes the result of an [`Effect::Commit`](crate::core::scheduler::Effect::Commit). Results of unknown
+    /// requests are ignored.
     pub fn on_committed(&mut self, now: MonotonicTime, request: RequestId, result: CommitOutcome) {
         let Some(purpose) = self.writes.finish(now, request, &result) else { return };
         self.rounds.request();
@@ -33,7 +33,7 @@
             WritePurpose::ShardAssignment if committed => {}
             WritePurpose::ShardAssignment => self.writes.set_shards_unsaved(),
             WritePurpose::DeleteBitmaps(_) if committed => {}
-            WritePurpose::DeleteBitmaps(keys) => self.writes.delete_bitmaps(keys),
+            WritePurpose::DeleteBitmaps(keys) => self.writes.queue_bitmap_deletions(keys),
         }
     }
 
@@ -43,17 +43,17 @@
             if let Some(machine) = self.machines.known.get_mut(&id) {
                 machine.registration = if committed { Registration::Registered } else { Registration::Unregistered };
             } else if *result != CommitOutcome::Rejected {
-                // The machine has gone meanwhile, and its record may be stored or may still come to be.
-                self.writes.delete_machine(id);
+                // The machine was terminated in the meantime, and its record is stored or may still be.
+                self.writes.queue_machine_deletion(id);
             }
         }
         if committed {
-            self.writes.machines_deleted(delete);
+            self.writes.on_machines_deleted(delete);
         }
     }
 
     fn on_completion_bitmaps_written(&mut self, jobs: Vec<(JobId, FixedBitSet)>, committed: bool) {
-        // Workers are told to forget what is durably done now as they list it again.
+        // Clear orders for the newly stored tasks are queued when workers list them again.
         for (id, durably_done) in jobs {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.finish_bitmap_write(committed.then_some(durably_done));
@@ -66,8 +66,8 @@
                 info!("job done: job={id}");
                 self.on_job_terminated(id, JobOutcome::Done(Some(at)));
             }
-            // The job's key has changed: the job was cancelled, or an earlier try was carried out. The
-            // watch says which; until then no task of it starts, as all are done.
+            // The job's key has changed: the job was cancelled, or an earlier attempt of this write was applied. The
+            // watch will report which. Until then no task of the job starts, as all are done.
             CommitOutcome::Conflict(_) if !result.conflicts_on(LEADER_KEY) => {}
             CommitOutcome::Conflict(_) | CommitOutcome::Rejected | CommitOutcome::Unknown => {
                 if let Some(job) = self.jobs.get_mut(id) {
@@ -85,7 +85,8 @@
                     self.on_job_terminated(id, JobOutcome::Cancelled);
                 }
             }
-            // These jobs are over already. How they ended isn't known here: the watch says only that they did.
+            // The jobs whose precondition failed have already ended. Their outcome isn't known here, as the watch
+            // only reports that they ended.
             CommitOutcome::Conflict(failed) => {
                 for id in ids.iter().filter(|id| failed.contains(&live_key(id))) {
                     self.on_job_terminated(id, JobOutcome::Unknown);
--- a/src/core/scheduler/writes/tests.rs
+++ b/src/core/scheduler/writes/tests.rs
@@ -1,4 +1,4 @@
-//! The queue of writes by itself: rate, backoff, transactions in flight and the fence refresh.
+//! Tests of the write queue: rate limit, backoff, transactions in flight and the fence refresh.
 
 use super::WriteQueue;
 use super::queue::WritePurpose;
@@ -56,10 +56,10 @@
 fn at_most_six_commits_are_in_flight() {
     let mut queue = queue();
     for request in 1..=6 {
-        assert!(queue.may_send(START) && queue.has_free_place());
+        assert!(queue.may_send(START) && queue.has_free_slot());
         start(&mut queue, request);
     }
-    assert!(!queue.may_send(START) && !queue.has_free_place());
+    assert!(!queue.may_send(START) && !queue.has_free_slot());
     assert_eq!(queue.in_flight(), 6);
     assert!(queue.finish(START, RequestId(3), &CommitOutcome::Committed).is_some());
     assert!(queue.may_send(START));
@@ -159,12 +159,12 @@
 fn machines_stay_queued_until_their_deletion_is_committed() {
     let mut queue = queue();
     for name in ["m-3", "m-1", "m-2"] {
-        queue.delete_machine(machine(name));
+        queue.queue_machine_deletion(machine(name));
     }
     let first = queue.next_machines_to_delete(2);
     assert_eq!(first, [machine("m-1"), machine("m-2")]);
     assert_eq!(queue.next_machines_to_delete(2), first);
-    queue.machines_deleted(&first);
+    queue.on_machines_deleted(&first);
     assert_eq!(queue.next_machines_to_delete(2), [machine("m-3")]);
 }
 
@@ -172,7 +172,7 @@
 fn orphaned_bitmaps_are_taken_in_order() {
     let mut queue = queue();
     assert!(!queue.has_orphaned_bitmaps());
-    queue.delete_bitmaps(["a", "b", "c"].map(String::from));
+    queue.queue_bitmap_deletions(["a", "b", "c"].map(String::from));
     assert_eq!(queue.take_orphaned_bitmaps(2), ["a", "b"]);
     assert_eq!(queue.take_orphaned_bitmaps(2), ["c"]);
     assert!(!queue.has_orphaned_bitmaps() && queue.take_orphaned_bitmaps(2).is_empty());
