--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -141,7 +141,8 @@
     }
 
     /// Records the heartbeat as the machine's latest, which shows that its agent epoch is still alive. Rejects
-    /// duplicates and heartbeats of agent epochs that have ended.
+    /// duplicates and heartbeats of agent epochs that have ended. After a gap in the heartbeats, the run times of the
+    /// machine's tasks count as not fully observed.
     fn record_liveness(
         &mut self,
         now: MonotonicTime,
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -61,7 +61,8 @@
     }
 
     /// Orders a stop of a listed task if its job has ended, its task is done elsewhere, its gang attempt is broken, or
-    /// a stop was already ordered. A stop is repeated until the task has exited.
+    /// a stop was already ordered. A stop is repeated until the task has exited, but a task that is saving its
+    /// checkpoint isn't stopped again unless its grace period is zero.
     fn stop_if_due(&mut self, id: &MachineId, key: &TaskAttempt, phase: TaskPhase) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = machine.allocations.get(key) else { return };
