--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -148,7 +148,7 @@
                     && target.id != source.id
                     && self.catalog.types[target.machine.kind].gpus <= 0.0
                     && target.machine.image_ready_in_s(allocation.image, now) == Some(0.0)
-                    && self.permits(spec, target.machine)
+                    && self.permits_machine(spec, target.machine)
                     && placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &zones, target.machine.zone)
             };
             let fuller = loaded.iter().take_while(|target| from_gpus || target.utilization > source.utilization);
--- a/src/core/scheduler/placement_checks.rs
+++ b/src/core/scheduler/placement_checks.rs
@@ -29,7 +29,7 @@
             && machine.usable(now, self.heartbeat_timeout())
             && !self.held_back(job)
             && free.covers(&need)
-            && self.permits(spec, machine)
+            && self.permits_machine(spec, machine)
             && placement::zone_allowed(spec.spread, spec.one_zone, spec.tasks, &placed, machine.zone)
             && self.fits_quota(team, &need, tasks)
     }
@@ -49,7 +49,7 @@
 
     /// Whether the job may run on the machine's type, in its zone, and on spot if it is one, regardless of free
     /// capacity.
-    pub(super) fn permits(&self, spec: &JobSpec, machine: &Machine) -> bool {
+    pub(super) fn permits_machine(&self, spec: &JobSpec, machine: &Machine) -> bool {
         self.permits_pool(spec, machine.pool())
     }
 
