--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -200,7 +200,7 @@
 
     /// Whether a machine's worker may be redirected to another controller now: it has acknowledged its fencing
     /// token, and all workers have had time to find this leader.
-    pub fn may_move(&self, now: MonotonicTime, id: &MachineId) -> bool {
+    pub fn may_redirect_worker(&self, now: MonotonicTime, id: &MachineId) -> bool {
         self.settled(now) && self.machines.known.get(id).is_some_and(|machine| machine.token_acknowledged)
     }
 
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -126,7 +126,7 @@
     // First, as most workers are where they should be.
     let peer = inner.heartbeat_balancer.better_peer(now, &heartbeat.zone, relayed_by)?.to_string();
     let id = MachineId::parse(&heartbeat.machine)?;
-    if !inner.scheduler.as_ref()?.may_move(now, &id) {
+    if !inner.scheduler.as_ref()?.may_redirect_worker(now, &id) {
         return None;
     }
     inner.heartbeat_balancer.moved(now);
