--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// Numbers of done and running tasks per live job. Jobs without either are left out.
-    pub fn counts(&self) -> Vec<JobCount> {
+    pub fn live_job_counts(&self) -> Vec<JobCount> {
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.known.values() {
             for ((task, _), allocation) in &machine.allocations {
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -41,7 +41,7 @@
     let mut state = node.lock();
     let now = node.now();
     if let Some(scheduler) = &state.scheduler {
-        heartbeat.counts = scheduler.counts();
+        heartbeat.counts = scheduler.live_job_counts();
         (heartbeat.suspected, machines) = scheduler.suspected_machines(now);
     }
     state.take_counts(&heartbeat.counts);
