--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -254,7 +254,7 @@
     }
 
     /// Updates the catalog with the cloud's list of machine types. Known types keep their index.
-    pub fn set_types(&mut self, types: Vec<MachineType>) {
+    pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         let added = self.catalog.set_types(types);
         self.gpus.needs.extend(std::iter::repeat_n(Resources::default(), added));
     }
--- a/src/net/leader_loop/cloud_watch.rs
+++ b/src/net/leader_loop/cloud_watch.rs
@@ -27,7 +27,7 @@
             && let Ok(types) = node.cloud.types(&node.http, node.now()).await
             && let Some(scheduler) = &mut node.lock().scheduler
         {
-            scheduler.set_types(types);
+            scheduler.set_machine_types(types);
         }
         rounds += 1;
         tokio::time::sleep(interval.to_std()).await;
