--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -42,7 +42,7 @@
     }
 
     /// Processes the cloud's list of machines, which may lag behind their actual state.
-    pub fn on_list(&mut self, now: MonotonicTime, list: &[ListedMachine]) {
+    pub fn on_machine_list(&mut self, now: MonotonicTime, list: &[ListedMachine]) {
         for listed in list {
             let Some(id) = MachineId::parse(&listed.id) else { continue };
             if self.machines.is_terminated(&id) {
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -190,7 +190,7 @@
         let never_heard = SimulatedWorker::new(900_000, "plain", "a", false, 0);
         let workers = self.workers.iter().flatten().chain([&never_heard]);
         let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.heartbeat)).collect();
-        self.leader.on_list(MonotonicTime(self.now), &machines);
+        self.leader.on_machine_list(MonotonicTime(self.now), &machines);
     }
 
     fn peers(&mut self) {
--- a/src/net/leader_loop/cloud_watch.rs
+++ b/src/net/leader_loop/cloud_watch.rs
@@ -21,7 +21,7 @@
     while still_leads(node, term) {
         if let Ok(list) = node.cloud.list(&node.http, node.now()).await {
             let now = node.now();
-            step(node, InputKind::Result, |scheduler| scheduler.on_list(now, &list));
+            step(node, InputKind::Result, |scheduler| scheduler.on_machine_list(now, &list));
         }
         if rounds % LISTS_PER_PRICE_READING == 1
             && let Ok(types) = node.cloud.types(&node.http, node.now()).await
