--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -258,7 +258,7 @@
         info!("machine {id}: spot reclamation notice, notice_s={notice_s:.0}");
         machine.spot_notice = true;
         if machine.spot {
-            self.spot_lives.record_reclamation((now - machine.since).as_secs_f64());
+            self.spot_lifetimes.record_reclamation((now - machine.since).as_secs_f64());
         }
         self.drain(now, id, notice_s);
     }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -116,7 +116,7 @@
     reservations: Reservations,
     consolidation: Consolidation,
     provisioner: Provisioner,
-    spot_lives: SpotLifetimes,
+    spot_lifetimes: SpotLifetimes,
     shards: ShardAssignment,
     load: LoadMeter,
     /// Sequence number of the last attempt number given out in this term.
@@ -165,7 +165,7 @@
         let peers = settings.peers.iter().map(|p| p.name.clone());
         let shards = ShardAssignment::new(&settings.name, peers, cluster.teams.len() as u32, now);
         Scheduler {
-            spot_lives: SpotLifetimes::new(tuning.spot_median_s, tuning.spot_sigma),
+            spot_lifetimes: SpotLifetimes::new(tuning.spot_median_s, tuning.spot_sigma),
             in_doubt: false,
             loaded_at: now,
             gpus: GpuLending::new(types.len(), zones.len(), now),
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -69,8 +69,8 @@
             offers,
             batch,
             budget_share: self.tuning.budget_share,
-            spot_mu: self.spot_lives.mu(),
-            spot_sigma: self.spot_lives.sigma(),
+            spot_mu: self.spot_lifetimes.mu(),
+            spot_sigma: self.spot_lifetimes.sigma(),
         };
         PlannerView { input, jobs, machines: machines.ids }
     }
