--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -127,7 +127,7 @@
                     scheduler.on_provisioned(now, &request.name, ProvisionOutcome::NoCapacity)
                 });
             }
-            Effect::Terminate(_) | Effect::Plan { .. } | Effect::RefreshFence(_) | Effect::LookUp(_) => {}
+            Effect::Terminate(_) | Effect::Plan { .. } | Effect::RefreshFence(_) | Effect::LookUpOutcomes(_) => {}
         }
     }
 
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -87,12 +87,12 @@
     pub(super) fn look_up_dependencies(&mut self, now: MonotonicTime) {
         let ids = self.jobs.start_lookup(now);
         if !ids.is_empty() {
-            self.effects.push(Effect::LookUp(ids));
+            self.effects.push(Effect::LookUpOutcomes(ids));
         }
     }
 
-    /// Processes the result of an [`Effect::LookUp`]: the outcomes of those jobs that have ended.
-    pub fn on_looked_up(&mut self, now: MonotonicTime, outcomes: &[(JobId, JobOutcome)]) {
+    /// Processes the result of an [`Effect::LookUpOutcomes`]: the outcomes of those jobs that have ended.
+    pub fn on_outcomes_looked_up(&mut self, now: MonotonicTime, outcomes: &[(JobId, JobOutcome)]) {
         self.jobs.finish_lookup(now, !outcomes.is_empty());
         for (id, outcome) in outcomes {
             self.on_job_terminated(id, *outcome);
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -312,9 +312,9 @@
                 self.terminated.extend(ids.iter().map(|id| id.to_string()));
                 self.scheduler.on_terminated(now, &ids, !self.cloud_refuses);
             }
-            Effect::LookUp(ids) => {
+            Effect::LookUpOutcomes(ids) => {
                 let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
-                self.scheduler.on_looked_up(now, &outcomes);
+                self.scheduler.on_outcomes_looked_up(now, &outcomes);
             }
             Effect::Plan { .. } => {}
         }
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -247,9 +247,9 @@
                 }
                 self.leader.on_terminated(now, &ids, true);
             }
-            Effect::LookUp(ids) => {
+            Effect::LookUpOutcomes(ids) => {
                 let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.outcomes.get(id)?))).collect();
-                self.leader.on_looked_up(now, &outcomes);
+                self.leader.on_outcomes_looked_up(now, &outcomes);
             }
             Effect::Plan { node, input } => self.plan(&node, &input),
         }
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -71,7 +71,7 @@
                 self.tag(Tag::Terminate);
                 self.json(machines);
             }
-            Effect::LookUp(jobs) => {
+            Effect::LookUpOutcomes(jobs) => {
                 self.tag(Tag::LookUp);
                 self.json(jobs);
             }
--- a/src/core/simulation/effects.rs
+++ b/src/core/simulation/effects.rs
@@ -24,7 +24,7 @@
             Effect::Commit { request, transaction } => self.send_commit(request, transaction),
             Effect::RefreshFence(transaction) => self.send_fence_refresh(transaction),
             Effect::Plan { node, input } => self.plan_on_peer(node, &input),
-            Effect::LookUp(ids) => {
+            Effect::LookUpOutcomes(ids) => {
                 let lost = self.lost();
                 let outcomes = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).filter(|_| !lost);
                 let outcomes = outcomes.collect();
--- a/src/core/simulation/mail.rs
+++ b/src/core/simulation/mail.rs
@@ -244,7 +244,7 @@
                 scheduler.on_terminated(now, &ids, ok);
             }
             Mail::Plan { node, plan, .. } => scheduler.on_plan(now, &node, plan),
-            Mail::LookedUp { outcomes, .. } => scheduler.on_looked_up(now, &outcomes),
+            Mail::LookedUp { outcomes, .. } => scheduler.on_outcomes_looked_up(now, &outcomes),
             Mail::Watch { key, value, .. } => {
                 let Some(id) = key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) else { return };
                 match value {
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -46,9 +46,9 @@
             let now = node.now();
             step(&node, InputKind::Plan, |scheduler| scheduler.on_plan(now, &peer, plan));
         }
-        Effect::LookUp(ids) => {
+        Effect::LookUpOutcomes(ids) => {
             let outcomes = linearizable_reads::outcomes(&node, &ids).await;
-            notify_scheduler(&node, |scheduler, now| scheduler.on_looked_up(now, &outcomes));
+            notify_scheduler(&node, |scheduler, now| scheduler.on_outcomes_looked_up(now, &outcomes));
             perform_pending(&node);
         }
         Effect::Provision(request) => {
