--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -237,7 +237,7 @@
     /// Whether the cluster state was loaded longer than a lease ago, so that every worker that can reach this
     /// leader has found it. Before that, missing heartbeats prove nothing, and acting on them could make two
     /// controllers hand leadership back and forth.
-    pub fn has_led_for_a_lease(&self, now: MonotonicTime) -> bool {
+    pub fn has_led_for_lease(&self, now: MonotonicTime) -> bool {
         now - self.loaded_at > self.limits.lease
     }
 
@@ -249,9 +249,9 @@
         let is_expected = |machine: &Machine| machine.registration == Registration::Registered && !machine.retiring;
         let expected = || self.machines.known.iter().filter(|(_, machine)| is_expected(machine));
         // Until this leader has led for a lease, workers that have not found it yet don't count as late.
-        let has_led_for_a_lease = self.has_led_for_a_lease(now);
+        let has_led_for_lease = self.has_led_for_lease(now);
         let suspected = expected().filter(|(_, machine)| {
-            (has_led_for_a_lease || machine.token_acknowledged)
+            (has_led_for_lease || machine.token_acknowledged)
                 && now - machine.last_heartbeat.max(self.loaded_at) > timeout
         });
         (suspected.map(|(id, _)| id.to_string()).collect(), expected().count())
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -201,7 +201,7 @@
     /// Whether a machine's worker may be redirected to another controller now: it has acknowledged its fencing
     /// token, and all workers have had time to find this leader.
     pub fn may_redirect_worker(&self, now: MonotonicTime, id: &MachineId) -> bool {
-        self.has_led_for_a_lease(now) && self.machines.known.get(id).is_some_and(|machine| machine.token_acknowledged)
+        self.has_led_for_lease(now) && self.machines.known.get(id).is_some_and(|machine| machine.token_acknowledged)
     }
 
     /// Sets whether the state of the key-value store is in doubt. While it is, no task is started, as another
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -52,9 +52,7 @@
 fn hand_over_if_overloaded(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
     let now = node.now();
     let mut state = node.lock();
-    let Some(scheduler) = state.scheduler.as_ref().filter(|scheduler| scheduler.has_led_for_a_lease(now)) else {
-        return;
-    };
+    let Some(scheduler) = state.scheduler.as_ref().filter(|scheduler| scheduler.has_led_for_lease(now)) else { return };
     let lag = scheduler.lag();
     let able = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
     let able: Vec<&Peer> = able.map(|(peer, _)| peer).collect();
@@ -96,7 +94,7 @@
         }
     }
     let Some((1.., name)) = successor else { return 0 };
-    if !scheduler.has_led_for_a_lease(now) || !should_hand_over(suspected, redirected.len(), machines) {
+    if !scheduler.has_led_for_lease(now) || !should_hand_over(suspected, redirected.len(), machines) {
         return 0;
     }
     let name = name.to_string();
