--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -1,16 +1,17 @@
 //! Leader election: who leads, and until when.
 //!
-//! A leader holds the key `ctl/leader` under a lease of the key-value store; its term is the key's
-//! revision. The lease never ends early, so a leader that counts it from before the request was sent
-//! knows a bound up to which no other controller can lead. It stops answering at that bound.
+//! The leader owns the key `ctl/leader`, which is attached to a lease of the key-value store; its term
+//! is the key's revision. The store never ends a lease before its time to live has passed, so no other
+//! controller can lead until one time to live after the leader sent its latest successful grant or
+//! renewal request. The leader stops acting at that moment.
 //!
-//! When the store refuses the leader, it may extend its lease only while the store refuses every
-//! peer too and every peer pledges not to stand for election. Each peer keeps its pledge, even over
-//! a restart (see [`Election::may_stand`]). With its pledge a peer passes on the cancellations that
-//! it has confirmed to users and that the leader can't have read.
+//! While the store is unavailable to the leader, the leader may extend its lease only if the store is
+//! unavailable to every peer too and every peer pledges not to stand for election. A pledge binds a
+//! peer even across a restart (see [`Election::can_stand_for_election`]). Along with the pledge, the
+//! peer sends the cancellations that it has confirmed to users and that the leader can't have read.
 //!
-//! A leader that can't read cancellations must not act, whatever its renewals come to: the moment of
-//! its last reading bounds its acting as well (see [`Election::read`]).
+//! A leader that can't read cancellations from the store must not act either, even if it can renew its
+//! lease: it may act only for a limited time after its last read (see [`Election::live_jobs_read`]).
 //!
 //! This module is a state machine without I/O; `net::election` drives it.
 
@@ -19,30 +20,34 @@
 use crate::time::{Millis, MonotonicTime};
 use serde::{Deserialize, Serialize};
 
-/// The key that the leader holds. Its value is a [`LeaderRecord`].
+/// The key that the leader owns. Its value is a [`LeaderRecord`].
 pub const LEADER_KEY: &str = "ctl/leader";
-/// Written with the first leader's key and never removed: somebody has led before.
+/// Written together with the first leader's key and never removed: marks that the cluster has had a leader.
 pub const INITIALIZED_KEY: &str = "ctl/founded";
 
-/// Names the successor of a leader that hands over. It hangs on a lease of [`SUCCESSOR_BACKOFF`]: other
-/// controllers don't stand for as long, also those that the leader can't reach.
+/// Names the successor of a leader that hands over. The key is attached to a lease of [`SUCCESSOR_BACKOFF`];
+/// while it exists, the other controllers don't stand for election. Controllers that the leader can't reach
+/// learn of the hand-over from this key.
 pub const SUCCESSOR_KEY: &str = "ctl/heir";
 
-/// For how long other controllers leave the election to a successor.
+/// How long the other controllers don't stand for election after a hand-over to a successor.
 pub const SUCCESSOR_BACKOFF: Millis = Millis(2_000);
 
-/// Fewer suspected machines than this may well be dead.
+/// With fewer suspected machines, the machines themselves are more likely to have failed.
 const MIN_SUSPECTED_TO_HAND_OVER: usize = 2;
 /// A leader hands over only if at least one in this many machines is suspected.
-const MACHINES_PER_SUSPECTED: usize = 12;
+const MACHINES_PER_SUSPECTED_MACHINE: usize = 12;
 
-/// Whether a leader should hand over to a peer: it suspects many of its machines, and at least two
-/// thirds as many have tried in vain at its peers, so that it is the leader that can't be reached.
+/// Whether a leader should hand over to a peer because its workers can't reach it.
 ///
-/// `suspected` and `redirected` are counts of machines, `machines` is how many there are in all.
+/// That is so if the leader suspects many of its machines, and at least two thirds as many suspected
+/// machines have sent heartbeats to its peers: these machines are alive.
+///
+/// `suspected` and `redirected` are the numbers of machines in these two groups, `machines` is the
+/// number of all machines.
 pub fn should_hand_over(suspected: usize, redirected: usize, machines: usize) -> bool {
     suspected >= MIN_SUSPECTED_TO_HAND_OVER
-        && suspected * MACHINES_PER_SUSPECTED >= machines
+        && suspected * MACHINES_PER_SUSPECTED_MACHINE >= machines
         && redirected * 3 >= suspected * 2
 }
 
@@ -51,202 +56,209 @@
 pub struct LeaderRecord {
     /// The name of the controller that leads.
     pub node: String,
-    /// Tells one process from the next at the same address.
+    /// Distinguishes this process from earlier and later ones at the same address.
     pub incarnation: u64,
-    /// The lease that the key hangs on.
+    /// The lease that the key is attached to.
     #[serde(alias = "hold")]
     pub lease: LeaseId,
 }
 
-/// A leader's lease, and for how long it entitles the leader to act.
+/// A leader's lease, and how long the leader may act under it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderLease {
     /// The term that the leader was elected for.
     pub term: Term,
     /// The lease in the key-value store.
     pub id: LeaseId,
-    /// Until then nobody else can lead.
-    bound: MonotonicTime,
-    /// Until then what has been read of the live jobs is new enough to act on.
-    read_bound: MonotonicTime,
-    /// All changes of live jobs up to here are known.
+    /// No other controller can lead before this moment.
+    expires_at: MonotonicTime,
+    /// Until this moment, the leader's last read of the live jobs is recent enough to act on.
+    read_expires_at: MonotonicTime,
+    /// The leader has read all changes of live jobs up to this revision.
     pub read_through: Revision,
 }
 
-/// A follower's pledge to a leader that the store refuses.
+/// A follower's pledge not to stand for election, given to a leader to which the store is unavailable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pledge {
-    /// For how long the follower will not stand for election.
+    /// How long the follower will not stand for election.
     pub span: Millis,
     /// Cancellations that the follower has confirmed to users and that the leader can't have read.
     pub cancelled: Vec<JobId>,
 }
 
-/// Why a controller doesn't pledge.
+/// Why a controller doesn't give a pledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PledgeRefusal {
-    /// The store answers this controller, so it may learn of changes that the leader can't read.
-    #[error("the store answers this controller")]
-    StoreAnswers,
-    /// The controller's own candidacy may still be carried out.
-    #[error("a candidacy is pending")]
+    /// The store serves this controller, which may therefore learn of changes that the leader can't read.
+    #[error("the store is available to this controller")]
+    StoreAvailable,
+    /// The store may still commit this controller's own candidacy.
+    #[error("this controller's own candidacy is pending")]
     CandidacyPending,
-    /// The controller holds the leader's lease itself.
-    #[error("this controller leads")]
+    /// This controller holds a leader's lease itself.
+    #[error("this controller is the leader")]
     Leading,
-    /// The controller has led for a later term than the one that asks.
+    /// This controller has led for a later term than that of the leader that asks.
     #[error("this controller has led for a later term")]
-    LedLater,
-    /// The controller can't tell all that users were told after the revision that the leader has read.
-    #[error("cancellations since that revision are not known")]
+    LedLaterTerm,
+    /// This controller can't list all cancellations confirmed to users after the revision that the
+    /// leader has read up to.
+    #[error("cancellations confirmed since the leader's last read revision are not all known")]
     CancellationsUnknown,
 }
 
-/// One controller's part in the election. All moments are on its own clock.
+/// The election state of one controller. All moments are on its own clock.
 pub struct Election {
-    ttl: Millis,
-    /// How long a leader may act on what it has last read.
+    lease_ttl: Millis,
+    /// How long after a read of the live jobs a leader may act on it.
     read_ttl: Millis,
-    pledge_span: Millis,
+    pledge_duration: Millis,
     pledged_until: MonotonicTime,
-    /// Another controller is to lead next, so this one doesn't stand until then.
+    /// A leader has named another controller as its successor, so this one doesn't stand for election before.
     backoff_until: MonotonicTime,
     candidacy_pending: bool,
-    /// The last call to the store was refused or not answered.
-    refused: bool,
+    /// The last request to the store was refused or not answered.
+    store_unavailable: bool,
     lease: Option<LeaderLease>,
     /// The last term that this process has led for.
     last_term: Term,
 }
 
 impl Election {
-    /// A controller that has just started.
+    /// The state of a controller process that has just started.
     ///
-    /// `ttl` is the length of the leader's lease and of a pledge; `read_ttl` is how long a leader may
-    /// act on what it has last read of the live jobs.
-    pub fn new(ttl: Millis, read_ttl: Millis) -> Election {
+    /// `lease_ttl` is the time to live of the leader's lease and the duration of a pledge; `read_ttl` is
+    /// how long after a read of the live jobs a leader may act on it.
+    pub fn new(lease_ttl: Millis, read_ttl: Millis) -> Election {
         Election {
-            ttl,
+            lease_ttl,
             read_ttl,
-            pledge_span: ttl,
+            pledge_duration: lease_ttl,
             pledged_until: MonotonicTime(0),
             backoff_until: MonotonicTime(0),
             candidacy_pending: false,
-            refused: false,
+            store_unavailable: false,
             lease: None,
             last_term: Term(0),
         }
     }
 
-    /// The store has served a call.
-    pub fn store_answered(&mut self) {
-        self.refused = false;
+    /// Records that the store has served a request.
+    pub fn store_served(&mut self) {
+        self.store_unavailable = false;
     }
 
-    /// The store has refused a call, or has not answered it.
-    pub fn store_refused(&mut self) {
-        self.refused = true;
+    /// Records that the store has refused a request or has not answered it.
+    pub fn store_failed(&mut self) {
+        self.store_unavailable = true;
     }
 
-    /// Whether the last call to the store was refused or not answered.
+    /// Whether the last request to the store was refused or not answered.
     pub fn is_refused_by_store(&self) -> bool {
-        self.refused
+        self.store_unavailable
     }
 
     /// Whether this controller may stand for election now.
     ///
-    /// A process that has just started may have forgotten a pledge, so it waits as long as one lasts.
-    /// It needn't if there can be no pledge: `initialized` is false where nobody has led before.
-    pub fn may_stand(&self, now: MonotonicTime, initialized: bool) -> bool {
+    /// An earlier process of this controller may have given a pledge, so a new process first waits as
+    /// long as a pledge lasts. The wait isn't needed if the cluster has never had a leader, as there can
+    /// be no pledge then: `initialized` is false.
+    pub fn can_stand_for_election(&self, now: MonotonicTime, initialized: bool) -> bool {
         now >= self.pledged_until
             && now >= self.backoff_until
-            && (!initialized || now >= MonotonicTime(0) + self.pledge_span.plus_clock_drift())
+            && (!initialized || now >= MonotonicTime(0) + self.pledge_duration.plus_clock_drift())
     }
 
-    /// Leaves the election to a successor for [`SUCCESSOR_BACKOFF`]. No rule rests on it: whoever stands
-    /// first leads.
+    /// Doesn't stand for election for [`SUCCESSOR_BACKOFF`], so that the named successor is elected. Safety
+    /// doesn't depend on this: if another controller stands first, it becomes leader instead.
     pub fn back_off_for_successor(&mut self, now: MonotonicTime) {
         self.backoff_until = now + SUCCESSOR_BACKOFF;
     }
 
-    /// A candidacy is about to be sent; until it is settled it may be carried out at any time.
+    /// Records that a candidacy is about to be sent; until it is settled, the store may commit it at any time.
     pub fn candidacy_sent(&mut self) {
         self.candidacy_pending = true;
     }
 
-    /// The candidacy was answered, or its lease has ended so that it can never be carried out.
+    /// Records that the candidacy was answered, or that its lease has ended so that it can't be committed any more.
     pub fn candidacy_settled(&mut self) {
         self.candidacy_pending = false;
     }
 
-    /// This controller leads for a term. Its lease counts from `asked_at`, before it was asked for.
-    pub fn elected(&mut self, term: Term, lease: LeaseId, asked_at: MonotonicTime) {
+    /// Records that this controller has become the leader of a term. `requested_at` is a moment before the
+    /// request for the lease was sent; the lease is counted from there.
+    pub fn elected(&mut self, term: Term, lease: LeaseId, requested_at: MonotonicTime) {
         self.lease = Some(LeaderLease {
             term,
             id: lease,
-            bound: asked_at + self.ttl.minus_clock_drift(),
-            read_bound: asked_at + self.read_ttl,
+            expires_at: requested_at + self.lease_ttl.minus_clock_drift(),
+            read_expires_at: requested_at + self.read_ttl,
             read_through: Revision(0),
         });
         self.last_term = term;
         self.candidacy_pending = false;
     }
 
-    /// The lease was renewed by a request sent at `asked_at`. Late answers to earlier requests do nothing.
-    pub fn renewed(&mut self, asked_at: MonotonicTime) {
+    /// Records that the lease was renewed by a request sent at `requested_at`. A late answer to an earlier
+    /// request changes nothing.
+    pub fn renewed(&mut self, requested_at: MonotonicTime) {
         if let Some(lease) = &mut self.lease {
-            lease.bound = lease.bound.max(asked_at + self.ttl.minus_clock_drift());
+            lease.expires_at = lease.expires_at.max(requested_at + self.lease_ttl.minus_clock_drift());
         }
     }
 
-    /// All changes of live jobs up to the revision are in the cluster state; they were asked for at
-    /// `asked_at` and have been read by `now`.
-    pub fn read(&mut self, asked_at: MonotonicTime, now: MonotonicTime, revision: Revision) {
+    /// Records that all changes of live jobs up to the revision are in the cluster state; they were
+    /// requested at `requested_at` and have been read by `now`.
+    pub fn live_jobs_read(&mut self, requested_at: MonotonicTime, now: MonotonicTime, revision: Revision) {
         if let Some(lease) = &mut self.lease {
-            lease.read_bound = lease.read_bound.max(asked_at + self.read_ttl);
-            // Past the bound somebody else may lead, so that a revision read then may be of
-            // a later term; a peer that has led, and has forgotten it, could vouch from there.
-            if now < lease.bound {
+            lease.read_expires_at = lease.read_expires_at.max(requested_at + self.read_ttl);
+            // After the expiry another controller may lead, so the revision may be of a later term. A peer
+            // that led for that term and has restarted since doesn't know that it did; given such a
+            // revision, it could pledge to this outdated leader.
+            if now < lease.expires_at {
                 lease.read_through = lease.read_through.max(revision);
             }
         }
     }
 
-    /// Every peer has pledged, and its cancellations are in the cluster state. Each pledge began after
-    /// `asked_at`; `shortest` is the shortest of them.
-    pub fn extend_on_pledges(&mut self, asked_at: MonotonicTime, shortest: Millis) {
+    /// Extends the lease, as every peer has pledged and the cancellations sent with the pledges are in the
+    /// cluster state. Each pledge began after `requested_at`; `shortest` is the duration of the shortest.
+    pub fn extend_on_pledges(&mut self, requested_at: MonotonicTime, shortest: Millis) {
         if let Some(lease) = &mut self.lease {
-            lease.bound = lease.bound.max(asked_at + shortest.minus_clock_drift());
-            lease.read_bound = lease.read_bound.max(asked_at + self.read_ttl);
+            lease.expires_at = lease.expires_at.max(requested_at + shortest.minus_clock_drift());
+            lease.read_expires_at = lease.read_expires_at.max(requested_at + self.read_ttl);
         }
     }
 
-    /// This controller doesn't lead any more.
+    /// Records that this controller doesn't lead any more.
     pub fn step_down(&mut self) {
         self.lease = None;
     }
 
-    /// The leader's lease, whether or not its bound has passed.
+    /// The leader's lease, whether or not it has expired.
     pub fn lease(&self) -> Option<LeaderLease> {
         self.lease
     }
 
-    /// The term under which orders and answers may be sent now; none if this controller must not act.
+    /// The term under which this controller may act as leader now, by sending orders and answers. `None` if
+    /// it doesn't lead, its lease has expired or its last read of the live jobs is too old.
     pub fn active_term(&self, now: MonotonicTime) -> Option<Term> {
-        self.lease.filter(|lease| now < lease.bound.min(lease.read_bound)).map(|lease| lease.term)
+        self.lease.filter(|lease| now < lease.expires_at.min(lease.read_expires_at)).map(|lease| lease.term)
     }
 
-    /// Pledges to the leader of a term, which the store refuses and which has read all changes up to
-    /// `read_through`. `told` are the cancellations that this controller has confirmed to users.
+    /// Gives a pledge to the leader of a term, to which the store is unavailable and which has read all
+    /// changes of live jobs up to `read_through`. `confirmed` are the cancellations that this controller
+    /// has confirmed to users.
     pub fn pledge_to(
         &mut self,
         now: MonotonicTime,
         term: Term,
         read_through: Revision,
-        told: &Cancellations,
+        confirmed: &Cancellations,
     ) -> Result<Pledge, PledgeRefusal> {
-        if !self.refused {
-            return Err(PledgeRefusal::StoreAnswers);
+        if !self.store_unavailable {
+            return Err(PledgeRefusal::StoreAvailable);
         }
         if self.candidacy_pending {
             return Err(PledgeRefusal::CandidacyPending);
@@ -255,11 +267,11 @@
             return Err(PledgeRefusal::Leading);
         }
         if self.last_term > term {
-            return Err(PledgeRefusal::LedLater);
+            return Err(PledgeRefusal::LedLaterTerm);
         }
-        let cancelled = told.since(read_through).ok_or(PledgeRefusal::CancellationsUnknown)?;
-        self.pledged_until = self.pledged_until.max(now + self.pledge_span.plus_clock_drift());
-        Ok(Pledge { span: self.pledge_span, cancelled })
+        let cancelled = confirmed.since(read_through).ok_or(PledgeRefusal::CancellationsUnknown)?;
+        self.pledged_until = self.pledged_until.max(now + self.pledge_duration.plus_clock_drift());
+        Ok(Pledge { span: self.pledge_duration, cancelled })
     }
 }
 
--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(leader.active_term(MonotonicTime(14_000)), None);
     leader.renewed(MonotonicTime(12_000));
     assert_eq!(leader.active_term(MonotonicTime(15_900)), Some(Term(7)));
-    // An answer that comes late to an earlier renewal changes nothing.
+    // A late answer to an earlier renewal changes nothing.
     leader.renewed(MonotonicTime(11_000));
     assert_eq!(leader.active_term(MonotonicTime(15_900)), Some(Term(7)));
     leader.step_down();
@@ -18,11 +18,11 @@
 
 #[test]
 fn leader_that_workers_cannot_reach_hands_over() {
-    assert!(should_hand_over(10, 10, 10), "cut off from all workers");
-    assert!(should_hand_over(4, 3, 12), "cut off from a zone");
-    assert!(!should_hand_over(1, 1, 12), "one machine may well be dead");
-    assert!(!should_hand_over(4, 0, 12), "reaching nobody: dead, or cut off from all");
-    assert!(!should_hand_over(2, 2, 30), "not worth a change");
+    assert!(should_hand_over(10, 10, 10), "the leader is cut off from all workers");
+    assert!(should_hand_over(4, 3, 12), "the leader is cut off from a zone");
+    assert!(!should_hand_over(1, 1, 12), "a single machine may have failed itself");
+    assert!(!should_hand_over(4, 0, 12), "machines that reach no controller have failed or are cut off from all");
+    assert!(!should_hand_over(2, 2, 30), "too few machines for a change of leader");
 }
 
 fn election() -> Election {
@@ -33,92 +33,101 @@
     JobId::parse(&format!("req-{n:06}")).unwrap()
 }
 
-/// The cancellations of a process that has been there since the store was empty.
-fn told_nothing() -> Cancellations {
+/// The cancellations of a process that has run since the store was empty and has confirmed none.
+fn no_cancellations() -> Cancellations {
     let mut cancellations = Cancellations::default();
     cancellations.at_revision(Revision(0));
     cancellations
 }
 
 #[test]
-fn a_pledge_needs_a_refusal_and_binds() {
+fn follower_pledges_only_without_store_and_then_does_not_stand() {
     let mut follower = election();
-    let ask =
-        |follower: &mut Election| follower.pledge_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing());
-    assert_eq!(ask(&mut follower), Err(PledgeRefusal::StoreAnswers));
-    follower.store_refused();
+    let request_pledge =
+        |follower: &mut Election| follower.pledge_to(MonotonicTime(20_000), Term(7), Revision(9), &no_cancellations());
+    assert_eq!(request_pledge(&mut follower), Err(PledgeRefusal::StoreAvailable));
+    follower.store_failed();
     follower.candidacy_sent();
-    assert_eq!(ask(&mut follower), Err(PledgeRefusal::CandidacyPending), "it may be carried out late");
+    assert_eq!(request_pledge(&mut follower), Err(PledgeRefusal::CandidacyPending), "the store may still commit it");
     follower.candidacy_settled();
-    let span = ask(&mut follower).unwrap().span;
-    assert!(span > Millis(0));
-    assert!(!follower.may_stand(MonotonicTime(20_000) + span, true), "bound even by a fast clock");
-    assert!(follower.may_stand(MonotonicTime(20_000) + span.plus_clock_drift(), true));
+    let duration = request_pledge(&mut follower).unwrap().span;
+    assert!(duration > Millis(0));
+    assert!(
+        !follower.can_stand_for_election(MonotonicTime(20_000) + duration, true),
+        "a fast clock must not end the pledge early"
+    );
+    assert!(follower.can_stand_for_election(MonotonicTime(20_000) + duration.plus_clock_drift(), true));
 }
 
 #[test]
-fn who_led_later_pledges_nothing_to_an_earlier_term() {
+fn controller_does_not_pledge_to_an_earlier_term_than_it_led() {
     let mut controller = election();
     controller.elected(Term(8), LeaseId(1), MonotonicTime(0));
     controller.step_down();
-    controller.store_refused();
+    controller.store_failed();
     assert_eq!(
-        controller.pledge_to(MonotonicTime(20_000), Term(7), Revision(9), &told_nothing()),
-        Err(PledgeRefusal::LedLater)
+        controller.pledge_to(MonotonicTime(20_000), Term(7), Revision(9), &no_cancellations()),
+        Err(PledgeRefusal::LedLaterTerm)
     );
-    assert!(controller.pledge_to(MonotonicTime(20_000), Term(9), Revision(9), &told_nothing()).is_ok());
+    assert!(controller.pledge_to(MonotonicTime(20_000), Term(9), Revision(9), &no_cancellations()).is_ok());
 }
 
 #[test]
-fn a_pledge_carries_what_the_leader_cannot_have_read() {
+fn pledge_lists_the_cancellations_that_the_leader_cannot_have_read() {
     let mut follower = election();
-    follower.store_refused();
-    let mut told = Cancellations::default();
-    let ask = |follower: &mut Election, told: &Cancellations, read_through| {
-        follower.pledge_to(MonotonicTime(20_000), Term(7), Revision(read_through), told).map(|pledge| pledge.cancelled)
+    follower.store_failed();
+    let mut confirmed = Cancellations::default();
+    let request_pledge = |follower: &mut Election, confirmed: &Cancellations, read_through| {
+        follower
+            .pledge_to(MonotonicTime(20_000), Term(7), Revision(read_through), confirmed)
+            .map(|pledge| pledge.cancelled)
     };
-    told.tell(job(1), Revision(11));
+    confirmed.tell(job(1), Revision(11));
+    assert_eq!(
+        request_pledge(&mut follower, &confirmed, 90),
+        Err(PledgeRefusal::CancellationsUnknown),
+        "an earlier process of this controller may have confirmed others"
+    );
+    confirmed.at_revision(Revision(12));
+    confirmed.tell(job(2), Revision(13));
+    confirmed.tell(job(3), Revision(15));
     assert_eq!(
-        ask(&mut follower, &told, 90),
+        request_pledge(&mut follower, &confirmed, 11),
         Err(PledgeRefusal::CancellationsUnknown),
-        "an earlier process here may have confirmed more"
+        "the known cancellations begin at a later revision"
     );
-    told.at_revision(Revision(12));
-    told.tell(job(2), Revision(13));
-    told.tell(job(3), Revision(15));
-    assert_eq!(ask(&mut follower, &told, 11), Err(PledgeRefusal::CancellationsUnknown), "what it knows begins later");
-    assert_eq!(ask(&mut follower, &told, 12), Ok(vec![job(2), job(3)]));
-    assert_eq!(ask(&mut follower, &told, 13), Ok(vec![job(3)]));
-    // More than are remembered: what is forgotten isn't known any more.
+    assert_eq!(request_pledge(&mut follower, &confirmed, 12), Ok(vec![job(2), job(3)]));
+    assert_eq!(request_pledge(&mut follower, &confirmed, 13), Ok(vec![job(3)]));
+    // Beyond MAX_CANCELLATIONS the oldest are dropped, so the list is complete only from a later revision on.
     for n in 0..MAX_CANCELLATIONS as u64 {
-        told.tell(job(100 + n), Revision(100 + n));
+        confirmed.tell(job(100 + n), Revision(100 + n));
     }
-    assert_eq!(ask(&mut follower, &told, 13), Err(PledgeRefusal::CancellationsUnknown));
-    assert_eq!(ask(&mut follower, &told, 15).map(|cancelled| cancelled.len()), Ok(MAX_CANCELLATIONS));
+    assert_eq!(request_pledge(&mut follower, &confirmed, 13), Err(PledgeRefusal::CancellationsUnknown));
+    assert_eq!(request_pledge(&mut follower, &confirmed, 15).map(|cancelled| cancelled.len()), Ok(MAX_CANCELLATIONS));
 }
 
 #[test]
-fn leader_acts_only_on_what_it_has_read_lately() {
+fn leader_acts_only_on_recent_reads() {
     let mut leader = election();
     leader.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
-    // Its renewals succeed, but it reads nothing.
+    // The lease is renewed, but the live jobs aren't read.
     for t in 10..40 {
         leader.renewed(MonotonicTime(t * 1_000));
     }
     assert_eq!(leader.active_term(MonotonicTime(19_900)), Some(Term(7)));
     assert_eq!(leader.active_term(MonotonicTime(20_000)), None);
-    leader.read(MonotonicTime(29_000), MonotonicTime(30_000), Revision(30));
+    leader.live_jobs_read(MonotonicTime(29_000), MonotonicTime(30_000), Revision(30));
     assert_eq!(leader.active_term(MonotonicTime(30_100)), Some(Term(7)));
     assert_eq!(leader.lease().unwrap().read_through, Revision(30));
-    // Past its bound somebody else may lead, whose changes these may be.
-    leader.read(MonotonicTime(49_000), MonotonicTime(50_000), Revision(50));
+    // After the lease has expired, the revision may be of a later term.
+    leader.live_jobs_read(MonotonicTime(49_000), MonotonicTime(50_000), Revision(50));
     assert_eq!(leader.lease().unwrap().read_through, Revision(30));
 }
 
 #[test]
-fn a_restarted_process_keeps_pledges_it_has_forgotten() {
+fn restarted_process_keeps_the_pledges_of_its_predecessor() {
     let restarted = election();
-    assert!(!restarted.may_stand(MonotonicTime(4_000), true));
-    assert!(restarted.may_stand(MonotonicTime(4_100), true));
-    assert!(restarted.may_stand(MonotonicTime(0), false), "nobody ever led");
+    assert!(!restarted.can_stand_for_election(MonotonicTime(4_000), true));
+    assert!(restarted.can_stand_for_election(MonotonicTime(4_100), true));
+    assert!(restarted.can_stand_for_election(MonotonicTime(0), false), "the cluster has never had a leader");
 }
--- a/src/core/election_simulation/controllers.rs
+++ b/src/core/election_simulation/controllers.rs
@@ -86,10 +86,10 @@
         let served = self.is_served(index);
         let controller = &mut self.controllers[index];
         if served {
-            controller.election.store_answered();
+            controller.election.store_served();
             controller.cancellations.at_revision(Revision(self.revision));
         } else {
-            controller.election.store_refused();
+            controller.election.store_failed();
         }
         match controller.election.lease() {
             Some(leader_lease) => self.renew(index, leader_lease.id, served),
@@ -132,7 +132,7 @@
                 self.revision += 1;
             }
             Some(_) => {}
-            None if controller.election.may_stand(controller.clock(now), self.revision > 1) => {
+            None if controller.election.can_stand_for_election(controller.clock(now), self.revision > 1) => {
                 self.revision += 1;
                 let lease = self.revision;
                 self.leases.insert(lease, now + LEADER_LEASE_TTL);
@@ -162,6 +162,6 @@
         controller.next_read = now + 300;
         let asked_at = controller.clock(now.saturating_sub(300));
         let clock = controller.clock(now);
-        controller.election.read(asked_at, clock, Revision(self.revision));
+        controller.election.live_jobs_read(asked_at, clock, Revision(self.revision));
     }
 }
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -92,7 +92,7 @@
         }
         let may_stand = {
             let now = node.now();
-            node.lock().election.may_stand(now, self.initialized && !self.held_key)
+            node.lock().election.can_stand_for_election(now, self.initialized && !self.held_key)
         };
         if !may_stand || must_back_off(node).await {
             return Next::Wait;
@@ -138,7 +138,7 @@
         let now = node.now();
         let mut state = node.lock();
         // A pledge may have been given since.
-        if !state.election.may_stand(now, false) {
+        if !state.election.can_stand_for_election(now, false) {
             return None;
         }
         state.election.candidacy_sent();
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -52,7 +52,7 @@
 fn take_changes(node: &Node, asked_at: MonotonicTime, read_through: Revision, changes: WatchResponse) -> bool {
     let now = node.now();
     let mut state = node.lock();
-    state.election.read(asked_at, now, read_through);
+    state.election.live_jobs_read(asked_at, now, read_through);
     let Some(scheduler) = &mut state.scheduler else { return false };
     changes.events.into_iter().for_each(|event| take_event(scheduler, event));
     true
@@ -82,7 +82,7 @@
     let mut state = node.lock();
     if let Some(scheduler) = &mut state.scheduler {
         scheduler.resync_live_jobs(live.entries, live.revision.0);
-        state.election.read(asked_at, now, live.revision);
+        state.election.live_jobs_read(asked_at, now, live.revision);
     }
     Ok(live.revision)
 }
--- a/src/net/leader_loop/loading.rs
+++ b/src/net/leader_loop/loading.rs
@@ -38,7 +38,7 @@
     if state.election.lease().is_none_or(|lease| lease.term != term) {
         return None;
     }
-    state.election.read(asked_at, now, revision);
+    state.election.live_jobs_read(asked_at, now, revision);
     state.scheduler = Some(scheduler);
     Some(revision)
 }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -183,8 +183,8 @@
         let mut state = self.lock();
         state.store_health.record(now, service);
         match service {
-            StoreService::Served => state.election.store_answered(),
-            StoreService::Refused | StoreService::Unreachable => state.election.store_refused(),
+            StoreService::Served => state.election.store_served(),
+            StoreService::Refused | StoreService::Unreachable => state.election.store_failed(),
         }
     }
 
