--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -1,5 +1,6 @@
-//! Drives [`Election`](crate::core::election::Election): stands for leader, keeps the lease, and gives it up in
-//! time.
+//! Runs the leader election of this controller against the key-value store and the peers, with
+//! [`Election`](crate::core::election::Election) as its state: stands for election, renews or extends the
+//! leader's lease, and hands over to a successor.
 
 use super::kv::{CommitError, KvError};
 use super::leader_loop;
@@ -17,17 +18,17 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// How often the leader's key is read.
+/// Interval at which a controller that doesn't lead reads the leader's key.
 const POLL_INTERVAL: Millis = Millis(350);
-/// How long the store may take to drop the key of a lease that was revoked.
-const REVOKE_PAUSE: Millis = Millis(20);
-/// Controllers that failed to be elected try again after a random part of this time.
+/// Time for the store to delete the key of a revoked lease.
+const REVOKE_DELAY: Millis = Millis(20);
+/// A controller that was not elected tries again after a random part of this time.
 const MAX_CANDIDACY_BACKOFF_MS: u64 = 200;
 const RENEW_TIMEOUT: Millis = Millis(900);
-/// A renewal that takes longer is followed by the next one at once.
-const SLOW_RENEWAL: Millis = Millis(1_000);
-const SLOW_RENEWAL_PAUSE: Millis = Millis(100);
-/// How often the lease is renewed within its length.
+/// After a renewal that takes longer, the next one follows after [`SLOW_RENEWAL_BACKOFF`].
+const SLOW_RENEWAL_THRESHOLD: Millis = Millis(1_000);
+const SLOW_RENEWAL_BACKOFF: Millis = Millis(100);
+/// How often the lease is renewed within its time to live.
 const RENEWALS_PER_TTL: u64 = 6;
 const PROBE_TIMEOUT: Millis = Millis(700);
 const EXTENSION_TIMEOUT: Millis = Millis(800);
@@ -35,12 +36,12 @@
 
 /// Takes part in the election for as long as the process runs.
 pub async fn run(node: Arc<Node>) {
-    let mut follower = Follower { initialized: true, held_key: false };
+    let mut follower = Follower { initialized: true, predecessor_held_key: false };
     loop {
-        learn_store_revision(&node).await;
+        record_first_revision(&node).await;
         let next = match node.track_store(node.kv.get(&node.http, LEADER_KEY)).await {
-            Ok(Some(row)) => follower.on_key_held(&node, row).await,
-            Ok(None) => follower.on_key_absent(&node).await,
+            Ok(Some(row)) => follower.on_leader_key_present(&node, row).await,
+            Ok(None) => follower.on_leader_key_absent(&node).await,
             Err(KvError::Refused | KvError::Unknown(_)) => {
                 probe_peers(&node).await;
                 Next::Wait
@@ -54,37 +55,38 @@
     }
 }
 
-/// What to do before the leader's key is read again.
+/// When [`run`] reads the leader's key again: after [`POLL_INTERVAL`] or at once.
 enum Next {
     Wait,
     ReadAgain,
 }
 
-/// What a controller that doesn't lead remembers between two readings of the leader's key.
+/// State that a controller that doesn't lead keeps between two reads of the leader's key.
 struct Follower {
-    /// Somebody has led before, as far as is known.
+    /// The cluster has had a leader; assumed until the store says otherwise.
     initialized: bool,
-    /// An earlier process here has held the key until just now. Then there is no pledge to keep, as pledges are
-    /// made to the holder of the key.
-    held_key: bool,
+    /// The leader's key belonged to an earlier process of this controller, whose lease was revoked just now. A
+    /// new process then needn't wait for a pledge to end: pledges are given to the owner of the key, so that process
+    /// has none to keep.
+    predecessor_held_key: bool,
 }
 
 impl Follower {
-    async fn on_key_held(&mut self, node: &Node, row: KeyValue) -> Next {
+    async fn on_leader_key_present(&mut self, node: &Node, row: KeyValue) -> Next {
         let record = serde_json::from_value::<LeaderRecord>(row.value).ok();
         node.lock().leader_name = record.as_ref().map(|record| record.node.clone());
-        self.held_key = false;
+        self.predecessor_held_key = false;
         let Some(own) = record.filter(|record| record.node == node.settings.name) else { return Next::Wait };
-        // An earlier process here led, and there is only ever one at an address: the lease can be ended for it.
-        // Its late candidacies and answers are outranked.
-        info!("ending the lease of an earlier process here");
+        // An earlier process of this controller led. Only one process runs at an address at a time, so its lease
+        // can be revoked. Candidacies and answers of it that arrive late are rejected, as their term is lower.
+        info!("revoking the leader lease of an earlier process of this controller");
         let revoked = node.track_store(node.kv.revoke(&node.http, own.lease)).await;
-        self.held_key = revoked.is_ok();
-        tokio::time::sleep(REVOKE_PAUSE.to_std()).await;
+        self.predecessor_held_key = revoked.is_ok();
+        tokio::time::sleep(REVOKE_DELAY.to_std()).await;
         Next::ReadAgain
     }
 
-    async fn on_key_absent(&mut self, node: &Arc<Node>) -> Next {
+    async fn on_leader_key_absent(&mut self, node: &Arc<Node>) -> Next {
         node.lock().leader_name = None;
         if self.initialized {
             let row = node.track_store(node.kv.get(&node.http, INITIALIZED_KEY)).await;
@@ -92,12 +94,12 @@
         }
         let may_stand = {
             let now = node.now();
-            node.lock().election.can_stand_for_election(now, self.initialized && !self.held_key)
+            node.lock().election.can_stand_for_election(now, self.initialized && !self.predecessor_held_key)
         };
-        if !may_stand || must_back_off(node).await {
+        if !may_stand || must_back_off_for_successor(node).await {
             return Next::Wait;
         }
-        self.held_key = false;
+        self.predecessor_held_key = false;
         if let Some((lease, record)) = stand_for_election(node).await {
             self.initialized = true;
             lead(node, lease, record).await;
@@ -108,8 +110,9 @@
     }
 }
 
-/// Learns the first revision that this process sees, from which on it knows what it tells users.
-async fn learn_store_revision(node: &Node) {
+/// Records the first store revision that this process sees: from there on it knows all cancellations that this
+/// controller has confirmed to users.
+async fn record_first_revision(node: &Node) {
     if !node.lock().cancellations.is_known()
         && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
     {
@@ -117,27 +120,28 @@
     }
 }
 
-/// Asks the peers whether the store serves them and who leads, as it doesn't serve this controller.
+/// Asks the peers whether the store serves them and who leads, as the store doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
     let answers = peers::ask_all(node, &peers::peer_heartbeat(node), PROBE_TIMEOUT).await;
     node.lock().store_health.record_peer_answers(&answers);
 }
 
-/// Whether a leader that has just handed over named somebody else.
-async fn must_back_off(node: &Node) -> bool {
+/// Whether a leader has just handed over and named another controller as its successor.
+async fn must_back_off_for_successor(node: &Node) -> bool {
     let row = node.track_store(node.kv.get(&node.http, SUCCESSOR_KEY)).await;
     matches!(row, Ok(Some(row)) if row.value.as_str() != Some(&node.settings.name))
 }
 
-/// Stands for election. None: another controller was elected, or it couldn't be tried.
+/// Stands for election. Returns `None` if another controller leads, or if the candidacy could not be sent or was
+/// not committed.
 async fn stand_for_election(node: &Node) -> Option<(LeaderLease, LeaderRecord)> {
-    let asked_at = node.now();
+    let requested_at = node.now();
     let lease = node.track_store(node.kv.grant(&node.http, node.settings.leader_lease_ttl())).await.ok()?;
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: node.incarnation, lease };
     {
         let now = node.now();
         let mut state = node.lock();
-        // A pledge may have been given since.
+        // This controller may have given a pledge while it waited for the lease.
         if !state.election.can_stand_for_election(now, false) {
             return None;
         }
@@ -154,12 +158,12 @@
     };
     let mut state = node.lock();
     state.election.candidacy_settled();
-    state.election.elected(term?, lease, asked_at);
+    state.election.elected(term?, lease, requested_at);
     state.leader_name = Some(node.settings.name.clone());
     Some((state.election.lease()?, record))
 }
 
-/// The transaction that makes a controller the leader if nobody leads.
+/// The transaction that makes a controller the leader if there is no leader.
 fn candidacy(record: &LeaderRecord) -> Transaction {
     Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: 0 }],
@@ -170,8 +174,8 @@
     }
 }
 
-/// Waits until the result of a candidacy is certain: the key says that it was carried out, or its lease is ended
-/// so that it never can be. Returns the term in the first case.
+/// Settles a candidacy to which the store gave no result: waits until the leader's key shows that it was committed,
+/// or until its lease is revoked, so that it can't be committed any more. Returns the term in the first case.
 async fn settle_unknown_candidacy(node: &Node, lease: LeaseId, record: &LeaderRecord) -> Option<Term> {
     loop {
         let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await;
@@ -187,11 +191,11 @@
     }
 }
 
-/// Does a leader's work beside renewing the lease, until that is lost or handed over.
+/// Runs the leader loop and keeps the lease, until the lease is lost or this controller hands over.
 async fn lead(node: &Arc<Node>, leader_lease: LeaderLease, record: LeaderRecord) {
     let term = leader_lease.term;
-    info!("leading: term={term}");
-    let work = tokio::spawn(leader_loop::run(node.clone(), term, record));
+    info!("elected leader: term={term}");
+    let leader_task = tokio::spawn(leader_loop::run(node.clone(), term, record));
     keep_lease(node, leader_lease).await;
     warn!("no longer leader: term={term}");
     {
@@ -200,30 +204,32 @@
         state.scheduler = None;
         state.leader_name = None;
     }
-    work.abort();
+    leader_task.abort();
 }
 
-/// Renews or extends the lease. Returns when it has ended or is handed over.
+/// Renews the lease, or extends it on pledges while the store is unavailable. Returns when the lease has ended or
+/// this controller has handed over.
 async fn keep_lease(node: &Arc<Node>, leader_lease: LeaderLease) {
     let mut was_active = true;
-    let mut pledged = false;
+    let mut extended = false;
     loop {
-        let asked_at = node.now();
+        let requested_at = node.now();
         match node.track_store(node.kv.renew(&node.http, leader_lease.id, RENEW_TIMEOUT)).await {
             Ok(true) => {
                 let mut state = node.lock();
-                state.election.renewed(asked_at);
-                pledged = false;
+                state.election.renewed(requested_at);
+                extended = false;
                 set_in_doubt(&mut state, false);
             }
             Ok(false) => return,
             Err(e) => {
-                warn!("lease not renewed: term={} error={e}", leader_lease.term);
-                // Others may be served, and tell users of cancellations that can't be read here.
-                // What the peers have pledged last holds until they are asked again.
-                set_in_doubt(&mut node.lock(), !pledged);
-                pledged = extend_lease(node, leader_lease.term).await;
-                set_in_doubt(&mut node.lock(), !pledged);
+                warn!("could not renew the leader lease: term={} error={e}", leader_lease.term);
+                // The store may serve other controllers, which may confirm cancellations that this one can't
+                // read. If the lease was extended last time, it served no peer; that is taken to hold until
+                // the peers have been asked again.
+                set_in_doubt(&mut node.lock(), !extended);
+                extended = extend_lease(node, leader_lease.term).await;
+                set_in_doubt(&mut node.lock(), !extended);
             }
         }
         let successor = node.lock().successor.take();
@@ -234,26 +240,31 @@
         let is_active = node.lock().election.active_term(now).is_some();
         if is_active != was_active {
             was_active = is_active;
-            let change = if is_active { "term active again" } else { "term no longer active" };
+            let change = if is_active {
+                "leader may act again"
+            } else {
+                "leader may not act: lease expired or last read too old"
+            };
             info!("{change}: term={}", leader_lease.term);
         }
-        tokio::time::sleep(renewal_pause(node, asked_at).to_std()).await;
+        tokio::time::sleep(renewal_delay(node, requested_at).to_std()).await;
     }
 }
 
-fn renewal_pause(node: &Node, asked_at: MonotonicTime) -> Millis {
-    let was_slow = node.now() - asked_at > SLOW_RENEWAL;
-    if was_slow { SLOW_RENEWAL_PAUSE } else { Millis(node.settings.leader_lease_ttl().0 / RENEWALS_PER_TTL) }
+fn renewal_delay(node: &Node, requested_at: MonotonicTime) -> Millis {
+    let is_slow = node.now() - requested_at > SLOW_RENEWAL_THRESHOLD;
+    if is_slow { SLOW_RENEWAL_BACKOFF } else { Millis(node.settings.leader_lease_ttl().0 / RENEWALS_PER_TTL) }
 }
 
-/// Starts wait while it isn't known what users have been told meanwhile.
+/// Sets whether users may have been told of cancellations that this leader doesn't know. While they may, the
+/// scheduler starts no tasks.
 fn set_in_doubt(state: &mut NodeState, in_doubt: bool) {
     if let Some(scheduler) = &mut state.scheduler {
         scheduler.set_in_doubt(in_doubt);
     }
 }
 
-/// Stops leading, names the successor to the peers, and ends the lease.
+/// Stops leading, names the successor to the peers and in the store, and revokes the lease.
 async fn hand_over(node: &Arc<Node>, leader_lease: LeaderLease, successor: String) {
     let fence_revision = {
         let now = node.now();
@@ -264,32 +275,34 @@
         state.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
     };
     let heartbeat = PeerHeartbeat { successor, ..peers::peer_heartbeat(node) };
-    // A peer that the leader can't reach reads of it in the store.
+    // A peer that can't be reached from here reads the successor's name from the store.
     let _ = tokio::join!(
         peers::ask_all(node, &heartbeat, HAND_OVER_TIMEOUT),
-        node.track_store(name_successor(node, fence_revision, &heartbeat.successor))
+        node.track_store(write_successor_key(node, fence_revision, &heartbeat.successor))
     );
-    // Unanswered, the lease ends by itself.
+    // If this request fails, the lease ends after its time to live.
     let _ = node.track_store(node.kv.revoke(&node.http, leader_lease.id)).await;
 }
 
-async fn name_successor(node: &Node, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
+/// Writes [`SUCCESSOR_KEY`] if this controller's leader key is still in place.
+async fn write_successor_key(node: &Node, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
     let lease = node.kv.grant(&node.http, SUCCESSOR_BACKOFF).await?;
     let transaction = Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: fence_revision.0 }],
         mutations: vec![Mutation::Put { key: SUCCESSOR_KEY.into(), value: json!(successor), lease: Some(lease.0) }],
     };
     match node.kv.commit(&node.http, &transaction).await {
-        // A conflict means that another leads already.
+        // On a conflict there is already another leader.
         Ok(_) | Err(CommitError::Conflict(_)) => Ok(()),
         Err(CommitError::Store(error)) => Err(error),
     }
 }
 
-/// Extends the lease of a leader that the store refuses: only if every peer is refused too, pledges not to stand
-/// for election, and has passed on the cancellations that can't have been read here. Returns whether all have.
+/// Extends the lease of a leader to which the store is unavailable, if every peer pledges not to stand for
+/// election. A peer does so only if the store is unavailable to it too, and sends along the cancellations that this
+/// leader can't have read. Returns whether the lease was extended.
 async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
-    let asked_at = node.now();
+    let requested_at = node.now();
     let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
     let heartbeat = PeerHeartbeat {
         asks_extension: true,
@@ -299,27 +312,27 @@
         ..peers::peer_heartbeat(node)
     };
     let answers = peers::ask_all(node, &heartbeat, EXTENSION_TIMEOUT).await;
-    let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| pledge(answer.as_ref()?)).collect();
+    let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| parse_pledge(answer.as_ref()?)).collect();
     let mut state = node.lock();
     state.store_health.record_peer_answers(&answers);
     let Some(scheduler) = &mut state.scheduler else { return false };
     for pledge in pledges.iter().flatten() {
         pledge.cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
     }
-    // Without peers there is nobody to pledge.
-    let span = |pledge: &Option<Pledge>| pledge.as_ref().map_or(Millis(0), |pledge| pledge.span);
-    let shortest = pledges.iter().map(span).min().unwrap_or_default();
-    let pledged = shortest > Millis(0);
-    if pledged {
-        state.election.extend_on_pledges(asked_at, shortest);
+    // A missing pledge counts as one of no duration. A controller without peers doesn't extend its lease.
+    let duration = |pledge: &Option<Pledge>| pledge.as_ref().map_or(Millis(0), |pledge| pledge.span);
+    let shortest = pledges.iter().map(duration).min().unwrap_or_default();
+    let extended = shortest > Millis(0);
+    if extended {
+        state.election.extend_on_pledges(requested_at, shortest);
     }
     drop(state);
     leader_loop::perform_pending(node);
-    pledged
+    extended
 }
 
-/// A peer's pledge; none: it doesn't pledge, or its cancellations can't be read.
-fn pledge(answer: &PeerHeartbeatResponse) -> Option<Pledge> {
+/// A peer's pledge. `None` if the peer doesn't pledge or the names of its cancelled jobs can't be parsed.
+fn parse_pledge(answer: &PeerHeartbeatResponse) -> Option<Pledge> {
     let span = Some(Millis(answer.pledge_ms)).filter(|span| *span > Millis(0))?;
     Some(Pledge { span, cancelled: peers::parse_job_ids(&answer.cancelled)? })
 }
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -81,7 +81,7 @@
 async fn send_orders(node: &Node, endpoint: &str, orders: &DirectOrders) -> OrdersResult {
     let body = serde_json::to_vec(orders).unwrap_or_default();
     let heartbeat = |body: &[u8]| serde_json::from_slice::<Heartbeat>(body).ok();
-    match node.orders.call(Method::POST, endpoint, "/orders", body, ORDERS_TIMEOUT).await {
+    match node.worker_http.call(Method::POST, endpoint, "/orders", body, ORDERS_TIMEOUT).await {
         Ok((200, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Executed),
         Ok((409, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Rejected),
         Ok((status, _)) => {
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -1,6 +1,7 @@
-//! What the tasks of one controller share: its clients and, under one mutex, its state.
+//! What all asynchronous tasks of a controller process share: its settings, its clients and, behind one mutex, its
+//! state.
 //!
-//! Each part of the state is a type of its own module; this one only holds them together.
+//! Most parts of the state are types with modules of their own; [`NodeState`] only combines them.
 
 use super::cloud::CloudClient;
 use super::dependency_check::DependencyCheckCache;
@@ -29,66 +30,66 @@
 
 /// One controller: its settings, its clients and its state.
 pub struct Node {
-    /// The platform's settings.
+    /// The settings of the cluster and of this controller, from the file given by `--config`.
     pub settings: Settings,
-    /// The operators' settings.
+    /// The operators' scheduling settings, from the file given by `--tuning`.
     pub tuning: Tuning,
-    /// Calls of the store, the cloud and the peers.
+    /// HTTP client for the store, the cloud and the peers.
     pub http: Http,
-    /// Orders to workers, which are many more hosts than all others.
-    pub orders: Http,
-    /// The key-value store. What is asked for the controller itself goes by [`Node::track_store`] or
-    /// [`Node::commit`].
+    /// HTTP client for orders to workers. It has its own limit on sockets, as workers are by far the most hosts.
+    pub worker_http: Http,
+    /// Client of the key-value store. Requests that the controller makes for its own work go through
+    /// [`Node::track_store`] or [`Node::commit`], which record whether the store serves this controller.
     pub kv: KvClient,
-    /// The cloud.
+    /// Client of the cloud provider.
     pub cloud: CloudClient,
-    /// Tells this process from earlier ones at the same address.
+    /// Distinguishes this process from earlier ones at the same address.
     pub incarnation: u64,
-    /// Wakes the task that relays heartbeats.
+    /// Wakes the asynchronous task that relays workers' heartbeats to the leader.
     pub relay_wakeup: RelayWakeup,
-    started: Instant,
+    started_at: Instant,
     state: Mutex<NodeState>,
 }
 
 /// The state of one controller.
 pub struct NodeState {
-    /// Whether this controller leads or may stand for election.
+    /// This controller's state in the leader election.
     pub election: Election,
-    /// The scheduler, while leading and once the cluster state is loaded.
+    /// The scheduler; only while this controller leads and has loaded the cluster state.
     pub scheduler: Option<Scheduler>,
-    /// Who leads, as last read from the store.
+    /// The name of the leader, as last read from the store.
     pub leader_name: Option<String>,
-    /// The machine types, once known.
+    /// The machine types that the cloud offers, once known.
     pub types: Option<Vec<MachineType>>,
-    /// Jobs known to have ended.
+    /// Outcomes of jobs that are known to have ended.
     pub outcomes: OutcomeCache,
     /// The cancellations that this process has confirmed to users.
     pub cancellations: Cancellations,
-    /// Jobs that were found not to depend on a cancelled one, and when.
+    /// Jobs that were found not to depend on a cancelled job, with the time of the check.
     pub dependency_check_cache: DependencyCheckCache,
-    /// The leader's counts of its live jobs, which users are shown.
+    /// The leader's latest task counts of its live jobs, shown to users that poll a job.
     pub counts: HashMap<JobId, JobCount>,
-    /// Users' requests under way.
+    /// The number of user requests in progress.
     pub user_requests: usize,
-    /// Whether the store serves this controller, and what the peers say.
+    /// Whether the store serves this controller, and what the peers report about the store and the leader.
     pub store_health: StoreHealth,
-    /// Workers that have tried here while another controller led.
+    /// Workers that have sent heartbeats here while another controller led.
     pub redirected_workers: RedirectedWorkers,
-    /// Machines that the leader suspects, as told in its heartbeat.
+    /// Machines that the leader suspects of having failed, from its latest heartbeat.
     pub suspected: HashSet<String>,
-    /// While leading: the peer that this controller should hand over to.
+    /// While leading: the peer to which this controller hands over next.
     pub successor: Option<String>,
-    /// Workers' heartbeats on their way to the leader.
+    /// Workers' heartbeats that wait to be relayed to the leader.
     pub heartbeat_relay: HeartbeatRelay,
-    /// Messages of peers that can't be read, are too large or of another version.
+    /// Limits the log lines on messages of peers that can't be decoded, are too large or of another version.
     pub bad_messages: RateLimitedLog,
-    /// While another leads and can't be reached: the peers that reach it.
+    /// While this controller can't reach the leader: the peers that can.
     pub relay_routes: RelayRoutes,
-    /// While leading: the peers that relay workers' heartbeats.
+    /// While leading: distributes workers over the peers that relay heartbeats.
     pub heartbeat_balancer: HeartbeatBalancer,
-    /// While leading: whether this controller is too slow for it.
+    /// While leading: detects that this controller is too slow to lead.
     pub overload: Overload,
-    /// How long inputs hold this controller's one thread.
+    /// How long each kind of input occupies this controller's single thread.
     pub input_latency: InputLatency,
 }
 
@@ -117,56 +118,56 @@
         }
     }
 
-    /// Takes in the leader's counts of its live jobs.
+    /// Replaces the task counts of live jobs by those that the leader has sent.
     pub fn take_counts(&mut self, counts: &[JobCount]) {
         self.counts = counts.iter().filter_map(|count| Some((JobId::parse(&count.job)?, count.clone()))).collect();
     }
 }
 
-/// Bad messages of peers are logged this often at most.
+/// Minimum interval between two log lines on bad messages of peers.
 const BAD_MESSAGES_LOG_INTERVAL: Millis = Millis(10_000);
 
 impl Node {
-    /// A controller that has just started. It does nothing by itself: the program starts its tasks.
+    /// Creates the clients and the initial state. The caller starts the asynchronous tasks that run the controller.
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
         let sockets = settings.sockets();
         Arc::new(Node {
             http: Http::new(sockets.own),
-            orders: Http::new(sockets.orders),
+            worker_http: Http::new(sockets.orders),
             kv: KvClient::new(settings.services.store.to_string()),
             cloud: CloudClient::new(settings.services.cloud.to_string(), settings.cluster.cloud.rps),
             incarnation: rand::random::<u64>() >> 1,
             relay_wakeup: RelayWakeup::default(),
-            started: Instant::now(),
+            started_at: Instant::now(),
             state: Mutex::new(NodeState::new(&settings)),
             settings,
             tuning,
         })
     }
 
-    /// The present moment on this process's steady clock.
+    /// The current time on this process's monotonic clock, which begins with the process.
     pub fn now(&self) -> MonotonicTime {
-        MonotonicTime(self.started.elapsed().as_millis() as u64)
+        MonotonicTime(self.started_at.elapsed().as_millis() as u64)
     }
 
-    /// The present time of day.
+    /// The current wall-clock time.
     pub fn wall_time(&self) -> WallTime {
         WallTime(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64))
     }
 
-    /// The state. The guard must never be held over an await.
+    /// Locks the state. The guard must not be held across an `await`.
     pub fn lock(&self) -> MutexGuard<'_, NodeState> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// A request to the store. How it went tells whether the store serves this controller.
+    /// Awaits a request to the store and records its result with [`Node::record_store_result`].
     pub async fn track_store<T>(&self, call: impl Future<Output = Result<T, KvError>>) -> Result<T, KvError> {
         let result = call.await;
         self.record_store_result(result.as_ref().err());
         result
     }
 
-    /// Commits a transaction; like [`Node::track_store`] otherwise.
+    /// Commits a transaction and records the result with [`Node::record_store_result`].
     pub async fn commit(&self, transaction: &Transaction) -> Result<Revision, CommitError> {
         let result = self.kv.commit(&self.http, transaction).await;
         self.record_store_result(match &result {
@@ -176,7 +177,8 @@
         result
     }
 
-    /// Takes in how a request to the store went: its error, or none if it succeeded.
+    /// Records whether the store serves this controller, as shown by a request: `error` is its error, or `None` if it
+    /// succeeded. Any answer but a refusal counts as served.
     pub fn record_store_result(&self, error: Option<&KvError>) {
         let now = self.now();
         let service = StoreService::from(error);
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Whether the store has been silent for so long that asking it for a user would only make the user wait.
-    /// The election keeps asking.
+    /// Whether the store has not answered for so long that user requests should fail at once instead of waiting for
+    /// it. The election keeps sending requests.
     pub fn store_unreachable(&self) -> bool {
         let now = self.now();
         self.lock().store_health.is_unreachable(now)
