--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -1,13 +1,14 @@
-//! The leader's work: loads the cluster state, gives the scheduler its inputs and carries out its effects.
+//! The work of the controller that leads: loads the cluster state, passes inputs to the scheduler and performs the
+//! effects that the scheduler requests.
 //!
-//! | module | what it does |
+//! | module | purpose |
 //! | --- | --- |
-//! | `machine_types` | learns the machine types, from the store or the cloud |
-//! | `loading` | reads the stored state on a failover |
-//! | `effects` | carries out what the scheduler asks for |
-//! | `live_jobs` | follows the live jobs in the store |
-//! | `cloud_watch` | reads the cloud's list of machines and the prices |
-//! | `peer_heartbeats` | tells the peers what they need, and hands over where they should lead |
+//! | `machine_types` | reads the machine types from the store or the cloud |
+//! | `loading` | builds the scheduler from the stored state after a failover |
+//! | `effects` | performs the scheduler's effects |
+//! | `live_jobs` | watches the live jobs in the store |
+//! | `cloud_watch` | polls the cloud's list of machines and its prices |
+//! | `peer_heartbeats` | sends heartbeats to the peers, and decides whether to hand over to one of them |
 
 mod cloud_watch;
 mod effects;
@@ -29,24 +30,25 @@
 pub(super) use effects::perform;
 pub use machine_types::{MACHINE_TYPES_KEY, learn_types};
 
-/// Does the work of the leader of a term until it is aborted or the term has ended. The lease is kept by
-/// `net::election`.
+/// Does the leader's work for a term, until the future is aborted or this controller no longer leads for the term.
+/// `net::election` renews the lease meanwhile.
 pub async fn run(node: Arc<Node>, term: Term, record: LeaderRecord) {
     let Some(read_through) = loading::load_scheduler(&node, term, record).await else { return };
     tokio::join!(
-        tick(&node, term),
-        live_jobs::follow(&node, term, read_through),
+        run_ticks(&node, term),
+        live_jobs::watch(&node, term, read_through),
         cloud_watch::run(&node, term),
         peer_heartbeats::run(&node, term)
     );
 }
 
-/// Whether this controller leads for the term, within its bound or not.
+/// Whether this controller still leads for the term, even if its lease has expired.
 fn still_leads(node: &Node, term: Term) -> bool {
     node.lock().election.lease().is_some_and(|lease| lease.term == term)
 }
 
-async fn tick(node: &Arc<Node>, term: Term) {
+/// Gives the scheduler its regular ticks while this controller leads for the term.
+async fn run_ticks(node: &Arc<Node>, term: Term) {
     while still_leads(node, term) {
         let (now, wall) = (node.now(), node.wall_time());
         step(node, InputKind::Tick, |scheduler| scheduler.tick(now, wall));
@@ -54,10 +56,10 @@
     }
 }
 
-/// Gives the scheduler an input and starts carrying out its effects. Returns the scheduler's answer.
+/// Gives the scheduler an input and starts to perform the effects that it requests. Returns the scheduler's answer.
 ///
-/// None: this controller doesn't lead or hasn't loaded the cluster state, or the bound of its lease has
-/// passed. Then the scheduler gets no input, so that nothing is sent.
+/// Returns `None` if this controller may not act as leader now or hasn't loaded the cluster state. The scheduler
+/// then gets no input, so that it requests no effects.
 pub fn step<T>(node: &Arc<Node>, input_kind: InputKind, input: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
     let now = node.now();
     let (answer, term, effects) = {
@@ -78,33 +80,33 @@
     Some(answer)
 }
 
-/// Starts carrying out the effects that the scheduler has left.
+/// Starts to perform the effects that the scheduler has requested and that have not been started.
 pub fn perform_pending(node: &Arc<Node>) {
     step(node, InputKind::Result, |_| ());
 }
 
-/// Gives the scheduler, if there is one, an input, and notes how long that took.
+/// Gives the scheduler, if there is one, an input and records its latency.
 fn step_measured<T>(
     state: &mut NodeState,
     now: MonotonicTime,
     input_kind: InputKind,
     input: impl FnOnce(&mut Scheduler) -> T,
 ) -> Option<T> {
-    let (answer, took, cost) = measured(state.scheduler.as_mut()?, input);
+    let (answer, took, cost) = measure(state.scheduler.as_mut()?, input);
     state.input_latency.record(now, input_kind, took, cost);
     Some(answer)
 }
 
-/// Gives a scheduler an input. Returns its answer, how long that took and what it looked at.
-fn measured<T>(scheduler: &mut Scheduler, input: impl FnOnce(&mut Scheduler) -> T) -> (T, Duration, CostCounters) {
-    let (started, before) = (Instant::now(), scheduler.cost_counters());
+/// Gives a scheduler an input. Returns its answer, the time that it took and the operations that it counted.
+fn measure<T>(scheduler: &mut Scheduler, input: impl FnOnce(&mut Scheduler) -> T) -> (T, Duration, CostCounters) {
+    let (started_at, before) = (Instant::now(), scheduler.cost_counters());
     let answer = input(scheduler);
-    (answer, started.elapsed(), scheduler.cost_counters().since(&before))
+    (answer, started_at.elapsed(), scheduler.cost_counters().since(&before))
 }
 
-/// Gives the scheduler, if there is one, the result of an effect: also past the bound of the lease, as a
-/// result is knowledge and sends nothing.
-fn notify_scheduler(node: &Node, tell: impl FnOnce(&mut Scheduler, MonotonicTime)) {
+/// Gives the scheduler, if there is one, the result of an effect, even after the lease has expired: recording a
+/// result sends nothing.
+fn notify_scheduler(node: &Node, notify: impl FnOnce(&mut Scheduler, MonotonicTime)) {
     let now = node.now();
-    step_measured(&mut node.lock(), now, InputKind::Result, |scheduler| tell(scheduler, now));
+    step_measured(&mut node.lock(), now, InputKind::Result, |scheduler| notify(scheduler, now));
 }
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -1,4 +1,5 @@
-//! Carries out the scheduler's effects: orders, writes, plans, look-ups and calls of the cloud.
+//! Performs the scheduler's effects: orders to workers, writes to the store, requests for plans from peers, look-ups
+//! of job outcomes and requests to the cloud.
 
 use super::{notify_scheduler, perform_pending, step};
 use crate::core::election::LEADER_KEY;
@@ -14,22 +15,25 @@
 use log::{debug, warn};
 use std::sync::Arc;
 
-/// How long a worker has to answer orders.
+/// Timeout of a request that sends orders to a worker.
 const ORDERS_TIMEOUT: Millis = Millis(2_000);
 
-/// Carries out an effect of the scheduler of a term, and gives it the result. This process may have been
-/// frozen since the effect was decided: what this leader may not send any more isn't sent.
+/// Performs an effect that the scheduler of a term requested, and gives the scheduler the result.
+///
+/// This process may have been suspended after the scheduler requested the effect. Orders, writes and requests to
+/// the cloud are therefore sent only if this controller may still act as leader of the term.
 pub(in crate::net) async fn perform(node: Arc<Node>, term: Term, effect: Effect) {
     let now = node.now();
-    let active_term = node.lock().election.active_term(now) == Some(term);
+    let is_term_active = node.lock().election.active_term(now) == Some(term);
     match effect {
         Effect::Orders { request, endpoint, body } => {
-            let result = if active_term { send_orders(&node, &endpoint, &body).await } else { OrdersResult::Unknown };
+            let result =
+                if is_term_active { send_orders(&node, &endpoint, &body).await } else { OrdersResult::Unknown };
             notify_scheduler(&node, |scheduler, now| scheduler.on_orders_result(now, request, result));
             perform_pending(&node);
         }
         Effect::Commit { request, transaction } => {
-            let result = match active_term {
+            let result = match is_term_active {
                 true => node.commit(&transaction).await.into(),
                 false => CommitOutcome::Rejected,
             };
@@ -52,7 +56,7 @@
             perform_pending(&node);
         }
         Effect::Provision(request) => {
-            let result = match active_term {
+            let result = match is_term_active {
                 true => node.cloud.provision(&node.http, now, &request).await,
                 false => ProvisionOutcome::Unknown,
             };
@@ -60,7 +64,7 @@
         }
         Effect::Terminate(ids) => {
             let names = ids.iter().map(MachineId::to_string).collect();
-            let terminated = active_term && node.cloud.terminate(&node.http, now, names).await.is_ok();
+            let terminated = is_term_active && node.cloud.terminate(&node.http, now, names).await.is_ok();
             notify_scheduler(&node, |scheduler, now| scheduler.on_terminated(now, &ids, terminated));
         }
     }
@@ -77,32 +81,32 @@
     }
 }
 
-/// Sends orders to a worker once, and never again: a run order that comes late could start its task anew.
+/// Sends orders to a worker, without retries: a run order that arrives late could start its task a second time.
 async fn send_orders(node: &Node, endpoint: &str, orders: &DirectOrders) -> OrdersResult {
     let body = serde_json::to_vec(orders).unwrap_or_default();
-    let heartbeat = |body: &[u8]| serde_json::from_slice::<Heartbeat>(body).ok();
+    let parse_heartbeat = |body: &[u8]| serde_json::from_slice::<Heartbeat>(body).ok();
     match node.worker_http.call(Method::POST, endpoint, "/orders", body, ORDERS_TIMEOUT).await {
-        Ok((200, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Executed),
-        Ok((409, body)) => heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Rejected),
+        Ok((200, body)) => parse_heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Executed),
+        Ok((409, body)) => parse_heartbeat(&body).map_or(OrdersResult::Unknown, OrdersResult::Rejected),
         Ok((status, _)) => {
-            warn!("orders failed: endpoint={endpoint} status={status}");
+            warn!("worker answered orders with an unexpected status: endpoint={endpoint} status={status}");
             OrdersResult::Unknown
         }
         Err(e) => {
-            debug!("orders failed: endpoint={endpoint} error={e}");
+            debug!("orders to worker failed: endpoint={endpoint} error={e}");
             OrdersResult::Unknown
         }
     }
 }
 
-/// Writes the leader's key anew. Returns its revision then; none if that isn't known, or if the key isn't this
-/// leader's any more.
+/// Writes the leader's key again, to give it a new revision. Returns that revision, or `None` if it isn't known or
+/// the key doesn't belong to this leader any more.
 async fn refresh_fence(node: &Node, transaction: &Transaction) -> Option<Revision> {
     if let Ok(revision) = node.commit(transaction).await {
         return Some(revision);
     }
-    // Perhaps written, now or by an earlier try.
+    // This write may have been committed although it gave no result, and so may an earlier attempt.
     let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await.ok()??;
-    let writes_row = |mutation: &Mutation| matches!(mutation, Mutation::Put { value, .. } if *value == row.value);
-    transaction.mutations.iter().any(writes_row).then_some(Revision(row.revision))
+    let matches_row = |mutation: &Mutation| matches!(mutation, Mutation::Put { value, .. } if *value == row.value);
+    transaction.mutations.iter().any(matches_row).then_some(Revision(row.revision))
 }
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -1,4 +1,4 @@
-//! Follows the live jobs in the store: new ones, and those that their users have cancelled.
+//! Watches the live jobs in the store: those newly accepted, and those that have ended or been cancelled by users.
 
 use super::{perform_pending, still_leads};
 use crate::core::records::{JobOutcome, LIVE_PREFIX};
@@ -11,36 +11,37 @@
 use log::debug;
 use std::sync::Arc;
 
-/// Longest time that a watch waits for a change.
+/// Longest time for which the store may hold a watch request open until there is a change.
 const MAX_WATCH_BLOCK: Millis = Millis(3_000);
-/// Several answers must fit into the time for which what has been read may be acted on.
+/// The longest watch request as a part of the time for which a read may be acted on: several answers must
+/// fit into it.
 const WATCH_BLOCK_SHARE: f64 = 0.25;
 const WATCH_RETRY_BACKOFF: Millis = Millis(200);
 const LIST_RETRY_BACKOFF: Millis = Millis(300);
 
-/// Gives the scheduler all changes of live jobs after a revision while this controller leads for the term.
-pub(super) async fn follow(node: &Arc<Node>, term: Term, mut since: Revision) {
+/// Gives the scheduler all changes of live jobs after the revision `since`, while this controller leads for the term.
+pub(super) async fn watch(node: &Arc<Node>, term: Term, mut since: Revision) {
     let block = MAX_WATCH_BLOCK.min(node.settings.reading_validity().mul_f64(WATCH_BLOCK_SHARE));
     while still_leads(node, term) {
-        let asked_at = node.now();
+        let requested_at = node.now();
         let changes = node.kv.follow(&node.http, LIVE_PREFIX, since, block).await;
-        // Without an answer the watch may just have stayed open: that says nothing about the store.
+        // A watch request may stay open for long, so a missing answer doesn't show that the store is unavailable.
         if !matches!(changes, Err(KvError::Unknown(_))) {
             node.record_store_result(changes.as_ref().err());
         }
         match changes {
             Ok(Some(changes)) => {
                 since = since.max(Revision(changes.revision));
-                if !take_changes(node, asked_at, since, changes) {
+                if !apply_changes(node, requested_at, since, changes) {
                     continue;
                 }
             }
-            Ok(None) => match list_again(node).await {
+            Ok(None) => match resync(node).await {
                 Ok(revision) => since = revision,
                 Err(_) => tokio::time::sleep(LIST_RETRY_BACKOFF.to_std()).await,
             },
             Err(e) => {
-                debug!("live jobs can't be followed: error={e}");
+                debug!("could not watch live jobs: error={e}");
                 tokio::time::sleep(WATCH_RETRY_BACKOFF.to_std()).await;
             }
         }
@@ -48,17 +49,17 @@
     }
 }
 
-/// Gives the scheduler changes up to a revision. False: there is no scheduler.
-fn take_changes(node: &Node, asked_at: MonotonicTime, read_through: Revision, changes: WatchResponse) -> bool {
+/// Gives the scheduler the changes up to the revision `read_through`. Returns false if there is no scheduler.
+fn apply_changes(node: &Node, requested_at: MonotonicTime, read_through: Revision, changes: WatchResponse) -> bool {
     let now = node.now();
     let mut state = node.lock();
-    state.election.live_jobs_read(asked_at, now, read_through);
+    state.election.live_jobs_read(requested_at, now, read_through);
     let Some(scheduler) = &mut state.scheduler else { return false };
-    changes.events.into_iter().for_each(|event| take_event(scheduler, event));
+    changes.events.into_iter().for_each(|event| apply_event(scheduler, event));
     true
 }
 
-fn take_event(scheduler: &mut Scheduler, event: WatchEvent) {
+fn apply_event(scheduler: &mut Scheduler, event: WatchEvent) {
     let job_id = |key: &str| key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse);
     match event {
         WatchEvent::Put { key, value, revision } => {
@@ -74,15 +75,16 @@
     }
 }
 
-/// Reads all live jobs, as the changes are too many or not kept any more. Returns the revision to follow from.
-async fn list_again(node: &Node) -> Result<Revision, KvError> {
-    let asked_at = node.now();
+/// Reads all live jobs, as there are too many changes to watch or the store no longer keeps them. Returns the revision
+/// from which to continue the watch.
+async fn resync(node: &Node) -> Result<Revision, KvError> {
+    let requested_at = node.now();
     let live = node.track_store(node.kv.list(&node.http, LIVE_PREFIX)).await?;
     let now = node.now();
     let mut state = node.lock();
     if let Some(scheduler) = &mut state.scheduler {
         scheduler.resync_live_jobs(live.entries, live.revision.0);
-        state.election.live_jobs_read(asked_at, now, live.revision);
+        state.election.live_jobs_read(requested_at, now, live.revision);
     }
     Ok(live.revision)
 }
--- a/src/net/leader_loop/loading.rs
+++ b/src/net/leader_loop/loading.rs
@@ -1,6 +1,6 @@
-//! Failover: a new leader reads the stored state and builds its scheduler from it.
+//! Failover: a new leader reads the cluster state from the store and builds its scheduler from it.
 
-use super::{machine_types, measured};
+use super::{machine_types, measure};
 use crate::core::election::LeaderRecord;
 use crate::core::machine::MACHINE_PREFIX;
 use crate::core::records::{BITMAP_PREFIX, LIVE_PREFIX};
@@ -14,20 +14,20 @@
 use log::debug;
 use std::sync::Arc;
 
-/// Stored records that a new leader takes in in one step.
-const ROWS_PER_STEP: usize = 250;
+/// Number of stored records that a new leader loads in one step.
+const RECORDS_PER_STEP: usize = 250;
 const RETRY_BACKOFF: Millis = Millis(150);
 
-/// Builds the scheduler of a new term from the stored state. Returns the revision from which the live jobs
-/// have to be followed; none: this controller has stopped leading meanwhile.
+/// Builds the scheduler of a new term from the stored state. Returns the revision from which to watch the live jobs,
+/// or `None` if this controller has stopped leading meanwhile.
 pub(super) async fn load_scheduler(node: &Arc<Node>, term: Term, record: LeaderRecord) -> Option<Revision> {
     let since = node.now();
     let types = machine_types::for_leader(node).await;
-    let (asked_at, stored, revision) = loop {
-        let asked_at = node.now();
+    let (requested_at, stored, revision) = loop {
+        let requested_at = node.now();
         match read_stored_state(node).await {
-            Ok((stored, revision)) => break (asked_at, stored, revision),
-            Err(e) => debug!("stored state can't be read: term={term} error={e}"),
+            Ok((stored, revision)) => break (requested_at, stored, revision),
+            Err(e) => debug!("could not read the stored state: term={term} error={e}"),
         }
         tokio::time::sleep(RETRY_BACKOFF.to_std()).await;
     };
@@ -38,12 +38,12 @@
     if state.election.lease().is_none_or(|lease| lease.term != term) {
         return None;
     }
-    state.election.live_jobs_read(asked_at, now, revision);
+    state.election.live_jobs_read(requested_at, now, revision);
     state.scheduler = Some(scheduler);
     Some(revision)
 }
 
-/// The stored state, and the revision up to which the live jobs are in it.
+/// Reads the stored state. Returns with it the revision up to which it contains the changes of live jobs.
 async fn read_stored_state(node: &Node) -> Result<(StoredState, Revision), KvError> {
     let live = node.kv.list(&node.http, LIVE_PREFIX).await?;
     let bitmaps = node.kv.list(&node.http, BITMAP_PREFIX).await?.entries;
@@ -52,12 +52,12 @@
     Ok((StoredState { live: live.entries, bitmaps, machines, shards }, live.revision))
 }
 
-/// Gives a new scheduler what is stored, a part at a time, so that renewals, users and heartbeats are served in
-/// between.
+/// Loads the stored state into a new scheduler part by part, so that lease renewals, user requests and heartbeats are
+/// handled in between.
 async fn load_in_steps(node: &Node, scheduler: &mut Scheduler, stored: StoredState) {
-    for part in stored.into_parts(ROWS_PER_STEP) {
+    for part in stored.into_parts(RECORDS_PER_STEP) {
         let now = node.now();
-        let ((), took, cost) = measured(scheduler, |scheduler| scheduler.load_part(now, part));
+        let ((), took, cost) = measure(scheduler, |scheduler| scheduler.load_part(now, part));
         node.lock().input_latency.record(now, InputKind::Load, took, cost);
         tokio::task::yield_now().await;
     }
--- a/src/net/leader_loop/machine_types.rs
+++ b/src/net/leader_loop/machine_types.rs
@@ -1,4 +1,4 @@
-//! The machine types that the cloud offers, kept in the store for the controllers that don't lead.
+//! The machine types that the cloud offers. The leader stores them for the other controllers.
 
 use crate::net::node::Node;
 use crate::time::Millis;
@@ -7,12 +7,12 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// The store's key of the machine types, written once by the first leader.
+/// The key under which the first leader stores the machine types; written once.
 pub const MACHINE_TYPES_KEY: &str = "ctl/kinds";
 const STORE_POLL_INTERVAL: Millis = Millis(400);
 const CLOUD_RETRY_BACKOFF: Millis = Millis(500);
 
-/// Reads the machine types from the store until this controller knows them.
+/// Polls the store for the machine types until this controller knows them.
 pub async fn learn_types(node: Arc<Node>) {
     loop {
         let row = node.track_store(node.kv.get(&node.http, MACHINE_TYPES_KEY)).await;
@@ -22,7 +22,7 @@
                     node.lock().types = Some(types);
                     return;
                 }
-                _ => warn!("machine types can't be read: key={MACHINE_TYPES_KEY}"),
+                _ => warn!("stored machine types are empty or can't be decoded: key={MACHINE_TYPES_KEY}"),
             }
         }
         if node.lock().types.is_some() {
@@ -32,7 +32,8 @@
     }
 }
 
-/// The machine types for a new leader: those known, or else the cloud's, which it stores for all.
+/// Returns the machine types for a new leader: those that this controller knows, or else those of the cloud, which
+/// are stored for the other controllers.
 pub(super) async fn for_leader(node: &Arc<Node>) -> Vec<MachineType> {
     loop {
         if let Some(types) = node.lock().types.clone() {
@@ -45,7 +46,7 @@
                 preconditions: vec![Precondition { key: MACHINE_TYPES_KEY.into(), revision: 0 }],
                 mutations: vec![Mutation::put(MACHINE_TYPES_KEY, json!(types))],
             };
-            // Stored or not, this leader knows them; another one asks the cloud again.
+            // If this write fails, this leader still knows the machine types; a later leader requests them again.
             let _ = node.commit(&transaction).await;
             node.lock().types = Some(types);
             continue;
