--- a/src/core/election_simulation/controllers.rs
+++ b/src/core/election_simulation/controllers.rs
@@ -1,52 +1,57 @@
-//! The controllers of the model: they stand for election, renew and extend their lease, and read.
+//! The simulated controllers: they stand for election, renew or extend the leader's lease, and read the live jobs.
 
 use super::*;
 
-const RENEWAL_INTERVAL: u64 = 600;
-/// Between two tries to renew a lease at a store that refuses.
-const RENEWAL_BACKOFF: u64 = 100;
-const ELECTION_INTERVAL: u64 = 350;
-/// How long ago a request left whose answer is there.
-const ROUND_TRIP: u64 = 30;
+const RENEWAL_INTERVAL_MS: u64 = 600;
+/// Time between two attempts to renew a lease while the store refuses requests.
+const RENEWAL_RETRY_INTERVAL_MS: u64 = 100;
+const ELECTION_INTERVAL_MS: u64 = 350;
+/// Time between sending a request to the store and receiving its answer.
+const ROUND_TRIP_MS: u64 = 30;
 
 pub(super) struct Controller {
-    /// When this process began; its clock counts from there.
+    /// When this process started; its clock counts from there.
     pub(super) started_at: u64,
     pub(super) election: Election,
     pub(super) cancellations: Cancellations,
+    /// This process is suspended until this time.
     pub(super) frozen_until: u64,
-    /// The store refuses this controller until then.
+    /// The store refuses this controller's requests until this time.
     pub(super) refused_until: u64,
-    /// Cut off from its peers.
-    pub(super) cut_until: u64,
-    /// Its watch of live jobs brings no events.
+    /// This controller is disconnected from its peers until this time.
+    pub(super) partitioned_until: u64,
+    /// This controller's watch of the live jobs delivers no events until this time.
     pub(super) watch_stalled_until: u64,
-    next_election_step: u64,
-    next_read: u64,
-    /// The cancelled jobs that it knows of as leader.
+    next_election_step_at: u64,
+    next_read_at: u64,
+    /// The cancelled jobs that this controller knows of as leader.
     pub(super) known_cancelled: BTreeSet<JobId>,
-    pub(super) loaded: bool,
+    /// This controller has read the live jobs since it was elected.
+    pub(super) is_loaded: bool,
 }
 
 impl Controller {
-    /// A new process.
+    /// A new controller process.
     pub(super) fn started_at(started_at: u64) -> Controller {
         Controller {
             started_at,
-            election: Election::new(Millis(LEADER_LEASE_TTL), Millis((CANCELLATION_TIMEOUT - WORKER_LEASE) * 6 / 10)),
+            election: Election::new(
+                Millis(LEADER_LEASE_TTL_MS),
+                Millis((CANCELLATION_LIMIT_MS - WORKER_LEASE_TTL_MS) * 6 / 10),
+            ),
             cancellations: Cancellations::default(),
             frozen_until: 0,
             refused_until: 0,
-            cut_until: 0,
+            partitioned_until: 0,
             watch_stalled_until: 0,
-            next_election_step: started_at,
-            next_read: 0,
+            next_election_step_at: started_at,
+            next_read_at: 0,
             known_cancelled: BTreeSet::new(),
-            loaded: false,
+            is_loaded: false,
         }
     }
 
-    /// What its clock shows at a time of the model.
+    /// The time on this process's clock at a time of the simulation.
     pub(super) fn clock(&self, at: u64) -> MonotonicTime {
         MonotonicTime(at.saturating_sub(self.started_at))
     }
@@ -70,18 +75,18 @@
     }
 
     pub(super) fn step_controllers(&mut self) {
-        for index in 0..CONTROLLERS {
+        for index in 0..CONTROLLER_COUNT {
             if self.now < self.controllers[index].frozen_until {
                 continue;
             }
-            if self.now >= self.controllers[index].next_election_step {
+            if self.now >= self.controllers[index].next_election_step_at {
                 self.step_election(index);
             }
-            self.read(index);
+            self.read_live_jobs(index);
         }
     }
 
-    /// One controller renews its lease, or looks at the leader key and stands for election.
+    /// A controller renews its lease, or reads the leader's key and stands for election if there is none.
     fn step_election(&mut self, index: usize) {
         let served = self.is_served(index);
         let controller = &mut self.controllers[index];
@@ -93,7 +98,7 @@
         }
         match controller.election.lease() {
             Some(leader_lease) => self.renew(index, leader_lease.id, served),
-            None => self.stand(index, served),
+            None => self.stand_for_election(index, served),
         }
     }
 
@@ -101,31 +106,31 @@
         let now = self.now;
         let controller = &mut self.controllers[index];
         if !served {
-            controller.next_election_step = now + RENEWAL_BACKOFF;
-            self.ask_for_pledges(index);
+            controller.next_election_step_at = now + RENEWAL_RETRY_INTERVAL_MS;
+            self.request_pledges(index);
             return;
         }
-        controller.next_election_step = now + RENEWAL_INTERVAL;
-        let asked_at = controller.clock(now.saturating_sub(ROUND_TRIP));
+        controller.next_election_step_at = now + RENEWAL_INTERVAL_MS;
+        let requested_at = controller.clock(now.saturating_sub(ROUND_TRIP_MS));
         match self.leases.get_mut(&lease.0) {
             Some(end) => {
-                *end = (*end).max(now + LEADER_LEASE_TTL);
-                controller.election.renewed(asked_at);
+                *end = (*end).max(now + LEADER_LEASE_TTL_MS);
+                controller.election.renewed(requested_at);
             }
             None => controller.election.step_down(),
         }
     }
 
-    fn stand(&mut self, index: usize, served: bool) {
+    fn stand_for_election(&mut self, index: usize, served: bool) {
         let now = self.now;
         let controller = &mut self.controllers[index];
-        controller.next_election_step = now + ELECTION_INTERVAL;
+        controller.next_election_step_at = now + ELECTION_INTERVAL_MS;
         if !served {
             return;
         }
-        let asked_at = controller.clock(now.saturating_sub(ROUND_TRIP));
+        let requested_at = controller.clock(now.saturating_sub(ROUND_TRIP_MS));
         match self.leader_key {
-            // An earlier process here led.
+            // An earlier process of this controller led, so its lease is revoked.
             Some(LeaderKey { controller: holder, lease }) if holder == index => {
                 self.leases.remove(&lease);
                 self.leader_key = None;
@@ -135,33 +140,33 @@
             None if controller.election.can_stand_for_election(controller.clock(now), self.revision > 1) => {
                 self.revision += 1;
                 let lease = self.revision;
-                self.leases.insert(lease, now + LEADER_LEASE_TTL);
+                self.leases.insert(lease, now + LEADER_LEASE_TTL_MS);
                 self.leader_key = Some(LeaderKey { controller: index, lease });
-                controller.election.elected(Term(lease), LeaseId(lease), asked_at);
-                controller.loaded = false;
-                controller.next_read = now + 200;
+                controller.election.elected(Term(lease), LeaseId(lease), requested_at);
+                controller.is_loaded = false;
+                controller.next_read_at = now + 200;
             }
             None => {}
         }
     }
 
-    /// The leader reads the live jobs, and so learns which are cancelled.
-    fn read(&mut self, index: usize) {
+    /// The leader reads the live jobs, from which it learns which ones are cancelled.
+    fn read_live_jobs(&mut self, index: usize) {
         let served = self.is_served(index);
         let now = self.now;
         let controller = &mut self.controllers[index];
-        let may_read = now >= controller.next_read && now >= controller.watch_stalled_until && served;
+        let may_read = now >= controller.next_read_at && now >= controller.watch_stalled_until && served;
         if controller.election.lease().is_none() || !may_read {
             return;
         }
-        if !controller.loaded {
+        if !controller.is_loaded {
             controller.known_cancelled.clear();
         }
         controller.known_cancelled.extend(self.cancelled.keys());
-        controller.loaded = true;
-        controller.next_read = now + 300;
-        let asked_at = controller.clock(now.saturating_sub(300));
+        controller.is_loaded = true;
+        controller.next_read_at = now + 300;
+        let requested_at = controller.clock(now.saturating_sub(300));
         let clock = controller.clock(now);
-        controller.election.live_jobs_read(asked_at, clock, Revision(self.revision));
+        controller.election.live_jobs_read(requested_at, clock, Revision(self.revision));
     }
 }
--- a/src/core/election_simulation/faults.rs
+++ b/src/core/election_simulation/faults.rs
@@ -1,4 +1,5 @@
-//! What goes wrong in the model: refusals, outages, cuts, freezes and restarts.
+//! Fault injection: refused requests, outages of the store, partitions, stalled watches, suspended processes and
+//! restarts.
 
 use super::*;
 
@@ -9,40 +10,41 @@
 
     pub(super) fn inject_faults(&mut self) {
         let now = self.now;
-        let some = self.rng.random_range(0..CONTROLLERS);
-        let leader = self.leader().unwrap_or(some);
+        let random_index = self.rng.random_range(0..CONTROLLER_COUNT);
+        let leader_index = self.leader().unwrap_or(random_index);
         if self.chance(0.004) {
-            self.refuse_one(leader, some);
+            self.refuse_one_controller(leader_index, random_index);
         }
         let refused_alone = self.is_any_controller_refused();
         if now > self.outage_until + 5_000 && self.chance(if refused_alone { 0.03 } else { 0.001 }) {
             self.outage_until = now + self.rng.random_range(2_000..60_000);
         }
         if self.chance(0.0015) {
-            let stalled = if self.chance(0.7) { leader } else { some };
-            self.controllers[stalled].watch_stalled_until = now + self.rng.random_range(1_000..60_000);
+            let stalled_index = if self.chance(0.7) { leader_index } else { random_index };
+            self.controllers[stalled_index].watch_stalled_until = now + self.rng.random_range(1_000..60_000);
         }
         if self.chance(0.001) {
-            self.controllers[some].frozen_until = now + self.rng.random_range(500..30_000);
+            self.controllers[random_index].frozen_until = now + self.rng.random_range(500..30_000);
         }
-        // While one is refused, those that have confirmed cancellations to users end as well.
+        // Restarts are more frequent while the store refuses a controller: the others then confirm cancellations that the
+        // refused one can't read, and a restarted process has no record of those that its predecessor confirmed.
         let outage = now < self.outage_until;
         if self.chance(if refused_alone && !outage { 0.012 } else { 0.001 }) {
-            self.restart(some);
+            self.restart(random_index);
         }
     }
 
-    /// The store refuses one controller alone, mostly the leader, and often refuses all soon after.
-    fn refuse_one(&mut self, leader: usize, some: usize) {
-        let refused = if self.chance(0.8) { leader } else { some };
-        self.controllers[refused].refused_until = self.now + self.rng.random_range(1_000..20_000);
+    /// The store starts to refuse a single controller, usually the leader. An outage for all often follows soon.
+    fn refuse_one_controller(&mut self, leader_index: usize, random_index: usize) {
+        let refused_index = if self.chance(0.8) { leader_index } else { random_index };
+        self.controllers[refused_index].refused_until = self.now + self.rng.random_range(1_000..20_000);
         if self.chance(0.2) {
-            // Workers and users still reach it.
-            self.controllers[refused].cut_until = self.controllers[refused].refused_until;
+            // The controller loses its peers as well; workers and users still reach it.
+            self.controllers[refused_index].partitioned_until = self.controllers[refused_index].refused_until;
         }
     }
 
-    /// A controller ends; another process is there soon after, at times at once.
+    /// A controller's process ends, and a new one starts in the next step or up to 3 s later.
     fn restart(&mut self, index: usize) {
         let started_at = self.now + if self.chance(0.7) { 50 } else { self.rng.random_range(50..3_000) };
         let mut restarted = Controller::started_at(started_at);
--- a/src/core/election_simulation/mail.rs
+++ b/src/core/election_simulation/mail.rs
@@ -1,40 +1,40 @@
-//! Answers on their way: pledges to a leader, and the store's answers to cancellations.
+//! Messages with a delay: the followers' pledges to a leader, and the store's answers to cancellations.
 
 use super::*;
 
-/// What a follower pledges: for how long, and the cancellations that its users know of.
+/// A follower's pledge: its duration, and the cancellations confirmed to users that the leader can't have read.
 type Pledge = (Millis, Vec<JobId>);
 
-/// The followers' answers to a leader that asks for pledges.
+/// The followers' answers to a leader that has requested pledges.
 pub(super) struct PledgeAnswer {
     due_at: u64,
     leader: usize,
-    /// When the process that has asked began.
+    /// When the requesting process started.
     started_at: u64,
-    asked_at: u64,
+    requested_at: u64,
     pledges: Vec<Option<Pledge>>,
 }
 
-/// The store's answer to a controller that has cancelled a job, or asked about a cancelled one, for a user.
+/// The store's answer to a controller that has cancelled a job, or read a cancelled one, for a user.
 pub(super) struct CancellationAnswer {
     due_at: u64,
     controller: usize,
-    /// When the process that has asked began.
+    /// When the requesting process started.
     started_at: u64,
     job: JobId,
     revision: u64,
 }
 
 impl ElectionSimulation {
-    pub(super) fn ask_for_pledges(&mut self, index: usize) {
+    pub(super) fn request_pledges(&mut self, index: usize) {
         let leader = &self.controllers[index];
-        let Some(leader_lease) = leader.election.lease().filter(|_| leader.loaded) else { return };
-        let (leader_cut_until, started_at) = (leader.cut_until, leader.started_at);
+        let Some(leader_lease) = leader.election.lease().filter(|_| leader.is_loaded) else { return };
+        let (leader_partitioned_until, started_at) = (leader.partitioned_until, leader.started_at);
         let mut pledges = Vec::new();
-        for peer in (0..CONTROLLERS).filter(|peer| *peer != index) {
+        for peer in (0..CONTROLLER_COUNT).filter(|peer| *peer != index) {
             let follower = &mut self.controllers[peer];
-            let cut = self.now < leader_cut_until.max(follower.cut_until);
-            let lost = cut || self.rng.random::<f64>() < 0.02;
+            let partitioned = self.now < leader_partitioned_until.max(follower.partitioned_until);
+            let lost = partitioned || self.rng.random::<f64>() < 0.02;
             let clock = follower.clock(self.now);
             let (term, read_through) = (leader_lease.term, leader_lease.read_through);
             let pledge = follower.election.pledge_to(clock, term, read_through, &follower.cancellations);
@@ -42,12 +42,12 @@
             pledges.push(pledge.ok().filter(|_| arrives).map(|pledge| (pledge.span, pledge.cancelled)));
         }
         let due_at = self.now + self.rng.random_range(1..700);
-        self.pledge_answers.push(PledgeAnswer { due_at, leader: index, started_at, asked_at: self.now, pledges });
+        self.pledge_answers.push(PledgeAnswer { due_at, leader: index, started_at, requested_at: self.now, pledges });
     }
 
-    /// A user cancels a job, or asks about one that is, at a controller that is served.
+    /// A user cancels a job, or polls a cancelled one, through a controller that the store serves.
     pub(super) fn cancel_as_user(&mut self) {
-        let index = self.rng.random_range(0..CONTROLLERS);
+        let index = self.rng.random_range(0..CONTROLLER_COUNT);
         if !self.is_served(index) || self.now < self.controllers[index].frozen_until {
             return;
         }
@@ -58,7 +58,7 @@
         self.cancellation_answers.push(CancellationAnswer { due_at, controller: index, started_at, job, revision });
     }
 
-    pub(super) fn deliver(&mut self) {
+    pub(super) fn deliver_answers(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pledge_answers).into_iter().partition(|answer| answer.due_at <= now);
@@ -76,19 +76,20 @@
             return;
         }
         let known_before = controller.known_cancelled.len();
-        let carried = answer.pledges.iter().flatten().flat_map(|(_, jobs)| jobs.iter().copied());
-        controller.known_cancelled.extend(carried);
-        self.carried_count += (controller.known_cancelled.len() - known_before) as u64;
-        let spans: Option<Vec<Millis>> =
-            answer.pledges.iter().map(|pledge| pledge.as_ref().map(|(span, _)| *span)).collect();
-        if let Some(shortest) = spans.and_then(|spans| spans.into_iter().min()) {
-            let asked_at = controller.clock(answer.asked_at);
-            controller.election.extend_on_pledges(asked_at, shortest);
+        let cancelled = answer.pledges.iter().flatten().flat_map(|(_, jobs)| jobs.iter().copied());
+        controller.known_cancelled.extend(cancelled);
+        self.learned_from_pledges_count += (controller.known_cancelled.len() - known_before) as u64;
+        let durations: Option<Vec<Millis>> =
+            answer.pledges.iter().map(|pledge| pledge.as_ref().map(|(duration, _)| *duration)).collect();
+        if let Some(shortest) = durations.and_then(|durations| durations.into_iter().min()) {
+            let requested_at = controller.clock(answer.requested_at);
+            controller.election.extend_on_pledges(requested_at, shortest);
             self.extension_count += 1;
         }
     }
 
-    /// The user learns that the job is cancelled, if the process that was asked is still there.
+    /// The controller confirms the cancellation to the user, unless its process has been restarted since the request or
+    /// is suspended.
     fn deliver_cancellation(&mut self, answer: &CancellationAnswer) {
         let controller = &mut self.controllers[answer.controller];
         if controller.started_at != answer.started_at || self.now < controller.frozen_until {
--- a/src/core/election_simulation/mod.rs
+++ b/src/core/election_simulation/mod.rs
@@ -1,9 +1,10 @@
-//! Several controllers that stand for election, extend the leader's lease on pledges and pass on
-//! cancellations, against a slow plain model of the key-value store, the users and one worker for each
-//! job. It checks at every step that at most one of them has an active term, and that a cancelled task is
-//! gone in time.
+//! Simulation of the leader election: several controllers stand for election, extend the leader's lease on
+//! pledges and send cancellations along with them, against a simple model of the key-value store, the users and
+//! one worker for each job. After every step it checks that at most one controller has an active term, and that
+//! the tasks of cancelled jobs end in time.
 //!
-//! A history is a function of its seed: each random draw is made in the order of the code.
+//! A run depends on its seed only. Random numbers are drawn in the order of the code, so reordering code that
+//! draws them changes the runs.
 
 mod checks;
 mod controllers;
@@ -24,56 +25,56 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds of simulated time between two steps.
-const STEP_INTERVAL: u64 = 50;
-/// Milliseconds that the leader's lease lasts in the store (`leader_lease_ttl`).
-const LEADER_LEASE_TTL: u64 = 3_500;
-/// Milliseconds that a worker's lease lasts (`lease_s`).
-const WORKER_LEASE: u64 = 10_000;
-/// Milliseconds within which a cancelled task must be gone (`cancel_s`).
-const CANCELLATION_TIMEOUT: u64 = 30_000;
-const CONTROLLERS: usize = 4;
-const JOBS: usize = 60;
+/// Simulated time between two steps.
+const STEP_INTERVAL_MS: u64 = 50;
+/// Time to live of the leader's lease in the store (`leader_lease_ttl`).
+const LEADER_LEASE_TTL_MS: u64 = 3_500;
+/// Time to live of a worker's lease (`lease_s`).
+const WORKER_LEASE_TTL_MS: u64 = 10_000;
+/// Time within which the task of a cancelled job must have ended (`cancel_s`).
+const CANCELLATION_LIMIT_MS: u64 = 30_000;
+const CONTROLLER_COUNT: usize = 4;
+const JOB_COUNT: usize = 60;
 
-/// Who holds the leader key, under which lease.
+/// The controller that owns the leader's key, and the lease that the key is attached to.
 #[derive(Clone, Copy)]
 struct LeaderKey {
     controller: usize,
     lease: u64,
 }
 
-/// The whole model. All times are milliseconds since the history began.
+/// The state of the simulation. All times are milliseconds since its start.
 struct ElectionSimulation {
     rng: StdRng,
     now: u64,
     /// The store's latest revision.
     revision: u64,
     leader_key: Option<LeaderKey>,
-    /// The store's leases and when they end.
+    /// The leases in the store, with the time when each ends.
     leases: BTreeMap<u64, u64>,
-    /// The store refuses everybody until then.
+    /// The store refuses all requests until this time.
     outage_until: u64,
     controllers: Vec<Controller>,
     workers: Vec<Worker>,
-    /// The cancellations in the store, and their revisions.
+    /// The cancelled jobs in the store, with the revision of each cancellation.
     cancelled: BTreeMap<JobId, u64>,
-    /// Cancellations that are committed, and whose answer is on its way to a controller.
+    /// The store's answers to cancellations that have not yet arrived at the controller.
     cancellation_answers: Vec<CancellationAnswer>,
-    /// The jobs whose users know that they are cancelled, and since when.
+    /// The jobs whose cancellation was confirmed to a user, with the time of the first confirmation.
     confirmed: BTreeMap<JobId, u64>,
     pledge_answers: Vec<PledgeAnswer>,
-    /// How often a lease was extended on pledges.
+    /// How many times a leader's lease was extended on pledges.
     extension_count: u64,
-    /// How many cancellations a leader learned from pledges alone.
-    carried_count: u64,
-    /// The latest term that any controller has had active.
+    /// How many cancellations a leader has learned from pledges and had not read from the store before.
+    learned_from_pledges_count: u64,
+    /// The highest term that has been active.
     last_active_term: u64,
 }
 
 impl ElectionSimulation {
     fn new(seed: u64) -> ElectionSimulation {
         let mut rng = StdRng::seed_from_u64(seed);
-        let workers = (0..JOBS).map(|number| Worker::new(number, &mut rng)).collect();
+        let workers = (0..JOB_COUNT).map(|number| Worker::new(number, &mut rng)).collect();
         ElectionSimulation {
             rng,
             now: 0,
@@ -81,32 +82,32 @@
             leader_key: None,
             leases: BTreeMap::new(),
             outage_until: 0,
-            controllers: (0..CONTROLLERS).map(|_| Controller::started_at(0)).collect(),
+            controllers: (0..CONTROLLER_COUNT).map(|_| Controller::started_at(0)).collect(),
             workers,
             cancelled: BTreeMap::new(),
             cancellation_answers: Vec::new(),
             confirmed: BTreeMap::new(),
             pledge_answers: Vec::new(),
             extension_count: 0,
-            carried_count: 0,
+            learned_from_pledges_count: 0,
             last_active_term: 0,
         }
     }
 
     fn run(&mut self, duration_s: u64) {
         while self.now < duration_s * 1_000 {
-            self.now += STEP_INTERVAL;
+            self.now += STEP_INTERVAL_MS;
             self.step_leases();
             self.inject_faults();
-            // Few at ordinary times, many while a controller is refused.
+            // Cancellations are more frequent while the store refuses a controller, as they may then be missed.
             let probability = if self.is_any_controller_refused() { 0.1 } else { 0.02 };
             if self.chance(probability) {
                 self.cancel_as_user();
             }
-            self.deliver();
+            self.deliver_answers();
             self.step_controllers();
             self.step_workers();
-            self.check();
+            self.check_invariants();
         }
     }
 }
--- a/src/core/election_simulation/store.rs
+++ b/src/core/election_simulation/store.rs
@@ -1,4 +1,4 @@
-//! The key-value store of the model: leases, the leader key and the cancellations.
+//! The simulated key-value store: leases, the leader's key and the cancellations.
 
 use super::*;
 
@@ -6,9 +6,9 @@
     pub(super) fn step_leases(&mut self) {
         let now = self.now;
         if now < self.outage_until {
-            // After an outage all leases regain their full time.
-            let regained = self.outage_until + LEADER_LEASE_TTL;
-            self.leases.values_mut().for_each(|end| *end = (*end).max(regained));
+            // After an outage, every lease has its full time to live again.
+            let earliest_end = self.outage_until + LEADER_LEASE_TTL_MS;
+            self.leases.values_mut().for_each(|end| *end = (*end).max(earliest_end));
             return;
         }
         self.leases.retain(|_, end| *end > now);
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The revision at which the job was cancelled: now, or before.
+    /// Cancels the job unless it is cancelled already. Returns the revision of the cancellation.
     pub(super) fn commit_cancellation(&mut self, job: JobId) -> u64 {
         if let Some(revision) = self.cancelled.get(&job) {
             return *revision;
--- a/src/core/election_simulation/tests.rs
+++ b/src/core/election_simulation/tests.rs
@@ -1,20 +1,21 @@
-//! Random histories.
+//! Runs of the simulation with many seeds.
 
 use super::*;
 
 #[test]
-fn election_simulation_has_one_active_term_and_no_cancelled_task_outlives_its_time() {
-    let (mut extended, mut carried, mut confirmed) = (0, 0, 0);
+fn election_simulation_has_one_active_term_and_cancelled_tasks_end_in_time() {
+    let (mut extended, mut learned, mut confirmed) = (0, 0, 0);
     for seed in 0..200 {
         let mut simulation = ElectionSimulation::new(seed);
         simulation.run(100);
         extended += simulation.extension_count;
-        carried += simulation.carried_count;
+        learned += simulation.learned_from_pledges_count;
         confirmed += simulation.confirmed.len();
     }
-    // The histories are worth something only if leaders extend their leases, and learn what they couldn't read.
+    // Guards against a simulation that doesn't exercise the protocol: leaders must have extended their leases and
+    // learned cancellations from pledges.
     assert!(
-        extended > 1_000 && carried > 100 && confirmed > 1_000,
-        "extended={extended} carried={carried} confirmed={confirmed}"
+        extended > 1_000 && learned > 100 && confirmed > 1_000,
+        "extended={extended} learned={learned} confirmed={confirmed}"
     );
 }
--- a/src/core/election_simulation/workers.rs
+++ b/src/core/election_simulation/workers.rs
@@ -1,31 +1,33 @@
-//! The workers of the model, each with the task of one job.
+//! The simulated workers, each with the task of one job.
 
 use super::*;
 
-const HEARTBEAT_INTERVAL: u64 = 1_500;
-/// Before a worker that got no answer tries the next controller.
-const HEARTBEAT_BACKOFF: u64 = 1_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
+/// Time after which a worker that got no answer tries the next controller.
+const HEARTBEAT_RETRY_INTERVAL_MS: u64 = 1_000;
 
 pub(super) struct Worker {
     pub(super) job: JobId,
-    /// The controller that it sends its heartbeats to.
+    /// The controller to which this worker sends its heartbeats.
     controller: usize,
-    token: u64,
-    /// When the latest heartbeat that was answered was sent; the lease counts from there.
+    /// The highest term under which a heartbeat was answered; answers of lower terms are ignored.
+    fencing_token: u64,
+    /// When the latest answered heartbeat was sent; the worker's lease counts from there.
     lease_renewed_at: u64,
-    next_heartbeat: u64,
-    pub(super) runs: bool,
+    next_heartbeat_at: u64,
+    /// The task is still running.
+    pub(super) is_running: bool,
 }
 
 impl Worker {
     pub(super) fn new(number: usize, rng: &mut StdRng) -> Worker {
         Worker {
             job: JobId::parse(&format!("req-{number:06}")).unwrap(),
-            controller: rng.random_range(0..CONTROLLERS),
-            token: 0,
+            controller: rng.random_range(0..CONTROLLER_COUNT),
+            fencing_token: 0,
             lease_renewed_at: 0,
-            next_heartbeat: rng.random_range(0..HEARTBEAT_INTERVAL),
-            runs: true,
+            next_heartbeat_at: rng.random_range(0..HEARTBEAT_INTERVAL_MS),
+            is_running: true,
         }
     }
 }
@@ -41,26 +43,26 @@
     fn step_worker(&mut self, index: usize, answer_lost: bool) {
         let now = self.now;
         let worker = &mut self.workers[index];
-        if now - worker.lease_renewed_at > WORKER_LEASE {
-            worker.runs = false;
+        if now - worker.lease_renewed_at > WORKER_LEASE_TTL_MS {
+            worker.is_running = false;
         }
-        if now < worker.next_heartbeat {
+        if now < worker.next_heartbeat_at {
             return;
         }
-        worker.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         let controller = &self.controllers[worker.controller];
-        let answers = controller.loaded && now >= controller.frozen_until;
+        let answers = controller.is_loaded && now >= controller.frozen_until;
         match controller.active_term(now).filter(|_| answers) {
-            Some(term) if term.0 >= worker.token => {
+            Some(term) if term.0 >= worker.fencing_token => {
                 if !answer_lost {
-                    worker.token = term.0;
+                    worker.fencing_token = term.0;
                     worker.lease_renewed_at = now;
-                    worker.runs &= !controller.known_cancelled.contains(&worker.job);
+                    worker.is_running &= !controller.known_cancelled.contains(&worker.job);
                 }
             }
             _ => {
-                worker.controller = (worker.controller + 1) % CONTROLLERS;
-                worker.next_heartbeat = now + HEARTBEAT_BACKOFF;
+                worker.controller = (worker.controller + 1) % CONTROLLER_COUNT;
+                worker.next_heartbeat_at = now + HEARTBEAT_RETRY_INTERVAL_MS;
             }
         }
     }
