--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -155,7 +155,7 @@
     }
 
     /// Whether the last request to the store was refused or not answered.
-    pub fn is_refused_by_store(&self) -> bool {
+    pub fn is_store_unavailable(&self) -> bool {
         self.store_unavailable
     }
 
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -37,7 +37,7 @@
     let mut response = PeerHeartbeatResponse {
         version: VERSION,
         redirected,
-        store_ok: !state.election.is_refused_by_store(),
+        store_ok: !state.election.is_store_unavailable(),
         ..Default::default()
     };
     if heartbeat.asks_extension {
