--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pledge {
     /// How long the follower will not stand for election.
-    pub span: Millis,
+    pub duration: Millis,
     /// Cancellations that the follower has confirmed to users and that the leader can't have read.
     pub cancelled: Vec<JobId>,
 }
@@ -271,7 +271,7 @@
         }
         let cancelled = confirmed.since(read_through).ok_or(PledgeRefusal::CancellationsUnknown)?;
         self.pledged_until = self.pledged_until.max(now + self.pledge_duration.plus_clock_drift());
-        Ok(Pledge { span: self.pledge_duration, cancelled })
+        Ok(Pledge { duration: self.pledge_duration, cancelled })
     }
 }
 
--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -50,7 +50,7 @@
     follower.candidacy_sent();
     assert_eq!(request_pledge(&mut follower), Err(PledgeRefusal::CandidacyPending), "the store may still commit it");
     follower.candidacy_settled();
-    let duration = request_pledge(&mut follower).unwrap().span;
+    let duration = request_pledge(&mut follower).unwrap().duration;
     assert!(duration > Millis(0));
     assert!(
         !follower.can_stand_for_election(MonotonicTime(20_000) + duration, true),
--- a/src/core/election_simulation/mail.rs
+++ b/src/core/election_simulation/mail.rs
@@ -39,7 +39,7 @@
             let (term, read_through) = (leader_lease.term, leader_lease.read_through);
             let pledge = follower.election.pledge_to(clock, term, read_through, &follower.cancellations);
             let arrives = !lost && self.now >= follower.frozen_until;
-            pledges.push(pledge.ok().filter(|_| arrives).map(|pledge| (pledge.span, pledge.cancelled)));
+            pledges.push(pledge.ok().filter(|_| arrives).map(|pledge| (pledge.duration, pledge.cancelled)));
         }
         let due_at = self.now + self.rng.random_range(1..700);
         self.pledge_answers.push(PledgeAnswer { due_at, leader: index, started_at, requested_at: self.now, pledges });
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -320,7 +320,7 @@
         pledge.cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
     }
     // A missing pledge counts as one of no duration. A controller without peers doesn't extend its lease.
-    let duration = |pledge: &Option<Pledge>| pledge.as_ref().map_or(Millis(0), |pledge| pledge.span);
+    let duration = |pledge: &Option<Pledge>| pledge.as_ref().map_or(Millis(0), |pledge| pledge.duration);
     let shortest = pledges.iter().map(duration).min().unwrap_or_default();
     let extended = shortest > Millis(0);
     if extended {
@@ -333,6 +333,6 @@
 
 /// A peer's pledge. `None` if the peer doesn't pledge or the names of its cancelled jobs can't be parsed.
 fn parse_pledge(answer: &PeerHeartbeatResponse) -> Option<Pledge> {
-    let span = Some(Millis(answer.pledge_ms)).filter(|span| *span > Millis(0))?;
-    Some(Pledge { span, cancelled: peers::parse_job_ids(&answer.cancelled)? })
+    let duration = Some(Millis(answer.pledge_ms)).filter(|duration| *duration > Millis(0))?;
+    Some(Pledge { duration, cancelled: peers::parse_job_ids(&answer.cancelled)? })
 }
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -62,7 +62,7 @@
 fn pledge(state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat, response: &mut PeerHeartbeatResponse) {
     let (term, read_through) = (Term(heartbeat.term), Revision(heartbeat.read_through));
     if let Ok(pledge) = state.election.pledge_to(now, term, read_through, &state.cancellations) {
-        response.pledge_ms = pledge.span.0;
+        response.pledge_ms = pledge.duration.0;
         response.cancelled = pledge.cancelled.iter().map(JobId::to_string).collect();
     }
 }
