--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -44,7 +44,7 @@
         heartbeat.counts = scheduler.counts();
         (heartbeat.suspected, machines) = scheduler.suspected_machines(now);
     }
-    state.take_counts(&heartbeat.counts);
+    state.set_live_job_counts(&heartbeat.counts);
     (heartbeat, machines)
 }
 
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -68,7 +68,7 @@
     /// Jobs that were found not to depend on a cancelled job, with the time of the check.
     pub dependency_check_cache: DependencyCheckCache,
     /// The leader's latest task counts of its live jobs, shown to users that poll a job.
-    pub counts: HashMap<JobId, JobCount>,
+    pub live_job_counts: HashMap<JobId, JobCount>,
     /// The number of user requests in progress.
     pub user_requests: usize,
     /// Whether the store serves this controller, and what the peers report about the store and the leader.
@@ -103,7 +103,7 @@
             outcomes: OutcomeCache::default(),
             cancellations: Cancellations::default(),
             dependency_check_cache: DependencyCheckCache::default(),
-            counts: HashMap::new(),
+            live_job_counts: HashMap::new(),
             user_requests: 0,
             store_health: StoreHealth::default(),
             redirected_workers: RedirectedWorkers::default(),
@@ -119,8 +119,9 @@
     }
 
     /// Replaces the task counts of live jobs by those that the leader has sent.
-    pub fn take_counts(&mut self, counts: &[JobCount]) {
-        self.counts = counts.iter().filter_map(|count| Some((JobId::parse(&count.job)?, count.clone()))).collect();
+    pub fn set_live_job_counts(&mut self, counts: &[JobCount]) {
+        self.live_job_counts =
+            counts.iter().filter_map(|count| Some((JobId::parse(&count.job)?, count.clone()))).collect();
     }
 }
 
--- a/src/net/user_api/polls.rs
+++ b/src/net/user_api/polls.rs
@@ -46,7 +46,7 @@
     match dependency_check::depends_on_cancelled(node, id, &row).await {
         Ok(false) => {
             let inner = node.lock();
-            let (done, running) = inner.counts.get(id).map_or((0, 0), |count| (count.done, count.running));
+            let (done, running) = inner.live_job_counts.get(id).map_or((0, 0), |count| (count.done, count.running));
             Reply::live(id, done, running)
         }
         Ok(true) => cancel(node, id, row).await,
