--- a/src/net/leader_loop/machine_types.rs
+++ b/src/net/leader_loop/machine_types.rs
@@ -19,13 +19,13 @@
         if let Ok(Some(row)) = row {
             match serde_json::from_value::<Vec<MachineType>>(row.value) {
                 Ok(types) if !types.is_empty() => {
-                    node.lock().types = Some(types);
+                    node.lock().machine_types = Some(types);
                     return;
                 }
                 _ => warn!("stored machine types are empty or can't be decoded: key={MACHINE_TYPES_KEY}"),
             }
         }
-        if node.lock().types.is_some() {
+        if node.lock().machine_types.is_some() {
             return;
         }
         tokio::time::sleep(STORE_POLL_INTERVAL.to_std()).await;
@@ -36,7 +36,7 @@
 /// are stored for the other controllers.
 pub(super) async fn for_leader(node: &Arc<Node>) -> Vec<MachineType> {
     loop {
-        if let Some(types) = node.lock().types.clone() {
+        if let Some(types) = node.lock().machine_types.clone() {
             return types;
         }
         if let Ok(types) = node.cloud.types(&node.http, node.now()).await
@@ -48,7 +48,7 @@
             };
             // If this write fails, this leader still knows the machine types; a later leader requests them again.
             let _ = node.commit(&transaction).await;
-            node.lock().types = Some(types);
+            node.lock().machine_types = Some(types);
             continue;
         }
         tokio::time::sleep(CLOUD_RETRY_BACKOFF.to_std()).await;
--- a/src/net/loopback/dependencies.rs
+++ b/src/net/loopback/dependencies.rs
@@ -16,7 +16,7 @@
     let pair = pair(cluster).await;
     for (node, _) in &pair {
         let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud names its types");
-        node.lock().types = Some(types);
+        node.lock().machine_types = Some(types);
     }
     pair
 }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -60,7 +60,7 @@
     /// The name of the leader, as last read from the store.
     pub leader_name: Option<String>,
     /// The machine types that the cloud offers, once known.
-    pub types: Option<Vec<MachineType>>,
+    pub machine_types: Option<Vec<MachineType>>,
     /// Outcomes of jobs that are known to have ended.
     pub outcomes: OutcomeCache,
     /// The cancellations that this process has confirmed to users.
@@ -99,7 +99,7 @@
             election: Election::new(settings.leader_lease_ttl(), settings.reading_validity()),
             scheduler: None,
             leader_name: None,
-            types: None,
+            machine_types: None,
             outcomes: OutcomeCache::default(),
             cancellations: Cancellations::default(),
             dependency_check_cache: DependencyCheckCache::default(),
--- a/src/net/user_api/health.rs
+++ b/src/net/user_api/health.rs
@@ -7,5 +7,5 @@
 pub fn is_healthy(node: &Node) -> bool {
     let now = node.now();
     let state = node.lock();
-    state.types.is_some() && !state.store_health.is_isolated(now)
+    state.machine_types.is_some() && !state.store_health.is_isolated(now)
 }
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -81,7 +81,7 @@
 /// Checks a submission whose job isn't known to have ended.
 async fn accept(node: &Node, submission: Submission) -> Result<Accepted, NotAccepted> {
     let Submission { spec, depends_on } = submission;
-    let types = node.lock().types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
+    let types = node.lock().machine_types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
     check_satisfiable(&spec, &node.settings.cluster.teams, &types)?;
     let mut record = LiveRecord { at: node.wall_time(), spec, depends_on };
     // Checked with all dependencies, also those that are done and won't be stored.
