--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -62,7 +62,7 @@
 /// What the key-value store holds of a job, without a bound on the time. A job goes from live to terminal and
 /// never back, so reading in this order misses nothing.
 pub(super) async fn read(node: &Node, id: &JobId) -> Result<Found, ReadError> {
-    let known = node.lock().outcomes.get(id);
+    let known = node.lock().outcome_cache.get(id);
     if let Some(record) = known {
         return Ok(Found::Terminal(record));
     }
@@ -82,7 +82,7 @@
 /// its watch is late, and a leader that can't read the store learns of cancellations by pledges.
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut inner = node.lock();
-    inner.outcomes.put(id, record);
+    inner.outcome_cache.put(id, record);
     if record.phase == JobPhase::Aborted {
         inner.cancellations.tell(*id, revision);
     }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -62,7 +62,7 @@
     /// The machine types that the cloud offers, once known.
     pub machine_types: Option<Vec<MachineType>>,
     /// Outcomes of jobs that are known to have ended.
-    pub outcomes: OutcomeCache,
+    pub outcome_cache: OutcomeCache,
     /// The cancellations that this process has confirmed to users.
     pub cancellations: Cancellations,
     /// Jobs that were found not to depend on a cancelled job, with the time of the check.
@@ -100,7 +100,7 @@
             scheduler: None,
             leader_name: None,
             machine_types: None,
-            outcomes: OutcomeCache::default(),
+            outcome_cache: OutcomeCache::default(),
             cancellations: Cancellations::default(),
             dependency_check_cache: DependencyCheckCache::default(),
             live_job_counts: HashMap::new(),
--- a/src/net/user_api/polls.rs
+++ b/src/net/user_api/polls.rs
@@ -14,7 +14,7 @@
 /// cached here, or too many requests are under way.
 pub(super) fn admit_for_job<'a>(node: &'a Node, id: &str) -> Result<(JobId, Admission<'a>), Reply> {
     let id = JobId::parse(id).ok_or_else(Reply::no_such_job)?;
-    let outcome = node.lock().outcomes.get(&id);
+    let outcome = node.lock().outcome_cache.get(&id);
     if let Some(record) = outcome {
         return Err(Reply::terminal(&id, record));
     }
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -64,7 +64,7 @@
         Ok(parsed) => parsed,
         Err(error) => return SubmissionError::from(error).into(),
     };
-    let outcome = node.lock().outcomes.get(&id);
+    let outcome = node.lock().outcome_cache.get(&id);
     if let Some(record) = outcome {
         return Reply::terminal(&id, record);
     }
