--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -76,7 +76,7 @@
     /// Workers that have sent heartbeats here while another controller led.
     pub redirected_workers: RedirectedWorkers,
     /// Machines that the leader suspects of having failed, from its latest heartbeat.
-    pub suspected: HashSet<String>,
+    pub suspected_machines: HashSet<String>,
     /// While leading: the peer to which this controller hands over next.
     pub successor: Option<String>,
     /// Workers' heartbeats that wait to be relayed to the leader.
@@ -107,7 +107,7 @@
             user_requests: 0,
             store_health: StoreHealth::default(),
             redirected_workers: RedirectedWorkers::default(),
-            suspected: HashSet::new(),
+            suspected_machines: HashSet::new(),
             successor: None,
             heartbeat_relay: HeartbeatRelay::default(),
             bad_messages: RateLimitedLog::new(BAD_MESSAGES_LOG_INTERVAL),
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -50,7 +50,7 @@
 
 /// Takes in what a leader tells its peers.
 fn take_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
-    state.suspected = heartbeat.suspected.iter().cloned().collect();
+    state.suspected_machines = heartbeat.suspected.iter().cloned().collect();
     state.set_live_job_counts(&heartbeat.counts);
     state.heartbeat_relay.heard_leader(&heartbeat.from, Term(heartbeat.term), now);
     if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
