--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -14,17 +14,17 @@
     /// Admits a request, unless the limit of the tuning is reached.
     pub(super) fn request(node: &Node) -> Result<Admission<'_>, TooManyRequests> {
         let mut inner = node.lock();
-        if inner.user_requests >= node.tuning.user_requests as usize {
+        if inner.user_requests_in_progress >= node.tuning.user_requests as usize {
             return Err(TooManyRequests);
         }
-        inner.user_requests += 1;
+        inner.user_requests_in_progress += 1;
         Ok(Admission { node })
     }
 }
 
 impl Drop for Admission<'_> {
     fn drop(&mut self) {
-        self.node.lock().user_requests -= 1;
+        self.node.lock().user_requests_in_progress -= 1;
     }
 }
 
--- a/src/net/admission/tests.rs
+++ b/src/net/admission/tests.rs
@@ -12,5 +12,5 @@
     drop(first);
     assert!(Admission::request(&node).is_ok(), "one has ended");
     // A request that was refused, or has ended, doesn't count.
-    assert_eq!(node.lock().user_requests, 1);
+    assert_eq!(node.lock().user_requests_in_progress, 1);
 }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -70,7 +70,7 @@
     /// The leader's latest task counts of its live jobs, shown to users that poll a job.
     pub live_job_counts: HashMap<JobId, JobCount>,
     /// The number of user requests in progress.
-    pub user_requests: usize,
+    pub user_requests_in_progress: usize,
     /// Whether the store serves this controller, and what the peers report about the store and the leader.
     pub store_health: StoreHealth,
     /// Workers that have sent heartbeats here while another controller led.
@@ -104,7 +104,7 @@
             cancellations: Cancellations::default(),
             dependency_check_cache: DependencyCheckCache::default(),
             live_job_counts: HashMap::new(),
-            user_requests: 0,
+            user_requests_in_progress: 0,
             store_health: StoreHealth::default(),
             redirected_workers: RedirectedWorkers::default(),
             suspected_machines: HashSet::new(),
