--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -53,7 +53,7 @@
     node: &Node,
     reads: impl Future<Output = Result<T, ReadError>>,
 ) -> Result<T, ReadError> {
-    if node.store_unreachable() {
+    if node.is_store_unreachable() {
         return Err(ReadError::StoreUnreachable);
     }
     tokio::time::timeout(READ_TIMEOUT.to_std(), reads).await.unwrap_or(Err(ReadError::Timeout))
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -193,7 +193,7 @@
 
     /// Whether the store has not answered for so long that user requests should fail at once instead of waiting for
     /// it. The election keeps sending requests.
-    pub fn store_unreachable(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         let now = self.now();
         self.lock().store_health.is_unreachable(now)
     }
--- a/src/net/user_api/commit.rs
+++ b/src/net/user_api/commit.rs
@@ -24,7 +24,7 @@
 /// Commits, and returns the revision of the commit. Where the key-value store has too many requests, it is tried
 /// again for a short while only.
 pub(super) async fn commit(node: &Node, transaction: &Transaction) -> Result<Revision, CommitFailure> {
-    if node.store_unreachable() {
+    if node.is_store_unreachable() {
         return Err(CommitFailure::StoreUnreachable);
     }
     let mut attempts = 0;
