--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -327,7 +327,7 @@
         state.election.extend_on_pledges(requested_at, shortest);
     }
     drop(state);
-    leader_loop::perform_pending(node);
+    leader_loop::perform_pending_effects(node);
     extended
 }
 
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -27,7 +27,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub(super) use effects::perform;
+pub(super) use effects::perform_effect;
 pub use machine_types::{MACHINE_TYPES_KEY, learn_types};
 
 /// Does the leader's work for a term, until the future is aborted or this controller no longer leads for the term.
@@ -75,13 +75,13 @@
         (answer, term, effects)
     };
     for effect in effects {
-        tokio::spawn(perform(node.clone(), term, effect));
+        tokio::spawn(perform_effect(node.clone(), term, effect));
     }
     Some(answer)
 }
 
 /// Starts to perform the effects that the scheduler has requested and that have not been started.
-pub fn perform_pending(node: &Arc<Node>) {
+pub fn perform_pending_effects(node: &Arc<Node>) {
     step(node, InputKind::Result, |_| ());
 }
 
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -1,7 +1,7 @@
 //! Performs the scheduler's effects: orders to workers, writes to the store, requests for plans from peers, look-ups
 //! of job outcomes and requests to the cloud.
 
-use super::{notify_scheduler, perform_pending, step};
+use super::{notify_scheduler, perform_pending_effects, step};
 use crate::core::election::LEADER_KEY;
 use crate::core::scheduler::{CommitOutcome, Effect, OrdersResult, ProvisionOutcome};
 use crate::ids::{MachineId, Revision, Term};
@@ -22,7 +22,7 @@
 ///
 /// This process may have been suspended after the scheduler requested the effect. Orders, writes and requests to
 /// the cloud are therefore sent only if this controller may still act as leader of the term.
-pub(in crate::net) async fn perform(node: Arc<Node>, term: Term, effect: Effect) {
+pub(in crate::net) async fn perform_effect(node: Arc<Node>, term: Term, effect: Effect) {
     let now = node.now();
     let is_term_active = node.lock().election.active_term(now) == Some(term);
     match effect {
@@ -30,7 +30,7 @@
             let result =
                 if is_term_active { send_orders(&node, &endpoint, &body).await } else { OrdersResult::Unknown };
             notify_scheduler(&node, |scheduler, now| scheduler.on_orders_result(now, request, result));
-            perform_pending(&node);
+            perform_pending_effects(&node);
         }
         Effect::Commit { request, transaction } => {
             let result = match is_term_active {
@@ -38,12 +38,12 @@
                 false => CommitOutcome::Rejected,
             };
             notify_scheduler(&node, |scheduler, now| scheduler.on_committed(now, request, result));
-            perform_pending(&node);
+            perform_pending_effects(&node);
         }
         Effect::RefreshFence(transaction) => {
             let revision = refresh_fence(&node, &transaction).await;
             notify_scheduler(&node, |scheduler, now| scheduler.on_fence_refreshed(now, revision));
-            perform_pending(&node);
+            perform_pending_effects(&node);
         }
         Effect::Plan { node: peer, input } => {
             let plan = peers::ask_plan(&node, &peer, &input).await;
@@ -53,7 +53,7 @@
         Effect::LookUp(ids) => {
             let outcomes = linearizable_reads::outcomes(&node, &ids).await;
             notify_scheduler(&node, |scheduler, now| scheduler.on_looked_up(now, &outcomes));
-            perform_pending(&node);
+            perform_pending_effects(&node);
         }
         Effect::Provision(request) => {
             let result = match is_term_active {
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -1,6 +1,6 @@
 //! Watches the live jobs in the store: those newly accepted, and those that have ended or been cancelled by users.
 
-use super::{perform_pending, still_leads};
+use super::{perform_pending_effects, still_leads};
 use crate::core::records::{JobOutcome, LIVE_PREFIX};
 use crate::core::scheduler::Scheduler;
 use crate::ids::{JobId, Revision, Term};
@@ -45,7 +45,7 @@
                 tokio::time::sleep(WATCH_RETRY_BACKOFF.to_std()).await;
             }
         }
-        perform_pending(node);
+        perform_pending_effects(node);
     }
 }
 
--- a/src/net/loopback/leadership.rs
+++ b/src/net/loopback/leadership.rs
@@ -136,11 +136,11 @@
     let run = Order::Run { task: TaskId::parse("req-000001/0").unwrap(), attempt: Attempt(1) };
     let body = DirectOrders { token: FencingToken::new(Term(5), 0), agent_epoch: AgentEpoch(1), orders: vec![run] };
     let order = || Effect::Orders { request: RequestId(1), endpoint: endpoint.clone(), body: body.clone() };
-    leader_loop::perform(node.clone(), Term(5), order()).await;
+    leader_loop::perform_effect(node.clone(), Term(5), order()).await;
     assert!(cluster.lock().worker.orders.is_empty(), "it is no longer the leader");
     node.lock().election.elected(Term(6), LeaseId(7), node.now());
-    leader_loop::perform(node.clone(), Term(5), order()).await;
+    leader_loop::perform_effect(node.clone(), Term(5), order()).await;
     assert!(cluster.lock().worker.orders.is_empty(), "leader again, but for another term");
-    leader_loop::perform(node.clone(), Term(6), order()).await;
+    leader_loop::perform_effect(node.clone(), Term(6), order()).await;
     assert_eq!(cluster.lock().worker.orders.len(), 1);
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -62,7 +62,7 @@
             Route::Withdraw => {
                 let id = request.param::<String>("id").unwrap_or_default();
                 reply(response, user_api::withdraw(node, &id).await);
-                leader_loop::perform_pending(node);
+                leader_loop::perform_pending_effects(node);
             }
             Route::Heartbeat => {
                 // Unreadable, it is answered like any other that is not a heartbeat.
