--- a/src/main.rs
+++ b/src/main.rs
@@ -76,7 +76,7 @@
     runtime.block_on(async {
         let node = net::node::Node::new(settings, tuning);
         log::info!("starting {} on {}", node.settings.name, node.settings.listen);
-        tokio::spawn(net::leader_loop::learn_types(node.clone()));
+        tokio::spawn(net::leader_loop::poll_machine_types(node.clone()));
         tokio::spawn(net::election::run(node.clone()));
         tokio::spawn(net::heartbeat_relay::run(node.clone()));
         tokio::spawn(net::relay_routes::run(node.clone()));
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 pub(super) use effects::perform_effect;
-pub use machine_types::{MACHINE_TYPES_KEY, learn_types};
+pub use machine_types::{MACHINE_TYPES_KEY, poll_machine_types};
 
 /// Does the leader's work for a term, until the future is aborted or this controller no longer leads for the term.
 /// `net::election` renews the lease meanwhile.
--- a/src/net/leader_loop/machine_types.rs
+++ b/src/net/leader_loop/machine_types.rs
@@ -13,7 +13,7 @@
 const CLOUD_RETRY_BACKOFF: Millis = Millis(500);
 
 /// Polls the store for the machine types until this controller knows them.
-pub async fn learn_types(node: Arc<Node>) {
+pub async fn poll_machine_types(node: Arc<Node>) {
     loop {
         let row = node.track_store(node.kv.get(&node.http, MACHINE_TYPES_KEY)).await;
         if let Ok(Some(row)) = row {
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -146,7 +146,7 @@
 
 /// Lets a controller learn the machine types and stand for election.
 fn stand(node: &Arc<Node>) {
-    tokio::spawn(leader_loop::learn_types(node.clone()));
+    tokio::spawn(leader_loop::poll_machine_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
 }
 
