--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -1,9 +1,9 @@
 //! Leader election: who leads, and until when.
 //!
 //! The leader owns the key `ctl/leader`, which is attached to a lease of the key-value store; its term
-//! is the key's revision. The store never ends a lease before its time to live has passed, so no other
-//! controller can lead until one time to live after the leader sent its latest successful grant or
-//! renewal request. The leader stops acting at that moment.
+//! is the key's revision. Unless a lease is revoked, the store keeps it for its whole time to live, so no
+//! other controller can lead until one time to live after the leader sent its latest successful grant
+//! or renewal request. The leader stops acting at that moment.
 //!
 //! While the store is unavailable to the leader, the leader may extend its lease only if the store is
 //! unavailable to every peer too and every peer pledges not to stand for election. A pledge binds a
@@ -115,7 +115,7 @@
     read_ttl: Millis,
     pledge_duration: Millis,
     pledged_until: MonotonicTime,
-    /// A leader has named another controller as its successor, so this one doesn't stand for election before.
+    /// A leader has named another controller as its successor, so this one doesn't stand for election until then.
     backoff_until: MonotonicTime,
     candidacy_pending: bool,
     /// The last request to the store was refused or not answered.
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -225,8 +225,8 @@
             Err(e) => {
                 warn!("could not renew the leader lease: term={} error={e}", leader_lease.term);
                 // The store may serve other controllers, which may confirm cancellations that this one can't
-                // read. If the lease was extended last time, it served no peer; that is taken to hold until
-                // the peers have been asked again.
+                // read. If the latest extension succeeded, the store served no peer at that time; this is taken
+                // to hold until the peers have been asked again.
                 set_in_doubt(&mut node.lock(), !extended);
                 extended = extend_lease(node, leader_lease.term).await;
                 set_in_doubt(&mut node.lock(), !extended);
@@ -319,7 +319,7 @@
     for pledge in pledges.iter().flatten() {
         pledge.cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
     }
-    // A missing pledge counts as one of no duration. A controller without peers doesn't extend its lease.
+    // A missing pledge counts as a pledge of zero duration. A controller without peers doesn't extend its lease.
     let duration = |pledge: &Option<Pledge>| pledge.as_ref().map_or(Millis(0), |pledge| pledge.duration);
     let shortest = pledges.iter().map(duration).min().unwrap_or_default();
     let extended = shortest > Millis(0);
