--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -20,8 +20,9 @@
 
 /// Performs an effect that the scheduler of a term requested, and gives the scheduler the result.
 ///
-/// This process may have been suspended after the scheduler requested the effect. Orders, writes and requests to
-/// the cloud are therefore sent only if this controller may still act as leader of the term.
+/// This process may have been suspended after the scheduler requested the effect. Orders, commits and requests to
+/// the cloud are therefore sent only if this controller may still act as leader of the term. A refresh of the fence
+/// needs no such check, as its precondition names the key's revision.
 pub(in crate::net) async fn perform_effect(node: Arc<Node>, term: Term, effect: Effect) {
     let now = node.now();
     let is_term_active = node.lock().election.active_term(now) == Some(term);
