--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -78,7 +78,8 @@
         self.predecessor_held_key = false;
         let Some(own) = record.filter(|record| record.node == node.settings.name) else { return Next::Wait };
         // An earlier process of this controller led. Only one process runs at an address at a time, so its lease
-        // can be revoked. Candidacies and answers of it that arrive late are rejected, as their term is lower.
+        // can be revoked. If a candidacy of that process is committed late, its key is found here as well; answers of
+        // it that arrive late have a lower term than those of the next leader.
         info!("revoking the leader lease of an earlier process of this controller");
         let revoked = node.track_store(node.kv.revoke(&node.http, own.lease)).await;
         self.predecessor_held_key = revoked.is_ok();
