--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -107,7 +107,7 @@
 
 impl Scheduler {
     /// Starts a round: sends each controller the jobs of its shard's teams, and plans the leader's own share.
-    pub(super) fn round(&mut self, now: MonotonicTime, wall: WallTime) {
+    pub(super) fn start_round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.rounds.begin(now);
         // Before the view is taken, or the round would place other work on the capacity that these gangs wait for.
         self.reserve_for_large_gangs(now, wall);
--- a/src/core/scheduler/ticks.rs
+++ b/src/core/scheduler/ticks.rs
@@ -28,7 +28,7 @@
         self.consolidate_replicas(now);
         self.close_round(now);
         if self.rounds.is_due(now, interval) && !self.in_doubt {
-            self.round(now, wall);
+            self.start_round(now, wall);
         }
         self.flush_orders();
     }
