--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -11,7 +11,7 @@
 impl Scheduler {
     /// Recomputes the inherited constraints of all jobs, and updates the priority of the allocations of jobs whose
     /// priority has changed.
-    pub(super) fn inherit(&mut self, wall: WallTime) {
+    pub(super) fn update_inherited_constraints(&mut self, wall: WallTime) {
         let inherited = self.jobs.inherited(|job| self.job_timing(wall, job));
         for id in self.jobs.set_inherited(inherited) {
             let Some(job) = self.jobs.get(&id) else { continue };
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -111,7 +111,7 @@
         self.rounds.begin(now);
         // Before the view is taken, or the round would place other work on the capacity that these gangs wait for.
         self.reserve_for_large_gangs(now, wall);
-        self.inherit(wall);
+        self.update_inherited_constraints(wall);
         let view = self.planner_view(now, wall);
         let jobs_by_planner = self.jobs_by_planner(now, &view);
         let keys: Vec<&[u32]> = jobs_by_planner.values().map(Vec::as_slice).collect();
--- a/src/core/scheduler/tests/dependencies.rs
+++ b/src/core/scheduler/tests/dependencies.rs
@@ -145,7 +145,7 @@
     assert_eq!(harness.running_count(&first), 0);
     let last = JobSpec { priority: Priority::High, deadline_s: Some(60.0), estimate_s: 5.0, ..array(4, 1) };
     harness.submit_after(203, last, &[middle]);
-    harness.scheduler.inherit(WallTime(harness.now));
+    harness.scheduler.update_inherited_constraints(WallTime(harness.now));
     let inherited = harness.scheduler.jobs.live[&first].inherited.clone().unwrap();
     // 60 s less the runs of 10 and 5 s, and a second for each image.
     assert_eq!((inherited.priority, inherited.due_s), (Priority::High, Some(60.0 - 17.0)));
