--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -190,7 +190,7 @@
     }
 
     /// Notes that a peer has responded, so that it may be assigned teams to plan for.
-    pub fn peer_answered(&mut self, now: MonotonicTime, node: &str) {
+    pub fn mark_peer_responsive(&mut self, now: MonotonicTime, node: &str) {
         self.shards.mark_responsive(node, now);
     }
 
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -197,7 +197,7 @@
         if self.now.is_multiple_of(1_000) {
             ["plinth-1", "plinth-2"]
                 .into_iter()
-                .for_each(|peer| self.leader.peer_answered(MonotonicTime(self.now), peer));
+                .for_each(|peer| self.leader.mark_peer_responsive(MonotonicTime(self.now), peer));
         }
     }
 
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -108,7 +108,7 @@
     harness.run(2_000);
     let job = harness.submit(300, spec("req-000001", Kind::Array, 2, 1.0));
     for peer in ["plinth-1", "plinth-2"] {
-        harness.scheduler.peer_answered(MonotonicTime(harness.now), peer);
+        harness.scheduler.mark_peer_responsive(MonotonicTime(harness.now), peer);
     }
     harness.scheduler.tick(MonotonicTime(harness.now + 1_000), WallTime(harness.now + 1_000));
     let mut asked = Vec::new();
--- a/src/core/simulation/leaders.rs
+++ b/src/core/simulation/leaders.rs
@@ -33,7 +33,7 @@
         if let Some(leader) = &mut self.leader {
             if self.now.is_multiple_of(1_000) {
                 for peer in ["plinth-1", "plinth-2"] {
-                    leader.peer_answered(MonotonicTime(self.now), peer);
+                    leader.mark_peer_responsive(MonotonicTime(self.now), peer);
                 }
             }
             leader.tick(MonotonicTime(self.now), WallTime(self.now));
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -87,7 +87,7 @@
     let mut redirected: BTreeSet<&str> = BTreeSet::new();
     let mut successor: Option<(usize, &str)> = None;
     for (peer, answer) in peers::answered(node, answers) {
-        scheduler.peer_answered(now, &peer.name);
+        scheduler.mark_peer_responsive(now, &peer.name);
         redirected.extend(answer.redirected.iter().map(String::as_str));
         if answer.store_ok {
             successor = successor.max(Some((answer.redirected.len(), &peer.name)));
