--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -62,7 +62,7 @@
     }
 
     /// Records that a task of a live job has run for `ran_s` seconds.
-    pub(super) fn learn_run_time(&mut self, id: &JobId, ran_s: f64) {
+    pub(super) fn record_run_time(&mut self, id: &JobId, ran_s: f64) {
         if let Some(job) = self.live.get(id) {
             self.class_times.learn(&job.spec.class, job.spec.estimate_s, ran_s);
         }
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -78,7 +78,7 @@
             return;
         }
         if let Some(ran_s) = ran_s {
-            self.jobs.learn_run_time(&task.job, ran_s);
+            self.jobs.record_run_time(&task.job, ran_s);
         }
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.set_done(task.index);
