--- a/src/core/scheduler/catalog.rs
+++ b/src/core/scheduler/catalog.rs
@@ -21,7 +21,7 @@
     }
 
     /// The numbers of a machine type and a zone; `None` if either is unknown.
-    pub(super) fn place_of(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
+    pub(super) fn type_and_zone_numbers(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
         let kind = self.types.iter().position(|machine_type| machine_type.name == kind)?;
         let zone = self.zones.iter().position(|known| known == zone)?;
         Some((kind, zone as u32))
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -59,7 +59,7 @@
     /// The machine has stopped of its own accord; terminating it proves that nothing is left on it.
     fn retire_failed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         if !self.machines.known.contains_key(&id) {
-            let Some((kind, zone)) = self.catalog.place_of(&listed.kind, &listed.zone) else { return };
+            let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
             let machine = Machine::new(String::new(), kind, zone, listed.spot, now);
             self.machines.known.insert(id.clone(), machine);
         }
@@ -70,7 +70,7 @@
 
     /// Enters a machine that this leader knows by the cloud's list only.
     fn enter_listed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
-        let Some((kind, zone)) = self.catalog.place_of(&listed.kind, &listed.zone) else { return };
+        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
         // Its age may reach back to before this process began.
         machine.since = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -127,7 +127,7 @@
         if !heartbeat.tasks.is_empty() {
             return Err(HeartbeatRejection::NoRecord { tasks: heartbeat.tasks.len() });
         }
-        let Some((kind, zone)) = self.catalog.place_of(&heartbeat.kind, &heartbeat.zone) else {
+        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&heartbeat.kind, &heartbeat.zone) else {
             let (kind, zone) = (heartbeat.kind.clone(), heartbeat.zone.clone());
             return Err(HeartbeatRejection::UnknownPool { kind, zone });
         };
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -136,7 +136,7 @@
             Ok(record) => record,
             Err(source) => return Err(RowError::UnreadableMachine { machine: id, source }),
         };
-        let Some((kind, zone)) = self.catalog.place_of(&record.kind, &record.zone) else {
+        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&record.kind, &record.zone) else {
             return Err(RowError::UnknownPool { machine: id, kind: record.kind, zone: record.zone });
         };
         let mut machine = Machine::new(record.endpoint, kind, zone, record.spot, now);
