--- a/src/core/scheduler/gpu_lending.rs
+++ b/src/core/scheduler/gpu_lending.rs
@@ -16,7 +16,7 @@
 /// What GPU jobs need on GPU machines, and which GPU machines are lent to other work.
 pub(super) struct GpuLending {
     /// By machine type, the largest need of a GPU job that permits the type, for each resource separately.
-    pub(super) needs: Vec<Resources>,
+    pub(super) gpu_job_needs: Vec<Resources>,
     demand: GpuDemand,
     /// GPU machines that work without GPUs may fill completely, as of the last round.
     pub(super) lendable: BTreeSet<MachineId>,
@@ -34,7 +34,7 @@
     /// State without any known GPU job and without lendable machines.
     pub(super) fn new(types: usize, zones: usize, now: MonotonicTime) -> GpuLending {
         GpuLending {
-            needs: vec![Resources::default(); types],
+            gpu_job_needs: vec![Resources::default(); types],
             demand: GpuDemand::new(zones, now),
             lendable: BTreeSet::new(),
         }
@@ -81,7 +81,7 @@
     /// job is always left, as GPU jobs do not preempt such work.
     pub(super) fn urgent_headroom(&self, machine: &Machine, machine_type: &MachineType) -> Resources {
         let mut headroom = Resources::of_type(machine_type);
-        headroom.sub(&self.needs[machine.kind]);
+        headroom.sub(&self.gpu_job_needs[machine.kind]);
         let urgent = |allocation: &&Allocation| {
             !allocation.has_exited() && allocation.need.gpus <= 0.0 && allocation.priority <= Priority::High
         };
@@ -101,7 +101,7 @@
         let runs_gpu_work =
             machine.allocations.values().any(|allocation| !allocation.has_exited() && allocation.need.gpus > 0.0);
         if !lendable && !runs_gpu_work {
-            headroom.sub(&self.needs[machine.kind]);
+            headroom.sub(&self.gpu_job_needs[machine.kind]);
         }
         headroom
     }
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -39,7 +39,7 @@
         if spec.gpus <= 0.0 {
             return;
         }
-        for (machine_type, need) in self.catalog.types.iter().zip(&mut self.gpus.needs) {
+        for (machine_type, need) in self.catalog.types.iter().zip(&mut self.gpus.gpu_job_needs) {
             if submissions::type_allows(spec, machine_type) {
                 need.cpus = need.cpus.max(spec.cpus).min(machine_type.cpus);
                 need.memory_gb = need.memory_gb.max(spec.memory_gb).min(machine_type.memory_gb);
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -256,6 +256,6 @@
     /// Takes over the cloud's list of machine types; types that are known keep their index.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         let new = self.catalog.set_types(types);
-        self.gpus.needs.extend(std::iter::repeat_n(Resources::default(), new));
+        self.gpus.gpu_job_needs.extend(std::iter::repeat_n(Resources::default(), new));
     }
 }
