--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -189,7 +189,7 @@
                 retiring.push(id.clone());
             }
         }
-        self.terminate(retiring, idle);
+        self.terminate_machines(retiring, idle);
     }
 
     /// Looks at all machines together, before each is decided on.
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -41,7 +41,7 @@
 impl Scheduler {
     /// Retires the idle machines and requests the termination of `retiring` and then `idle` machines, up to
     /// [`MAX_TERMINATIONS_PER_REQUEST`]. The next review handles the others.
-    pub(super) fn terminate(&mut self, retiring: Vec<MachineId>, idle: Vec<MachineId>) {
+    pub(super) fn terminate_machines(&mut self, retiring: Vec<MachineId>, idle: Vec<MachineId>) {
         let mut terminations = retiring;
         for id in idle {
             if let Some(machine) = self.machines.known.get_mut(&id) {
