--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -84,12 +84,12 @@
 
     /// Starts so many of a job's ready tasks on the planned machine, as far as it may take them.
     fn start_planned_tasks(&mut self, now: MonotonicTime, planned: &PlannedPlacement, tasks: u32) {
-        let PlannedJob { id, reclaimed } = planned.job;
+        let PlannedJob { id, reclaimed_only } = planned.job;
         let Some(job) = self.jobs.live.get(id) else { return };
-        let from = if *reclaimed { &job.reclaimed } else { &job.ready };
+        let from = if *reclaimed_only { &job.reclaimed } else { &job.ready };
         let picked: Vec<u32> = from
             .iter()
-            .filter(|index| *reclaimed || !job.reclaimed.contains(index))
+            .filter(|index| *reclaimed_only || !job.reclaimed.contains(index))
             .filter(|index| job.ready.contains(index))
             .take(tasks as usize)
             .copied()
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -35,7 +35,7 @@
 pub(super) struct PlannedJob {
     pub(super) id: JobId,
     /// The key covers only the job's tasks whose spot machines were reclaimed.
-    pub(super) reclaimed: bool,
+    pub(super) reclaimed_only: bool,
 }
 
 impl Scheduler {
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -51,9 +51,9 @@
     pub(super) fn job_views(&mut self, context: &JobContext) -> (Vec<JobView>, Vec<PlannedJob>) {
         let mut views: Vec<JobView> = Vec::new();
         let mut planned = Vec::new();
-        let mut push = |id: JobId, view: JobView, reclaimed: bool| {
+        let mut push = |id: JobId, view: JobView, reclaimed_only: bool| {
             views.push(JobView { key: planned.len() as u32, ..view });
-            planned.push(PlannedJob { id, reclaimed });
+            planned.push(PlannedJob { id, reclaimed_only });
         };
         for id in context.waiting {
             let Some(job) = self.jobs.live.get(id) else { continue };
