--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -125,7 +125,7 @@
         let mut pools = self.jobs.live.get(id).map(|job| self.permitted_pools(&job.spec)).unwrap_or_default();
         let before = self.cost.read();
         let reserved_in =
-            self.reservations.of(id).next().and_then(|r| self.machines.known.get(&r.machine)).map(|m| m.zone);
+            self.reservations.for_job(id).next().and_then(|r| self.machines.known.get(&r.machine)).map(|m| m.zone);
         let best = self
             .gang_capacity(now, search, id, &pools)
             .into_iter()
@@ -164,7 +164,7 @@
         let need = Resources::of_task(&job.spec);
         let urgency = Urgency { guaranteed: false, ..self.urgency(id, job) };
         let mut reserved: BTreeMap<&MachineId, Resources> = BTreeMap::new();
-        for reservation in self.reservations.of(id) {
+        for reservation in self.reservations.for_job(id) {
             reserved.entry(&reservation.machine).or_default().add(&reservation.need);
         }
         let index = search.index(self, now);
@@ -197,7 +197,8 @@
     ) -> u32 {
         let Some(job) = self.jobs.live.get(id) else { return 0 };
         let (tasks, need) = (job.spec.tasks, Resources::of_task(&job.spec));
-        let mut changed_machines: BTreeSet<MachineId> = self.reservations.of(id).map(|r| r.machine.clone()).collect();
+        let mut changed_machines: BTreeSet<MachineId> =
+            self.reservations.for_job(id).map(|r| r.machine.clone()).collect();
         self.reservations.release(id);
         let mut reserved = 0;
         for (machine, count) in &capacity.free {
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -77,7 +77,7 @@
         if gang && (job.gang.is_some() || !job.placed.is_empty()) {
             return None;
         }
-        let reserved = self.reservations.count_of(id) as u32;
+        let reserved = self.reservations.count_for_job(id) as u32;
         let all = (job.ready.len() as u32).saturating_sub(reserved);
         if all == 0 || gang && reserved > 0 {
             return None;
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -243,7 +243,8 @@
         let has_zone_constraint = |job: &&Job| job.spec.spread || job.spec.one_zone;
         let Some(job) = self.jobs.live.get(id).filter(has_zone_constraint) else { return Vec::new() };
         let mut zones = zone_counts(job, &self.machines.known);
-        let reserved = self.reservations.of(id).filter_map(|reservation| self.machines.known.get(&reservation.machine));
+        let reserved =
+            self.reservations.for_job(id).filter_map(|reservation| self.machines.known.get(&reservation.machine));
         zones.extend(reserved.map(|machine| ZoneCount { zone: machine.zone, count: 1 }));
         self.cost.add_tasks(job.placed.len() + zones.len());
         zones
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -49,17 +49,17 @@
     }
 
     /// The reservations on a machine, oldest first.
-    pub(super) fn on(&self, machine: &MachineId) -> impl Iterator<Item = &Reservation> {
+    pub(super) fn on_machine(&self, machine: &MachineId) -> impl Iterator<Item = &Reservation> {
         self.resolve(self.by_machine.get(machine))
     }
 
     /// The reservations of a job, oldest first.
-    pub(super) fn of(&self, job: &JobId) -> impl Iterator<Item = &Reservation> {
+    pub(super) fn for_job(&self, job: &JobId) -> impl Iterator<Item = &Reservation> {
         self.resolve(self.by_job.get(job))
     }
 
     /// Number of reservations of a job.
-    pub(super) fn count_of(&self, job: &JobId) -> usize {
+    pub(super) fn count_for_job(&self, job: &JobId) -> usize {
         self.by_job.get(job).map_or(0, BTreeSet::len)
     }
 
@@ -159,7 +159,7 @@
         except_job: Option<&JobId>,
     ) -> Resources {
         let mut free = machine.free(&self.catalog.types[machine.kind]);
-        let reservations = self.reservations.on(id).filter(|reservation| except_job != Some(&reservation.job));
+        let reservations = self.reservations.on_machine(id).filter(|reservation| except_job != Some(&reservation.job));
         reservations.for_each(|reservation| free.sub(&reservation.need));
         free
     }
@@ -169,9 +169,9 @@
         self.reservations.expire(now);
         let mut done: BTreeSet<JobId> = BTreeSet::new();
         for id in self.reservations.next_jobs(MAX_RESERVATIONS_PER_TICK) {
-            self.cost.add_reservations(self.reservations.count_of(&id));
+            self.cost.add_reservations(self.reservations.count_for_job(&id));
             let machines: Vec<MachineId> =
-                self.reservations.of(&id).map(|reservation| reservation.machine.clone()).collect();
+                self.reservations.for_job(&id).map(|reservation| reservation.machine.clone()).collect();
             let used = match self.jobs.live.get(&id).map(|job| job.spec.kind) {
                 None => ReservationUse::Done,
                 Some(Kind::Gang) => self.start_reserved_gang(now, &id, machines),
--- a/src/core/scheduler/reservations/tests.rs
+++ b/src/core/scheduler/reservations/tests.rs
@@ -16,10 +16,10 @@
     for (m, j) in [(1, 1), (1, 1), (2, 1), (1, 2)] {
         reservations.add(MonotonicTime(0), machine(m), job(j), NEED);
     }
-    assert_eq!((reservations.on(&machine(1)).count(), reservations.of(&job(1)).count()), (3, 3));
+    assert_eq!((reservations.on_machine(&machine(1)).count(), reservations.for_job(&job(1)).count()), (3, 3));
     reservations.use_one(&job(1), &machine(1));
-    assert_eq!(reservations.of(&job(1)).count(), 2, "one task uses one reservation");
-    assert_eq!(reservations.count_of(&job(1)), 2);
+    assert_eq!(reservations.for_job(&job(1)).count(), 2, "one task uses one reservation");
+    assert_eq!(reservations.count_for_job(&job(1)), 2);
     reservations.release(&job(1));
     assert_eq!(reservations.jobs_after(None, 10), [job(2)]);
     reservations.expire(MonotonicTime(0) + RESERVATION_TTL);
