--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -59,7 +59,7 @@
 /// State of this leader's planning rounds.
 pub(super) struct Rounds {
     /// Whether something that planning depends on has changed since the last round.
-    needed: bool,
+    requested: bool,
     /// When the last round started.
     last_started: MonotonicTime,
     /// Number of rounds started.
@@ -71,12 +71,12 @@
 impl Rounds {
     /// No round has started, and the first one is requested.
     pub(super) fn new(now: MonotonicTime) -> Rounds {
-        Rounds { needed: true, last_started: now, count: 0, open: None }
+        Rounds { requested: true, last_started: now, count: 0, open: None }
     }
 
     /// Requests a round, as something that planning depends on has changed.
     pub(super) fn request(&mut self) {
-        self.needed = true;
+        self.requested = true;
     }
 
     /// Number of rounds started, which is also the number of the last round.
@@ -88,14 +88,14 @@
     /// requested since or [`IDLE_ROUND_INTERVAL`] has passed.
     pub(super) fn is_due(&self, now: MonotonicTime, interval: Millis) -> bool {
         let since_last = now - self.last_started;
-        let is_needed = self.needed || since_last >= IDLE_ROUND_INTERVAL;
+        let is_needed = self.requested || since_last >= IDLE_ROUND_INTERVAL;
         self.open.is_none() && since_last >= interval && is_needed
     }
 
     /// Records the start of a round.
     fn begin(&mut self, now: MonotonicTime) {
         self.last_started = now;
-        self.needed = false;
+        self.requested = false;
         self.count += 1;
     }
 
