--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -9,7 +9,7 @@
 use crate::wire::Kind;
 use log::info;
 
-/// Minimum time between two replica moves.
+/// Minimum time between two searches for a replica to move. Each search moves at most one.
 const REPLICA_MOVE_INTERVAL: Millis = Millis(1_000);
 /// Replicas are only moved off machines whose utilization is below this.
 const MAX_SOURCE_UTILIZATION: f64 = 0.5;
@@ -40,14 +40,16 @@
 /// Result of a search for a replica to move.
 struct MoveSearch {
     found: Option<ReplicaMove>,
-    /// If the budget ran out: how many source machines have been tried in vain, by this search and those before.
+    /// If the budget ran out, the number of source machines tried in vain by this search and those before it;
+    /// otherwise 0.
     sources_tried: usize,
 }
 
 /// State of the consolidation between searches.
 pub(super) struct Consolidation {
     next_move_at: MonotonicTime,
-    /// Source machines that the next search skips, as earlier searches tried them before the budget ran out.
+    /// Number of source machines that the next search skips, as the ones before it ran out of budget after trying
+    /// them.
     sources_tried: usize,
 }
 
@@ -60,7 +62,7 @@
 
 impl Scheduler {
     /// Moves one replica off a machine that runs nothing but replicas to a machine that is in use anyway, so that
-    /// the former can be terminated in the end. Only while no tasks wait and there are no reservations.
+    /// the former can be terminated in the end. Does nothing while tasks wait or there are reservations.
     pub(super) fn consolidate_replicas(&mut self, now: MonotonicTime) {
         if now < self.consolidation.next_move_at
             || !self.reservations.is_empty()
@@ -99,7 +101,7 @@
                 search.sources_tried = position;
                 break;
             }
-            search.found = self.move_from(now, source, &loaded, &mut operations);
+            search.found = self.find_move_from(now, source, &loaded, &mut operations);
             if search.found.is_some() {
                 break;
             }
@@ -133,7 +135,7 @@
     /// Finds a replica on `source` that another machine of `targets` can take, and the machine with the highest
     /// utilization that can. `targets` is sorted by descending utilization. Adds the number of examined machines to
     /// `operations`.
-    fn move_from(
+    fn find_move_from(
         &self,
         now: MonotonicTime,
         source: &LoadedMachine,
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -66,8 +66,8 @@
         machine.usable(now, self.heartbeat_timeout()) && self.permits(&job.spec, machine) && !job.avoids(id, now)
     }
 
-    /// The eviction needed on an eligible machine. `None` if its image, its GPU headroom or the tasks that may be
-    /// preempted do not permit the job's task there.
+    /// The eviction needed on an eligible machine. `None` if the job's image or the headroom of GPU jobs rules the
+    /// machine out, or if stopping all preemptible tasks does not free enough capacity.
     fn eviction(
         &self,
         now: MonotonicTime,
@@ -164,7 +164,7 @@
     pub(super) fn evict(&mut self, now: MonotonicTime, id: &JobId, machine: &MachineId, victims: Vec<TaskAttempt>) {
         let Some(need) = self.jobs.live.get(id).map(|job| Resources::of_task(&job.spec)) else { return };
         if !victims.is_empty() {
-            debug!("preempting: job={id} machine={machine} tasks={}", victims.len());
+            debug!("preempting tasks for a job: job={id} machine={machine} tasks={}", victims.len());
         }
         for victim in victims {
             self.stop_task(machine, &victim);
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -108,8 +108,8 @@
             && wall.seconds_since(job.startable_at) >= self.tuning.gang_reservation_wait_s
     }
 
-    /// Reserves capacity for a gang. Returns false if its team has no quota left, or if no zone has enough capacity:
-    /// even with empty machines, or, with [`PartialCapacity::Release`], even after preemption.
+    /// Reserves capacity for a gang. Returns false if its team's limit does not permit the gang, or if no zone has
+    /// enough capacity: even on empty machines, or, with [`PartialCapacity::Release`], after preemption.
     pub(super) fn reserve_for_gang(
         &mut self,
         now: MonotonicTime,
--- a/src/core/scheduler/gpu_lending.rs
+++ b/src/core/scheduler/gpu_lending.rs
@@ -15,7 +15,7 @@
 
 /// What GPU jobs need on GPU machines, and which GPU machines are lent to other work.
 pub(super) struct GpuLending {
-    /// By machine type, the largest need of a GPU job that permits the type, for each resource separately.
+    /// By machine type, the most processors and the most memory that a task of a GPU job permitted there needs.
     pub(super) gpu_job_needs: Vec<Resources>,
     demand: GpuDemand,
     /// GPU machines that work without GPUs may fill completely, as of the last round.
@@ -46,7 +46,7 @@
     }
 
     /// Chooses the GPU machines that work without GPUs may fill completely: in each zone as many as recent GPU demand
-    /// leaves, and first those that run most of such work already. If any GPU machine could be filled as soon as it is
+    /// leaves, starting with the machines that already run most of such work. If any GPU machine could be filled as soon as it is
     /// free, the next GPU job would preempt that work, which would then restart from the beginning each time.
     ///
     /// `waiting_gpus` is the number of GPUs that all startable tasks need.
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -45,7 +45,7 @@
         self.cost.add_jobs(self.jobs.live.len());
         self.cost.add_machines(self.machines.known.len());
         self.quota.invalidate_usage();
-        self.update_unreconciled();
+        self.update_unreconciled_pools();
         let waiting = self.plannable_jobs(now);
         self.update_lendable_gpu_machines(now, &waiting);
         let mut machines = self.machine_views(now, self.smallest_demand(&waiting));
@@ -77,8 +77,8 @@
         PlannerView { input, jobs, machines: machines.ids }
     }
 
-    /// Updates the set of instance pools with unreconciled machines, once there are any.
-    fn update_unreconciled(&mut self) {
+    /// Recomputes which instance pools still have unreconciled machines, unless there were none before.
+    fn update_unreconciled_pools(&mut self) {
         if !self.machines.unreconciled.is_empty() {
             let machines = self.machines.known.values().filter(|machine| !machine.reconciled);
             self.machines.unreconciled = machines.map(Machine::pool).collect();
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -41,7 +41,7 @@
         if has_gpus && self.gpu_demand.iter().any(|gpus| *gpus > 0.0) { Work::WithGpus } else { Work::WithoutGpus }
     }
 
-    /// Chooses the partition of the next machine for such work; `None` if there are no partitions.
+    /// Chooses the partition that gets the next machine for this kind of work; `None` if there are no partitions.
     fn next_partition(&mut self, work: Work) -> Option<usize> {
         let (demand, assigned) = match work {
             Work::WithoutGpus => (&self.cpu_demand, &mut self.machines_without_gpu_work),
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -16,7 +16,7 @@
 use log::debug;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Limit on the tasks of one job that are preempted for in one round.
+/// Limit on the tasks of one job that other work is preempted for in one round.
 const MAX_TASKS_PER_PREEMPTOR: u32 = 64;
 /// Machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at different
 /// machines, so that all are examined in turn.
@@ -201,8 +201,7 @@
     }
 
     /// The machines where stopping work frees capacity for a task of the job. At most [`MAX_EXAMINED_MACHINES`]
-    /// machines
-    /// are examined, starting at another one in each round; for a gang all are.
+    /// are examined, starting at a different one in each round; for a gang, all are.
     fn candidates_for(
         &self,
         now: MonotonicTime,
--- a/src/core/scheduler/quota.rs
+++ b/src/core/scheduler/quota.rs
@@ -1,7 +1,8 @@
 //! Tracks each team's possible resource usage against its limit and its guarantee.
 //!
 //! A team's limit (`cpus_max`, `gpus_max` in the settings) is never exceeded: usage that is uncertain counts in full.
-//! Its guarantee (`cpus`, `gpus`) decides which of its jobs may preempt work that other teams run beyond theirs.
+//! Jobs within its guarantee (`cpus`, `gpus`) may preempt other work whatever their own priority, including work of
+//! equal priority that other teams run beyond their guarantees.
 
 use crate::config::Team;
 use crate::core::jobs::Job;
