--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -4,7 +4,7 @@
 use super::eviction::{PlacementTarget, Preemptor};
 use super::gang_reservations::PartialCapacity;
 use super::planner_view::{PlannedJob, PlannerView, zone_counts};
-use super::preemption_index::{Candidates, PreemptionSearch};
+use super::preemption_index::{PreemptionCandidates, PreemptionSearch};
 use crate::core::jobs::{Job, priority_number};
 use crate::core::machine::Resources;
 use crate::core::placement;
@@ -208,8 +208,8 @@
         search: &mut PreemptionSearch,
         request: &PreemptionRequest,
         zones: &[ZoneCount],
-    ) -> Candidates {
-        let mut candidates = Candidates::default();
+    ) -> PreemptionCandidates {
+        let mut candidates = PreemptionCandidates::default();
         let Some(job) = self.jobs.live.get(&request.job) else { return candidates };
         let preemptor = Preemptor { id: &request.job, job, target: request.target };
         let (need, urgency) = (Resources::of_task(&job.spec), self.urgency(&request.job, job));
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -165,34 +165,34 @@
 
 /// A machine where stopping work frees capacity. Ordered by the loss that this causes, then by machine id.
 #[derive(Clone, Copy, PartialEq)]
-struct Candidate {
+struct PreemptionCandidate {
     loss: f64,
     /// Position of the machine in the index.
     position: usize,
 }
 
-impl Eq for Candidate {}
+impl Eq for PreemptionCandidate {}
 
-impl PartialOrd for Candidate {
-    fn partial_cmp(&self, other: &Candidate) -> Option<Ordering> {
+impl PartialOrd for PreemptionCandidate {
+    fn partial_cmp(&self, other: &PreemptionCandidate) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Candidate {
-    fn cmp(&self, other: &Candidate) -> Ordering {
+impl Ord for PreemptionCandidate {
+    fn cmp(&self, other: &PreemptionCandidate) -> Ordering {
         self.loss.total_cmp(&other.loss).then(self.position.cmp(&other.position))
     }
 }
 
 /// Candidate machines, the one with the least loss on top.
 #[derive(Default)]
-pub(super) struct Candidates(BinaryHeap<Reverse<Candidate>>);
+pub(super) struct PreemptionCandidates(BinaryHeap<Reverse<PreemptionCandidate>>);
 
-impl Candidates {
+impl PreemptionCandidates {
     /// Adds the machine at a position of the index.
     pub(super) fn push(&mut self, loss: f64, position: usize) {
-        self.0.push(Reverse(Candidate { loss, position }));
+        self.0.push(Reverse(PreemptionCandidate { loss, position }));
     }
 
     /// Removes the machine with the least loss and returns its position in the index.
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -95,11 +95,11 @@
 
 #[test]
 fn a_machine_with_unknown_tasks_counts_fully_against_every_limit() {
-    for unreconciled in [true, false] {
-        let allocation_team = if unreconciled { None } else { Some(UNBOUNDED) };
+    for has_unknown_team in [true, false] {
+        let allocation_team = if has_unknown_team { None } else { Some(UNBOUNDED) };
         let mut fleet = fleet(vec![allocation(allocation_team, TaskPhase::Running)]);
         let mut quota = tracker();
-        assert_eq!(quota.fits(LIMITED, &cpus(16.0), 1.0, &fleet, &machine_types()), !unreconciled);
+        assert_eq!(quota.fits(LIMITED, &cpus(16.0), 1.0, &fleet, &machine_types()), !has_unknown_team);
         fleet.values_mut().for_each(|machine| machine.reconciled = false);
         quota.invalidate_usage();
         assert!(!quota.fits(LIMITED, &cpus(9.0), 1.0, &fleet, &machine_types()));
