--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -119,8 +119,8 @@
     spot_lifetimes: SpotLifetimes,
     shards: ShardAssignment,
     load: LoadMeter,
-    /// Sequence number of the last attempt number given out in this term.
-    last_attempt: u64,
+    /// Number of attempts started in this term; part of each attempt number.
+    attempts_started: u64,
     last_request: RequestId,
     orders: OutstandingOrders,
     effects: Vec<Effect>,
@@ -180,7 +180,7 @@
             provisioner: Provisioner::default(),
             shards,
             load: LoadMeter::new(now),
-            last_attempt: 0,
+            attempts_started: 0,
             last_request: RequestId(0),
             orders: OutstandingOrders::default(),
             effects: Vec::new(),
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -86,8 +86,8 @@
     fn start_planned_tasks(&mut self, now: MonotonicTime, planned: &PlannedPlacement, tasks: u32) {
         let PlannedJob { id, reclaimed } = planned.job;
         let Some(job) = self.jobs.live.get(id) else { return };
-        let from = if *reclaimed { &job.reclaimed } else { &job.ready };
-        let indices: Vec<u32> = from
+        let candidates = if *reclaimed { &job.reclaimed } else { &job.ready };
+        let indices: Vec<u32> = candidates
             .iter()
             .filter(|index| *reclaimed || !job.reclaimed.contains(index))
             .filter(|index| job.ready.contains(index))
--- a/src/core/scheduler/starts.rs
+++ b/src/core/scheduler/starts.rs
@@ -20,8 +20,8 @@
     /// Returns an attempt number for the next start of a task or gang. No other start has the same number, as it
     /// includes the term.
     pub(super) fn next_attempt(&mut self) -> Attempt {
-        self.last_attempt += 1;
-        Attempt::new(self.term, self.last_attempt)
+        self.attempts_started += 1;
+        Attempt::new(self.term, self.attempts_started)
     }
 
     /// The number of a job's image in the catalog.
