--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -1,13 +1,16 @@
-//! MISER, the placement policy: which candidate each ready task is placed on, and which machines to provision.
+//! The placement policy, MISER: decides which machine each ready task is placed on and which machines to provision.
 //!
-//! The policy is pure: [`plan`] takes a [`PlanInput`] (machines, instance offers, jobs with ready tasks) and
-//! returns a [`PlanOutput`] (placements, scale-out requests, tasks that wait). "Paper" in this module is
-//! "Constructing Reliable Computing Environments on Top of Amazon EC2 Spot Instances" (*Algorithms* 2020, 13,
-//! 187), sections 3.1 to 3.4; "eq." and "line" are the paper's, "ours" marks what it leaves open or what
-//! differs. docs/design.md gives the reasons.
+//! The policy is a pure function: [`plan`] takes a [`PlanInput`] (machines, instance offers, jobs with ready tasks)
+//! and returns a [`PlanOutput`] (placements, scale-out requests, waiting tasks).
 //!
-//! A round: `job_selection` picks the jobs, `job_progress` holds the state of each, `estimates` works out
-//! time, cost and reliability of a candidate, `ranking` orders the candidates, `planner` places the tasks.
+//! It is based on sections 3.1 to 3.4 of "Constructing Reliable Computing Environments on Top of Amazon EC2 Spot
+//! Instances" (*Algorithms* 2020, 13, 187). Comments in this module call that publication "the paper" and cite its
+//! equations ("eq.") and the lines of its algorithm ("line"). They say so where the policy differs from the paper
+//! or decides what the paper leaves open; docs/design.md gives the reasons.
+//!
+//! In a planning round, `job_selection` chooses the jobs, `job_progress` keeps the state of each job, `estimates`
+//! computes time, cost and reliability of a job's tasks on a candidate machine, `ranking` orders the candidates, and
+//! `planner` places the tasks.
 
 mod candidates;
 mod estimates;
@@ -19,7 +22,7 @@
 
 use self::formulas::{Estimate, log_normal_cdf, quality};
 use self::job_progress::JobProgress;
-use self::job_selection::{UrgencyClass, jobs_in_scope};
+use self::job_selection::{UrgencyClass, jobs_in_round};
 use self::planner::{Planner, TurnOutcome};
 use crate::core::cost::CostMeter;
 use crate::peer::{PlanInput, PlanOutput, VERSION};
@@ -27,43 +30,46 @@
 
 pub use self::formulas::{spot_wait_is_over, sub_deadline, zone_allowed};
 
-/// Differences up to this much between resources, times and costs count as none.
+/// Resources, times (in seconds) and costs that differ by no more than this are treated as equal.
 const TOLERANCE: f64 = 1e-6;
-/// Placements that wait for machines to come up are limited to this many batches a round.
+/// A round places at most this many batches of tasks on machines that are not up yet.
 const MAX_PENDING_BATCHES: u32 = 8;
-/// The most machines that one offer of a view may stand for.
+/// A planner input is rejected if one of its offers is for more machines than this.
 const MAX_MACHINES_PER_OFFER: u32 = 1_000;
 
-/// How many more tasks a round may place.
+/// How many more tasks the current round may place.
 struct RoundBudget {
-    running: u32,
-    /// Tasks that wait for machines to come up start nothing, but say how many machines are needed. They
-    /// have a limit of their own: counted in the batch, a long queue's demand would be seen a batch at a time.
+    /// Tasks that can still be placed on machines that are up.
+    immediate: u32,
+    /// Tasks that can still be placed on machines that are not up yet. Such placements start nothing; they determine
+    /// how many machines are requested. They have a separate limit because, if they counted against the batch, a
+    /// long queue would request machines for only one batch per round.
     pending: u32,
 }
 
 impl RoundBudget {
     fn new(batch: u32) -> RoundBudget {
-        RoundBudget { running: batch, pending: batch.saturating_mul(MAX_PENDING_BATCHES) }
+        RoundBudget { immediate: batch, pending: batch.saturating_mul(MAX_PENDING_BATCHES) }
     }
 
     fn is_exhausted(&self) -> bool {
-        self.running == 0 || self.pending == 0
+        self.immediate == 0 || self.pending == 0
     }
 }
 
-/// The plan for a view: placements, scale-out requests and the tasks that wait. Empty for a view that refers
-/// to a machine type that it doesn't list or exceeds a limit.
+/// Plans one round: placements, scale-out requests and waiting tasks.
+///
+/// The plan is empty if the input refers to a machine type that it doesn't list, or exceeds a limit.
 pub fn plan(input: &PlanInput) -> PlanOutput {
     plan_metered(input, &CostMeter::default())
 }
 
-/// [`plan`], with the candidates that were compared counted in `meter`.
+/// Like [`plan`], and counts the candidates that it compares in `meter`.
 pub fn plan_metered(input: &PlanInput, meter: &CostMeter) -> PlanOutput {
     if !is_consistent(input) {
         return PlanOutput::default();
     }
-    let jobs = jobs_in_scope(input);
+    let jobs = jobs_in_round(input);
     let mut planner = Planner::new(input, meter);
     let mut output = PlanOutput { version: VERSION, term: input.term, round: input.round, ..Default::default() };
     let mut budget = RoundBudget::new(input.batch);
@@ -72,9 +78,9 @@
     classes.dedup();
     for class in classes {
         let members = jobs.iter().copied().filter(|job| UrgencyClass::of(job) == class);
-        let mut active: Vec<JobProgress> = members.map(|job| planner.activate(job)).collect();
-        // Which job begins is open in the paper: the one with the least time left of those that can
-        // still make it, then the late ones by age (ours).
+        let mut active: Vec<JobProgress> = members.map(|job| planner.start_job(job)).collect();
+        // The paper doesn't say which job is first. Here jobs that can still meet their deadline come first, the one
+        // with the least time left leading; late jobs follow, oldest first.
         active.sort_by(|a, b| a.turn_order().partial_cmp(&b.turn_order()).unwrap_or(Ordering::Equal));
         place_round_robin(&mut planner, &mut active, &mut budget);
         for progress in active {
@@ -85,8 +91,8 @@
     output
 }
 
-/// Places one task of each job in turn (paper, lines 7-9) until the budget or the jobs are exhausted. The
-/// tasks of a job are alike, so that its top task by rank (eq. 1) is any of them.
+/// Places one task (or one gang) of each job in turn, as in the paper's lines 7 to 9, until the budget is used up or
+/// no job has tasks left. All tasks of a job are identical, so any of them has the job's highest rank (eq. 1).
 fn place_round_robin(planner: &mut Planner, active: &mut [JobProgress], budget: &mut RoundBudget) {
     let mut placed_any = true;
     while placed_any {
@@ -97,10 +103,10 @@
             }
             let tasks = progress.tasks_per_turn();
             match planner.place_next(progress) {
-                TurnOutcome::Placed => budget.running = budget.running.saturating_sub(tasks),
+                TurnOutcome::Placed => budget.immediate = budget.immediate.saturating_sub(tasks),
                 TurnOutcome::Pending => budget.pending = budget.pending.saturating_sub(tasks),
                 TurnOutcome::NoCandidate => {
-                    progress.leave_waiting();
+                    progress.mark_rest_as_waiting();
                     continue;
                 }
             }
@@ -109,7 +115,8 @@
     }
 }
 
-/// Whether all that a view refers to is in it, within the limits. A view from a peer may hold anything.
+/// Whether every machine type that the input refers to is listed in it, and its counts are within the limits.
+/// Inputs from peers aren't trusted.
 fn is_consistent(input: &PlanInput) -> bool {
     let types = input.types.len() as u32;
     input.machines.iter().all(|machine| machine.kind < types)
--- a/src/core/placement/candidates.rs
+++ b/src/core/placement/candidates.rs
@@ -1,16 +1,16 @@
-//! Candidates: machines that a task could be placed on, and their capacity within a round.
+//! Candidates: machines that tasks can be placed on, with the capacity that is left on them in a planning round.
 
 use super::TOLERANCE;
 use crate::core::machine::Resources;
 use crate::peer::{JobView, MachineView, PlanInput, ProvisionOffer, TypeView};
 
-/// Priorities up to this one (prod, high) are not preempted for GPU jobs.
+/// Jobs of this priority number or a lower one (prod and high) are urgent: they are not preempted for GPU jobs.
 const MAX_URGENT_PRIORITY: u32 = 1;
-/// Below every priority that a job can have.
+/// A priority number that is less urgent than that of any job.
 const LOWEST_PRIORITY: u32 = 9;
 
 impl From<&JobView> for Resources {
-    /// What one task of the job needs.
+    /// The resources that one task of the job needs.
     fn from(job: &JobView) -> Resources {
         Resources { cpus: job.cpus, gpus: job.gpus, memory_gb: job.memory_gb }
     }
@@ -26,43 +26,45 @@
 /// Where a candidate comes from.
 #[derive(Clone, Copy)]
 pub(super) enum CandidateSource {
-    /// A machine of the view, by its index there and its key.
+    /// A machine of the planner input, which may still be booting, with its index and its key there.
     Machine { index: usize, key: u32 },
-    /// A machine yet to be provisioned, by the index of its offer.
+    /// A machine that isn't requested from the cloud yet, with the index of its offer in the planner input.
     Offer(usize),
 }
 
-/// Something a task could be placed on: a machine of the view, or one that an offer allows to provision.
+/// A machine that tasks can be placed on: an existing or requested one, or one that an offer allows to provision.
 pub(super) struct Candidate {
     pub(super) source: CandidateSource,
-    /// Index of its type in the view.
-    pub(super) kind: usize,
+    /// Index of its machine type in the planner input.
+    pub(super) type_index: usize,
     pub(super) zone: u32,
     pub(super) spot: bool,
+    /// Tasks that are placed on it can start now.
     pub(super) up: bool,
-    /// A GPU machine of the view: work without GPUs is held to the two headrooms.
+    /// It is a GPU machine of the planner input, on which jobs without GPUs are limited to the two headrooms below.
     headroom_applies: bool,
-    /// Of the capacity, what urgent work without GPUs may take.
+    /// How much of the capacity urgent jobs without GPUs may use.
     urgent_headroom: Resources,
-    /// Of the capacity, what other work without GPUs may take.
+    /// How much of the capacity other jobs without GPUs may use.
     preemptible_headroom: Resources,
+    /// Resources that are not allocated.
     capacity: Resources,
-    /// For a machine yet to be provisioned: a task of this round needs it.
-    pub(super) opened: bool,
-    /// For a machine yet to be provisioned: the part of it that the tasks placed on it take, all together.
+    /// Only for a machine of an offer: this round has placed a task on it, so it is to be provisioned.
+    pub(super) requested: bool,
+    /// Only for a machine of an offer: the fraction of it, 0 to 1, that the tasks placed on it use together.
     pub(super) load: f64,
-    /// For a machine yet to be provisioned: the most urgent priority placed on it.
+    /// Only for a machine of an offer: the most urgent priority of the tasks placed on it.
     pub(super) priority: u32,
 }
 
 impl Candidate {
-    /// The machine with that index in the view.
-    pub(super) fn of_machine(input: &PlanInput, index: usize, machine: &MachineView) -> Candidate {
+    /// The candidate for an existing or requested machine, which has this index in the input.
+    pub(super) fn from_machine(input: &PlanInput, index: usize, machine: &MachineView) -> Candidate {
         let headroom = |cpus: f64, memory_gb: f64| Resources { cpus, gpus: 0.0, memory_gb };
         let free = Resources { cpus: machine.free_cpus, gpus: machine.free_gpus, memory_gb: machine.free_memory_gb };
         Candidate {
             source: CandidateSource::Machine { index, key: machine.key },
-            kind: machine.kind as usize,
+            type_index: machine.kind as usize,
             zone: machine.zone,
             spot: machine.spot,
             up: machine.up,
@@ -70,17 +72,17 @@
             urgent_headroom: headroom(machine.urgent_cpus, machine.urgent_memory_gb),
             preemptible_headroom: headroom(machine.preemptible_cpus, machine.preemptible_memory_gb),
             capacity: free,
-            opened: false,
+            requested: false,
             load: 0.0,
             priority: LOWEST_PRIORITY,
         }
     }
 
-    /// One machine of the offer with that index.
-    pub(super) fn of_offer(input: &PlanInput, index: usize, offer: &ProvisionOffer) -> Candidate {
+    /// The candidate for one machine of an offer, which has this index in the input.
+    pub(super) fn from_offer(input: &PlanInput, index: usize, offer: &ProvisionOffer) -> Candidate {
         Candidate {
             source: CandidateSource::Offer(index),
-            kind: offer.kind as usize,
+            type_index: offer.kind as usize,
             zone: offer.zone,
             spot: offer.spot,
             up: false,
@@ -88,13 +90,13 @@
             urgent_headroom: Resources::default(),
             preemptible_headroom: Resources::default(),
             capacity: Resources::from(&input.types[offer.kind as usize]),
-            opened: false,
+            requested: false,
             load: 0.0,
             priority: LOWEST_PRIORITY,
         }
     }
 
-    /// The index of its offer, if it is yet to be provisioned.
+    /// The index of the offer that it comes from, if it does.
     pub(super) fn offer(&self) -> Option<usize> {
         match self.source {
             CandidateSource::Machine { .. } => None,
@@ -102,23 +104,24 @@
         }
     }
 
-    /// Whether it has capacity for one more task of the job.
+    /// Whether it has enough capacity for one more task of the job within the search scope.
     pub(super) fn fits(&self, job: &JobView, scope: SearchScope) -> bool {
         let need = Resources::from(job);
         let headroom = if is_urgent(job) { &self.urgent_headroom } else { &self.preemptible_headroom };
         self.capacity.covers(&need)
-            && (scope == SearchScope::All || !self.is_restricted_for(job) || headroom.covers(&need))
+            && (scope == SearchScope::All || !self.is_limited_to_headroom(job) || headroom.covers(&need))
     }
 
-    fn is_restricted_for(&self, job: &JobView) -> bool {
+    /// Whether the job may use only the headroom: it needs no GPU, and this is a GPU machine.
+    fn is_limited_to_headroom(&self, job: &JobView) -> bool {
         self.headroom_applies && job.gpus <= TOLERANCE
     }
 
-    /// Takes the capacity for one task of the job.
-    pub(super) fn take(&mut self, job: &JobView) {
+    /// Allocates the capacity for one task of the job.
+    pub(super) fn allocate(&mut self, job: &JobView) {
         let need = Resources::from(job);
         self.capacity.sub(&need);
-        if self.is_restricted_for(job) {
+        if self.is_limited_to_headroom(job) {
             self.preemptible_headroom.sub(&need);
             if is_urgent(job) {
                 self.urgent_headroom.sub(&need);
@@ -126,11 +129,11 @@
         }
     }
 
-    /// Releases what [`Candidate::take`] took.
+    /// Releases what [`Candidate::allocate`] allocated for one task of the job.
     pub(super) fn release(&mut self, job: &JobView) {
         let need = Resources::from(job);
         self.capacity.add(&need);
-        if self.is_restricted_for(job) {
+        if self.is_limited_to_headroom(job) {
             self.preemptible_headroom.add(&need);
             if is_urgent(job) {
                 self.urgent_headroom.add(&need);
@@ -143,14 +146,18 @@
     job.priority <= MAX_URGENT_PRIORITY
 }
 
-/// Which machines a service without GPUs may take. It would keep a GPU machine up for good, and GPU jobs off
-/// it; but a service takes precedence over everything else (ours). Wider scopes come later.
+/// How far a job without GPUs may use GPU machines, in order of increasing width.
+///
+/// A service on a GPU machine keeps that machine running indefinitely and blocks GPU jobs from it, so a service starts
+/// with the narrowest scope. It gets a wider one only when no machine that is up has capacity for it otherwise, because
+/// services take precedence over all other work. Other jobs always have [`SearchScope::Headroom`]. This rule is
+/// not from the paper.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 pub(super) enum SearchScope {
-    /// None with GPUs.
+    /// No GPU machines.
     WithoutGpus,
-    /// Of those with GPUs, the headroom.
+    /// Also GPU machines, within their headroom.
     Headroom,
-    /// All capacity.
+    /// Also GPU machines, up to their whole capacity.
     All,
 }
--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -1,26 +1,27 @@
-//! Time, cost and reliability of one task of a job on a candidate (paper, section 3.3).
+//! Estimates the time, cost and reliability of one task of a job on a candidate (section 3.3 of the paper that
+//! [`super`] cites).
 
 use super::candidates::{Candidate, CandidateSource, SearchScope};
 use super::{Estimate, TOLERANCE, log_normal_cdf};
 use crate::core::machine::Resources;
 use crate::peer::{JobView, MachineView, PlanInput, ProvisionOffer, TypeView};
 
-/// The cloud charges a new machine for at least this long.
+/// The cloud charges for at least this many seconds of a new machine.
 const MIN_BILLED_S: f64 = 60.0;
-/// Stands in for a type's fetch rate where it is lower, so that no fetch takes for ever.
+/// Lower bound on a machine type's image fetch rate, so that a rate of zero doesn't make fetch times infinite.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
-/// Stands in for a machine's slowness where it is lower.
+/// Lower bound on a machine's slowness, the factor by which tasks run longer on it.
 const MIN_SLOWNESS: f64 = 0.1;
 
-/// [`estimate`] for the candidates of a scope: a service without GPUs, and without a choice of types of its
-/// own, takes GPU machines only where no other machine that is up has capacity.
+/// Like [`estimate`], within the job's search scope: a service that needs no GPU and doesn't restrict its machine types
+/// uses no GPU machine in [`SearchScope::WithoutGpus`], and in wider scopes only those that are up.
 pub(super) fn estimate_in_scope(
     input: &PlanInput,
     job: &JobView,
     candidate: &Candidate,
     scope: SearchScope,
 ) -> Option<Estimate> {
-    let has_gpus = input.types[candidate.kind].gpus > TOLERANCE;
+    let has_gpus = input.types[candidate.type_index].gpus > TOLERANCE;
     if has_gpus
         && job.service
         && job.gpus <= TOLERANCE
@@ -32,9 +33,9 @@
     estimate(input, job, candidate)
 }
 
-/// What the candidate would mean for one task of the job; none if the job may not go there.
+/// Estimates one task of the job on the candidate. Returns `None` if the job may not be placed there.
 pub(super) fn estimate(input: &PlanInput, job: &JobView, candidate: &Candidate) -> Option<Estimate> {
-    let machine_type = &input.types[candidate.kind];
+    let machine_type = &input.types[candidate.type_index];
     let machine = match candidate.source {
         CandidateSource::Machine { index, .. } => Some(&input.machines[index]),
         CandidateSource::Offer(_) => None,
@@ -42,10 +43,10 @@
     if !is_eligible(input, job, candidate, machine) {
         return None;
     }
-    let ready_s = machine.map_or(machine_type.boot_s, |machine| machine.ready_s);
+    let boot_s = machine.map_or(machine_type.boot_s, |machine| machine.ready_s);
     let fetch_s = fetch_s(job, machine_type, machine);
     let run_s = job.run_s * machine.map_or(1.0, |machine| machine.slowness.max(MIN_SLOWNESS));
-    let start_s = ready_s + fetch_s;
+    let start_s = boot_s + fetch_s;
     let cost = cost(job, candidate, machine_type, fetch_s, run_s);
     let finish_s = start_s + run_s;
     let reliability = if candidate.spot {
@@ -57,13 +58,13 @@
     Some(Estimate { finish_s, start_s, cost, reliability, spot: candidate.spot })
 }
 
-/// Whether the job may go there at all, whatever else is on the machine: size, type, zone, pricing, and the
-/// machines that the job avoids.
+/// Whether the job's constraints allow the candidate, regardless of what runs there: the machine's size, type, zone and
+/// pricing model, the machines that the job avoids, and which offers it may use.
 fn is_eligible(input: &PlanInput, job: &JobView, candidate: &Candidate, machine: Option<&MachineView>) -> bool {
-    let machine_type = &input.types[candidate.kind];
+    let machine_type = &input.types[candidate.type_index];
     let is_offer = candidate.offer().is_some();
     if !Resources::from(machine_type).covers(&Resources::from(job))
-        || !allows_type(job, candidate.kind as u32)
+        || !allows_type(job, candidate.type_index as u32)
         || job.zone.is_some_and(|zone| zone != candidate.zone)
         || (candidate.spot && !job.spot)
         || (is_offer && (!job.may_scale_out || (candidate.spot && !job.new_spot)))
@@ -71,57 +72,60 @@
     {
         return false;
     }
-    // GPU machines are not provisioned for work without GPUs while others are on offer for it (ours).
+    // No GPU machine is provisioned for a job without GPUs while machines without GPUs are on offer for it (not from
+    // the paper).
     !(is_offer
         && machine_type.gpus > TOLERANCE
         && job.gpus <= TOLERANCE
-        && input.offers.iter().any(|offer| is_offer_without_gpus(input, job, offer)))
+        && input.offers.iter().any(|offer| is_suitable_offer_without_gpus(input, job, offer)))
 }
 
-fn allows_type(job: &JobView, kind: u32) -> bool {
-    job.types.is_empty() || job.types.contains(&kind)
+fn allows_type(job: &JobView, type_index: u32) -> bool {
+    job.types.is_empty() || job.types.contains(&type_index)
 }
 
-fn is_offer_without_gpus(input: &PlanInput, job: &JobView, offer: &ProvisionOffer) -> bool {
-    let offered = &input.types[offer.kind as usize];
-    offered.gpus <= TOLERANCE
+fn is_suitable_offer_without_gpus(input: &PlanInput, job: &JobView, offer: &ProvisionOffer) -> bool {
+    let machine_type = &input.types[offer.kind as usize];
+    machine_type.gpus <= TOLERANCE
         && allows_type(job, offer.kind)
-        && Resources::from(offered).covers(&Resources::from(job))
+        && Resources::from(machine_type).covers(&Resources::from(job))
         && (job.new_spot || !offer.spot)
 }
 
-/// Seconds until the job's image is on the machine, once that is up.
+/// Seconds that the machine needs, once it is up, to have the job's image.
 fn fetch_s(job: &JobView, machine_type: &TypeView, machine: Option<&MachineView>) -> f64 {
     let images = machine.map_or(&[][..], |machine| &machine.images);
     match images.iter().find(|image| image.image == job.image) {
         Some(cached) => cached.ready_s,
         None => {
-            // Fetches share the machine's rate.
+            // Fetches share the machine's bandwidth, so this one ends after those under way.
             let others_s = images.iter().map(|image| image.ready_s).fold(0.0, f64::max);
             others_s + job.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
         }
     }
 }
 
-/// The price of the task's part of the machine while it fetches and runs, and for a new machine of its part
-/// of the boot (ours; the paper's tasks have machines of their own).
+/// Cost of the task: the price of the fraction of the machine that it uses while its image is fetched and while it
+/// runs, plus its share of the boot time of a machine that is yet to be provisioned. In the paper each task has a
+/// machine of its own.
 fn cost(job: &JobView, candidate: &Candidate, machine_type: &TypeView, fetch_s: f64, run_s: f64) -> f64 {
-    let fraction = used_fraction(machine_type, job);
-    let hourly = if candidate.spot { machine_type.spot_price } else { machine_type.price };
-    // A new machine's boot is paid by the tasks that share it, and it is charged for a least time.
-    let boot_s = if candidate.offer().is_some() {
-        let sharing = (1.0 / fraction.max(TOLERANCE)).floor().clamp(1.0, job.ready.max(1) as f64);
-        machine_type.boot_s.max(MIN_BILLED_S - fetch_s - run_s) / sharing
+    let fraction = machine_fraction(machine_type, job);
+    let hourly_price = if candidate.spot { machine_type.spot_price } else { machine_type.price };
+    // The tasks that share a new machine also share its boot time, or the rest of the minimum billing period if that is
+    // longer.
+    let boot_share_s = if candidate.offer().is_some() {
+        let tasks_per_machine = (1.0 / fraction.max(TOLERANCE)).floor().clamp(1.0, job.ready.max(1) as f64);
+        machine_type.boot_s.max(MIN_BILLED_S - fetch_s - run_s) / tasks_per_machine
     } else {
         0.0
     };
-    hourly / 3600.0 * (fraction * (fetch_s + run_s) + boot_s)
+    hourly_price / 3600.0 * (fraction * (fetch_s + run_s) + boot_share_s)
 }
 
-/// The part of an empty machine of the type that one task takes, 0 to 1: the largest over its resources.
-pub(super) fn used_fraction(machine_type: &TypeView, job: &JobView) -> f64 {
-    let part = |capacity: f64, need: f64| if capacity > TOLERANCE { need / capacity } else { 0.0 };
-    part(machine_type.cpus, job.cpus)
-        .max(part(machine_type.gpus, job.gpus))
-        .max(part(machine_type.memory_gb, job.memory_gb))
+/// The fraction, 0 to 1, of an empty machine of the type that one task of the job uses: the largest over its resources.
+pub(super) fn machine_fraction(machine_type: &TypeView, job: &JobView) -> f64 {
+    let fraction = |capacity: f64, need: f64| if capacity > TOLERANCE { need / capacity } else { 0.0 };
+    fraction(machine_type.cpus, job.cpus)
+        .max(fraction(machine_type.gpus, job.gpus))
+        .max(fraction(machine_type.memory_gb, job.memory_gb))
 }
--- a/src/core/placement/formulas.rs
+++ b/src/core/placement/formulas.rs
@@ -1,41 +1,45 @@
-//! The paper's formulas, and the rule on zones.
+//! The formulas of the paper that [`super`] cites, and the rule for the zones of a job's tasks.
 
 use super::TOLERANCE;
 use crate::peer::ZoneCount;
 
-/// What a candidate would mean for one task of a job, whether or not it has capacity left.
+/// The expected outcome of running one task of a job on a candidate, whether or not the candidate has capacity left.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Estimate {
-    /// Expected finish, in seconds from now: the paper's FT.
+    /// Expected finish, in seconds from now (the paper's finish time, FT).
     pub(super) finish_s: f64,
-    /// The part of `finish_s` before the run begins.
+    /// Expected start of the run, in seconds from now.
     pub(super) start_s: f64,
-    /// What the task would cost there, in the currency of the cloud's prices.
+    /// Cost of the task, in the currency of the cloud's prices.
     pub(super) cost: f64,
-    /// Probability, 0 to 1, that the machine outlives the task (paper, eq. 6).
+    /// Probability, 0 to 1, that the machine isn't reclaimed before the task finishes (paper, eq. 6).
     pub(super) reliability: f64,
-    /// The machine is a spot machine.
+    /// Whether the candidate is a spot machine.
     pub(super) spot: bool,
 }
 
-/// Log-normal distribution function of a spot machine's life (paper, eq. 6): the probability that it ends
-/// within `life_s` seconds. `mu` is the logarithm of the median life in seconds.
-pub(super) fn log_normal_cdf(life_s: f64, mu: f64, sigma: f64) -> f64 {
-    if life_s <= 0.0 {
+/// The probability that a spot machine is reclaimed within `lifetime_s` seconds of being provisioned: the log-normal
+/// cumulative distribution function (paper, eq. 6). `mu` is the logarithm of the median lifetime in seconds.
+pub(super) fn log_normal_cdf(lifetime_s: f64, mu: f64, sigma: f64) -> f64 {
+    if lifetime_s <= 0.0 {
         return 0.0;
     }
-    0.5 * (1.0 + libm::erf((life_s.ln() - mu) / (sigma * std::f64::consts::SQRT_2)))
+    0.5 * (1.0 + libm::erf((lifetime_s.ln() - mu) / (sigma * std::f64::consts::SQRT_2)))
 }
 
-/// Sub-deadline of a task in seconds from now (paper, eq. 3), given that of its job, in which the job's
-/// dependents are counted already. On a spot machine it is earlier by the task's own run time, as a restart
-/// takes the place of the paper's migration (ours).
+/// The time by which a task should finish, in seconds from now: its sub-deadline (paper, eq. 3).
+///
+/// `due_s` is the deadline of its job, which already leaves time for the jobs that depend on it. On a spot machine the
+/// sub-deadline is earlier by one run time, so that the task can be restarted elsewhere if the machine is reclaimed.
+/// The paper migrates tasks instead.
 pub fn sub_deadline(due_s: f64, run_s: f64, spot: bool) -> f64 {
     if spot { due_s - run_s } else { due_s }
 }
 
-/// Whether one more task of a job with `tasks` tasks may go to the zone, given where its others are
-/// (`placed`): of a spread job at most half, rounded up, are in one zone; of a one-zone job all are.
+/// Whether one more task of a job may be placed in the zone.
+///
+/// `tasks` is how many tasks the job has and `placed` how many of them are in each zone. At most half of a spread
+/// job's tasks, rounded up, may be in one zone. All tasks of a one-zone job must be in the same zone.
 pub fn zone_allowed(spread: bool, one_zone: bool, tasks: u32, placed: &[ZoneCount], zone: u32) -> bool {
     if !spread && !one_zone {
         return true;
@@ -45,20 +49,22 @@
     !(spread && here >= tasks.div_ceil(2) || one_zone && elsewhere)
 }
 
-/// The quality of a candidate, 0 to 3: the sum of its qualities in time (paper, eq. 4), cost (eq. 5) and
-/// reliability (eq. 7). `lowest` and `highest` hold the extremes of time and cost over the candidates open to
-/// the task.
+/// The quality of a candidate, 0 to 3: the sum of its scores, 0 to 1 each, for time (paper, eq. 4), cost (eq. 5) and
+/// reliability (eq. 7). `lowest` and `highest` hold the minima and maxima of time and cost over the feasible
+/// candidates.
 pub(super) fn quality(estimate: &Estimate, lowest: &Estimate, highest: &Estimate) -> f64 {
-    let part = |value: f64, low: f64, high: f64| {
+    let score = |value: f64, low: f64, high: f64| {
         if high - low > TOLERANCE { 1.0 - (value - low) / (high - low) } else { 1.0 }
     };
-    part(estimate.finish_s, lowest.finish_s, highest.finish_s)
-        + part(estimate.cost, lowest.cost, highest.cost)
+    score(estimate.finish_s, lowest.finish_s, highest.finish_s)
+        + score(estimate.cost, lowest.cost, highest.cost)
         + estimate.reliability
 }
 
-/// Whether a task gives up on an unfilled spot request (paper, eq. 8): its slack between `finish_s` and
-/// `sub_deadline_s` is less than the wait so far and the paper's window w. All in seconds.
-pub fn spot_wait_is_over(sub_deadline_s: f64, finish_s: f64, slip_s: f64, window_s: f64) -> bool {
-    sub_deadline_s - finish_s < slip_s + window_s
+/// Whether a task should no longer wait for spot machines to be provisioned (paper, eq. 8).
+///
+/// This is so once the slack between its expected finish and its sub-deadline is less than the time it has waited plus
+/// a window (w in the paper). All arguments are in seconds.
+pub fn spot_wait_is_over(sub_deadline_s: f64, finish_s: f64, waited_s: f64, window_s: f64) -> bool {
+    sub_deadline_s - finish_s < waited_s + window_s
 }
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -1,4 +1,7 @@
-//! The state of one job within a round.
+//! The state of one job within a planning round.
+//!
+//! A candidate is feasible for a job if the job may be placed there, the candidate has capacity left for one more task
+//! and the zone rules allow its zone. "Paper" is the publication that [`super`] cites.
 
 use super::candidates::{Candidate, SearchScope};
 use super::estimates::estimate_in_scope;
@@ -8,68 +11,77 @@
 use crate::peer::{JobView, Placement, PlanInput, PlanOutput, Waiting, ZoneCount};
 use std::collections::BTreeMap;
 
-/// The job that begins a round of turns is the lowest: of those that can still be in time, the one with the
-/// least time left, then the late ones by age (ours), and of equals the one of the highest rank (paper, eq. 1).
+/// Sort key for the order in which jobs take turns, lowest first.
+///
+/// Jobs that can still meet their deadline come first, those with the least time left leading. Late jobs follow, oldest
+/// first. Ties go to the job with the highest rank (paper, eq. 1). The rest of this order is not from the paper.
 #[derive(PartialEq, PartialOrd)]
 pub(super) struct TurnOrder {
     is_late: bool,
-    left_s_or_minus_age_s: f64,
+    /// Seconds until the deadline, or for a late job its age as a negative number.
+    time_left_s_or_minus_age_s: f64,
     minus_rank_s: f64,
     job: u32,
 }
 
-/// The tasks of a job that a round has placed on one machine.
+/// The tasks of a job that the round has placed on one machine.
 #[derive(Default)]
 struct PlacedTasks {
     count: u32,
-    /// What they cost above the cheapest candidate, all together.
+    /// What they cost in total beyond the cheapest candidate.
     extra_cost: f64,
 }
 
-/// A job's state within a round.
+/// The state of one job within a planning round.
 pub(super) struct JobProgress<'a> {
     job: &'a JobView,
-    /// By the index of the candidate; none where the job may not go.
+    /// By candidate index; `None` if the job may not be placed on the candidate.
     estimates: Vec<Option<Estimate>>,
     tasks_left: u32,
     cheapest_cost: f64,
-    /// The paper's spare budget: what the rest of the job may cost above the cheapest candidates.
+    /// What the rest of the job may cost in total beyond the cheapest candidate (the paper's spare budget).
     spare_budget: f64,
+    /// Deadline in seconds from now.
     due_s: f64,
-    zones: Vec<ZoneCount>,
-    /// By the key of the machine.
+    /// How many of the job's tasks are in each zone, including those chosen in this round.
+    zone_counts: Vec<ZoneCount>,
+    /// By machine key: the tasks that start now.
     placed: BTreeMap<u32, PlacedTasks>,
+    /// The tasks that can't start now.
     waiting: Waiting,
+    /// The job's rank in seconds (paper, eq. 1).
     rank_s: f64,
     ranking: CandidateRanking,
-    /// Widened while no machine in it that is up has capacity.
+    /// Widened when no machine within it is both up and feasible.
     scope: SearchScope,
 }
 
 impl<'a> JobProgress<'a> {
-    /// Compares the job with all candidates.
+    /// Estimates the job's tasks on all candidates.
     pub(super) fn new(input: &PlanInput, candidates: &[Candidate], job: &'a JobView) -> JobProgress<'a> {
         let scope = if job.service { SearchScope::WithoutGpus } else { SearchScope::Headroom };
         let estimates: Vec<Option<Estimate>> =
             candidates.iter().map(|candidate| estimate_in_scope(input, job, candidate, scope)).collect();
         let known = || estimates.iter().flatten();
         let cheapest_cost = known().map(|estimate| estimate.cost).fold(f64::INFINITY, f64::min);
-        let dearest_cost = known().map(|estimate| estimate.cost).fold(0.0, f64::max);
-        let cheapest_make_span_s = known()
+        let highest_cost = known().map(|estimate| estimate.cost).fold(0.0, f64::max);
+        let cheapest_makespan_s = known()
             .filter(|estimate| estimate.cost <= cheapest_cost + TOLERANCE)
             .map(|estimate| estimate.finish_s)
             .fold(f64::INFINITY, f64::min);
-        // The average time over the candidates stands for the average execution time of eq. 1.
+        // The average execution time in eq. 1 is the average finish time over the candidates.
         let known_count = known().count().max(1) as f64;
         let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_s;
-        // Budget = cheapest + B x (dearest - cheapest) for all tasks (ours), less what was spent.
+        // The budget beyond the cheapest candidate is B x (highest cost - cheapest cost) for each of the job's tasks, less
+        // what earlier placements have spent of it. This formula for several tasks is not from the paper.
         let spare_budget = if cheapest_cost.is_finite() {
-            (input.budget_share * (dearest_cost - cheapest_cost) * job.tasks as f64 - job.overspent).max(0.0)
+            (input.budget_share * (highest_cost - cheapest_cost) * job.tasks as f64 - job.overspent).max(0.0)
         } else {
             0.0
         };
-        // Jobs without a deadline get twice their cheapest make span (ours).
-        let due_s = job.due_s.unwrap_or(2.0 * cheapest_make_span_s - job.age_s);
+        // Without a deadline, a job is due at an age of twice its makespan on the cheapest candidate (not from the
+        // paper).
+        let due_s = job.due_s.unwrap_or(2.0 * cheapest_makespan_s - job.age_s);
         JobProgress {
             job,
             estimates,
@@ -77,7 +89,7 @@
             cheapest_cost,
             spare_budget,
             due_s,
-            zones: job.placed.clone(),
+            zone_counts: job.placed.clone(),
             placed: BTreeMap::new(),
             waiting: Waiting { job: job.key, ..Default::default() },
             rank_s,
@@ -91,11 +103,11 @@
     }
 
     pub(super) fn turn_order(&self) -> TurnOrder {
-        let left_s = self.job.slo_deadline_s.unwrap_or(self.due_s);
-        let is_late = left_s < self.job.run_s;
+        let time_left_s = self.job.slo_deadline_s.unwrap_or(self.due_s);
+        let is_late = time_left_s < self.job.run_s;
         TurnOrder {
             is_late,
-            left_s_or_minus_age_s: if is_late { -self.job.age_s } else { left_s },
+            time_left_s_or_minus_age_s: if is_late { -self.job.age_s } else { time_left_s },
             minus_rank_s: -self.rank_s,
             job: self.job.key,
         }
@@ -105,18 +117,18 @@
         self.tasks_left > 0
     }
 
-    /// What a turn counts for in the round's budget: one task, or the whole gang.
+    /// How many tasks one turn uses of the round's budget: one, or all of a gang.
     pub(super) fn tasks_per_turn(&self) -> u32 {
         if self.job.gang { self.job.tasks } else { 1 }
     }
 
-    /// How many tasks the next turn places, all or none.
-    pub(super) fn next_tasks(&self) -> u32 {
+    /// How many tasks the next turn places, either all of them or none.
+    pub(super) fn tasks_in_next_turn(&self) -> u32 {
         if self.job.gang { self.tasks_left } else { 1 }
     }
 
-    /// Nothing is open to the job in this round: the rest of it waits.
-    pub(super) fn leave_waiting(&mut self) {
+    /// Marks all remaining tasks as waiting, as no candidate is feasible for the job in this round.
+    pub(super) fn mark_rest_as_waiting(&mut self) {
         self.waiting.count += self.tasks_left;
         self.tasks_left = 0;
     }
@@ -126,11 +138,11 @@
     }
 
     fn allows_zone(&self, candidate: &Candidate) -> bool {
-        zone_allowed(self.job.spread, self.job.one_zone, self.job.tasks, &self.zones, candidate.zone)
+        zone_allowed(self.job.spread, self.job.one_zone, self.job.tasks, &self.zone_counts, candidate.zone)
     }
 
-    /// Whether a candidate that is up is open to the job.
-    fn has_open_machine(&mut self, candidates: &[Candidate], meter: &CostMeter) -> bool {
+    /// Whether any feasible candidate is up.
+    fn has_feasible_machine_up(&mut self, candidates: &[Candidate], meter: &CostMeter) -> bool {
         if !self.ranking.is_current() {
             self.rank_candidates(candidates, meter);
         }
@@ -140,13 +152,14 @@
         })
     }
 
-    /// Lets a service without GPUs take GPU machines as far as nothing else that is up has capacity.
+    /// Lets a service without GPUs use GPU machines, within their headroom at first, if no other machine that is up is
+    /// feasible.
     pub(super) fn widen_scope(&mut self, input: &PlanInput, candidates: &[Candidate], meter: &CostMeter) {
         if !self.job.service || self.job.gpus > TOLERANCE {
             return;
         }
         for scope in [SearchScope::Headroom, SearchScope::All] {
-            if self.scope >= scope || self.has_open_machine(candidates, meter) {
+            if self.scope >= scope || self.has_feasible_machine_up(candidates, meter) {
                 continue;
             }
             self.scope = scope;
@@ -156,19 +169,19 @@
         }
     }
 
-    /// The candidate of the highest quality for the job's next task (paper, lines 10-16): of those that pass
-    /// both filters, or of all that are open where none passes (ours).
+    /// The candidate of the highest quality for the job's next task: the best of those that pass the cost and deadline
+    /// filters (paper, lines 10 to 16) or, if none passes, the best feasible one (not from the paper).
     pub(super) fn best_candidate(&mut self, candidates: &[Candidate], meter: &CostMeter) -> Option<usize> {
         if !self.ranking.is_current() {
             self.rank_candidates(candidates, meter);
         }
-        // Taken out while its own job decides which of its candidates are open.
+        // Moved out so that `self` can be borrowed to check feasibility.
         let mut ranking = std::mem::take(&mut self.ranking);
         let best = loop {
             if ranking.none_passes() {
-                break ranking.best_open(|index| self.is_open(candidates, index));
+                break ranking.best_feasible(|index| self.is_feasible(candidates, index));
             }
-            let passing = ranking.best_passing(self.spare_budget, |index| self.is_open(candidates, index));
+            let passing = ranking.best_passing(self.spare_budget, |index| self.is_feasible(candidates, index));
             if passing.is_some() {
                 break passing;
             }
@@ -178,7 +191,8 @@
         best
     }
 
-    fn is_open(&self, candidates: &[Candidate], index: usize) -> bool {
+    /// Whether a candidate that the job may be placed on has capacity left and is in a zone that is allowed now.
+    fn is_feasible(&self, candidates: &[Candidate], index: usize) -> bool {
         self.has_capacity(candidates, index) && self.allows_zone(&candidates[index])
     }
 
@@ -188,19 +202,19 @@
 
     fn ranking_of(&self, candidates: &[Candidate], meter: &CostMeter) -> CandidateRanking {
         meter.add_choices(self.estimates.len());
-        let open: Vec<(usize, &Estimate)> = self
+        let feasible: Vec<(usize, &Estimate)> = self
             .estimates
             .iter()
             .enumerate()
             .filter_map(|(index, estimate)| Some((index, estimate.as_ref()?)))
-            .filter(|(index, _)| self.is_open(candidates, *index))
+            .filter(|(index, _)| self.is_feasible(candidates, *index))
             .collect();
-        CandidateRanking::new(&open, self.spare_budget, |estimate| {
+        CandidateRanking::new(&feasible, self.spare_budget, |estimate| {
             estimate.finish_s <= sub_deadline(self.due_s, self.job.run_s, estimate.spot) + TOLERANCE
         })
     }
 
-    /// Takes in the candidates that were opened since the job was compared with all.
+    /// Estimates and ranks the candidates that have been added since this job's estimates were last updated.
     pub(super) fn add_new_candidates(&mut self, input: &PlanInput, candidates: &[Candidate], meter: &CostMeter) {
         for index in self.estimates.len()..candidates.len() {
             self.estimates.push(estimate_in_scope(input, self.job, &candidates[index], self.scope));
@@ -208,41 +222,44 @@
         }
     }
 
-    /// Ranks a newly opened machine of an offer behind the one opened before it, which is its equal.
+    /// Ranks a newly added machine of an offer directly after the previous machine of the same offer, as both are
+    /// equivalent.
     fn rank_new_candidate(&mut self, candidates: &[Candidate], index: usize, meter: &CostMeter) {
         meter.add_choices(1);
-        // Others may have filled it already, and capacity only shrinks.
+        // Other jobs may have used up its capacity, and capacity only shrinks within a round.
         if !self.has_capacity(candidates, index) {
             return;
         }
         let Some(estimate) = &self.estimates[index] else { return };
         let offer = candidates[index].offer();
-        let passed = self.ranking.insert_behind_equal(index, estimate.cost, |other| candidates[other].offer() == offer);
-        meter.add_choices(passed.unwrap_or(0));
+        let examined =
+            self.ranking.insert_after_equal(index, estimate.cost, |other| candidates[other].offer() == offer);
+        meter.add_choices(examined.unwrap_or(0));
     }
 
-    /// One more of the job's tasks is to go to the zone.
+    /// Counts one more of the job's tasks in the zone.
     pub(super) fn count_in_zone(&mut self, zone: u32) {
-        match self.zones.iter_mut().find(|counted| counted.zone == zone) {
+        match self.zone_counts.iter_mut().find(|counted| counted.zone == zone) {
             Some(counted) => counted.count += 1,
-            None => self.zones.push(ZoneCount { zone, count: 1 }),
+            None => self.zone_counts.push(ZoneCount { zone, count: 1 }),
         }
     }
 
-    /// Restricts the search for a one-zone gang to a zone.
+    /// Restricts the search for a one-zone gang to one zone, by counting a task there.
     pub(super) fn restrict_to_zone(&mut self, zone: u32) {
-        self.zones = vec![ZoneCount { zone, count: 1 }];
+        self.zone_counts = vec![ZoneCount { zone, count: 1 }];
         self.ranking.invalidate();
     }
 
-    /// The tasks that were counted in this turn are not placed, and their capacity is released.
+    /// Resets the zone counts after a failed turn to those at the start of the round. The tasks placed in earlier turns
+    /// need not count any more, as the job gets no further turn; a gang has none.
     pub(super) fn undo_turn(&mut self) {
-        self.zones = self.job.placed.clone();
+        self.zone_counts = self.job.placed.clone();
         self.ranking.invalidate();
     }
 
-    /// A task is placed on the candidate, and the spare budget reduced (paper, line 17). `machine` is the
-    /// machine's key if the task starts now; without, it waits for machines to come up.
+    /// Records that a task is placed on the candidate and reduces the spare budget (paper, line 17). `machine` is the
+    /// machine's key if the task starts now, or `None` if it waits for machines to come up.
     pub(super) fn record_task(&mut self, candidate: &Candidate, index: usize, machine: Option<u32>) {
         let estimate = self.estimates[index].unwrap_or(Estimate {
             finish_s: 0.0,
@@ -266,7 +283,7 @@
         }
     }
 
-    /// Adds what the round has decided about the job.
+    /// Appends the job's placements and waiting tasks to the plan.
     pub(super) fn append_to(self, output: &mut PlanOutput) {
         for (machine, placed) in self.placed {
             let PlacedTasks { count, extra_cost } = placed;
--- a/src/core/placement/job_selection.rs
+++ b/src/core/placement/job_selection.rs
@@ -1,17 +1,19 @@
-//! Which jobs a round plans for, and in which classes.
+//! Chooses the jobs that a planning round considers, and divides them into classes that are planned in order.
 
 use crate::peer::{JobView, PlanInput};
 
-/// The most comparisons of jobs with candidates that a round begins with.
+/// Limit on the estimates that a round starts with, of which there is one for each pair of a job and a candidate.
 pub(super) const MAX_ESTIMATES: usize = 65_536;
-/// A round plans for at least this many jobs, however many candidates there are.
+/// A round may consider this many jobs, however many candidates there are.
 pub(super) const MIN_JOBS_PER_ROUND: usize = 24;
-/// A round plans for at most this many jobs.
+/// A round considers at most this many jobs.
 const MAX_JOBS_PER_ROUND: usize = 256;
 
-/// Classes are planned for one after the other, in ascending order: jobs of higher priority, within one
-/// priority those that a guarantee covers, and of these the ones that can still meet the most of their
-/// SLOs. Under overload, turns for the rest would only make these late as well (ours).
+/// The class of a job within a round. Classes are planned one after the other, in ascending order.
+///
+/// Jobs of more urgent priority come first, then those within their team's guarantee, then those that have missed the
+/// fewest SLOs. If all jobs took turns, under overload those that already miss SLOs would delay the others until these
+/// missed theirs as well. The classes are not from the paper.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct UrgencyClass {
     priority: u32,
@@ -25,22 +27,24 @@
     }
 }
 
-/// The jobs that this round plans for. Each is compared with every candidate, so where both are many, three
-/// quarters of the jobs are the most urgent, and the others follow each other from round to round, so that no
-/// job is passed over for ever (ours).
-pub(super) fn jobs_in_scope(input: &PlanInput) -> Vec<&JobView> {
+/// The jobs that this round considers.
+///
+/// Each job is compared with every candidate, so the number of jobs is limited where there are many candidates. Then
+/// three quarters of the jobs are the most urgent ones, and the remaining places rotate through all other jobs from
+/// round to round, so that none starves. This limit is not from the paper.
+pub(super) fn jobs_in_round(input: &PlanInput) -> Vec<&JobView> {
     let candidates = (input.machines.len() + input.offers.len()).max(1);
-    let most = (MAX_ESTIMATES / candidates).clamp(MIN_JOBS_PER_ROUND, MAX_JOBS_PER_ROUND);
+    let max_jobs = (MAX_ESTIMATES / candidates).clamp(MIN_JOBS_PER_ROUND, MAX_JOBS_PER_ROUND);
     let mut jobs: Vec<&JobView> = input.jobs.iter().filter(|job| job.ready > 0).collect();
-    if jobs.len() <= most {
+    if jobs.len() <= max_jobs {
         return jobs;
     }
-    let left_s = |job: &JobView| job.slo_deadline_s.or(job.due_s).unwrap_or(-job.age_s);
-    jobs.sort_by(|a, b| UrgencyClass::of(a).cmp(&UrgencyClass::of(b)).then(left_s(a).total_cmp(&left_s(b))));
-    let in_turn = most / 4;
-    let mut others = jobs.split_off(most - in_turn);
+    let time_left_s = |job: &JobView| job.slo_deadline_s.or(job.due_s).unwrap_or(-job.age_s);
+    jobs.sort_by(|a, b| UrgencyClass::of(a).cmp(&UrgencyClass::of(b)).then(time_left_s(a).total_cmp(&time_left_s(b))));
+    let rotating = max_jobs / 4;
+    let mut others = jobs.split_off(max_jobs - rotating);
     others.sort_by_key(|job| job.key);
-    let first = (input.round as usize).wrapping_mul(in_turn) % others.len();
-    jobs.extend(others[first..].iter().chain(&others[..first]).take(in_turn));
+    let first = (input.round as usize).wrapping_mul(rotating) % others.len();
+    jobs.extend(others[first..].iter().chain(&others[..first]).take(rotating));
     jobs
 }
--- a/src/core/placement/planner.rs
+++ b/src/core/placement/planner.rs
@@ -1,58 +1,61 @@
-//! One round: the candidates with their capacity, and the choices for one job after the other.
+//! The state of a planning round that all jobs share: candidates, their capacity and the teams' quotas. Places tasks
+//! for one job at a time.
 
 use super::TOLERANCE;
 use super::candidates::{Candidate, CandidateSource};
-use super::estimates::used_fraction;
+use super::estimates::machine_fraction;
 use super::job_progress::JobProgress;
 use crate::core::cost::CostMeter;
 use crate::peer::{JobView, PlanInput, ScaleOutRequest};
 use std::collections::BTreeMap;
 
-/// What a job's turn came to.
+/// The outcome of a job's turn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum TurnOutcome {
-    /// The task, or the whole gang, is placed on machines that are up.
+    /// The task or gang is placed on machines that are up, and starts now.
     Placed,
-    /// It is placed on candidates of which some aren't up yet, and waits for them.
+    /// The task or gang is placed, but waits for machines that aren't up yet.
     Pending,
-    /// No candidate is open to it, or its team has no headroom left.
+    /// No candidate is feasible, or the team's quota doesn't allow more.
     NoCandidate,
 }
 
-/// What is left to a team in this round.
+/// What is left of a team's quota in this round.
 #[derive(Clone, Copy)]
-struct TeamCapacity {
+struct RemainingQuota {
     cpus: f64,
     gpus: f64,
 }
 
-impl TeamCapacity {
-    const UNLIMITED: TeamCapacity = TeamCapacity { cpus: f64::INFINITY, gpus: f64::INFINITY };
+impl RemainingQuota {
+    const UNLIMITED: RemainingQuota = RemainingQuota { cpus: f64::INFINITY, gpus: f64::INFINITY };
 }
 
-/// The state of a round, apart from that of its jobs.
+/// The state of a planning round that all jobs share.
 pub(super) struct Planner<'a> {
     input: &'a PlanInput,
-    /// Counts the candidates that jobs are compared with.
+    /// Counts how often a job is compared with a candidate.
     meter: &'a CostMeter,
-    /// The machines of the view in its order, then one machine of each offer, then those opened since.
+    /// The machines of the input in its order, then one machine of each offer, then further machines of offers, one
+    /// added whenever the previous one of the offer is first used.
     candidates: Vec<Candidate>,
-    /// By the index of the offer: how many machines of it may still become candidates.
-    offers_left: Vec<u32>,
-    team_capacity: BTreeMap<u32, TeamCapacity>,
+    /// By offer index: how many machines of the offer may still be added to the candidates.
+    offered_machines_left: Vec<u32>,
+    /// By team index; teams that are absent have no limit.
+    team_quotas: BTreeMap<u32, RemainingQuota>,
 }
 
 impl<'a> Planner<'a> {
-    /// `input` must be consistent: its indices are relied on.
+    /// The machine type indices in `input` must be valid.
     pub(super) fn new(input: &'a PlanInput, meter: &'a CostMeter) -> Planner<'a> {
         let machines = input.machines.iter().enumerate();
         let teams = input.teams.iter();
         let mut planner = Planner {
             input,
             meter,
-            candidates: machines.map(|(index, machine)| Candidate::of_machine(input, index, machine)).collect(),
-            offers_left: input.offers.iter().map(|offer| offer.most).collect(),
-            team_capacity: teams.map(|team| (team.team, TeamCapacity { cpus: team.cpus, gpus: team.gpus })).collect(),
+            candidates: machines.map(|(index, machine)| Candidate::from_machine(input, index, machine)).collect(),
+            offered_machines_left: input.offers.iter().map(|offer| offer.most).collect(),
+            team_quotas: teams.map(|team| (team.team, RemainingQuota { cpus: team.cpus, gpus: team.gpus })).collect(),
         };
         for offer in 0..input.offers.len() {
             planner.add_candidate_of_offer(offer);
@@ -65,27 +68,27 @@
         &self.candidates
     }
 
-    /// Adds one machine of an offer to the candidates, as far as the offer goes.
+    /// Adds one machine of the offer to the candidates, unless all its machines have been added.
     fn add_candidate_of_offer(&mut self, offer: usize) {
-        if self.offers_left[offer] == 0 {
+        if self.offered_machines_left[offer] == 0 {
             return;
         }
-        self.offers_left[offer] -= 1;
-        self.candidates.push(Candidate::of_offer(self.input, offer, &self.input.offers[offer]));
+        self.offered_machines_left[offer] -= 1;
+        self.candidates.push(Candidate::from_offer(self.input, offer, &self.input.offers[offer]));
     }
 
-    /// Compares the job with all candidates.
-    pub(super) fn activate(&self, job: &'a JobView) -> JobProgress<'a> {
+    /// Estimates the job's tasks on all candidates, with which its part in the round begins.
+    pub(super) fn start_job(&self, job: &'a JobView) -> JobProgress<'a> {
         self.meter.add_choices(self.candidates.len());
         JobProgress::new(self.input, &self.candidates, job)
     }
 
-    /// The machines yet to be provisioned that tasks were placed on.
+    /// The machines to provision: those of offers on which tasks are placed.
     pub(super) fn scale_out_requests(&self) -> Vec<ScaleOutRequest> {
-        let opened = self.candidates.iter().filter(|candidate| candidate.opened);
-        opened
+        let requested = self.candidates.iter().filter(|candidate| candidate.requested);
+        requested
             .map(|candidate| ScaleOutRequest {
-                kind: candidate.kind as u32,
+                kind: candidate.type_index as u32,
                 zone: candidate.zone,
                 spot: candidate.spot,
                 load: candidate.load,
@@ -98,8 +101,8 @@
     pub(super) fn place_next(&mut self, progress: &mut JobProgress) -> TurnOutcome {
         progress.widen_scope(self.input, &self.candidates, self.meter);
         let job = progress.job();
-        let tasks = progress.next_tasks();
-        if !self.team_has_capacity(job, tasks) {
+        let tasks = progress.tasks_in_next_turn();
+        if !self.quota_allows(job, tasks) {
             return TurnOutcome::NoCandidate;
         }
         let mut chosen = self.choose(progress, tasks);
@@ -107,24 +110,24 @@
             chosen = self.choose_zone_by_zone(progress, tasks);
         }
         let Some(chosen) = chosen else { return TurnOutcome::NoCandidate };
-        self.take_from_team(job, tasks);
+        self.charge_quota(job, tasks);
         self.record(progress, &chosen)
     }
 
-    fn team_has_capacity(&self, job: &JobView, tasks: u32) -> bool {
-        let left = self.team_capacity.get(&job.team).copied().unwrap_or(TeamCapacity::UNLIMITED);
+    fn quota_allows(&self, job: &JobView, tasks: u32) -> bool {
+        let left = self.team_quotas.get(&job.team).copied().unwrap_or(RemainingQuota::UNLIMITED);
         let exceeds = |need: f64, left: f64| need * tasks as f64 > left + TOLERANCE;
         !(exceeds(job.cpus, left.cpus) || exceeds(job.gpus, left.gpus))
     }
 
-    fn take_from_team(&mut self, job: &JobView, tasks: u32) {
-        if let Some(left) = self.team_capacity.get_mut(&job.team) {
+    fn charge_quota(&mut self, job: &JobView, tasks: u32) {
+        if let Some(left) = self.team_quotas.get_mut(&job.team) {
             left.cpus -= job.cpus * tasks as f64;
             left.gpus -= job.gpus * tasks as f64;
         }
     }
 
-    /// Takes capacity for that many tasks of the job, all or none. Returns the indices of the candidates.
+    /// Allocates capacity for `tasks` tasks of the job, all or none. Returns the index of the candidate for each task.
     fn choose(&mut self, progress: &mut JobProgress, tasks: u32) -> Option<Vec<usize>> {
         let job = progress.job();
         let mut chosen = Vec::new();
@@ -132,11 +135,11 @@
             progress.add_new_candidates(self.input, &self.candidates, self.meter);
             let Some(index) = progress.best_candidate(&self.candidates, self.meter) else { break };
             let candidate = &mut self.candidates[index];
-            candidate.take(job);
+            candidate.allocate(job);
             progress.count_in_zone(candidate.zone);
             chosen.push(index);
-            if let (Some(offer), false) = (candidate.offer(), candidate.opened) {
-                candidate.opened = true;
+            if let (Some(offer), false) = (candidate.offer(), candidate.requested) {
+                candidate.requested = true;
                 self.add_candidate_of_offer(offer);
             }
         }
@@ -147,14 +150,15 @@
             let candidate = &mut self.candidates[index];
             candidate.release(job);
             if candidate.offer().is_some() && candidate.load <= TOLERANCE {
-                candidate.opened = false;
+                candidate.requested = false;
             }
         }
         progress.undo_turn();
         None
     }
 
-    /// The best candidate of all may be in a zone that can't hold the gang: then each zone is tried.
+    /// Places a one-zone gang by trying each zone in turn. Without this, the best candidate for the first task decides
+    /// the zone, which may lack capacity for the whole gang.
     fn choose_zone_by_zone(&mut self, progress: &mut JobProgress, tasks: u32) -> Option<Vec<usize>> {
         let mut zones: Vec<u32> = self.candidates.iter().map(|candidate| candidate.zone).collect();
         zones.sort_unstable();
@@ -165,7 +169,7 @@
         })
     }
 
-    /// Enters the chosen candidates as placements if all are up; otherwise all the tasks wait.
+    /// Records a placement for each chosen candidate if all of them are up; otherwise all the tasks wait.
     fn record(&mut self, progress: &mut JobProgress, chosen: &[usize]) -> TurnOutcome {
         let job = progress.job();
         let all_up = chosen.iter().all(|index| self.candidates[*index].up);
@@ -174,7 +178,7 @@
             let machine = match candidate.source {
                 CandidateSource::Machine { key, .. } => all_up.then_some(key),
                 CandidateSource::Offer(_) => {
-                    candidate.load += used_fraction(&self.input.types[candidate.kind], job);
+                    candidate.load += machine_fraction(&self.input.types[candidate.type_index], job);
                     candidate.priority = candidate.priority.min(job.priority);
                     None
                 }
--- a/src/core/placement/ranking.rs
+++ b/src/core/placement/ranking.rs
@@ -1,44 +1,51 @@
-//! The candidates open to a job, in the order of their quality.
+//! The feasible candidates of a job in descending order of quality.
+//!
+//! A candidate is feasible if the job may be placed there, the candidate has capacity left for one more task and the
+//! zone rules allow its zone. "Paper" is the publication that [`super`] cites.
 
 use super::{Estimate, TOLERANCE, quality};
 
 #[derive(Clone, Copy)]
 struct RankedCandidate {
-    /// Index among the planner's candidates.
+    /// Index in the planner's list of candidates.
     index: usize,
     cost: f64,
-    /// It passes the deadline filter (paper, line 12).
+    /// Whether it passes the deadline filter (paper, line 12).
     in_time: bool,
 }
 
-/// The candidates open to a job, the best first. The job's tasks are alike, so candidates are compared when
-/// the round comes to the job and again when none is left that passes both filters, not for each task:
-/// capacity, budget and time only shrink within a round.
+/// The feasible candidates of a job, best first.
+///
+/// The tasks of a job are identical, so the candidates aren't compared anew for each task, but only when the round
+/// first reaches the job and again whenever none is left that passes both filters. In between, an earlier comparison
+/// stays valid because capacity, budget and time only shrink within a round.
 #[derive(Default)]
 pub(super) struct CandidateRanking {
     ranked: Vec<RankedCandidate>,
     cheapest_cost: f64,
-    /// No candidate before this position is open and passes both filters any more.
+    /// Before this position in `ranked`, no candidate is feasible and passes both filters any more.
     passing_from: usize,
-    /// No candidate before this position is open any more.
-    open_from: usize,
-    /// No candidate passed both filters when they were last compared.
+    /// Before this position in `ranked`, no candidate is feasible any more.
+    feasible_from: usize,
+    /// No candidate passed both filters when the candidates were last compared.
     none_passes: bool,
-    /// Cleared when the candidates must be compared anew before the ranking is used.
+    /// If false, the candidates must be compared anew before the ranking is used.
     is_current: bool,
 }
 
 impl CandidateRanking {
-    /// Ranks the open candidates by quality (paper, lines 13-15). `is_in_time` is the deadline filter;
-    /// `spare_budget` is what the job may spend above the cheapest.
+    /// Ranks the feasible candidates, given with their indices, by quality (paper, lines 13 to 15).
+    ///
+    /// `is_in_time` is the deadline filter. `spare_budget` is how much the job's tasks may cost in total beyond the
+    /// cheapest candidate.
     pub(super) fn new(
-        open: &[(usize, &Estimate)],
+        feasible: &[(usize, &Estimate)],
         spare_budget: f64,
         is_in_time: impl Fn(&Estimate) -> bool,
     ) -> CandidateRanking {
-        let (lowest, highest) = extremes(open);
-        // Qualities that differ by less than the tolerance are equal: then the first candidate goes first.
-        let mut ranked: Vec<(i64, RankedCandidate)> = open
+        let (lowest, highest) = extremes(feasible);
+        // Qualities are rounded to the tolerance, and the sort is stable: of equal candidates the first one wins.
+        let mut ranked: Vec<(i64, RankedCandidate)> = feasible
             .iter()
             .map(|(index, estimate)| {
                 let candidate = RankedCandidate { index: *index, cost: estimate.cost, in_time: is_in_time(estimate) };
@@ -50,7 +57,7 @@
             ranked: ranked.into_iter().map(|(_, candidate)| candidate).collect(),
             cheapest_cost: lowest.cost,
             passing_from: 0,
-            open_from: 0,
+            feasible_from: 0,
             none_passes: false,
             is_current: true,
         };
@@ -58,7 +65,7 @@
         ranking
     }
 
-    /// The cost filter (paper, eq. 2 and line 11) and the deadline filter (line 12).
+    /// Whether the candidate passes the cost filter (paper, eq. 2 and line 11) and the deadline filter (line 12).
     fn passes_filters(&self, candidate: &RankedCandidate, spare_budget: f64) -> bool {
         candidate.in_time && candidate.cost <= self.cheapest_cost + spare_budget + TOLERANCE
     }
@@ -67,7 +74,7 @@
         self.is_current
     }
 
-    /// Has the candidates compared anew before the ranking is used next.
+    /// Requires the candidates to be compared anew before the ranking is used again.
     pub(super) fn invalidate(&mut self) {
         self.is_current = false;
     }
@@ -76,34 +83,34 @@
         self.none_passes
     }
 
-    /// The best candidate that is open and passes both filters.
-    pub(super) fn best_passing(&mut self, spare_budget: f64, is_open: impl Fn(usize) -> bool) -> Option<usize> {
+    /// The best candidate that is still feasible and passes both filters.
+    pub(super) fn best_passing(&mut self, spare_budget: f64, is_feasible: impl Fn(usize) -> bool) -> Option<usize> {
         let found = self.position(self.passing_from, |candidate| {
-            self.passes_filters(candidate, spare_budget) && is_open(candidate.index)
+            self.passes_filters(candidate, spare_budget) && is_feasible(candidate.index)
         });
         self.passing_from = found.unwrap_or(self.ranked.len());
         found.map(|position| self.ranked[position].index)
     }
 
-    /// The best candidate that is open, whether or not it passes the filters.
-    pub(super) fn best_open(&mut self, is_open: impl Fn(usize) -> bool) -> Option<usize> {
-        let found = self.position(self.open_from, |candidate| is_open(candidate.index));
-        self.open_from = found.unwrap_or(self.ranked.len());
+    /// The best candidate that is still feasible, whether or not it passes the filters.
+    pub(super) fn best_feasible(&mut self, is_feasible: impl Fn(usize) -> bool) -> Option<usize> {
+        let found = self.position(self.feasible_from, |candidate| is_feasible(candidate.index));
+        self.feasible_from = found.unwrap_or(self.ranked.len());
         found.map(|position| self.ranked[position].index)
     }
 
-    /// Whether one of the candidates that may still be open fulfils the condition.
+    /// Whether any candidate that may still be feasible meets the condition.
     pub(super) fn any(&self, condition: impl Fn(usize) -> bool) -> bool {
-        self.position(self.open_from, |candidate| condition(candidate.index)).is_some()
+        self.position(self.feasible_from, |candidate| condition(candidate.index)).is_some()
     }
 
     fn position(&self, from: usize, condition: impl Fn(&RankedCandidate) -> bool) -> Option<usize> {
         self.ranked[from..].iter().position(condition).map(|offset| from + offset)
     }
 
-    /// Enters a new candidate behind the last one that `is_equal` to it. Returns how many candidates were
-    /// passed on the way; none, and the ranking is no longer current, if there is no equal.
-    pub(super) fn insert_behind_equal(
+    /// Inserts a new candidate directly after the last one for which `is_equal` holds. Returns how many candidates
+    /// were examined to find that one. If there is none, invalidates the ranking and returns `None`.
+    pub(super) fn insert_after_equal(
         &mut self,
         index: usize,
         cost: f64,
@@ -113,21 +120,21 @@
             self.invalidate();
             return None;
         };
-        let passed = self.ranked.len() - position;
+        let examined = self.ranked.len() - position;
         let in_time = self.ranked[position].in_time;
         self.ranked.insert(position + 1, RankedCandidate { index, cost, in_time });
         self.passing_from = self.passing_from.min(position + 1);
-        self.open_from = self.open_from.min(position + 1);
-        Some(passed)
+        self.feasible_from = self.feasible_from.min(position + 1);
+        Some(examined)
     }
 }
 
-/// The lowest and the highest finish and cost.
-fn extremes(open: &[(usize, &Estimate)]) -> (Estimate, Estimate) {
+/// The minima and maxima of finish time and cost over the candidates. The other fields are unused.
+fn extremes(feasible: &[(usize, &Estimate)]) -> (Estimate, Estimate) {
     let unbounded =
         Estimate { finish_s: f64::INFINITY, cost: f64::INFINITY, start_s: 0.0, reliability: 0.0, spot: false };
     let (mut lowest, mut highest) = (unbounded, Estimate { finish_s: 0.0, cost: 0.0, ..unbounded });
-    for (_, estimate) in open {
+    for (_, estimate) in feasible {
         lowest.finish_s = lowest.finish_s.min(estimate.finish_s);
         lowest.cost = lowest.cost.min(estimate.cost);
         highest.finish_s = highest.finish_s.max(estimate.finish_s);
