--- a/src/core/allocation.rs
+++ b/src/core/allocation.rs
@@ -1,51 +1,51 @@
-//! Allocations: the tasks that are possibly on a machine, and the run orders behind them.
+//! Allocations: the tasks that may be on a machine, and the state of the orders to run them.
 
 use crate::core::resources::Resources;
 use crate::ids::{Attempt, FencingToken, TaskId};
 use crate::time::MonotonicTime;
 use crate::wire::{Priority, TaskPhase};
 
-/// A task and the number of one start of it.
+/// A task and the number of one of its starts.
 pub type TaskAttempt = (TaskId, Attempt);
 
-/// A run order whose fate isn't proven yet.
+/// A run order of which it isn't known yet whether the worker has carried it out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingRun {
     /// The fencing token that the order carries.
     pub token: FencingToken,
-    /// The worker answered the order, so whatever it lists from then on tells the truth.
+    /// The worker has answered the order, so if a later task list lacks the task, the task is gone.
     pub answered: bool,
 }
 
-/// A task that is possibly on a machine.
+/// A task that may be on a machine, and the resources that it uses there.
 #[derive(Clone, Debug)]
 pub struct Allocation {
-    /// What the task takes of the machine.
+    /// The resources that the task uses; zero if its job is unknown or has ended.
     pub need: Resources,
-    /// None: a task of a job that is over, known from a heartbeat only.
+    /// Index of the job's team. `None` if the job is unknown or has ended: the task is known only from a task list.
     pub team: Option<u32>,
-    /// Its job's priority when it was placed.
+    /// Priority of the job when the task was placed.
     pub priority: Priority,
-    /// None: not listed by the worker yet.
+    /// The phase that the worker listed last; `None` if it has not listed the task yet.
     pub phase: Option<TaskPhase>,
-    /// None: no run order is under way, or the worker has listed the task since.
+    /// The run order that was sent; `None` if none was sent or the worker has listed the task since.
     pub pending_run: Option<PendingRun>,
-    /// Which of its machine's lists was the last to have it.
+    /// The number of the last task list of its machine that contained the task.
     pub last_listed: u64,
-    /// When it was entered.
+    /// When the allocation was made.
     pub placed_at: MonotonicTime,
-    /// When it was first heard to run.
+    /// When the worker first listed the task as running.
     pub running_since: Option<MonotonicTime>,
-    /// Its whole run was seen, so that its time tells something. Heartbeats that were missing in
-    /// between would make it look longer.
+    /// The leader has known of the task from its start, without a gap in the heartbeats. Otherwise its run time can't
+    /// be measured: missing heartbeats would make it appear too long.
     pub fully_observed: bool,
-    /// A stop was ordered, with this leeway in seconds.
+    /// A stop was ordered; the value is how many seconds the task may take to save its progress.
     pub stop: Option<f64>,
-    /// The number of its image in the catalog; `u32::MAX`: unknown.
+    /// Index of its image in the scheduler's catalog; `u32::MAX` if unknown.
     pub image: u32,
-    /// Seconds that fetching the image is expected to take.
+    /// Expected time to fetch the image, in seconds.
     pub fetch_s: f64,
-    /// Seconds that it is expected to run.
+    /// Expected run time, in seconds.
     pub run_s: f64,
 }
 
@@ -55,7 +55,8 @@
         self.phase == Some(TaskPhase::Exited)
     }
 
-    /// Listed before in this phase, with nothing ordered since and nothing to do about it.
+    /// Whether a listing in this phase needs no action: the worker has listed the task in the same phase before, it has
+    /// not exited, and no run or stop order is pending.
     pub fn is_unchanged(&self, phase: TaskPhase) -> bool {
         self.phase == Some(phase) && phase != TaskPhase::Exited && self.pending_run.is_none() && self.stop.is_none()
     }
--- a/src/core/cost.rs
+++ b/src/core/cost.rs
@@ -1,21 +1,22 @@
-//! Operation counts: what the core looks at. The counts are independent of the processor's speed, so tests can
-//! hold bounds against them and operators can tell a slow machine from too much work.
+//! Operation counts: how many objects the core examines. Unlike times they don't depend on the processor's speed, so
+//! tests can check them against bounds, and operators can tell a slow host from too much work.
 
 use std::cell::Cell;
 use std::fmt;
 
-/// How many things were looked at. Each look takes about the same small time, so that the sum is a cost.
+/// How many objects of each kind were examined. Examining one takes about the same short time for all kinds, so the sum
+/// is a measure of the work done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CostCounters {
-    /// Jobs.
+    /// Jobs examined.
     pub jobs: u64,
-    /// Machines.
+    /// Machines examined.
     pub machines: u64,
-    /// Allocations: tasks on machines.
+    /// Allocations (tasks on machines) examined.
     pub tasks: u64,
-    /// Reservations.
+    /// Reservations examined.
     pub reservations: u64,
-    /// Candidates that a planner compared for a job.
+    /// Comparisons of a job with a candidate, which is a machine that a planner may place its tasks on.
     pub choices: u64,
 }
 
@@ -25,7 +26,7 @@
         self.jobs + self.machines + self.tasks + self.reservations + self.choices
     }
 
-    /// What was counted after `earlier` was read from the same meter.
+    /// The operations counted since `earlier` was read from the same meter.
     pub fn since(&self, earlier: &CostCounters) -> CostCounters {
         CostCounters {
             jobs: self.jobs - earlier.jobs,
@@ -44,7 +45,7 @@
     }
 }
 
-/// A running count, shared by the parts that do the work.
+/// Counts operations as they are done.
 #[derive(Default)]
 pub struct CostMeter(Cell<CostCounters>);
 
@@ -54,27 +55,27 @@
         self.0.get()
     }
 
-    /// Counts jobs that were looked at.
+    /// Counts examined jobs.
     pub fn add_jobs(&self, count: usize) {
         self.update(|cost| cost.jobs += count as u64);
     }
 
-    /// Counts machines that were looked at.
+    /// Counts examined machines.
     pub fn add_machines(&self, count: usize) {
         self.update(|cost| cost.machines += count as u64);
     }
 
-    /// Counts allocations that were looked at.
+    /// Counts examined allocations.
     pub fn add_tasks(&self, count: usize) {
         self.update(|cost| cost.tasks += count as u64);
     }
 
-    /// Counts reservations that were looked at.
+    /// Counts examined reservations.
     pub fn add_reservations(&self, count: usize) {
         self.update(|cost| cost.reservations += count as u64);
     }
 
-    /// Counts candidates that were compared.
+    /// Counts comparisons of a job with a candidate.
     pub fn add_choices(&self, count: usize) {
         self.update(|cost| cost.choices += count as u64);
     }
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -1,7 +1,7 @@
-//! A machine as the cluster state has it, and what is stored of it.
+//! A machine in the leader's cluster state, and the machine record in the key-value store.
 //!
-//! A task counts as on a machine from before its order is sent until there is proof that it is
-//! gone. What counts as proof is decided in [`crate::core::scheduler`], nowhere else.
+//! A machine has an [`Allocation`] for each task that may be on it: from before the order to run the task is sent until
+//! there is proof that the task is gone. Only [`crate::core::scheduler`] decides what counts as proof.
 
 pub use crate::core::allocation::{Allocation, PendingRun, TaskAttempt};
 use crate::core::provisioning::InstancePool;
@@ -12,146 +12,149 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a machine is avoided that has failed, or is much slower than others. Nothing may wait for
-/// 90 s while there is capacity for it.
+/// How long a machine that fails tasks, or is much slower than others, gets no new tasks. A job also avoids a machine
+/// for this long after one of its tasks failed there. The period must be less than 90 s, because no task may wait that
+/// long while there is capacity for it.
 pub const QUARANTINE_PERIOD: Millis = Millis(60_000);
 
-/// Weight of the latest task in a machine's slowness.
+/// Weight of the latest task in a machine's slowness, which is a geometric moving average.
 const SLOWNESS_WEIGHT: f64 = 0.25;
 
-/// From this slowness on a machine is much slower than others.
+/// A machine whose tasks run more than this many times as long as elsewhere is much slower than others.
 const SLOWNESS_THRESHOLD: f64 = 2.0;
 
-/// A machine's slowness is judged by no fewer tasks.
+/// A machine isn't considered slow before this many tasks have been measured on it.
 const MIN_SLOWNESS_SAMPLES: u32 = 5;
 
-/// A single task counts as at most so many times as slow, or as fast, as its job's others.
+/// A single task counts as at most this many times as slow, or as fast, as the average of its job.
 const MAX_SLOWDOWN_RATIO: f64 = 10.0;
 
-/// An image whose fetch is overdue is taken to need this many seconds more.
-const MIN_PULL_LEFT_S: f64 = 0.2;
+/// An image fetch that takes longer than expected is assumed to need this many seconds more.
+const MIN_REMAINING_FETCH_S: f64 = 0.2;
 
-/// Prefix of machine records, `fleet/ID`: written before a machine gets its first order.
+/// Prefix of the keys of machine records, `fleet/ID`. A record is written before its machine gets its first order.
 pub const MACHINE_PREFIX: &str = "fleet/";
 
-/// The key of a machine's record.
+/// The key of the machine's record in the key-value store.
 pub fn machine_key(id: &MachineId) -> String {
     format!("{MACHINE_PREFIX}{id}")
 }
 
-/// What is stored of a machine.
+/// The record of a machine in the key-value store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Where its worker takes orders.
+    /// Address at which its worker receives orders.
     pub endpoint: String,
-    /// The name of its type.
+    /// Name of its machine type.
     pub kind: String,
-    /// The name of its zone.
+    /// Name of its zone.
     pub zone: String,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
 }
 
-/// Whether a machine's record is stored.
+/// Whether the machine's record is in the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registration {
-    /// There is none, so it gets no orders.
+    /// There is no record, so the machine gets no orders.
     Unregistered,
-    /// It is being written.
+    /// The record is being written.
     InFlight,
-    /// It is stored.
+    /// The record is stored.
     Registered,
 }
 
-/// The way that a machine's heartbeats take to the leader: directly, or by one of the peers.
+/// How a machine's heartbeats reach the leader: directly, or relayed by one of its peers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct HeartbeatRoute(usize);
 
 impl HeartbeatRoute {
-    /// Not by a peer.
+    /// The worker sends them to the leader itself.
     pub const DIRECT: HeartbeatRoute = HeartbeatRoute(0);
 
-    /// By the peer of this index in the settings.
+    /// They are relayed by the peer with this index in the settings.
     pub fn via_peer(index: usize) -> HeartbeatRoute {
         HeartbeatRoute(index + 1)
     }
 }
 
-/// A machine that may exist.
+/// A machine that may exist, as far as this leader knows.
 pub struct Machine {
-    /// Where its worker takes orders; empty until it is known.
+    /// Address at which its worker receives orders; empty until it is known.
     pub endpoint: String,
-    /// The number of its type in the catalog.
+    /// Index of its machine type in the scheduler's catalog.
     pub kind: usize,
-    /// The number of its zone in the catalog.
+    /// Index of its zone in the scheduler's catalog.
     pub zone: u32,
-    /// Whether the cloud may reclaim it.
+    /// It is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// A heartbeat of it, or an answer to orders, has reached this leader.
+    /// This leader has received a heartbeat from it, or an answer to orders.
     pub up: bool,
-    /// When it was entered, or earlier if the cloud states its age.
+    /// When this leader added it to the cluster state, or earlier if the cloud's list states its age.
     pub since: MonotonicTime,
-    /// Whether its record is stored.
+    /// Whether its record is in the key-value store.
     pub registration: Registration,
-    /// The latest agent epoch of its worker; 0: none is known.
+    /// The latest known agent epoch of its worker; 0 if none is known.
     pub agent_epoch: AgentEpoch,
-    /// When the agent epoch was first heard of. Its lease counts from its beginning, which was before, even
-    /// if no heartbeat of it has been answered.
+    /// When this leader first received a message of the agent epoch. The epoch began with a full lease some time before
+    /// that. So even if none of its heartbeats is answered, it counts as expired only one lease after this time.
     pub agent_epoch_first_heard: MonotonicTime,
-    /// Of the latest message that was applied, in this agent epoch.
+    /// Sequence number of the latest message that was applied, within the agent epoch.
     pub sequence: SequenceNumber,
-    /// The latest *heartbeat*; answers to orders have sequence numbers as well, but are no heartbeats.
+    /// Agent epoch and sequence number of the latest heartbeat. Answers to orders have sequence numbers too, but are
+    /// not heartbeats.
     pub latest_heartbeat: (AgentEpoch, SequenceNumber),
-    /// When the last heartbeat that was answered came in. A copy of an earlier one is no sign of life.
+    /// When the latest heartbeat that was answered came in. Duplicates of earlier heartbeats don't count.
     pub last_heartbeat: MonotonicTime,
-    /// The route that it took; none: this leader has not answered any.
+    /// The route of the latest heartbeat that this leader answered; `None` before the first.
     pub route: Option<HeartbeatRoute>,
-    /// Its agent epoch has ended by the cluster state's own count: what comes of it later is stale.
+    /// Its lease has expired by this leader's clock, which ends the agent epoch. Messages of that epoch that arrive
+    /// later are stale.
     pub lease_expired: bool,
-    /// It has sent a message with this leader's token, so answers reach it.
+    /// It has sent a message with this leader's token, which shows that this leader's responses reach it.
     pub token_acknowledged: bool,
-    /// Since when it has been answered without acknowledging its token. Its heartbeats arrive, but
-    /// nothing may reach it.
+    /// Since when its heartbeats have been answered without the worker acknowledging its current token. Its messages
+    /// arrive, but responses may not reach it.
     pub unacknowledged_since: Option<MonotonicTime>,
-    /// Everything possibly on it is in `allocations`: it has sent a message with this leader's token, or
-    /// never had an order, or is proven empty.
+    /// Every task that may be on it is in `allocations`: it has sent a message with this leader's token, has never been
+    /// sent an order, or is proven empty.
     pub reconciled: bool,
-    /// The fence that its tokens carry.
+    /// The fence in its fencing tokens. It is raised to make the worker refuse orders that were sent before.
     pub fence: u64,
-    /// Orders went unanswered: no more are sent until the worker states the raised fence.
+    /// Orders were not answered, so the fence was raised; no orders are sent until the worker acknowledges it.
     pub fencing: bool,
-    /// The request that its unanswered orders were sent as.
+    /// The request that carries the orders under way to it; no other orders are sent directly meanwhile.
     pub in_flight: Option<RequestId>,
-    /// Orders that are to be sent.
+    /// Orders that have not been sent yet.
     pub outbox: Vec<Order>,
-    /// The tasks that are possibly on it.
+    /// The tasks that may be on it.
     pub allocations: BTreeMap<TaskAttempt, Allocation>,
-    /// Counts the lists taken in from its worker.
+    /// How many task lists from its worker have been applied, from heartbeats and from answers to orders.
     pub heartbeats_applied: u64,
-    /// The cloud has announced that it reclaims it.
+    /// The cloud has announced that it will reclaim the machine.
     pub spot_notice: bool,
-    /// Tasks that failed on it in a row, not by their jobs' faults.
+    /// Consecutive task failures on it that were not attributed to the tasks' jobs.
     pub errors: u32,
-    /// It gets no tasks before then.
+    /// It gets no new tasks before this time.
     pub quarantined_until: MonotonicTime,
-    /// To be terminated; never used again, as a termination may be carried out at any time.
+    /// It is to be terminated. It never gets tasks again, because a termination may take effect at any time.
     pub retiring: bool,
-    /// The cloud has been asked to terminate it.
+    /// A termination request to the cloud is under way.
     pub termination_in_flight: bool,
-    /// The cloud isn't asked again before then.
+    /// No termination is requested before this time.
     pub terminate_after: MonotonicTime,
-    /// Since when nothing is on it.
+    /// Since when no task has been on it.
     pub idle_since: Option<MonotonicTime>,
-    /// Images that it is believed to hold, with their sizes in GB, the latest used last.
+    /// The images in its cache, as far as this leader can tell: index and size in GB, least recently used first.
     pub images: VecDeque<(u32, f64)>,
-    /// How many times as long as their job's others its tasks run.
+    /// How many times as long as the average of their job its tasks run.
     pub slowness: f64,
-    /// How many tasks that is known from.
+    /// How many tasks `slowness` is based on.
     pub runtime_samples: u32,
 }
 
 impl Machine {
-    /// A machine that nothing is known to be on and that hasn't been heard from.
+    /// A machine without tasks or a stored record, from which no message has been received.
     pub fn new(endpoint: String, kind: usize, zone: u32, spot: bool, now: MonotonicTime) -> Machine {
         Machine {
             endpoint,
@@ -190,8 +193,8 @@
         }
     }
 
-    /// Records a message's place in the worker's sequence; it is newer than all before. Returns whether the worker
-    /// has now acknowledged the raised fence.
+    /// Advances the agent epoch and sequence number to those of a message, which must be newer than all before. Returns
+    /// whether the message acknowledges a raised fence that was awaited.
     pub fn advance_sequence(&mut self, now: MonotonicTime, heartbeat: &Heartbeat, term: Term) -> bool {
         if heartbeat.agent_epoch > self.agent_epoch || self.sequence == SequenceNumber(0) {
             self.agent_epoch_first_heard = now;
@@ -203,8 +206,8 @@
         acknowledges_fence
     }
 
-    /// A worker that holds a token of the term has listed everything that earlier leaders ordered. Returns whether
-    /// this makes a difference.
+    /// Marks the machine as reconciled if the worker's token is of this term: the worker then accepts no orders of
+    /// earlier leaders any more, so its task list is complete. Returns whether this changed anything.
     pub fn reconcile(&mut self, token: FencingToken, term: Term) -> bool {
         if token < FencingToken::new(term, 0) || (self.reconciled && self.token_acknowledged) {
             return false;
@@ -214,14 +217,15 @@
         true
     }
 
-    /// The tasks that are gone, as the latest heartbeat doesn't list them: the worker has listed them before, has
-    /// answered their order, or will refuse the order because it has seen a higher fence since.
+    /// The tasks that are proven gone, because the latest task list lacks them although the worker has listed them
+    /// before, has answered their run order, or will refuse that order because `token`, the highest token that it has
+    /// seen, is above the order's.
     pub fn unlisted_tasks(&self, token: FencingToken) -> Vec<TaskAttempt> {
         let is_gone = |allocation: &Allocation| {
             allocation.last_listed != self.heartbeats_applied
                 && match allocation.pending_run {
                     Some(run) if allocation.phase.is_none() => run.answered || token > run.token,
-                    // Its order hasn't left yet.
+                    // The run order has not been sent yet.
                     None if allocation.phase.is_none() => false,
                     _ => true,
                 }
@@ -229,12 +233,12 @@
         self.allocations.iter().filter(|(_, allocation)| is_gone(allocation)).map(|(key, _)| *key).collect()
     }
 
-    /// The instance pool that it counts to.
+    /// The instance pool that it belongs to.
     pub fn pool(&self) -> InstancePool {
         InstancePool { kind: self.kind, zone: self.zone, spot: self.spot }
     }
 
-    /// What the tasks take that are possibly on it and haven't exited.
+    /// The resources allocated to tasks that may be on it and haven't exited.
     pub fn used(&self) -> Resources {
         let mut used = Resources::default();
         for allocation in self.allocations.values().filter(|allocation| !allocation.has_exited()) {
@@ -243,24 +247,24 @@
         used
     }
 
-    /// What is left of a machine of this type.
+    /// The resources that are not allocated. `machine_type` must be the machine's own type.
     pub fn free(&self, machine_type: &MachineType) -> Resources {
         let mut free = Resources::of_type(machine_type);
         free.sub(&self.used());
         free
     }
 
-    /// Whether a task is possibly on it that hasn't exited.
+    /// Whether a task that hasn't exited may be on it.
     pub fn busy(&self) -> bool {
         self.allocations.values().any(|allocation| !allocation.has_exited())
     }
 
-    /// A task of a job that is over is listed: what it uses isn't known.
+    /// Whether a task of a job that is unknown or has ended is on it, so that its resource usage isn't known.
     pub fn has_unknown_usage(&self) -> bool {
         self.allocations.values().any(|allocation| allocation.team.is_none() && !allocation.has_exited())
     }
 
-    /// May get new tasks now.
+    /// Whether the machine may get new tasks now.
     pub fn usable(&self, now: MonotonicTime, heartbeat_timeout: Millis) -> bool {
         self.up
             && self.reconciled
@@ -274,17 +278,18 @@
             && now - self.last_heartbeat <= heartbeat_timeout
     }
 
-    /// A task has run `ratio` times as long as its job's average. True: by now it is plain that
-    /// the machine is much slower than others.
+    /// Records that a task ran `ratio` times as long as the average of its job. Returns whether enough tasks have been
+    /// recorded to tell that the machine is much slower than others.
     pub fn record_slowdown(&mut self, ratio: f64) -> bool {
         let sample = ratio.clamp(1.0 / MAX_SLOWDOWN_RATIO, MAX_SLOWDOWN_RATIO);
-        let log = self.slowness.ln() + SLOWNESS_WEIGHT * (sample.ln() - self.slowness.ln());
-        self.slowness = log.exp();
+        let log_slowness = self.slowness.ln() + SLOWNESS_WEIGHT * (sample.ln() - self.slowness.ln());
+        self.slowness = log_slowness.exp();
         self.runtime_samples += 1;
         self.runtime_samples >= MIN_SLOWNESS_SAMPLES && self.slowness > SLOWNESS_THRESHOLD
     }
 
-    /// The image was used; those used longest ago go while the cache is over its size of `cache_gb`.
+    /// Marks the image as the most recently used in the cache, and evicts the least recently used images while the
+    /// cache exceeds `cache_gb`. The image itself is kept even if it is larger than that.
     pub fn cache_image(&mut self, image: u32, image_gb: f64, cache_gb: f64) {
         self.images.retain(|(cached, _)| *cached != image);
         self.images.push_back((image, image_gb));
@@ -293,25 +298,26 @@
         }
     }
 
-    /// Seconds until the image is there, if it is there or on its way.
+    /// Seconds until the image is on the machine: 0 if it is cached, `None` if it is neither cached nor being fetched.
     pub fn image_ready_in_s(&self, image: u32, now: MonotonicTime) -> Option<f64> {
         if !self.images.iter().any(|(cached, _)| *cached == image) {
             return None;
         }
-        let is_pulling = |allocation: &&Allocation| {
+        let is_fetching = |allocation: &&Allocation| {
             allocation.image == image
                 && allocation.fetch_s > 0.0
                 && matches!(allocation.phase, None | Some(TaskPhase::Pulling))
         };
-        let left_s = |allocation: &Allocation| {
-            (allocation.fetch_s - (now - allocation.placed_at).as_secs_f64()).max(MIN_PULL_LEFT_S)
+        let remaining_s = |allocation: &Allocation| {
+            (allocation.fetch_s - (now - allocation.placed_at).as_secs_f64()).max(MIN_REMAINING_FETCH_S)
         };
-        Some(self.allocations.values().filter(is_pulling).map(left_s).fold(0.0, f64::max))
+        Some(self.allocations.values().filter(is_fetching).map(remaining_s).fold(0.0, f64::max))
     }
 
-    /// A stop for every task that has to go, as far as a stop does anything to it.
+    /// Stop orders for all tasks that are to stop, except those that have exited and those that are already saving
+    /// their progress and have been given time for it.
     pub fn pending_stops(&self) -> Vec<Order> {
-        let due = |((task, attempt), allocation): (&TaskAttempt, &Allocation)| {
+        let stop_order = |((task, attempt), allocation): (&TaskAttempt, &Allocation)| {
             let leeway_s = allocation.stop?;
             let is_saving = allocation.phase == Some(TaskPhase::Flushing);
             if allocation.has_exited() || (is_saving && leeway_s != 0.0) {
@@ -319,10 +325,10 @@
             }
             Some(Order::Stop { task: *task, attempt: *attempt, leeway_s })
         };
-        self.allocations.iter().filter_map(due).collect()
+        self.allocations.iter().filter_map(stop_order).collect()
     }
 
-    /// Puts an order into the outbox, unless it is there already.
+    /// Adds an order to the outbox unless it is there already.
     pub fn queue_order(&mut self, order: Order) {
         if !self.outbox.contains(&order) {
             self.outbox.push(order);
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -1,95 +1,101 @@
-//! Provisioning machines: what the cloud has refused, and requests under way.
+//! Provisioning of machines: pending requests to the cloud, and backoff after it lacked capacity.
 
 use crate::ids::Term;
 use crate::time::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// What the cloud's capacity is told apart by.
+/// A group of interchangeable machines of the cloud; capacity differs from pool to pool.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct InstancePool {
-    /// The number of the type in the catalog.
+    /// Index of the machine type in the scheduler's catalog.
     pub kind: usize,
-    /// The number of the zone in the catalog.
+    /// Index of the zone in the scheduler's catalog.
     pub zone: u32,
-    /// Machines that the cloud may reclaim.
+    /// Spot machines, which the cloud may reclaim.
     pub spot: bool,
 }
 
-/// A request for machines that the cloud hasn't answered for good.
+/// A request for machines to which the cloud has not given a final answer.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingProvision {
-    /// Where they are asked for.
+    /// The pool of the requested machines.
     pub pool: InstancePool,
-    /// How many.
+    /// How many machines are requested.
     pub number: u32,
-    /// Sent, without a result yet.
+    /// The request has been sent and its result is not in yet.
     in_flight: bool,
-    /// Otherwise it is sent then.
-    again_at: MonotonicTime,
+    /// When to send the request next, unless it is in flight.
+    next_attempt_at: MonotonicTime,
 }
 
-/// A pool that the cloud has refused isn't tried before `until`.
+/// The backoff of a pool in which the cloud lacked capacity.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
+    /// No machines are requested from the pool before this time.
     until: MonotonicTime,
-    pause: Millis,
+    /// Length of the current backoff; it is doubled if the next request is refused as well.
+    delay: Millis,
 }
 
+/// Backoff after the first refusal.
 const INITIAL_BACKOFF: Millis = Millis(5_000);
+/// Upper bound on the rest of a backoff once a machine of the pool is gone.
 const CAPACITY_FREED_BACKOFF: Millis = Millis(1_000);
 const MAX_BACKOFF: Millis = Millis(40_000);
-/// Requests under way at once at most.
+/// Limit on the requests that have no final answer yet.
 const MAX_REQUESTS: usize = 16;
 
-/// Requests for machines, and when each pool may be tried.
+/// Tracks the pending requests for machines and the backoff of each pool.
 #[derive(Default)]
 pub struct Provisioner {
     backoffs: BTreeMap<InstancePool, Backoff>,
-    /// By request name. A name that may have been carried out is repeated until it is answered.
+    /// By request name. A request whose result is unknown is repeated under the same name until it is answered, as the
+    /// cloud carries out each name only once.
     requests: BTreeMap<String, PendingProvision>,
-    /// How many requests have been named.
-    named: u64,
+    /// How many requests this leader has made.
+    request_count: u64,
 }
 
 impl Provisioner {
-    /// Whether the pool may be tried: the cloud hasn't refused it lately.
+    /// Whether machines may be requested from the pool, which is not the case during its backoff.
     pub fn open(&self, pool: InstancePool, now: MonotonicTime) -> bool {
         self.backoffs.get(&pool).is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// "No capacity", or fewer machines than asked for: ask again later and later.
+    /// Records that the cloud had no capacity, or provisioned fewer machines than requested, and starts a backoff of the
+    /// pool. It is twice as long as the previous backoff if that ended less than its own length ago.
     pub fn on_refused(&mut self, pool: InstancePool, now: MonotonicTime) {
-        let pause = match self.backoffs.get(&pool) {
-            Some(backoff) if now - backoff.until < backoff.pause => Millis((backoff.pause.0 * 2).min(MAX_BACKOFF.0)),
+        let delay = match self.backoffs.get(&pool) {
+            Some(backoff) if now - backoff.until < backoff.delay => Millis((backoff.delay.0 * 2).min(MAX_BACKOFF.0)),
             _ => INITIAL_BACKOFF,
         };
-        self.backoffs.insert(pool, Backoff { until: now + pause, pause });
+        self.backoffs.insert(pool, Backoff { until: now + delay, delay });
     }
 
-    /// All machines that were asked for have been provisioned.
+    /// Records that all requested machines have been provisioned, which ends the pool's backoff.
     pub fn on_granted(&mut self, pool: InstancePool) {
         self.backoffs.remove(&pool);
     }
 
-    /// A machine of this pool is gone, so there may be capacity again: the next try comes soon,
-    /// whatever was refused before.
+    /// Records that a machine of the pool is gone, so that the cloud may have capacity again: the next request may be
+    /// made soon, however long the backoff is.
     pub fn on_capacity_freed(&mut self, pool: InstancePool, now: MonotonicTime) {
         if let Some(backoff) = self.backoffs.get_mut(&pool) {
-            *backoff = Backoff { until: backoff.until.min(now + CAPACITY_FREED_BACKOFF), pause: INITIAL_BACKOFF };
+            *backoff = Backoff { until: backoff.until.min(now + CAPACITY_FREED_BACKOFF), delay: INITIAL_BACKOFF };
         }
     }
 
-    /// Adds a request for `number` machines, which is due at once. The term keeps its name apart from those of
-    /// other leaders.
+    /// Adds a request for `number` machines, which is due at once. Its name contains the term, so it differs from the
+    /// names of other leaders' requests.
     pub fn request(&mut self, term: Term, pool: InstancePool, number: u32, now: MonotonicTime) {
-        self.named += 1;
-        let name = format!("w{term}-{}", self.named);
-        self.requests.insert(name, PendingProvision { pool, number, in_flight: false, again_at: now });
+        self.request_count += 1;
+        let name = format!("w{term}-{}", self.request_count);
+        self.requests.insert(name, PendingProvision { pool, number, in_flight: false, next_attempt_at: now });
     }
 
-    /// Marks the requests that are due as sent, and returns them by name.
+    /// Marks the requests that are due as in flight, and returns them with their names.
     pub fn start_due(&mut self, now: MonotonicTime) -> Vec<(String, PendingProvision)> {
-        let due = self.requests.iter_mut().filter(|(_, request)| !request.in_flight && request.again_at <= now);
+        let due = self.requests.iter_mut().filter(|(_, request)| !request.in_flight && request.next_attempt_at <= now);
         let start = |(name, request): (&String, &mut PendingProvision)| {
             request.in_flight = true;
             (name.clone(), *request)
@@ -97,30 +103,30 @@
         due.map(start).collect()
     }
 
-    /// The request of this name; none: it has been answered for good, or there was none.
+    /// The request of this name, unless it has had its final answer or never existed.
     pub fn get(&self, name: &str) -> Option<PendingProvision> {
         self.requests.get(name).copied()
     }
 
-    /// The result of a request isn't known: it is due again at `again_at`, under the same name.
-    pub fn retry(&mut self, name: &str, again_at: MonotonicTime) {
+    /// Schedules a request whose result is unknown to be sent again at `at`, under the same name.
+    pub fn retry(&mut self, name: &str, at: MonotonicTime) {
         if let Some(request) = self.requests.get_mut(name) {
             request.in_flight = false;
-            request.again_at = again_at;
+            request.next_attempt_at = at;
         }
     }
 
-    /// A request has been answered for good.
+    /// Removes a request that has had its final answer.
     pub fn close(&mut self, name: &str) {
         self.requests.remove(name);
     }
 
-    /// The requests that aren't answered for good, in the order of their names.
+    /// The requests without a final answer, ordered by name.
     pub fn requests(&self) -> impl Iterator<Item = &PendingProvision> {
         self.requests.values()
     }
 
-    /// Whether one more request may be under way.
+    /// Whether the limit on pending requests allows one more.
     pub fn has_capacity(&self) -> bool {
         self.requests.len() < MAX_REQUESTS
     }
--- a/src/core/provisioning/tests.rs
+++ b/src/core/provisioning/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn provisioner_backs_off_from_a_refused_pool_for_longer_each_time_and_from_no_other() {
+fn provisioner_backs_off_exponentially_and_only_from_the_refused_pool() {
     let pool = InstancePool { kind: 0, zone: 0, spot: true };
     let other = InstancePool { spot: false, ..pool };
     let mut provisioner = Provisioner::default();
@@ -11,7 +11,7 @@
     provisioner.on_refused(pool, MonotonicTime(5_000));
     assert!(!open(&provisioner, 14_999) && open(&provisioner, 15_000));
     provisioner.on_capacity_freed(pool, MonotonicTime(5_500));
-    assert!(!open(&provisioner, 6_400) && open(&provisioner, 6_500), "a machine has gone since");
+    assert!(!open(&provisioner, 6_400) && open(&provisioner, 6_500), "a machine of the pool is gone");
     provisioner.on_granted(pool);
     provisioner.on_refused(pool, MonotonicTime(20_000));
     assert!(open(&provisioner, 25_000));
--- a/src/core/resources.rs
+++ b/src/core/resources.rs
@@ -1,58 +1,59 @@
-//! Processors, GPUs and memory: of a machine, of a task, or a sum of them.
+//! Amounts of processors, GPUs and memory: the capacity of a machine, the requirements of a task, or sums of them.
 
 use crate::wire::{JobSpec, MachineType};
 
-/// How much a need may exceed what is there and still be covered: sums of fractions don't come out even.
-const COVER_EPSILON: f64 = 1e-6;
+/// A requirement counts as covered if it exceeds the available amount by no more than this, because sums of fractional
+/// amounts have rounding errors.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// An amount of each resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Processors; fractions are allowed.
+    /// Number of processors; may be fractional.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// What a machine of this type has.
+    /// The capacity of an empty machine of this type.
     pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
 
-    /// What one task of this job needs.
+    /// The resources that one task of the job needs.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// Adds the other amount to this one.
+    /// Adds `other` to this amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Takes the other amount from this one, also below zero.
+    /// Subtracts `other` from this amount. The result may be negative.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// Raises each part to at least that of the other.
+    /// Raises each resource to at least the amount in `other`.
     pub fn max_with(&mut self, other: &Resources) {
         self.cpus = self.cpus.max(other.cpus);
         self.gpus = self.gpus.max(other.gpus);
         self.memory_gb = self.memory_gb.max(other.memory_gb);
     }
 
-    /// Whether this amount is enough for the need, but for rounding.
+    /// Whether this amount is enough for `need` in each resource, apart from rounding errors.
     pub fn covers(&self, need: &Resources) -> bool {
-        need.cpus <= self.cpus + COVER_EPSILON
-            && need.gpus <= self.gpus + COVER_EPSILON
-            && need.memory_gb <= self.memory_gb + COVER_EPSILON
+        need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 }
 
--- a/src/core/resources/tests.rs
+++ b/src/core/resources/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn resources_cover_a_need_in_each_part_but_for_rounding() {
+fn resources_cover_a_need_if_each_resource_does_apart_from_rounding() {
     let free = Resources { cpus: 4.0, gpus: 1.0, memory_gb: 16.0 };
     let cases = [
         (Resources { cpus: 4.0, gpus: 1.0, memory_gb: 16.0 }, true),
