--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -62,8 +62,8 @@
         self.backoffs.get(&pool).is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// Records that the cloud had no capacity, or provisioned fewer machines than requested, and starts a backoff of the
-    /// pool. It is twice as long as the previous backoff if that ended less than its own length ago.
+    /// Records that the cloud had no capacity, or provisioned fewer machines than requested, and starts a backoff of
+    /// the pool. It is twice as long as the previous backoff if that ended less than its own length ago.
     pub fn on_refused(&mut self, pool: InstancePool, now: MonotonicTime) {
         let delay = match self.backoffs.get(&pool) {
             Some(backoff) if now - backoff.until < backoff.delay => Millis((backoff.delay.0 * 2).min(MAX_BACKOFF.0)),
