--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -265,7 +265,7 @@
     }
 
     /// Whether the machine may get new tasks now.
-    pub fn usable(&self, now: MonotonicTime, heartbeat_timeout: Millis) -> bool {
+    pub fn is_schedulable(&self, now: MonotonicTime, heartbeat_timeout: Millis) -> bool {
         self.up
             && self.reconciled
             && self.token_acknowledged
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -64,7 +64,9 @@
 
     /// Whether a job's tasks may be on the machine, capacity and the job's other tasks aside.
     fn is_eligible(&self, now: MonotonicTime, job: &Job, id: &MachineId, machine: &Machine) -> bool {
-        machine.usable(now, self.heartbeat_timeout()) && self.permits(&job.spec, machine) && !job.avoids(id, now)
+        machine.is_schedulable(now, self.heartbeat_timeout())
+            && self.permits(&job.spec, machine)
+            && !job.avoids(id, now)
     }
 
     /// What has to be stopped on an eligible machine. None: stopping all that may be stopped isn't enough.
--- a/src/core/scheduler/placement_checks.rs
+++ b/src/core/scheduler/placement_checks.rs
@@ -26,7 +26,7 @@
         let team = job.team;
         !self.in_doubt
             && !job.is_waiting()
-            && machine.usable(now, self.heartbeat_timeout())
+            && machine.is_schedulable(now, self.heartbeat_timeout())
             && !self.held_back(job)
             && free.covers(&need)
             && self.permits(spec, machine)
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -65,7 +65,7 @@
 
     /// None: the machine gets no tasks, now or soon.
     fn readiness(&self, now: MonotonicTime, machine: &Machine) -> Option<Readiness> {
-        if machine.usable(now, self.heartbeat_timeout()) {
+        if machine.is_schedulable(now, self.heartbeat_timeout()) {
             return Some(Readiness::Usable);
         }
         if machine.retiring {
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -215,7 +215,7 @@
 
     /// None: the machine may not get tasks now.
     fn index_machine(&self, now: MonotonicTime, id: &MachineId, machine: &Machine) -> Option<IndexedMachine> {
-        if !machine.usable(now, self.heartbeat_timeout()) {
+        if !machine.is_schedulable(now, self.heartbeat_timeout()) {
             return None;
         }
         self.cost.add_tasks(machine.allocations.len());
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -182,7 +182,7 @@
     assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &later).is_ok());
     let id = MachineId::parse("m-000008").unwrap();
     harness.run(1_000);
-    assert!(!harness.scheduler.machines.known[&id].usable(MonotonicTime(harness.now), Millis(5_000)));
+    assert!(!harness.scheduler.machines.known[&id].is_schedulable(MonotonicTime(harness.now), Millis(5_000)));
 }
 
 #[test]
