--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -255,7 +255,7 @@
     }
 
     /// Whether a task that hasn't exited may be on it.
-    pub fn busy(&self) -> bool {
+    pub fn has_active_tasks(&self) -> bool {
         self.allocations.values().any(|allocation| !allocation.has_exited())
     }
 
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -80,7 +80,7 @@
     /// A replica to move off the machine on which the most is wasted.
     fn find_move(&self, now: MonotonicTime) -> MoveSearch {
         let heartbeat_timeout = self.heartbeat_timeout();
-        let usable = |machine: &Machine| machine.is_schedulable(now, heartbeat_timeout) && machine.busy();
+        let usable = |machine: &Machine| machine.is_schedulable(now, heartbeat_timeout) && machine.has_active_tasks();
         let machines = self.machines.known.iter().filter(|(_, machine)| usable(machine));
         let mut loaded: Vec<LoadedMachine> = machines.map(|(id, machine)| self.loaded(id, machine)).collect();
         // The fullest first.
--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -115,7 +115,7 @@
             Some(RetirementReason::Suspected(late))
         } else if is_unacknowledged(machine, self.now, self.lease) && !self.many_unacknowledged {
             Some(RetirementReason::Unacknowledged)
-        } else if !machine.up || machine.busy() || !machine.reconciled {
+        } else if !machine.up || machine.has_active_tasks() || !machine.reconciled {
             None
         } else if machine.spot_notice {
             Some(RetirementReason::Reclaimed)
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -21,7 +21,7 @@
 /// Keeps account of since when a machine is idle; whether it is for longer than `timeout`, with no
 /// orders under way.
 pub(super) fn review_idleness(machine: &mut Machine, now: MonotonicTime, timeout: Millis) -> bool {
-    if machine.busy() || !machine.reconciled {
+    if machine.has_active_tasks() || !machine.reconciled {
         machine.idle_since = None;
         return false;
     }
