--- a/src/core/allocation.rs
+++ b/src/core/allocation.rs
@@ -31,7 +31,7 @@
     /// The run order that was sent; `None` if none was sent or the worker has listed the task since.
     pub pending_run: Option<PendingRun>,
     /// The number of the last task list of its machine that contained the task.
-    pub last_listed: u64,
+    pub last_task_list: u64,
     /// When the allocation was made.
     pub placed_at: MonotonicTime,
     /// When the worker first listed the task as running.
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -130,7 +130,7 @@
     /// The tasks that may be on it.
     pub allocations: BTreeMap<TaskAttempt, Allocation>,
     /// How many task lists from its worker have been applied, from heartbeats and from answers to orders.
-    pub heartbeats_applied: u64,
+    pub task_lists_applied: u64,
     /// The cloud has announced that it will reclaim the machine.
     pub spot_notice: bool,
     /// Consecutive task failures on it that were not attributed to the tasks' jobs.
@@ -179,7 +179,7 @@
             in_flight: None,
             outbox: Vec::new(),
             allocations: BTreeMap::new(),
-            heartbeats_applied: 0,
+            task_lists_applied: 0,
             spot_notice: false,
             errors: 0,
             quarantined_until: MonotonicTime(0),
@@ -222,7 +222,7 @@
     /// seen, is above the order's.
     pub fn unlisted_tasks(&self, token: FencingToken) -> Vec<TaskAttempt> {
         let is_gone = |allocation: &Allocation| {
-            allocation.last_listed != self.heartbeats_applied
+            allocation.last_task_list != self.task_lists_applied
                 && match allocation.pending_run {
                     Some(run) if allocation.phase.is_none() => run.answered || token > run.token,
                     // The run order has not been sent yet.
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -256,7 +256,7 @@
 
     fn apply_task_list(&mut self, now: MonotonicTime, id: &MachineId, tasks: &[TaskStatus]) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        machine.heartbeats_applied += 1;
+        machine.task_lists_applied += 1;
         self.cost.add_tasks(machine.allocations.len() + tasks.len());
         let mut changed: Vec<(TaskAttempt, &TaskStatus)> = Vec::new();
         for listed in tasks {
@@ -271,7 +271,7 @@
                 Some(allocation)
                     if allocation.is_unchanged(listed.phase) && job.is_some_and(|job| job.goes_on(&key)) =>
                 {
-                    allocation.last_listed = machine.heartbeats_applied;
+                    allocation.last_task_list = machine.task_lists_applied;
                 }
                 // Done, and kept by the worker until that is durable.
                 Some(allocation)
@@ -279,7 +279,7 @@
                         && listed.is_done()
                         && job.is_some_and(|job| !job.is_durably_done(task.index)) =>
                 {
-                    allocation.last_listed = machine.heartbeats_applied;
+                    allocation.last_task_list = machine.task_lists_applied;
                 }
                 _ => changed.push((key, listed)),
             }
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -32,7 +32,7 @@
         priority: Priority::Normal,
         phase: Some(phase),
         pending_run: None,
-        last_listed: 0,
+        last_task_list: 0,
         placed_at: MonotonicTime(0),
         running_since: None,
         fully_observed: true,
--- a/src/core/scheduler/starts.rs
+++ b/src/core/scheduler/starts.rs
@@ -98,7 +98,7 @@
             priority: job.priority(),
             phase: None,
             pending_run: None,
-            last_listed: 0,
+            last_task_list: 0,
             placed_at: now,
             running_since: None,
             fully_observed: true,
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -27,7 +27,7 @@
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = machine.allocations.get_mut(key) else { return };
         let before = allocation.phase;
-        allocation.last_listed = machine.heartbeats_applied;
+        allocation.last_task_list = machine.task_lists_applied;
         allocation.phase = Some(listed.phase);
         allocation.pending_run = None;
         if listed.phase == TaskPhase::Running && before != Some(TaskPhase::Running) {
@@ -124,7 +124,7 @@
         priority: Priority::Low,
         phase: None,
         pending_run: None,
-        last_listed: 0,
+        last_task_list: 0,
         placed_at: now,
         running_since: None,
         fully_observed: false,
