--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -91,7 +91,7 @@
     /// This leader has received a heartbeat from it, or an answer to orders.
     pub up: bool,
     /// When this leader added it to the cluster state, or earlier if the cloud's list states its age.
-    pub since: MonotonicTime,
+    pub created_at: MonotonicTime,
     /// Whether its record is in the key-value store.
     pub registration: Registration,
     /// The latest known agent epoch of its worker; 0 if none is known.
@@ -162,7 +162,7 @@
             zone,
             spot,
             up: false,
-            since: now,
+            created_at: now,
             registration: Registration::Unregistered,
             agent_epoch: AgentEpoch(0),
             agent_epoch_first_heard: now,
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -73,7 +73,7 @@
         let Some((kind, zone)) = self.catalog.place_of(&listed.kind, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
         // Its age may reach back to before this process began.
-        machine.since = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
+        machine.created_at = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
         if listed.phase == ListPhase::Running {
             // It may be gone already, as the list is late, or about to send a heartbeat.
             let since = self.machines.never_heard_since(&id, now);
--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -108,7 +108,9 @@
         let boot_s = (machine_type.boot_s * BOOT_TIMEOUT_FACTOR).max(MIN_BOOT_TIMEOUT_S);
         let boot_timeout = Millis::from_secs_f64(boot_s) + self.list_lag;
         let late = self.now - machine.last_heartbeat.max(self.since);
-        if !machine.up && machine.registration == Registration::Unregistered && self.now - machine.since > boot_timeout
+        if !machine.up
+            && machine.registration == Registration::Unregistered
+            && self.now - machine.created_at > boot_timeout
         {
             Some(RetirementReason::NeverCameUp)
         } else if machine.registration == Registration::Registered && late > self.suspicion_timeout(machine) {
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -215,7 +215,7 @@
         if !machine.up {
             machine.up = true;
             machine.idle_since = None;
-            info!("machine {id} is up after_s={:.0}", (now - machine.since).as_secs_f64());
+            info!("machine {id} is up after_s={:.0}", (now - machine.created_at).as_secs_f64());
         }
         if heartbeat.agent_epoch > machine.agent_epoch && machine.agent_epoch.0 > 0 {
             // The worker has killed and forgotten all that it had.
@@ -249,7 +249,7 @@
         info!("machine {id} is reclaimed soon, notice_s={notice_s:.0}");
         machine.spot_notice = true;
         if machine.spot {
-            self.spot_lives.ended((now - machine.since).as_secs_f64());
+            self.spot_lives.ended((now - machine.created_at).as_secs_f64());
         }
         self.drain(now, id, notice_s);
     }
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -92,7 +92,7 @@
         let urgent = self.gpus.urgent_headroom(machine, machine_type);
         let lent = !machine.up || self.gpus.is_lendable(id);
         let preemptible = self.gpus.preemptible_headroom(machine, machine_type, lent);
-        let age_s = (now - machine.since).as_secs_f64();
+        let age_s = (now - machine.created_at).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
             ready_s: machine.image_ready_in_s(*image, now).unwrap_or(0.0),
