--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -134,7 +134,7 @@
     /// The cloud has announced that it will reclaim the machine.
     pub spot_notice: bool,
     /// Consecutive task failures on it that were not attributed to the tasks' jobs.
-    pub errors: u32,
+    pub consecutive_failures: u32,
     /// It gets no new tasks before this time.
     pub quarantined_until: MonotonicTime,
     /// It is to be terminated. It never gets tasks again, because a termination may take effect at any time.
@@ -181,7 +181,7 @@
             allocations: BTreeMap::new(),
             task_lists_applied: 0,
             spot_notice: false,
-            errors: 0,
+            consecutive_failures: 0,
             quarantined_until: MonotonicTime(0),
             retiring: false,
             termination_in_flight: false,
--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -121,7 +121,7 @@
             None
         } else if machine.spot_notice {
             Some(RetirementReason::Reclaimed)
-        } else if machine.errors >= QUARANTINE_ERROR_THRESHOLD && machine.quarantined_until > self.now {
+        } else if machine.consecutive_failures >= QUARANTINE_ERROR_THRESHOLD && machine.quarantined_until > self.now {
             Some(RetirementReason::Quarantined)
         } else {
             None
--- a/src/core/scheduler/failure_detection/tests.rs
+++ b/src/core/scheduler/failure_detection/tests.rs
@@ -84,7 +84,8 @@
     let mut reclaimed = registered();
     reclaimed.spot_notice = true;
     let mut quarantined = registered();
-    (quarantined.errors, quarantined.quarantined_until) = (QUARANTINE_ERROR_THRESHOLD, MonotonicTime(101_000));
+    (quarantined.consecutive_failures, quarantined.quarantined_until) =
+        (QUARANTINE_ERROR_THRESHOLD, MonotonicTime(101_000));
     for (mut machine, expected) in
         [(reclaimed, "it is reclaimed and empty"), (quarantined, "it is quarantined and empty")]
     {
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -101,9 +101,9 @@
             // Like one that fails tasks: retired once it is empty.
             info!("machine {id} is slow and quarantined, slowness={:.1}", machine.slowness);
             machine.quarantined_until = now + QUARANTINE_PERIOD;
-            machine.errors = QUARANTINE_ERROR_THRESHOLD;
+            machine.consecutive_failures = QUARANTINE_ERROR_THRESHOLD;
         } else {
-            machine.errors = 0;
+            machine.consecutive_failures = 0;
         }
     }
 
@@ -120,13 +120,13 @@
             return;
         }
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        machine.errors += 1;
+        machine.consecutive_failures += 1;
         if machine.quarantined_until > now {
             return;
         }
-        if machine.errors >= QUARANTINE_ERROR_THRESHOLD {
+        if machine.consecutive_failures >= QUARANTINE_ERROR_THRESHOLD {
             machine.quarantined_until = now + QUARANTINE_PERIOD;
-            info!("machine {id} fails tasks and is quarantined, errors={}", machine.errors);
+            info!("machine {id} fails tasks and is quarantined, errors={}", machine.consecutive_failures);
         } else {
             machine.quarantined_until = now + FIRST_ERROR_QUARANTINE_PERIOD;
         }
