--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -122,7 +122,7 @@
     /// The fence in its fencing tokens. It is raised to make the worker refuse orders that were sent before.
     pub fence: u64,
     /// Orders were not answered, so the fence was raised; no orders are sent until the worker acknowledges it.
-    pub fencing: bool,
+    pub awaits_fence_ack: bool,
     /// The request that carries the orders under way to it; no other orders are sent directly meanwhile.
     pub in_flight: Option<RequestId>,
     /// Orders that have not been sent yet.
@@ -175,7 +175,7 @@
             unacknowledged_since: None,
             reconciled: true,
             fence: 0,
-            fencing: false,
+            awaits_fence_ack: false,
             in_flight: None,
             outbox: Vec::new(),
             allocations: BTreeMap::new(),
@@ -201,8 +201,8 @@
         }
         self.agent_epoch = heartbeat.agent_epoch;
         self.sequence = heartbeat.sequence;
-        let acknowledges_fence = self.fencing && heartbeat.token >= FencingToken::new(term, self.fence);
-        self.fencing &= !acknowledges_fence;
+        let acknowledges_fence = self.awaits_fence_ack && heartbeat.token >= FencingToken::new(term, self.fence);
+        self.awaits_fence_ack &= !acknowledges_fence;
         acknowledges_fence
     }
 
@@ -270,7 +270,7 @@
             && self.reconciled
             && self.token_acknowledged
             && self.registration == Registration::Registered
-            && !self.fencing
+            && !self.awaits_fence_ack
             && !self.spot_notice
             && !self.retiring
             && !self.has_unknown_usage()
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -48,7 +48,7 @@
                 } else {
                     machine.fence += 1;
                 }
-                machine.fencing = true;
+                machine.awaits_fence_ack = true;
                 debug!("machine {id}: orders unanswered, fence={}", machine.fence);
             }
         }
@@ -109,7 +109,7 @@
     /// over all machines.
     pub(super) fn flush_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        if machine.outbox.is_empty() || machine.in_flight.is_some() || machine.fencing || !machine.up {
+        if machine.outbox.is_empty() || machine.in_flight.is_some() || machine.awaits_fence_ack || !machine.up {
             return;
         }
         if machine.retiring {
