--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -124,7 +124,7 @@
     /// Orders were not answered, so the fence was raised; no orders are sent until the worker acknowledges it.
     pub awaits_fence_ack: bool,
     /// The request that carries the orders under way to it; no other orders are sent directly meanwhile.
-    pub in_flight: Option<RequestId>,
+    pub orders_in_flight: Option<RequestId>,
     /// Orders that have not been sent yet.
     pub outbox: Vec<Order>,
     /// The tasks that may be on it.
@@ -176,7 +176,7 @@
             reconciled: true,
             fence: 0,
             awaits_fence_ack: false,
-            in_flight: None,
+            orders_in_flight: None,
             outbox: Vec::new(),
             allocations: BTreeMap::new(),
             task_lists_applied: 0,
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -124,7 +124,7 @@
             !allocation.has_exited() && allocation.stop.is_none() && is_service(key)
         };
         source.utilization < MAX_SOURCE_UTILIZATION
-            && source.machine.in_flight.is_none()
+            && source.machine.orders_in_flight.is_none()
             && source.machine.allocations.iter().all(is_settled_replica)
     }
 
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -191,7 +191,7 @@
             return Err(HeartbeatRejection::TooManyStops { stops: orders.len() });
         }
         machine.outbox.retain(|order| !matches!(order, Order::Stop { .. }));
-        if is_newer && machine.in_flight.is_none() {
+        if is_newer && machine.orders_in_flight.is_none() {
             // Runs only go out directly, where an answer proves them; clears may ride along.
             let left = MAX_ORDERS_PER_MESSAGE - orders.len();
             let (clears, mut rest): (Vec<Order>, Vec<Order>) =
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -23,8 +23,8 @@
     pub fn on_orders_result(&mut self, now: MonotonicTime, request: RequestId, result: OrdersResult) {
         let Some(SentOrders { machine: id, runs }) = self.orders.take(request) else { return };
         let Some(machine) = self.machines.known.get_mut(&id) else { return };
-        if machine.in_flight == Some(request) {
-            machine.in_flight = None;
+        if machine.orders_in_flight == Some(request) {
+            machine.orders_in_flight = None;
         }
         match result {
             OrdersResult::Executed(heartbeat) => {
@@ -97,7 +97,7 @@
     /// Sends what is in the outboxes of machines that have no orders under way.
     pub(super) fn flush_orders(&mut self) {
         self.cost.add_machines(self.machines.known.len());
-        let has_unsent = |machine: &Machine| !machine.outbox.is_empty() && machine.in_flight.is_none();
+        let has_unsent = |machine: &Machine| !machine.outbox.is_empty() && machine.orders_in_flight.is_none();
         let ids: Vec<MachineId> =
             self.machines.known.iter().filter(|(_, machine)| has_unsent(machine)).map(|(id, _)| id.clone()).collect();
         for id in ids {
@@ -109,7 +109,7 @@
     /// over all machines.
     pub(super) fn flush_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        if machine.outbox.is_empty() || machine.in_flight.is_some() || machine.awaits_fence_ack || !machine.up {
+        if machine.outbox.is_empty() || machine.orders_in_flight.is_some() || machine.awaits_fence_ack || !machine.up {
             return;
         }
         if machine.retiring {
@@ -132,7 +132,7 @@
         }
         self.last_request.0 += 1;
         let request = self.last_request;
-        machine.in_flight = Some(request);
+        machine.orders_in_flight = Some(request);
         self.orders.sent(request, SentOrders { machine: id.clone(), runs });
         let body = DirectOrders { token, agent_epoch: machine.agent_epoch, orders };
         self.effects.push(Effect::Orders { request, endpoint: machine.endpoint.clone(), body });
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -29,7 +29,7 @@
         return false;
     }
     let since = *machine.idle_since.get_or_insert(now);
-    now - since > timeout && machine.outbox.is_empty() && machine.in_flight.is_none()
+    now - since > timeout && machine.outbox.is_empty() && machine.orders_in_flight.is_none()
 }
 
 /// Whether a termination is to be asked for now.
--- a/src/core/scheduler/scale_in/tests.rs
+++ b/src/core/scheduler/scale_in/tests.rs
@@ -29,7 +29,7 @@
         ("not up", |machine, _| machine.up = false),
         ("retiring already", |machine, _| machine.retiring = true),
         ("orders to be sent", |machine, order| machine.queue_order(order)),
-        ("orders unanswered", |machine, _| machine.in_flight = Some(crate::ids::RequestId(1))),
+        ("orders unanswered", |machine, _| machine.orders_in_flight = Some(crate::ids::RequestId(1))),
     ];
     for (case, change) in cases {
         let mut machine = up();
