--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -103,9 +103,9 @@
     pub sequence: SequenceNumber,
     /// Agent epoch and sequence number of the latest heartbeat. Answers to orders have sequence numbers too, but are
     /// not heartbeats.
-    pub latest_heartbeat: (AgentEpoch, SequenceNumber),
+    pub latest_heartbeat_position: (AgentEpoch, SequenceNumber),
     /// When the latest heartbeat that was answered came in. Duplicates of earlier heartbeats don't count.
-    pub last_heartbeat: MonotonicTime,
+    pub last_heartbeat_at: MonotonicTime,
     /// The route of the latest heartbeat that this leader answered; `None` before the first.
     pub route: Option<HeartbeatRoute>,
     /// Its lease has expired by this leader's clock, which ends the agent epoch. Messages of that epoch that arrive
@@ -167,8 +167,8 @@
             agent_epoch: AgentEpoch(0),
             agent_epoch_first_heard: now,
             sequence: SequenceNumber(0),
-            latest_heartbeat: (AgentEpoch(0), SequenceNumber(0)),
-            last_heartbeat: now,
+            latest_heartbeat_position: (AgentEpoch(0), SequenceNumber(0)),
+            last_heartbeat_at: now,
             route: None,
             lease_expired: false,
             token_acknowledged: false,
@@ -275,7 +275,7 @@
             && !self.retiring
             && !self.has_unknown_usage()
             && self.quarantined_until <= now
-            && now - self.last_heartbeat <= heartbeat_timeout
+            && now - self.last_heartbeat_at <= heartbeat_timeout
     }
 
     /// Records that a task ran `ratio` times as long as the average of its job. Returns whether enough tasks have been
--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -107,7 +107,7 @@
     fn retirement_reason(&self, machine: &Machine, machine_type: &MachineType) -> Option<RetirementReason> {
         let boot_s = (machine_type.boot_s * BOOT_TIMEOUT_FACTOR).max(MIN_BOOT_TIMEOUT_S);
         let boot_timeout = Millis::from_secs_f64(boot_s) + self.list_lag;
-        let late = self.now - machine.last_heartbeat.max(self.since);
+        let late = self.now - machine.last_heartbeat_at.max(self.since);
         if !machine.up
             && machine.registration == Registration::Unregistered
             && self.now - machine.created_at > boot_timeout
@@ -141,7 +141,7 @@
         let mut expired = Vec::new();
         for (id, machine) in &mut self.machines.known {
             // Before this leader, answers may have been given until it was elected.
-            let answered_at = machine.last_heartbeat.max(self.since);
+            let answered_at = machine.last_heartbeat_at.max(self.since);
             if now - answered_at.max(machine.agent_epoch_first_heard) <= lease {
                 continue;
             }
@@ -163,7 +163,7 @@
             if machine.agent_epoch.0 > 0 {
                 machine.agent_epoch.0 += 1;
                 machine.sequence.0 = 0;
-                machine.latest_heartbeat = (machine.agent_epoch, machine.sequence);
+                machine.latest_heartbeat_position = (machine.agent_epoch, machine.sequence);
             }
             machine.outbox.clear();
             let is_spot = machine.spot;
@@ -220,7 +220,7 @@
         for machine in machines.filter(|machine| machine.registration == Registration::Registered) {
             let (up, late) = counts.entry(machine.route).or_default();
             *up += usize::from(machine.up);
-            *late += usize::from(now - machine.last_heartbeat > heartbeat_timeout);
+            *late += usize::from(now - machine.last_heartbeat_at > heartbeat_timeout);
         }
         let up = counts.values().map(|(up, _)| up).sum();
         let late = counts.values().map(|(_, late)| late).sum();
@@ -247,7 +247,7 @@
         // Those on their way to a new leader must still be sent to it.
         let settled = self.settled(now);
         let suspected = expected().filter(|(_, machine)| {
-            (settled || machine.token_acknowledged) && now - machine.last_heartbeat.max(self.since) > timeout
+            (settled || machine.token_acknowledged) && now - machine.last_heartbeat_at.max(self.since) > timeout
         });
         (suspected.map(|(id, _)| id.to_string()).collect(), expected().count())
     }
--- a/src/core/scheduler/failure_detection/tests.rs
+++ b/src/core/scheduler/failure_detection/tests.rs
@@ -13,7 +13,7 @@
     machine.up = true;
     machine.registration = Registration::Registered;
     machine.token_acknowledged = true;
-    machine.last_heartbeat = MonotonicTime(100_000);
+    machine.last_heartbeat_at = MonotonicTime(100_000);
     machine
 }
 
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -147,12 +147,12 @@
         let heartbeat_timeout = self.heartbeat_timeout();
         let machine = self.machines.known.get_mut(id).ok_or(HeartbeatRejection::Terminated)?;
         let position = (heartbeat.agent_epoch, heartbeat.sequence);
-        if heartbeat.agent_epoch < machine.agent_epoch || position <= machine.latest_heartbeat {
+        if heartbeat.agent_epoch < machine.agent_epoch || position <= machine.latest_heartbeat_position {
             return Err(HeartbeatRejection::Superseded);
         }
-        machine.latest_heartbeat = position;
+        machine.latest_heartbeat_position = position;
         machine.lease_expired = false;
-        if now - machine.last_heartbeat > heartbeat_timeout {
+        if now - machine.last_heartbeat_at > heartbeat_timeout {
             machine.allocations.values_mut().for_each(|allocation| allocation.fully_observed = false);
         }
         Ok(())
@@ -175,7 +175,7 @@
         {
             return Err(HeartbeatRejection::UnacknowledgedToken);
         }
-        machine.last_heartbeat = now;
+        machine.last_heartbeat_at = now;
         machine.route = Some(route);
         Ok(())
     }
