--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -235,7 +235,7 @@
         let Some(machine) = self.machines.known.get_mut(id) else { return false };
         let is_newly_reconciled = machine.reconcile(heartbeat.token, self.term);
         let awaits_registration = machine.registration == Registration::Unregistered && !machine.retiring;
-        let gone = machine.unlisted_tasks(heartbeat.token);
+        let gone = machine.gone_tasks(heartbeat.token);
         if is_newly_reconciled || awaits_registration {
             self.rounds.request();
         }
