--- a/src/core/allocation.rs
+++ b/src/core/allocation.rs
@@ -40,7 +40,7 @@
     /// be measured: missing heartbeats would make it appear too long.
     pub fully_observed: bool,
     /// A stop was ordered; the value is how many seconds the task may take to save its progress.
-    pub stop: Option<f64>,
+    pub stop_leeway_s: Option<f64>,
     /// Index of its image in the scheduler's catalog; `u32::MAX` if unknown.
     pub image: u32,
     /// Expected time to fetch the image, in seconds.
@@ -58,6 +58,9 @@
     /// Whether a listing in this phase needs no action: the worker has listed the task in the same phase before, it has
     /// not exited, and no run or stop order is pending.
     pub fn is_unchanged(&self, phase: TaskPhase) -> bool {
-        self.phase == Some(phase) && phase != TaskPhase::Exited && self.pending_run.is_none() && self.stop.is_none()
+        self.phase == Some(phase)
+            && phase != TaskPhase::Exited
+            && self.pending_run.is_none()
+            && self.stop_leeway_s.is_none()
     }
 }
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -318,7 +318,7 @@
     /// their progress and have been given time for it.
     pub fn pending_stops(&self) -> Vec<Order> {
         let stop_order = |((task, attempt), allocation): (&TaskAttempt, &Allocation)| {
-            let leeway_s = allocation.stop?;
+            let leeway_s = allocation.stop_leeway_s?;
             let is_saving = allocation.phase == Some(TaskPhase::Flushing);
             if allocation.has_exited() || (is_saving && leeway_s != 0.0) {
                 return None;
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -121,7 +121,7 @@
         let is_service =
             |key: &TaskAttempt| self.jobs.live.get(&key.0.job).is_some_and(|job| job.spec.kind == Kind::Service);
         let is_settled_replica = |(key, allocation): (&TaskAttempt, &Allocation)| {
-            !allocation.has_exited() && allocation.stop.is_none() && is_service(key)
+            !allocation.has_exited() && allocation.stop_leeway_s.is_none() && is_service(key)
         };
         source.utilization < MAX_SOURCE_UTILIZATION
             && source.machine.orders_in_flight.is_none()
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -114,7 +114,7 @@
         self.cost.add_tasks(machine.allocations.len());
         let mut free = self.unreserved_capacity(machine_id, machine, None);
         // What is already told to stop will be free soon.
-        for allocation in machine.allocations.values().filter(|a| !a.has_exited() && a.stop.is_some()) {
+        for allocation in machine.allocations.values().filter(|a| !a.has_exited() && a.stop_leeway_s.is_some()) {
             free.add(&allocation.need);
         }
         let mut eviction = Eviction::default();
@@ -146,7 +146,7 @@
                 allocation.priority > job.priority() || guaranteed && allocation.priority == job.priority() && beyond;
             // Stopping one task of a gang stops it whole: too dear for an image.
             let cheap = target == PlacementTarget::Anywhere || self.tasks_lost_with(&key.0.job) == 1.0;
-            !allocation.has_exited() && allocation.stop.is_none() && lower && cheap
+            !allocation.has_exited() && allocation.stop_leeway_s.is_none() && lower && cheap
         };
         let mut preemptible: Vec<_> = machine.allocations.iter().filter(may_be_stopped).collect();
         preemptible.sort_by_key(|(_, allocation)| {
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -80,7 +80,7 @@
         let evicted: Vec<TaskAttempt> = machine
             .allocations
             .iter()
-            .filter(|(_, allocation)| !allocation.has_exited() && allocation.stop.is_none())
+            .filter(|(_, allocation)| !allocation.has_exited() && allocation.stop_leeway_s.is_none())
             .filter(|((task, _), allocation)| {
                 let ran_s = allocation.running_since.map(|since| (now - since).as_secs_f64());
                 let task_left_s = ran_s.map_or(f64::INFINITY, |ran_s| allocation.run_s - ran_s);
@@ -168,7 +168,7 @@
     if allocation.has_exited() {
         return;
     }
-    allocation.stop = Some(allocation.stop.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
+    allocation.stop_leeway_s = Some(allocation.stop_leeway_s.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
     let run = Order::Run { task: key.0, attempt: key.1 };
     if let Some(at) = machine.outbox.iter().position(|order| *order == run) {
         // Not sent yet: the order is dropped, and the next heartbeat shows the task absent.
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -225,9 +225,9 @@
         for (key, allocation) in machine.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
             let priority = priority_number(allocation.priority) as usize;
             // What is already told to stop will be free soon, for anyone.
-            let served_below = if allocation.stop.is_some() { PRIORITIES } else { priority };
+            let served_below = if allocation.stop_leeway_s.is_some() { PRIORITIES } else { priority };
             reclaimable[..served_below].iter_mut().for_each(|reclaimable| reclaimable.add(&allocation.need));
-            if allocation.stop.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
+            if allocation.stop_leeway_s.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
                 over_guarantee[priority].add(&allocation.need);
             }
         }
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -36,7 +36,7 @@
         placed_at: MonotonicTime(0),
         running_since: None,
         fully_observed: true,
-        stop: None,
+        stop_leeway_s: None,
         image: 0,
         fetch_s: 0.0,
         run_s: 1.0,
--- a/src/core/scheduler/starts.rs
+++ b/src/core/scheduler/starts.rs
@@ -102,7 +102,7 @@
             placed_at: now,
             running_since: None,
             fully_observed: true,
-            stop: None,
+            stop_leeway_s: None,
             image,
             fetch_s,
             run_s,
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -46,7 +46,7 @@
             let exit = TaskExit {
                 cause: listed.cause,
                 ran_s: observed_since.map(|since| (now - since).as_secs_f64()),
-                was_stopped: allocation.stop.is_some(),
+                was_stopped: allocation.stop_leeway_s.is_some(),
             };
             self.on_task_exited(now, id, key, exit);
         }
@@ -69,7 +69,7 @@
             stop_allocation(machine, key, 0.0);
             return;
         };
-        if let Some(leeway_s) = allocation.stop {
+        if let Some(leeway_s) = allocation.stop_leeway_s {
             if phase != TaskPhase::Flushing || leeway_s == 0.0 {
                 stop_allocation(machine, key, leeway_s);
             }
@@ -128,7 +128,7 @@
         placed_at: now,
         running_since: None,
         fully_observed: false,
-        stop: None,
+        stop_leeway_s: None,
         image: u32::MAX,
         fetch_s: 0.0,
         run_s: 0.0,
