--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -11,16 +11,16 @@
 /// would only add to the load.
 const MIN_HAND_OVER_INTERVAL: Millis = Millis(60_000);
 
-/// Overload detection for one controller while it leads.
+/// OverloadDetector detection for one controller while it leads.
 #[derive(Default)]
-pub struct Overload {
+pub struct OverloadDetector {
     /// Consecutive samples that were at or above the limit.
     overloaded_samples: u32,
     /// When this controller last handed over because of overload.
     handed_over_at: Option<MonotonicTime>,
 }
 
-impl Overload {
+impl OverloadDetector {
     /// Records a sample of the average tick lag. Returns whether the leader should hand over now.
     pub fn observe(&mut self, now: MonotonicTime, lag: Millis) -> bool {
         if lag < OVERLOAD_LAG {
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -17,7 +17,7 @@
 use crate::config::{Settings, Tuning};
 use crate::core::cancellations::Cancellations;
 use crate::core::election::Election;
-use crate::core::overload::Overload;
+use crate::core::overload::OverloadDetector;
 use crate::core::scheduler::Scheduler;
 use crate::ids::{JobId, Revision};
 use crate::peer::JobCount;
@@ -87,7 +87,7 @@
     /// While leading: the peers that relay workers' heartbeats.
     pub heartbeat_balancer: HeartbeatBalancer,
     /// While leading: whether this controller is too slow for it.
-    pub overload: Overload,
+    pub overload: OverloadDetector,
     /// How long inputs hold this controller's one thread.
     pub input_latency: InputLatency,
 }
@@ -112,7 +112,7 @@
             bad_messages: RateLimitedLog::new(BAD_MESSAGES_LOG_INTERVAL),
             relay_routes: RelayRoutes::default(),
             heartbeat_balancer: HeartbeatBalancer::default(),
-            overload: Overload::default(),
+            overload: OverloadDetector::default(),
             input_latency: InputLatency::default(),
         }
     }
