--- a/src/core/cost.rs
+++ b/src/core/cost.rs
@@ -17,13 +17,13 @@
     /// Reservations examined.
     pub reservations: u64,
     /// Comparisons of a job with a candidate, which is a machine that a planner may place its tasks on.
-    pub choices: u64,
+    pub comparisons: u64,
 }
 
 impl CostCounters {
     /// The sum of all counts.
     pub fn total(&self) -> u64 {
-        self.jobs + self.machines + self.tasks + self.reservations + self.choices
+        self.jobs + self.machines + self.tasks + self.reservations + self.comparisons
     }
 
     /// The operations counted since `earlier` was read from the same meter.
@@ -33,15 +33,15 @@
             machines: self.machines - earlier.machines,
             tasks: self.tasks - earlier.tasks,
             reservations: self.reservations - earlier.reservations,
-            choices: self.choices - earlier.choices,
+            comparisons: self.comparisons - earlier.comparisons,
         }
     }
 }
 
 impl fmt::Display for CostCounters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let CostCounters { jobs, machines, tasks, reservations, choices } = self;
-        write!(f, "jobs={jobs} machines={machines} tasks={tasks} reservations={reservations} choices={choices}")
+        let CostCounters { jobs, machines, tasks, reservations, comparisons } = self;
+        write!(f, "jobs={jobs} machines={machines} tasks={tasks} reservations={reservations} choices={comparisons}")
     }
 }
 
@@ -76,8 +76,8 @@
     }
 
     /// Counts comparisons of a job with a candidate.
-    pub fn add_choices(&self, count: usize) {
-        self.update(|cost| cost.choices += count as u64);
+    pub fn add_comparisons(&self, count: usize) {
+        self.update(|cost| cost.comparisons += count as u64);
     }
 
     fn update(&self, change: impl FnOnce(&mut CostCounters)) {
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -201,7 +201,7 @@
     }
 
     fn ranking_of(&self, candidates: &[Candidate], meter: &CostMeter) -> CandidateRanking {
-        meter.add_choices(self.estimates.len());
+        meter.add_comparisons(self.estimates.len());
         let feasible: Vec<(usize, &Estimate)> = self
             .estimates
             .iter()
@@ -225,7 +225,7 @@
     /// Ranks a newly added machine of an offer directly after the previous machine of the same offer, as both are
     /// equivalent.
     fn rank_new_candidate(&mut self, candidates: &[Candidate], index: usize, meter: &CostMeter) {
-        meter.add_choices(1);
+        meter.add_comparisons(1);
         // Other jobs may have used up its capacity, and capacity only shrinks within a round.
         if !self.has_capacity(candidates, index) {
             return;
@@ -234,7 +234,7 @@
         let offer = candidates[index].offer();
         let examined =
             self.ranking.insert_after_equal(index, estimate.cost, |other| candidates[other].offer() == offer);
-        meter.add_choices(examined.unwrap_or(0));
+        meter.add_comparisons(examined.unwrap_or(0));
     }
 
     /// Counts one more of the job's tasks in the zone.
--- a/src/core/placement/planner.rs
+++ b/src/core/placement/planner.rs
@@ -79,7 +79,7 @@
 
     /// Estimates the job's tasks on all candidates, with which its part in the round begins.
     pub(super) fn start_job(&self, job: &'a JobView) -> JobProgress<'a> {
-        self.meter.add_choices(self.candidates.len());
+        self.meter.add_comparisons(self.candidates.len());
         JobProgress::new(self.input, &self.candidates, job)
     }
 
