--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -58,7 +58,7 @@
 
 impl Provisioner {
     /// Whether machines may be requested from the pool, which is not the case during its backoff.
-    pub fn open(&self, pool: InstancePool, now: MonotonicTime) -> bool {
+    pub fn may_request(&self, pool: InstancePool, now: MonotonicTime) -> bool {
         self.backoffs.get(&pool).is_none_or(|backoff| backoff.until <= now)
     }
 
--- a/src/core/provisioning/tests.rs
+++ b/src/core/provisioning/tests.rs
@@ -5,9 +5,11 @@
     let pool = InstancePool { kind: 0, zone: 0, spot: true };
     let other = InstancePool { spot: false, ..pool };
     let mut provisioner = Provisioner::default();
-    let open = |provisioner: &Provisioner, at| provisioner.open(pool, MonotonicTime(at));
+    let open = |provisioner: &Provisioner, at| provisioner.may_request(pool, MonotonicTime(at));
     provisioner.on_refused(pool, MonotonicTime(0));
-    assert!(!open(&provisioner, 4_999) && open(&provisioner, 5_000) && provisioner.open(other, MonotonicTime(0)));
+    assert!(
+        !open(&provisioner, 4_999) && open(&provisioner, 5_000) && provisioner.may_request(other, MonotonicTime(0))
+    );
     provisioner.on_refused(pool, MonotonicTime(5_000));
     assert!(!open(&provisioner, 14_999) && open(&provisioner, 15_000));
     provisioner.on_capacity_freed(pool, MonotonicTime(5_500));
