--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -127,7 +127,7 @@
     }
 
     /// Whether the limit on pending requests allows one more.
-    pub fn has_capacity(&self) -> bool {
+    pub fn has_request_slot(&self) -> bool {
         self.requests.len() < MAX_REQUESTS
     }
 }
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -116,7 +116,7 @@
                 for spot in [false, true] {
                     let pool = InstancePool { kind, zone: zone as u32, spot };
                     let requested = self.provisioner.requests().any(|request| request.pool == pool);
-                    if self.provisioner.may_request(pool, now) && !requested && self.provisioner.has_capacity() {
+                    if self.provisioner.may_request(pool, now) && !requested && self.provisioner.has_request_slot() {
                         offers.push(ProvisionOffer {
                             kind: kind as u32,
                             zone: zone as u32,
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -75,7 +75,7 @@
         }
         for (pool, load) in loads {
             let number = ((load - LOAD_EPSILON).ceil().max(1.0) as u32).min(MAX_MACHINES_PER_REQUEST);
-            if !self.provisioner.has_capacity() || !self.provisioner.may_request(pool, now) {
+            if !self.provisioner.has_request_slot() || !self.provisioner.may_request(pool, now) {
                 continue;
             }
             self.provisioner.request(self.term, pool, number, now);
