--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -21,7 +21,7 @@
     /// The pool of the requested machines.
     pub pool: InstancePool,
     /// How many machines are requested.
-    pub number: u32,
+    pub count: u32,
     /// The request has been sent and its result is not in yet.
     in_flight: bool,
     /// When to send the request next, unless it is in flight.
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Adds a request for `number` machines, which is due at once. Its name contains the term, so it differs from the
+    /// Adds a request for `count` machines, which is due at once. Its name contains the term, so it differs from the
     /// names of other leaders' requests.
-    pub fn request(&mut self, term: Term, pool: InstancePool, number: u32, now: MonotonicTime) {
+    pub fn request(&mut self, term: Term, pool: InstancePool, count: u32, now: MonotonicTime) {
         self.request_count += 1;
         let name = format!("w{term}-{}", self.request_count);
-        self.requests.insert(name, PendingProvision { pool, number, in_flight: false, next_attempt_at: now });
+        self.requests.insert(name, PendingProvision { pool, count, in_flight: false, next_attempt_at: now });
     }
 
     /// Marks the requests that are due as in flight, and returns them with their names.
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -139,7 +139,7 @@
                 slowness: 1.0,
                 ..Default::default()
             };
-            for _ in 0..request.number {
+            for _ in 0..request.count {
                 all.push(None, view.clone());
             }
         }
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -27,7 +27,7 @@
         let pool = request.pool;
         match result {
             ProvisionOutcome::Provisioned(names) => {
-                let requested = request.number as usize;
+                let requested = request.count as usize;
                 self.provisioner.close(name);
                 info!("provisioned={} requested={requested} {}", names.len(), self.catalog.describe(pool));
                 if names.len() < requested {
@@ -90,7 +90,7 @@
                 kind: self.catalog.types[request.pool.kind].name.clone(),
                 zone: self.catalog.zones[request.pool.zone as usize].clone(),
                 spot: request.pool.spot,
-                number: request.number,
+                number: request.count,
             }));
         }
     }
