--- a/src/core/allocation.rs
+++ b/src/core/allocation.rs
@@ -39,7 +39,7 @@
     /// The leader has known of the task from its start, without a gap in the heartbeats. Otherwise its run time can't
     /// be measured: missing heartbeats would make it appear too long.
     pub fully_observed: bool,
-    /// A stop was ordered; the value is how many seconds the task may take to save its progress.
+    /// Seconds that the task may take to write a checkpoint, if it has been ordered to stop; otherwise `None`.
     pub stop_leeway_s: Option<f64>,
     /// Index of its image in the scheduler's catalog; `u32::MAX` if unknown.
     pub image: u32,
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -150,7 +150,7 @@
     /// How many times as long as the average of their job its tasks run.
     pub slowness: f64,
     /// How many tasks `slowness` is based on.
-    pub runtime_samples: u32,
+    pub slowness_samples: u32,
 }
 
 impl Machine {
@@ -189,7 +189,7 @@
             idle_since: None,
             images: VecDeque::new(),
             slowness: 1.0,
-            runtime_samples: 0,
+            slowness_samples: 0,
         }
     }
 
@@ -284,8 +284,8 @@
         let sample = ratio.clamp(1.0 / MAX_SLOWDOWN_RATIO, MAX_SLOWDOWN_RATIO);
         let log_slowness = self.slowness.ln() + SLOWNESS_WEIGHT * (sample.ln() - self.slowness.ln());
         self.slowness = log_slowness.exp();
-        self.runtime_samples += 1;
-        self.runtime_samples >= MIN_SLOWNESS_SAMPLES && self.slowness > SLOWNESS_THRESHOLD
+        self.slowness_samples += 1;
+        self.slowness_samples >= MIN_SLOWNESS_SAMPLES && self.slowness > SLOWNESS_THRESHOLD
     }
 
     /// Marks the image as the most recently used in the cache, and evicts the least recently used images while the
@@ -314,13 +314,13 @@
         Some(self.allocations.values().filter(is_fetching).map(remaining_s).fold(0.0, f64::max))
     }
 
-    /// Stop orders for all tasks that are to stop, except those that have exited and those that are already saving
-    /// their progress and have been given time for it.
+    /// Stop orders for all tasks that are to stop, except those that have exited and those that are already writing a
+    /// checkpoint and have been given time for it.
     pub fn pending_stops(&self) -> Vec<Order> {
         let stop_order = |((task, attempt), allocation): (&TaskAttempt, &Allocation)| {
             let leeway_s = allocation.stop_leeway_s?;
-            let is_saving = allocation.phase == Some(TaskPhase::Flushing);
-            if allocation.has_exited() || (is_saving && leeway_s != 0.0) {
+            let is_writing_checkpoint = allocation.phase == Some(TaskPhase::Flushing);
+            if allocation.has_exited() || (is_writing_checkpoint && leeway_s != 0.0) {
                 return None;
             }
             Some(Order::Stop { task: *task, attempt: *attempt, leeway_s })
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -29,7 +29,7 @@
 struct PlacedTasks {
     count: u32,
     /// What they cost in total beyond the cheapest candidate.
-    extra_cost: f64,
+    excess_cost: f64,
 }
 
 /// The state of one job within a planning round.
@@ -268,13 +268,13 @@
             reliability: 0.0,
             spot: false,
         });
-        let extra_cost = (estimate.cost - self.cheapest_cost).max(0.0);
-        self.spare_budget = (self.spare_budget - extra_cost).max(0.0);
+        let excess_cost = (estimate.cost - self.cheapest_cost).max(0.0);
+        self.spare_budget = (self.spare_budget - excess_cost).max(0.0);
         self.tasks_left -= 1;
         if let Some(machine) = machine {
             let placed = self.placed.entry(machine).or_default();
             placed.count += 1;
-            placed.extra_cost += extra_cost;
+            placed.excess_cost += excess_cost;
         } else {
             self.waiting.count += 1;
             self.waiting.on_spot |= candidate.spot && !candidate.up;
@@ -286,8 +286,8 @@
     /// Appends the job's placements and waiting tasks to the plan.
     pub(super) fn append_to(self, output: &mut PlanOutput) {
         for (machine, placed) in self.placed {
-            let PlacedTasks { count, extra_cost } = placed;
-            output.placements.push(Placement { job: self.job.key, machine, count, extra: extra_cost });
+            let PlacedTasks { count, excess_cost } = placed;
+            output.placements.push(Placement { job: self.job.key, machine, count, extra: excess_cost });
         }
         let count = self.waiting.count + self.tasks_left;
         if count > 0 {
--- a/src/core/placement/ranking.rs
+++ b/src/core/placement/ranking.rs
@@ -74,7 +74,7 @@
         self.is_current
     }
 
-    /// Requires the candidates to be compared anew before the ranking is used again.
+    /// Marks the ranking as outdated, so that the candidates are compared anew before it is used again.
     pub(super) fn invalidate(&mut self) {
         self.is_current = false;
     }
