--- a/src/core/machine/tests.rs
+++ b/src/core/machine/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn machine_record_slowdown_ignores_a_few_long_tasks() {
+fn machine_record_slowdown_distinguishes_a_slow_machine_from_a_few_long_tasks() {
     let mut normal = machine();
     assert!((0..40).all(|i| !normal.record_slowdown([0.6, 1.6, 0.8, 1.3][i % 4])));
     let mut slow = machine();
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -11,7 +11,7 @@
 /// would only add to the load.
 const MIN_HAND_OVER_INTERVAL: Millis = Millis(60_000);
 
-/// OverloadDetector detection for one controller while it leads.
+/// Detects overload of one controller while it leads.
 #[derive(Default)]
 pub struct OverloadDetector {
     /// Consecutive samples that were at or above the limit.
@@ -22,7 +22,7 @@
 
 impl OverloadDetector {
     /// Records a sample of the average tick lag. Returns whether the leader should hand over now.
-    pub fn observe(&mut self, now: MonotonicTime, lag: Millis) -> bool {
+    pub fn record_lag(&mut self, now: MonotonicTime, lag: Millis) -> bool {
         if lag < OVERLOAD_LAG {
             self.overloaded_samples = 0;
             return false;
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -57,7 +57,7 @@
     let able = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
     let able: Vec<&Peer> = able.map(|(peer, _)| peer).collect();
     let Some(peer) = able.choose(&mut rand::rng()) else { return };
-    if state.overload.observe(now, lag) {
+    if state.overload.record_lag(now, lag) {
         warn!("handing over, overloaded: lag_ms={} successor={}", lag.0, peer.name);
         state.successor = Some(peer.name.clone());
     }
