--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -217,10 +217,10 @@
         true
     }
 
-    /// The tasks that are proven gone, because the latest task list lacks them although the worker has listed them
+    /// The lost tasks: those proven gone because the latest task list lacks them although the worker has listed them
     /// before, has answered their run order, or will refuse that order because `token`, the highest token that it has
     /// seen, is above the order's.
-    pub fn gone_tasks(&self, token: FencingToken) -> Vec<TaskAttempt> {
+    pub fn lost_tasks(&self, token: FencingToken) -> Vec<TaskAttempt> {
         let is_gone = |allocation: &Allocation| {
             allocation.last_task_list != self.task_lists_applied
                 && match allocation.pending_run {
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -244,7 +244,7 @@
         let Some(machine) = self.machines.known.get_mut(id) else { return false };
         let is_newly_reconciled = machine.reconcile(heartbeat.token, self.term);
         let needs_registration = machine.registration == Registration::Unregistered && !machine.retiring;
-        let lost = machine.gone_tasks(heartbeat.token);
+        let lost = machine.lost_tasks(heartbeat.token);
         if is_newly_reconciled || needs_registration {
             self.rounds.request();
         }
