--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -15,7 +15,7 @@
 
 use fleet::{Fleet, Input, Observation};
 use std::time::Duration;
-use wallstile::core::cost::CostCounters;
+use wallstile::core::cost::OperationCounts;
 use wallstile::wire::{JobSpec, Kind, Priority};
 use worker::fleet_cpus;
 use workload::job;
@@ -33,7 +33,7 @@
 /// The most that inputs of one kind took.
 #[derive(Default)]
 struct Peak {
-    cost: CostCounters,
+    cost: OperationCounts,
     took: Duration,
 }
 
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -3,7 +3,7 @@
 use crate::worker::{HEARTBEAT_INTERVAL_MS, Worker};
 use std::time::{Duration, Instant};
 use wallstile::config::{Settings, Tuning};
-use wallstile::core::cost::CostCounters;
+use wallstile::core::cost::OperationCounts;
 use wallstile::core::election::LeaderRecord;
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord};
 use wallstile::core::records::LiveRecord;
@@ -27,7 +27,7 @@
 pub(crate) struct Observation {
     pub(crate) input: Input,
     pub(crate) took: Duration,
-    pub(crate) cost: CostCounters,
+    pub(crate) cost: OperationCounts,
 }
 
 pub(crate) struct Fleet {
@@ -132,9 +132,9 @@
     }
 
     fn observe<T>(&mut self, input: Input, give: impl FnOnce(&mut Scheduler) -> T) -> T {
-        let (before, started) = (self.scheduler.cost_counters(), Instant::now());
+        let (before, started) = (self.scheduler.operation_counts(), Instant::now());
         let answer = give(&mut self.scheduler);
-        let (took, cost) = (started.elapsed(), self.scheduler.cost_counters().since(&before));
+        let (took, cost) = (started.elapsed(), self.scheduler.operation_counts().since(&before));
         self.observed.push(Observation { input, took, cost });
         answer
     }
--- a/src/core/cost.rs
+++ b/src/core/cost.rs
@@ -7,7 +7,7 @@
 /// How many objects of each kind were examined. Examining one takes about the same short time for all kinds, so the sum
 /// is a measure of the work done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CostCounters {
+pub struct OperationCounts {
     /// Jobs examined.
     pub jobs: u64,
     /// Machines examined.
@@ -20,15 +20,15 @@
     pub comparisons: u64,
 }
 
-impl CostCounters {
+impl OperationCounts {
     /// The sum of all counts.
     pub fn total(&self) -> u64 {
         self.jobs + self.machines + self.tasks + self.reservations + self.comparisons
     }
 
     /// The operations counted since `earlier` was read from the same meter.
-    pub fn since(&self, earlier: &CostCounters) -> CostCounters {
-        CostCounters {
+    pub fn since(&self, earlier: &OperationCounts) -> OperationCounts {
+        OperationCounts {
             jobs: self.jobs - earlier.jobs,
             machines: self.machines - earlier.machines,
             tasks: self.tasks - earlier.tasks,
@@ -38,20 +38,20 @@
     }
 }
 
-impl fmt::Display for CostCounters {
+impl fmt::Display for OperationCounts {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let CostCounters { jobs, machines, tasks, reservations, comparisons } = self;
+        let OperationCounts { jobs, machines, tasks, reservations, comparisons } = self;
         write!(f, "jobs={jobs} machines={machines} tasks={tasks} reservations={reservations} choices={comparisons}")
     }
 }
 
 /// Counts operations as they are done.
 #[derive(Default)]
-pub struct CostMeter(Cell<CostCounters>);
+pub struct OperationMeter(Cell<OperationCounts>);
 
-impl CostMeter {
+impl OperationMeter {
     /// The counts so far.
-    pub fn read(&self) -> CostCounters {
+    pub fn read(&self) -> OperationCounts {
         self.0.get()
     }
 
@@ -80,7 +80,7 @@
         self.update(|cost| cost.comparisons += count as u64);
     }
 
-    fn update(&self, change: impl FnOnce(&mut CostCounters)) {
+    fn update(&self, change: impl FnOnce(&mut OperationCounts)) {
         let mut cost = self.0.get();
         change(&mut cost);
         self.0.set(cost);
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -24,7 +24,7 @@
 use self::job_progress::JobProgress;
 use self::job_selection::{UrgencyClass, jobs_in_round};
 use self::planner::{Planner, TurnOutcome};
-use crate::core::cost::CostMeter;
+use crate::core::cost::OperationMeter;
 use crate::peer::{PlanInput, PlanOutput, VERSION};
 use std::cmp::Ordering;
 
@@ -61,11 +61,11 @@
 ///
 /// The plan is empty if the input refers to a machine type that it doesn't list, or exceeds a limit.
 pub fn plan(input: &PlanInput) -> PlanOutput {
-    plan_metered(input, &CostMeter::default())
+    plan_metered(input, &OperationMeter::default())
 }
 
 /// Like [`plan`], and counts the candidates that it compares in `meter`.
-pub fn plan_metered(input: &PlanInput, meter: &CostMeter) -> PlanOutput {
+pub fn plan_metered(input: &PlanInput, meter: &OperationMeter) -> PlanOutput {
     if !is_consistent(input) {
         return PlanOutput::default();
     }
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -7,7 +7,7 @@
 use super::estimates::estimate_in_scope;
 use super::ranking::CandidateRanking;
 use super::{Estimate, TOLERANCE, sub_deadline, zone_allowed};
-use crate::core::cost::CostMeter;
+use crate::core::cost::OperationMeter;
 use crate::peer::{JobView, Placement, PlanInput, PlanOutput, Waiting, ZoneCount};
 use std::collections::BTreeMap;
 
@@ -142,7 +142,7 @@
     }
 
     /// Whether any feasible candidate is up.
-    fn has_feasible_machine_up(&mut self, candidates: &[Candidate], meter: &CostMeter) -> bool {
+    fn has_feasible_machine_up(&mut self, candidates: &[Candidate], meter: &OperationMeter) -> bool {
         if !self.ranking.is_current() {
             self.rank_candidates(candidates, meter);
         }
@@ -154,7 +154,7 @@
 
     /// Lets a service without GPUs use GPU machines, within their headroom at first, if no other machine that is up is
     /// feasible.
-    pub(super) fn widen_scope(&mut self, input: &PlanInput, candidates: &[Candidate], meter: &CostMeter) {
+    pub(super) fn widen_scope(&mut self, input: &PlanInput, candidates: &[Candidate], meter: &OperationMeter) {
         if !self.job.service || self.job.gpus > TOLERANCE {
             return;
         }
@@ -171,7 +171,7 @@
 
     /// The candidate of the highest quality for the job's next task: the best of those that pass the cost and deadline
     /// filters (paper, lines 10 to 16) or, if none passes, the best feasible one (not from the paper).
-    pub(super) fn best_candidate(&mut self, candidates: &[Candidate], meter: &CostMeter) -> Option<usize> {
+    pub(super) fn best_candidate(&mut self, candidates: &[Candidate], meter: &OperationMeter) -> Option<usize> {
         if !self.ranking.is_current() {
             self.rank_candidates(candidates, meter);
         }
@@ -196,11 +196,11 @@
         self.has_capacity(candidates, index) && self.allows_zone(&candidates[index])
     }
 
-    fn rank_candidates(&mut self, candidates: &[Candidate], meter: &CostMeter) {
+    fn rank_candidates(&mut self, candidates: &[Candidate], meter: &OperationMeter) {
         self.ranking = self.ranking_of(candidates, meter);
     }
 
-    fn ranking_of(&self, candidates: &[Candidate], meter: &CostMeter) -> CandidateRanking {
+    fn ranking_of(&self, candidates: &[Candidate], meter: &OperationMeter) -> CandidateRanking {
         meter.add_comparisons(self.estimates.len());
         let feasible: Vec<(usize, &Estimate)> = self
             .estimates
@@ -215,7 +215,7 @@
     }
 
     /// Estimates and ranks the candidates that have been added since this job's estimates were last updated.
-    pub(super) fn add_new_candidates(&mut self, input: &PlanInput, candidates: &[Candidate], meter: &CostMeter) {
+    pub(super) fn add_new_candidates(&mut self, input: &PlanInput, candidates: &[Candidate], meter: &OperationMeter) {
         for index in self.estimates.len()..candidates.len() {
             self.estimates.push(estimate_in_scope(input, self.job, &candidates[index], self.scope));
             self.rank_new_candidate(candidates, index, meter);
@@ -224,7 +224,7 @@
 
     /// Ranks a newly added machine of an offer directly after the previous machine of the same offer, as both are
     /// equivalent.
-    fn rank_new_candidate(&mut self, candidates: &[Candidate], index: usize, meter: &CostMeter) {
+    fn rank_new_candidate(&mut self, candidates: &[Candidate], index: usize, meter: &OperationMeter) {
         meter.add_comparisons(1);
         // Other jobs may have used up its capacity, and capacity only shrinks within a round.
         if !self.has_capacity(candidates, index) {
--- a/src/core/placement/planner.rs
+++ b/src/core/placement/planner.rs
@@ -5,7 +5,7 @@
 use super::candidates::{Candidate, CandidateSource};
 use super::estimates::machine_fraction;
 use super::job_progress::JobProgress;
-use crate::core::cost::CostMeter;
+use crate::core::cost::OperationMeter;
 use crate::peer::{JobView, PlanInput, ScaleOutRequest};
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
 pub(super) struct Planner<'a> {
     input: &'a PlanInput,
     /// Counts how often a job is compared with a candidate.
-    meter: &'a CostMeter,
+    meter: &'a OperationMeter,
     /// The machines of the input in its order, then one machine of each offer, then further machines of offers, one
     /// added whenever the previous one of the offer is first used.
     candidates: Vec<Candidate>,
@@ -47,7 +47,7 @@
 
 impl<'a> Planner<'a> {
     /// The machine type indices in `input` must be valid.
-    pub(super) fn new(input: &'a PlanInput, meter: &'a CostMeter) -> Planner<'a> {
+    pub(super) fn new(input: &'a PlanInput, meter: &'a OperationMeter) -> Planner<'a> {
         let machines = input.machines.iter().enumerate();
         let teams = input.teams.iter();
         let mut planner = Planner {
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -62,7 +62,7 @@
     (booting.up, booting.ready_s, booting.spot) = (false, 12.0, true);
     let mut view = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
     view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 1 }];
-    let meter = CostMeter::default();
+    let meter = OperationMeter::default();
     let planner = Planner::new(&view, &meter);
     // Up: fetches 1 GB at 0.5 GB/s, then runs for 36 s, on a quarter of a machine at 1.0 per hour.
     let up = estimate(&view, &view.jobs[0], &planner.candidates()[0]).unwrap();
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -59,7 +59,7 @@
 use self::writes::WriteQueue;
 use crate::config::{Settings, Tuning};
 use crate::core::completion_bitmap::BitmapLayout;
-use crate::core::cost::{CostCounters, CostMeter};
+use crate::core::cost::{OperationCounts, OperationMeter};
 use crate::core::election::LeaderRecord;
 use crate::core::jobs::Job;
 use crate::core::machine::Resources;
@@ -125,7 +125,7 @@
     orders: OutstandingOrders,
     effects: Vec<Effect>,
     /// Counts of operations since this scheduler was created.
-    cost: CostMeter,
+    cost: OperationMeter,
 }
 
 /// Interval at which [`Scheduler::tick`] is to be called.
@@ -184,7 +184,7 @@
             last_request: RequestId(0),
             orders: OutstandingOrders::default(),
             effects: Vec::new(),
-            cost: CostMeter::default(),
+            cost: OperationMeter::default(),
             limits,
             settings,
             tuning,
@@ -211,7 +211,7 @@
     }
 
     /// Counts of operations since this scheduler was created.
-    pub fn cost_counters(&self) -> CostCounters {
+    pub fn operation_counts(&self) -> OperationCounts {
         self.cost.read()
     }
 
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -43,7 +43,7 @@
     unanswered_writes: Option<Vec<Transaction>>,
     committed: Vec<Transaction>,
     /// The highest cost of a tick.
-    longest_tick: CostCounters,
+    longest_tick: OperationCounts,
     /// The key-value store: each value with the revision at which it was written.
     store: BTreeMap<String, (Value, u64)>,
     term: Term,
@@ -128,7 +128,7 @@
             store,
             term: TERM,
             committed: Vec::new(),
-            longest_tick: CostCounters::default(),
+            longest_tick: OperationCounts::default(),
         }
     }
 
@@ -275,9 +275,9 @@
     }
 
     fn tick(&mut self) {
-        let before = self.scheduler.cost_counters();
+        let before = self.scheduler.operation_counts();
         self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
-        let cost = self.scheduler.cost_counters().since(&before);
+        let cost = self.scheduler.operation_counts().since(&before);
         if cost.total() > self.longest_tick.total() {
             self.longest_tick = cost;
         }
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -321,11 +321,11 @@
 fn digest_and_operation_counts_of_a_fixed_fleet_are_unchanged() {
     let mut machines = FixedFleet::new();
     machines.run();
-    let (work, counts) = (machines.leader.cost_counters(), machines.digest.counts());
+    let (work, counts) = (machines.leader.operation_counts(), machines.digest.counts());
     println!("digest={:#018x} counts={counts:?} {work}", machines.digest.value());
     println!("endings={} workers={}", machines.outcomes.len(), machines.workers.iter().flatten().count());
     let expected =
-        CostCounters { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, comparisons: 83_142 };
+        OperationCounts { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, comparisons: 83_142 };
     // In the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
     assert_eq!(work, expected);
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -20,7 +20,7 @@
     for n in 0..machines as u32 {
         harness.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 16, 2.0));
     }
-    harness.longest_tick = CostCounters::default();
+    harness.longest_tick = OperationCounts::default();
     harness.run(3_000);
     let urgent = harness.workers.values().flat_map(|r| &r.tasks).filter(|l| l.phase == TaskPhase::Running);
     let urgent = urgent.filter(|l| l.task.is_some_and(|task| task.job.to_string() != "req-000001")).count();
@@ -42,7 +42,7 @@
     let jobs = 1_000;
     let mut harness = SchedulerHarness::new(machines);
     harness.run(2_000);
-    harness.longest_tick = CostCounters::default();
+    harness.longest_tick = OperationCounts::default();
     for n in 0..jobs {
         harness.submit(300, spec(&format!("req-{:06}", 100 + n), Kind::Array, 4, 1.0));
     }
--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -2,7 +2,7 @@
 //! renewals, heartbeats and users wait.
 
 use super::rate_limited_log::RateLimitedLog;
-use crate::core::cost::CostCounters;
+use crate::core::cost::OperationCounts;
 use crate::time::{Millis, MonotonicTime};
 use hdrhistogram::Histogram;
 use log::warn;
@@ -51,7 +51,7 @@
 struct LongestInput {
     input_kind: InputKind,
     took: Duration,
-    cost: CostCounters,
+    cost: OperationCounts,
 }
 
 /// Times of inputs since the last line.
@@ -73,7 +73,7 @@
 
 impl InputLatency {
     /// Takes in an input that began at `now` and has just been handled.
-    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, took: Duration, cost: CostCounters) {
+    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, took: Duration, cost: OperationCounts) {
         let micros = (took.as_micros() as u64).clamp(1, MAX_RECORDED_MICROS);
         let histogram = self.histograms.entry(input_kind).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -19,7 +19,7 @@
 
 use super::input_latency::InputKind;
 use super::node::{Node, NodeState};
-use crate::core::cost::CostCounters;
+use crate::core::cost::OperationCounts;
 use crate::core::election::LeaderRecord;
 use crate::core::scheduler::{Scheduler, TICK_INTERVAL};
 use crate::ids::Term;
@@ -98,10 +98,10 @@
 }
 
 /// Gives a scheduler an input. Returns its answer, the time that it took and the operations that it counted.
-fn measure<T>(scheduler: &mut Scheduler, input: impl FnOnce(&mut Scheduler) -> T) -> (T, Duration, CostCounters) {
-    let (started_at, before) = (Instant::now(), scheduler.cost_counters());
+fn measure<T>(scheduler: &mut Scheduler, input: impl FnOnce(&mut Scheduler) -> T) -> (T, Duration, OperationCounts) {
+    let (started_at, before) = (Instant::now(), scheduler.operation_counts());
     let answer = input(scheduler);
-    (answer, started_at.elapsed(), scheduler.cost_counters().since(&before))
+    (answer, started_at.elapsed(), scheduler.operation_counts().since(&before))
 }
 
 /// Gives the scheduler, if there is one, the result of an effect, even after the lease has expired: recording a
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -4,7 +4,7 @@
 use super::leader_loop;
 use super::node::{Node, NodeState};
 use super::peers;
-use crate::core::cost::CostMeter;
+use crate::core::cost::OperationMeter;
 use crate::core::placement;
 use crate::core::records::JobOutcome;
 use crate::ids::{JobId, Revision, Term};
@@ -71,7 +71,7 @@
 /// version.
 pub fn plan(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
-    let (now, started, meter) = (node.now(), Instant::now(), CostMeter::default());
+    let (now, started, meter) = (node.now(), Instant::now(), OperationMeter::default());
     let output = placement::plan_metered(&input, &meter);
     node.lock().input_latency.record(now, InputKind::PlanForPeer, started.elapsed(), meter.read());
     Some(output.encode_to_vec())
