--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -51,9 +51,9 @@
     pub(super) fn job_views(&mut self, context: &JobContext) -> (Vec<JobView>, Vec<PlannedJob>) {
         let mut views: Vec<JobView> = Vec::new();
         let mut planned = Vec::new();
-        let mut push = |id: JobId, view: JobView, reclaimed: bool| {
+        let mut push = |id: JobId, view: JobView, reclaimed_only: bool| {
             views.push(JobView { key: planned.len() as u32, ..view });
-            planned.push(PlannedJob { id, reclaimed });
+            planned.push(PlannedJob { id, reclaimed_only });
         };
         for id in context.waiting {
             let Some(job) = self.jobs.live.get(id) else { continue };
@@ -77,7 +77,7 @@
         if gang && (job.gang.is_some() || !job.placed.is_empty()) {
             return None;
         }
-        let reserved = self.reservations.count_of(id) as u32;
+        let reserved = self.reservations.count_for_job(id) as u32;
         let all = (job.ready.len() as u32).saturating_sub(reserved);
         if all == 0 || gang && reserved > 0 {
             return None;
