--- a/src/core/cost.rs
+++ b/src/core/cost.rs
@@ -57,32 +57,32 @@
 
     /// Counts examined jobs.
     pub fn add_jobs(&self, count: usize) {
-        self.update(|cost| cost.jobs += count as u64);
+        self.update(|counts| counts.jobs += count as u64);
     }
 
     /// Counts examined machines.
     pub fn add_machines(&self, count: usize) {
-        self.update(|cost| cost.machines += count as u64);
+        self.update(|counts| counts.machines += count as u64);
     }
 
     /// Counts examined allocations.
     pub fn add_tasks(&self, count: usize) {
-        self.update(|cost| cost.tasks += count as u64);
+        self.update(|counts| counts.tasks += count as u64);
     }
 
     /// Counts examined reservations.
     pub fn add_reservations(&self, count: usize) {
-        self.update(|cost| cost.reservations += count as u64);
+        self.update(|counts| counts.reservations += count as u64);
     }
 
     /// Counts comparisons of a job with a candidate.
     pub fn add_comparisons(&self, count: usize) {
-        self.update(|cost| cost.comparisons += count as u64);
+        self.update(|counts| counts.comparisons += count as u64);
     }
 
     fn update(&self, change: impl FnOnce(&mut OperationCounts)) {
-        let mut cost = self.0.get();
-        change(&mut cost);
-        self.0.set(cost);
+        let mut counts = self.0.get();
+        change(&mut counts);
+        self.0.set(counts);
     }
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -105,7 +105,8 @@
     view.types.push(machine_type(8.0, 0.0, 5.0));
     view.budget_share = 0.0;
     assert_eq!(placements(&plan(&view)), [(0, 0, 4)], "no budget beyond the cheapest candidate");
-    // With the whole cost range as its budget, the job is limited by its deadline alone.
+    // With the whole cost range as its budget, the job is limited by its deadline alone. Without a deadline, both
+    // candidates would have the same quality, and the first one would win.
     view.budget_share = 1.0;
     view.jobs[0].due_s = Some(37.0);
     assert_eq!(placements(&plan(&view)), [(0, 1, 4)], "only the expensive machine meets the deadline");
