--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -63,7 +63,7 @@
 
     /// Whether the machine may run tasks of the job, apart from capacity and zone constraints.
     fn is_eligible(&self, now: MonotonicTime, job: &Job, id: &MachineId, machine: &Machine) -> bool {
-        machine.usable(now, self.heartbeat_timeout())
+        machine.is_schedulable(now, self.heartbeat_timeout())
             && self.permits_machine(&job.spec, machine)
             && !job.avoids(id, now)
     }
@@ -114,7 +114,7 @@
         self.cost.add_tasks(machine.allocations.len());
         let mut free = self.unreserved_capacity(machine_id, machine, None);
         // Resources of tasks that are being stopped will soon be free.
-        for allocation in machine.allocations.values().filter(|a| !a.has_exited() && a.stop.is_some()) {
+        for allocation in machine.allocations.values().filter(|a| !a.has_exited() && a.stop_leeway_s.is_some()) {
             free.add(&allocation.need);
         }
         let mut eviction = Eviction::default();
@@ -147,7 +147,7 @@
                 || guaranteed && allocation.priority == job.priority() && over_guarantee;
             // Stopping one task of a gang stops all of them, which costs more than fetching the image saves.
             let is_acceptable_loss = target == PlacementTarget::Anywhere || self.tasks_lost_by_stop(&key.0.job) == 1.0;
-            !allocation.has_exited() && allocation.stop.is_none() && outranked && is_acceptable_loss
+            !allocation.has_exited() && allocation.stop_leeway_s.is_none() && outranked && is_acceptable_loss
         };
         let mut preemptible: Vec<_> = machine.allocations.iter().filter(may_be_stopped).collect();
         preemptible.sort_by_key(|(_, allocation)| {
--- a/src/core/scheduler/failure_detection/tests.rs
+++ b/src/core/scheduler/failure_detection/tests.rs
@@ -13,7 +13,7 @@
     machine.up = true;
     machine.registration = Registration::Registered;
     machine.token_acknowledged = true;
-    machine.last_heartbeat = MonotonicTime(100_000);
+    machine.last_heartbeat_at = MonotonicTime(100_000);
     machine
 }
 
@@ -87,7 +87,8 @@
     let mut reclaimed = registered();
     reclaimed.spot_notice = true;
     let mut quarantined = registered();
-    (quarantined.errors, quarantined.quarantined_until) = (QUARANTINE_ERROR_THRESHOLD, MonotonicTime(101_000));
+    (quarantined.consecutive_failures, quarantined.quarantined_until) =
+        (QUARANTINE_ERROR_THRESHOLD, MonotonicTime(101_000));
     for (mut machine, expected) in
         [(reclaimed, "reclaimed by the cloud and empty"), (quarantined, "quarantined and empty")]
     {
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -152,12 +152,12 @@
         let heartbeat_timeout = self.heartbeat_timeout();
         let machine = self.machines.known.get_mut(id).ok_or(HeartbeatRejection::Terminated)?;
         let position = (heartbeat.agent_epoch, heartbeat.sequence);
-        if heartbeat.agent_epoch < machine.agent_epoch || position <= machine.latest_heartbeat {
+        if heartbeat.agent_epoch < machine.agent_epoch || position <= machine.latest_heartbeat_position {
             return Err(HeartbeatRejection::Superseded);
         }
-        machine.latest_heartbeat = position;
+        machine.latest_heartbeat_position = position;
         machine.lease_expired = false;
-        if now - machine.last_heartbeat > heartbeat_timeout {
+        if now - machine.last_heartbeat_at > heartbeat_timeout {
             machine.allocations.values_mut().for_each(|allocation| allocation.fully_observed = false);
         }
         Ok(())
@@ -180,7 +180,7 @@
         {
             return Err(HeartbeatRejection::UnacknowledgedToken);
         }
-        machine.last_heartbeat = now;
+        machine.last_heartbeat_at = now;
         machine.route = Some(route);
         Ok(())
     }
@@ -196,7 +196,7 @@
             return Err(HeartbeatRejection::TooManyStops { stops: orders.len() });
         }
         machine.outbox.retain(|order| !matches!(order, Order::Stop { .. }));
-        if is_newer && machine.in_flight.is_none() {
+        if is_newer && machine.orders_in_flight.is_none() {
             // Run orders are only sent directly, where the worker's answer confirms them. Clear orders may go
             // with the response.
             let remaining = MAX_ORDERS_PER_MESSAGE - orders.len();
@@ -221,7 +221,7 @@
         if !machine.up {
             machine.up = true;
             machine.idle_since = None;
-            info!("machine {id} is up after_s={:.0}", (now - machine.since).as_secs_f64());
+            info!("machine {id} is up after_s={:.0}", (now - machine.created_at).as_secs_f64());
         }
         if heartbeat.agent_epoch > machine.agent_epoch && machine.agent_epoch.0 > 0 {
             // With a new agent epoch the worker has killed and forgotten all tasks of the previous one.
@@ -244,7 +244,7 @@
         let Some(machine) = self.machines.known.get_mut(id) else { return false };
         let is_newly_reconciled = machine.reconcile(heartbeat.token, self.term);
         let needs_registration = machine.registration == Registration::Unregistered && !machine.retiring;
-        let lost = machine.unlisted_tasks(heartbeat.token);
+        let lost = machine.lost_tasks(heartbeat.token);
         if is_newly_reconciled || needs_registration {
             self.rounds.request();
         }
@@ -258,14 +258,14 @@
         info!("machine {id}: spot reclamation notice, notice_s={notice_s:.0}");
         machine.spot_notice = true;
         if machine.spot {
-            self.spot_lifetimes.record_reclamation((now - machine.since).as_secs_f64());
+            self.spot_lifetimes.record_reclamation((now - machine.created_at).as_secs_f64());
         }
         self.drain(now, id, notice_s);
     }
 
     fn apply_task_list(&mut self, now: MonotonicTime, id: &MachineId, tasks: &[TaskStatus]) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        machine.heartbeats_applied += 1;
+        machine.task_lists_applied += 1;
         self.cost.add_tasks(machine.allocations.len() + tasks.len());
         let mut changed: Vec<(TaskAttempt, &TaskStatus)> = Vec::new();
         for listed in tasks {
@@ -280,7 +280,7 @@
                 Some(allocation)
                     if allocation.is_unchanged(listed.phase) && job.is_some_and(|job| job.goes_on(&key)) =>
                 {
-                    allocation.last_listed = machine.heartbeats_applied;
+                    allocation.last_task_list = machine.task_lists_applied;
                 }
                 // Done and already processed; the worker keeps it until the completion is stored.
                 Some(allocation)
@@ -288,7 +288,7 @@
                         && listed.is_done()
                         && job.is_some_and(|job| !job.is_durably_done(task.index)) =>
                 {
-                    allocation.last_listed = machine.heartbeats_applied;
+                    allocation.last_task_list = machine.task_lists_applied;
                 }
                 _ => changed.push((key, listed)),
             }
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -66,7 +66,7 @@
 
     /// `None` if the machine can take tasks neither now nor soon.
     fn readiness(&self, now: MonotonicTime, machine: &Machine) -> Option<Readiness> {
-        if machine.usable(now, self.heartbeat_timeout()) {
+        if machine.is_schedulable(now, self.heartbeat_timeout()) {
             return Some(Readiness::Usable);
         }
         if machine.retiring {
@@ -93,7 +93,7 @@
         let urgent = self.gpus.urgent_headroom(machine, machine_type);
         let lendable = !machine.up || self.gpus.is_lendable(id);
         let preemptible = self.gpus.preemptible_headroom(machine, machine_type, lendable);
-        let age_s = (now - machine.since).as_secs_f64();
+        let age_s = (now - machine.created_at).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
             ready_s: machine.image_ready_in_s(*image, now).unwrap_or(0.0),
@@ -140,7 +140,7 @@
                 slowness: 1.0,
                 ..Default::default()
             };
-            for _ in 0..request.number {
+            for _ in 0..request.count {
                 machines.push(None, view.clone());
             }
         }
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -22,7 +22,7 @@
 /// Updates `idle_since` of a machine. Returns whether it has been idle for longer than `timeout` and has no orders
 /// queued or in flight.
 pub(super) fn review_idleness(machine: &mut Machine, now: MonotonicTime, timeout: Millis) -> bool {
-    if machine.busy() || !machine.reconciled {
+    if machine.has_active_tasks() || !machine.reconciled {
         machine.idle_since = None;
         return false;
     }
@@ -30,7 +30,7 @@
         return false;
     }
     let since = *machine.idle_since.get_or_insert(now);
-    now - since > timeout && machine.outbox.is_empty() && machine.in_flight.is_none()
+    now - since > timeout && machine.outbox.is_empty() && machine.orders_in_flight.is_none()
 }
 
 /// Whether the cloud is to be asked now to terminate the machine.
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -18,7 +18,7 @@
 use crate::config::{Settings, Tuning};
 use crate::core::cancellations::Cancellations;
 use crate::core::election::Election;
-use crate::core::overload::Overload;
+use crate::core::overload::OverloadDetector;
 use crate::core::scheduler::Scheduler;
 use crate::ids::{JobId, Revision};
 use crate::peer::JobCount;
@@ -88,7 +88,7 @@
     /// While leading: distributes workers over the peers that relay heartbeats.
     pub heartbeat_balancer: HeartbeatBalancer,
     /// While leading: detects that this controller is too slow to lead.
-    pub overload: Overload,
+    pub overload: OverloadDetector,
     /// How long each kind of input occupies this controller's single thread.
     pub input_latency: InputLatency,
 }
@@ -113,7 +113,7 @@
             bad_messages: RateLimitedLog::new(BAD_MESSAGES_LOG_INTERVAL),
             relay_routes: RelayRoutes::default(),
             heartbeat_balancer: HeartbeatBalancer::default(),
-            overload: Overload::default(),
+            overload: OverloadDetector::default(),
             input_latency: InputLatency::default(),
         }
     }
