--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! What the program is configured with, checked before anything starts: the platform's settings (JSON,
-//! [`Settings`]) and the operators' own (XML, [`Tuning`]).
+//! Configuration, validated at startup: the platform's settings, a JSON file ([`Settings`]), and the operators'
+//! settings, an XML file ([`Tuning`]).
 
 mod settings;
 mod slo;
@@ -12,7 +12,7 @@
 pub use slo::{JobAges, NextSlo, Objective, ObjectiveKind, next_slo_deadline};
 pub use tuning::{Tuning, TuningError, TuningErrorKind};
 
-/// Why a file of settings can't be used. The message begins with the file's path.
+/// An error in reading or validating a settings file. The message begins with the file's path.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -20,34 +20,34 @@
     Read {
         /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The platform's settings aren't valid.
+    /// The platform's settings are invalid.
     #[error("{path}: {source}")]
     Settings {
         /// Path of the file.
         path: String,
-        /// What is wrong with them.
+        /// The validation error.
         source: SettingsError,
     },
-    /// The operators' settings aren't valid.
+    /// The operators' settings are invalid.
     #[error("{path}: {source}")]
     Tuning {
         /// Path of the file.
         path: String,
-        /// What is wrong with them, and in which line.
+        /// The validation error with its line.
         source: TuningError,
     },
 }
 
-fn read(path: &str) -> Result<String, ConfigError> {
+fn read_file(path: &str) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: path.into(), source })
 }
 
 #[cfg(test)]
 pub(crate) fn sample_settings() -> Settings {
-    Settings::parse(include_str!("../tests/settings.json")).expect("the sample is valid")
+    Settings::parse(include_str!("../tests/settings.json")).expect("sample settings are valid")
 }
 
 #[cfg(test)]
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,65 +1,69 @@
-//! The platform's settings. The files' own names stay in serde attributes and in messages.
+//! The platform's settings. Where the file uses another name than this program, a serde attribute states it; error
+//! messages use the file's names.
 
 use super::{ConfigError, Objective};
 use crate::time::Millis;
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 
-/// The most mutations that any one step of a controller needs in a transaction, with some to spare.
+/// Lower bound on the mutations that the store must allow in a transaction: a little more than any single transaction
+/// of a controller needs.
 const MIN_TRANSACTION_OPS: usize = 4;
-/// With fewer sockets there is none left for users and workers.
+/// Lower bound on the limit on sockets: with fewer, none would be left for users and workers.
 const MIN_SOCKETS: usize = 32;
-/// A cancellation has to take effect even if the leader changes meanwhile: it needs this much beyond the leases.
+/// Time that a cancellation needs in addition to a worker's and a leader's lease, in seconds. It must be carried out in
+/// time even if the leader changes meanwhile.
 const CANCELLATION_MARGIN_S: f64 = 2.0;
-/// The leader's lease as a part of the workers' lease, and its bounds in seconds.
-const LEADER_LEASE_SHARE: f64 = 0.35;
+/// Time to live of the leader's lease, as a fraction of that of the workers' leases.
+const LEADER_LEASE_FRACTION: f64 = 0.35;
+/// Lower bound on the time to live of the leader's lease.
 const MIN_LEADER_LEASE_S: f64 = 2.0;
+/// Upper bound on the time to live of the leader's lease.
 const MAX_LEADER_LEASE_S: f64 = 6.0;
-/// How long a reading is valid, as a part of the time between the end of workers' leases and the limit on
-/// cancellations.
-const READING_VALIDITY_SHARE: f64 = 0.6;
+/// How long the leader may act on a read, as a fraction of the time limit on cancellations less a worker's lease.
+const READ_TTL_FRACTION: f64 = 0.6;
 
-/// Why the platform's settings can't be used.
+/// An error in the platform's settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// They aren't JSON, or a setting is missing or of the wrong type.
+    /// The file isn't valid JSON, or a setting is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A limit or time isn't above 0, now or in `next`.
+    /// A limit or duration isn't positive, either now or in the store's upcoming limits (`next`).
     #[error("cluster.{setting} must be above 0, not {value}")]
     NotPositive {
-        /// Its name below `cluster`.
+        /// The setting's path within `cluster`.
         setting: &'static str,
-        /// Its value.
+        /// The setting's value.
         value: f64,
     },
-    /// The limit on sockets leaves none for users and workers.
+    /// The limit on sockets is so low that none would be left for users and workers.
     #[error("cluster.limits.fd_limit must be at least {MIN_SOCKETS}, not {0}")]
     TooFewSockets(usize),
-    /// Transactions may be too small for one step, now or in `next`.
+    /// The limit on mutations in a transaction, either now or in `next`, is too low for a controller's transactions.
     #[error("cluster.state.txn_ops must be at least {MIN_TRANSACTION_OPS}, now and in next")]
     TooFewTransactionOps,
-    /// Cancelled tasks may have to be gone before a new leader can see to it.
+    /// Cancelled tasks would have to be gone before a new leader could make sure of it.
     #[error("cluster.workers.cancel_s leaves no room for lease_s and a change of leader")]
     CancellationLimitTooShort,
     /// Two teams have the same name.
     #[error("cluster.teams names {0} twice")]
     RepeatedTeam(String),
-    /// The controller has no name, or a peer has the same one.
+    /// The controller's name is empty, or a peer has the same name.
     #[error("host_name must be set and differ from the names in known")]
     NameNotUnique,
 }
 
-/// Another controller.
+/// Another controller of the cluster.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name, by which controllers identify each other.
+    /// Name of the controller, by which the controllers identify each other.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// The zone that it is in; empty if not known.
+    /// Zone that it is in; empty if unknown.
     #[serde(rename = "location", default)]
     pub zone: String,
-    /// Where it listens for peers.
+    /// Address at which it listens for peers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
@@ -67,9 +71,9 @@
 /// Services that the controllers depend on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct External {
-    /// The cloud that machines are provisioned from (PROTOCOL, "Controller nodes -> cloud").
+    /// Address of the cloud, from which machines are provisioned (PROTOCOL, "Controller nodes -> cloud").
     pub cloud: SocketAddr,
-    /// The key-value store (PROTOCOL, "Controller nodes -> state service").
+    /// Address of the key-value store (PROTOCOL, "Controller nodes -> state service").
     #[serde(rename = "state")]
     pub store: SocketAddr,
 }
@@ -77,31 +81,32 @@
 /// A team with its guarantee and its quota.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// Its name, unique among the teams.
+    /// Name of the team, unique among the teams.
     pub name: String,
-    /// Processors that it is guaranteed.
+    /// Guaranteed number of CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// The most processors that its tasks may use at once.
+    /// Quota: the maximum number of CPUs that its tasks may use at a time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs that it is guaranteed.
+    /// Guaranteed number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// The most GPUs that its tasks may use at once.
+    /// Quota: the maximum number of GPUs that its tasks may use at a time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What the workers hold themselves to (PROTOCOL, "Workers -> controller nodes"). In seconds.
+/// Timing of the workers and of cancellations (PROTOCOL, "Workers -> controller nodes").
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerLimits {
-    /// Time between two heartbeats of a worker, plus or minus a quarter.
+    /// Seconds between two heartbeats of a worker, plus or minus a quarter.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// A worker whose heartbeats go unanswered for this long kills its tasks.
+    /// Time to live of a worker's lease, in seconds. A worker whose heartbeats aren't answered for this long kills its
+    /// tasks.
     pub lease_s: f64,
-    /// Tasks of a cancelled job must be gone within this time of the answer to the user.
+    /// Seconds after the confirmation to the user within which all tasks of a cancelled job must have ended.
     #[serde(rename = "cancel_s")]
     pub cancellation_limit_s: f64,
 }
@@ -109,22 +114,22 @@
 /// Limits of the key-value store (PROTOCOL, "Limits and errors").
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreLimits {
-    /// Requests per second, of all controllers together.
+    /// Maximum requests per second from all controllers together.
     pub rps: f64,
-    /// Mutations per second, of all controllers together.
+    /// Maximum mutations per second from all controllers together.
     pub write_rps: f64,
-    /// The largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     #[serde(rename = "value_kb")]
     pub max_value_kb: f64,
-    /// The most mutations in a transaction.
+    /// Maximum number of mutations in a transaction.
     #[serde(rename = "txn_ops")]
     pub max_transaction_ops: usize,
-    /// Limits that will be in force from some moment on, without notice.
+    /// Limits that the store will change to at some time, without notice.
     #[serde(default, deserialize_with = "null_as_default")]
     pub next: UpcomingStoreLimits,
 }
 
-/// Limits of the key-value store that are going to change. Those that aren't named stay.
+/// Limits of the key-value store that are going to change. `None` means that the limit stays the same.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct UpcomingStoreLimits {
@@ -140,13 +145,14 @@
     pub max_transaction_ops: Option<usize>,
 }
 
-/// What may be null may equally be omitted.
+/// Deserializes `null` as the default value, as for a field that is omitted.
 fn null_as_default<'de, D: Deserializer<'de>, T: Deserialize<'de> + Default>(deserializer: D) -> Result<T, D::Error> {
     Ok(Option::deserialize(deserializer)?.unwrap_or_default())
 }
 
 impl StoreLimits {
-    /// What holds both now and later: whatever is written within these limits is accepted at any time.
+    /// The stricter of each limit now and its upcoming value. The store accepts what is within these limits both before
+    /// and after the change.
     pub fn lowest(&self) -> StoreLimits {
         let lower = |now: f64, later: Option<f64>| later.map_or(now, |later| now.min(later));
         let next = &self.next;
@@ -160,7 +166,7 @@
         }
     }
 
-    /// The most bytes that a value may have, now and later.
+    /// Maximum size of a value in bytes, by the stricter of the limit now and its upcoming value.
     pub fn value_bytes(&self) -> usize {
         (self.lowest().max_value_kb * 1024.0) as usize
     }
@@ -169,79 +175,79 @@
 /// Limits of the cloud (PROTOCOL, "Controller nodes -> cloud").
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// How old its list of machines usually is, in seconds; occasionally twice that.
+    /// Usual age of its list of machines, in seconds. Occasionally the list is twice as old.
     pub list_lag_s: f64,
 }
 
 /// Limits of the machine that a controller runs on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
-    /// The most file descriptors, nearly all of which are sockets.
+    /// Maximum number of open file descriptors, nearly all of which are sockets.
     #[serde(rename = "fd_limit")]
     pub max_sockets: usize,
 }
 
-/// What is common to all controllers.
+/// Settings that are the same for all controllers of the cluster.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Cluster {
-    /// Zones that machines may be in.
+    /// Zones of the cloud that machines may be in.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The teams. Elsewhere a team is identified by its index here.
+    /// The teams. The scheduler and its messages identify a team by its index here.
     pub teams: Vec<Team>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Limits of the workers.
+    /// Timing of the workers and of cancellations.
     pub workers: WorkerLimits,
     /// Limits of the key-value store.
     #[serde(rename = "state")]
     pub store: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// Limits of the controllers.
+    /// Limits of the machine that each controller runs on.
     pub limits: Limits,
 }
 
-/// The platform's settings of one controller.
+/// The platform's settings for one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    /// The controller's own name.
+    /// Name of this controller.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Where users, workers and health checks reach it.
+    /// Address at which it listens for users, workers and health checks.
     #[serde(rename = "serve_on")]
     pub listen: SocketAddr,
-    /// Where its peers reach it.
+    /// Address at which it listens for peers.
     #[serde(rename = "internal_addr")]
     pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
-    /// The services that it depends on.
+    /// Services that the controllers depend on.
     #[serde(rename = "external")]
     pub services: External,
-    /// What is common to all controllers.
+    /// Settings that are the same for all controllers.
     pub cluster: Cluster,
 }
 
 impl Settings {
-    /// Reads and checks a file. Errors name its path.
+    /// Reads and validates a settings file. Errors state its path.
     pub fn load(path: &str) -> Result<Settings, ConfigError> {
-        let text = super::read(path)?;
+        let text = super::read_file(path)?;
         Settings::parse(&text).map_err(|source| ConfigError::Settings { path: path.into(), source })
     }
 
-    /// Reads and checks the JSON text of a file. Names that aren't known are ignored.
+    /// Parses and validates the JSON text of a settings file. Unknown names are ignored.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = serde_json::from_str(text)?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), SettingsError> {
+    fn validate(&self) -> Result<(), SettingsError> {
         let Cluster { workers, cloud, limits, .. } = &self.cluster;
         let store = self.cluster.store.lowest();
         let positive = [
@@ -270,10 +276,10 @@
         if workers.cancellation_limit_s <= workers.lease_s + leader_lease_s + CANCELLATION_MARGIN_S {
             return Err(SettingsError::CancellationLimitTooShort);
         }
-        self.check_names()
+        self.validate_names()
     }
 
-    fn check_names(&self) -> Result<(), SettingsError> {
+    fn validate_names(&self) -> Result<(), SettingsError> {
         let teams = &self.cluster.teams;
         for (index, team) in teams.iter().enumerate() {
             if teams[..index].iter().any(|earlier| earlier.name == team.name) {
@@ -286,38 +292,39 @@
         Ok(())
     }
 
-    /// Time to live of the leader's lease in the key-value store: short against the workers' lease, so that
-    /// there is a new leader before workers kill their tasks.
+    /// Time to live of the leader's lease in the key-value store. It is short compared with the workers' leases, so
+    /// that if the leader fails, a new one is elected before the workers kill their tasks.
     pub fn leader_lease_ttl(&self) -> Millis {
-        let ttl_s = self.cluster.workers.lease_s * LEADER_LEASE_SHARE;
+        let ttl_s = self.cluster.workers.lease_s * LEADER_LEASE_FRACTION;
         Millis::from_secs_f64(ttl_s.clamp(MIN_LEADER_LEASE_S, MAX_LEADER_LEASE_S))
     }
 
-    /// How long a leader may act on what it has last read: a cancellation that it hasn't read must be
-    /// carried out by the workers' leases alone.
+    /// How long after its last read of the live jobs a leader may act on it. A cancellation that the leader fails to
+    /// read must still take effect in time: when the leader stops acting, the workers' leases expire and they kill the
+    /// tasks.
     pub fn reading_validity(&self) -> Millis {
         let workers = &self.cluster.workers;
-        Millis::from_secs_f64((workers.cancellation_limit_s - workers.lease_s) * READING_VALIDITY_SHARE)
+        Millis::from_secs_f64((workers.cancellation_limit_s - workers.lease_s) * READ_TTL_FRACTION)
     }
 
-    /// How the platform's limit on sockets is divided.
+    /// Divides the platform's limit on sockets among the controller's purposes.
     pub fn sockets(&self) -> SocketShares {
-        let all = self.cluster.limits.max_sockets;
-        let part = |percent: usize, least: usize| (all * percent / 100).max(least);
-        // Two in a hundred are left for listeners, logs and the runtime.
-        SocketShares { public: part(64, 1), peers: part(3, 8), own: part(3, 8), orders: part(28, 4) }
+        let total = self.cluster.limits.max_sockets;
+        let share = |percent: usize, min: usize| (total * percent / 100).max(min);
+        // The remaining 2% are for the listening sockets, the log and the runtime.
+        SocketShares { public: share(64, 1), peers: share(3, 8), own: share(3, 8), orders: share(28, 4) }
     }
 }
 
-/// What the platform's limit on sockets is spent on. Each worker keeps one connection to the leader; orders go
-/// over connections of their own, which are few enough to leave the workers theirs.
+/// How many sockets a controller may use for each purpose. Each worker keeps a connection to the leader open. Orders to
+/// workers use separate connections, whose number is limited so that enough sockets are left for the workers'.
 pub struct SocketShares {
-    /// Connections of users, workers and health checks.
+    /// Incoming connections of users, workers and health checks.
     pub public: usize,
-    /// Connections of peers that call here.
+    /// Incoming connections of peers.
     pub peers: usize,
-    /// Calls to the key-value store, the cloud and peers.
+    /// Outgoing connections to the key-value store, the cloud and peers.
     pub own: usize,
-    /// Calls with orders to workers.
+    /// Outgoing connections that carry orders to workers.
     pub orders: usize,
 }
--- a/src/config/slo.rs
+++ b/src/config/slo.rs
@@ -1,21 +1,21 @@
-//! Service-level objectives (PROTOCOL, "How aims are counted") and the deadlines that follow from them.
+//! Service-level objectives (SLOs; PROTOCOL, "How aims are counted") and the deadlines that they set for jobs.
 
 use super::Settings;
 use serde::Deserialize;
 
-/// What an objective is about.
+/// What an objective measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ObjectiveKind {
-    /// Tasks of a class start within [`Objective::within_s`].
+    /// Tasks of a class start within [`Objective::within_s`] after their job could start.
     Wait,
-    /// Jobs of a class are done within [`Objective::within_s`].
+    /// Jobs of a class are done within [`Objective::within_s`] after they could start.
     Finished,
-    /// Jobs of a class are done within [`Objective::times`] their deadline.
+    /// Jobs of a class are done within [`Objective::times`] times their deadline.
     Deadline,
-    /// Work within a team's guarantee, of any class, starts within [`Objective::within_s`].
+    /// Tasks of jobs within their team's guarantee, of any class, start within [`Objective::within_s`].
     Guarantee,
-    /// One that this version doesn't know and ignores.
+    /// Not known to this version of the program; the objective is ignored.
     Unknown,
 }
 
@@ -31,62 +31,67 @@
     }
 }
 
-/// A service-level objective of the users.
+/// A service-level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What it is about.
+    /// What it measures.
     pub kind: ObjectiveKind,
-    /// The class of jobs that it is for; empty where it is for a guarantee.
+    /// Class of the jobs that it applies to. Objectives of kind [`ObjectiveKind::Guarantee`] apply to all classes and
+    /// leave it empty.
     #[serde(default)]
     pub class: String,
-    /// Seconds, of the kinds that say so.
+    /// Time limit in seconds; unused by [`ObjectiveKind::Deadline`].
     #[serde(default)]
     pub within_s: f64,
-    /// Of an objective on deadlines: how many times the job's deadline.
-    #[serde(default = "once")]
+    /// Only for [`ObjectiveKind::Deadline`]: the factor by which the job's deadline is multiplied.
+    #[serde(default = "default_deadline_factor")]
     pub times: f64,
 }
 
-fn once() -> f64 {
+fn default_deadline_factor() -> f64 {
     1.0
 }
 
-/// Times that SLO deadlines count from.
+/// Ages of a job, from the two points in time that its SLO deadlines are counted from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobAges {
     /// Seconds since the job was submitted.
     pub submitted_s: f64,
-    /// Seconds since the job could start, as all that it depends on was done.
+    /// Seconds since the job could start, that is, since all its dependencies were done.
     pub startable_s: f64,
 }
 
 impl Settings {
-    /// The most seconds until a task of the class should have started, if an objective says so.
+    /// Seconds within which a task of the class should start, by the strictest objective that applies. `guaranteed`
+    /// states whether its job is within its team's guarantee. Returns `None` if no objective applies.
     pub fn start_slo_s(&self, class: &str, guaranteed: bool) -> Option<f64> {
-        let applies = |objective: &&Objective| match objective.kind {
+        let is_applicable = |objective: &&Objective| match objective.kind {
             ObjectiveKind::Wait => objective.class == class,
             ObjectiveKind::Guarantee => guaranteed,
             ObjectiveKind::Finished | ObjectiveKind::Deadline | ObjectiveKind::Unknown => false,
         };
-        self.cluster.objectives.iter().filter(applies).map(|objective| objective.within_s).reduce(f64::min)
+        self.cluster.objectives.iter().filter(is_applicable).map(|objective| objective.within_s).reduce(f64::min)
     }
 
-    /// In how many seconds a job of the class should end by each of its objectives, in no particular order.
-    /// Deadlines count from the submission, all else from when the job could start.
+    /// The times by which a job of the class should end according to each of its objectives, in seconds from now and in
+    /// no particular order; negative if the time has passed. `run_s` is the expected run time of a task.
+    ///
+    /// Objectives on deadlines count from the job's submission, all others from the time that it could start.
     pub fn slo_deadlines(&self, class: &str, deadline_s: Option<f64>, ages: JobAges, run_s: f64) -> Vec<f64> {
-        let left_s = |objective: &Objective| match objective.kind {
+        let remaining_s = |objective: &Objective| match objective.kind {
             ObjectiveKind::Finished => Some(objective.within_s - ages.startable_s),
-            // An objective on starting is one on finishing, a run later.
+            // A limit on the start is treated as a limit on the end, later by one run time.
             ObjectiveKind::Wait => Some(objective.within_s + run_s - ages.startable_s),
             ObjectiveKind::Deadline | ObjectiveKind::Guarantee | ObjectiveKind::Unknown => None,
         };
-        let mut slo_deadlines: Vec<f64> = self.objectives_of(class).filter_map(left_s).collect();
+        let mut slo_deadlines: Vec<f64> = self.objectives_of(class).filter_map(remaining_s).collect();
         slo_deadlines.extend(self.deadlines(class, deadline_s, ages.submitted_s));
         slo_deadlines
     }
 
-    /// Seconds left until the deadline of a job, and until each multiple of it that its class has an objective
-    /// for. Empty for a job without a deadline.
+    /// Seconds until the job's deadline and until each multiple of it that is an objective of its class; negative if
+    /// the time has passed. Empty if the job has no deadline. `deadline_s` counts from the submission, which was
+    /// `submitted_s` seconds ago.
     pub fn deadlines(&self, class: &str, deadline_s: Option<f64>, submitted_s: f64) -> Vec<f64> {
         let Some(deadline_s) = deadline_s else { return Vec::new() };
         let objectives = self.objectives_of(class).filter(|objective| objective.kind == ObjectiveKind::Deadline);
@@ -99,17 +104,17 @@
     }
 }
 
-/// The SLO deadline that a job should be planned for.
+/// The SLO deadline that the planner should aim at for a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NextSlo {
-    /// Seconds until the first SLO deadline that can still be met; none: there is no such one.
+    /// Seconds until the earliest SLO deadline that can still be met; `None` if there is none.
     pub deadline_s: Option<f64>,
-    /// How many different SLO deadlines can't be met any more.
+    /// Number of different SLO deadlines that can no longer be met.
     pub missed: u32,
 }
 
-/// The first of several SLO deadlines, in seconds from now, that a job with a run time of `run_s` can still
-/// meet.
+/// Selects the earliest of the SLO deadlines, given in seconds from now, that a job can still meet if it starts now and
+/// runs for `run_s` seconds.
 pub fn next_slo_deadline(mut slo_deadlines: Vec<f64>, run_s: f64) -> NextSlo {
     slo_deadlines.sort_by(f64::total_cmp);
     slo_deadlines.dedup();
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -20,7 +20,7 @@
 #[test]
 fn socket_shares_suffice_for_a_connection_of_each_worker() {
     let mut settings = sample_settings();
-    // The least limits that platforms have granted for a number of workers.
+    // The lowest limits on sockets seen on platforms with these numbers of workers.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
         settings.cluster.limits.max_sockets = limit;
         let SocketShares { public, peers, own, orders } = settings.sockets();
@@ -40,7 +40,8 @@
     };
     settings.cluster.objectives =
         vec![objective("deadline", 0.0, 1.5), objective("wait", 30.0, 1.0), objective("finished", 200.0, 1.0)];
-    // A run of 20 s: the objective on starting ends at 50, the deadline at 60 and at 90, then 200.
+    // With a run time of 20 s, the SLO deadlines are 50 s (start within 30 s), 60 s (the job's own deadline), 90 s (1.5
+    // times that) and 200 s.
     let ages = |submitted_s, startable_s| JobAges { submitted_s, startable_s };
     let next = |slo_deadlines| {
         let NextSlo { deadline_s, missed } = next_slo_deadline(slo_deadlines, 20.0);
@@ -51,7 +52,7 @@
     assert_eq!(at_age(35.0), (Some(60.0 - 35.0), 1));
     assert_eq!(at_age(65.0), (Some(90.0 - 65.0), 2));
     assert_eq!(at_age(190.0), (None, 4));
-    // One that has depended on others for 30 s: only its deadlines are nearer.
+    // A job whose dependencies took 30 s: only the deadlines that count from its submission are closer.
     assert_eq!(next(settings.slo_deadlines("x", Some(60.0), ages(35.0, 5.0), 20.0)), (Some(25.0), 0));
     assert_eq!(next(settings.slo_deadlines("x", Some(60.0), ages(45.0, 15.0), 20.0)), (Some(35.0), 1));
     assert_eq!(next(settings.slo_deadlines("other", None, ages(5.0, 5.0), 20.0)), (None, 0));
@@ -65,7 +66,7 @@
     let limits = with(r#"{"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 4}"#).unwrap().cluster.store;
     let lowest = limits.lowest();
     assert_eq!((lowest.rps, lowest.write_rps, lowest.max_value_kb, lowest.max_transaction_ops), (100.0, 15.0, 2.0, 4));
-    // What is stored was laid out by the limits of today.
+    // The current limit stays available, as it determines the layout of what is already stored.
     assert_eq!((limits.max_value_kb, limits.value_bytes()), (8.0, 2_048));
     assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.store.lowest().max_value_kb, 8.0);
     assert!(with("null").is_ok() && with("{}").is_ok());
@@ -103,7 +104,7 @@
     let ages = JobAges { submitted_s: 0.0, startable_s: 0.0 };
     assert!(settings.slo_deadlines("x", None, ages, 1.0).is_empty());
     value["cluster"]["objectives"] = serde_json::json!([{"kind": 1}]);
-    assert!(Settings::parse(&value.to_string()).is_err(), "a kind is a text");
+    assert!(Settings::parse(&value.to_string()).is_err(), "a kind must be a string");
 }
 
 #[test]
--- a/src/config/tuning.rs
+++ b/src/config/tuning.rs
@@ -5,35 +5,39 @@
 use quick_xml::events::{BytesStart, Event};
 use std::ops::RangeInclusive;
 
-/// The root element of the file.
-const ROOT: &str = "wallstile";
+/// Name of the root element.
+const ROOT_ELEMENT: &str = "wallstile";
 
-/// The operators' settings. All are optional; docs/operations.md explains each.
+/// The operators' settings, which tune the scheduler. All are optional; docs/operations.md explains each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// The paper's B: how much dearer than the cheapest a job may be, as a part of the range.
+    /// How much more than the cheapest candidate a task may cost on average, as a fraction, 0 to 1, of the difference
+    /// in cost between the most expensive and the cheapest one. It is B in the paper that [`crate::core::placement`]
+    /// follows.
     pub budget_share: f64,
-    /// Median life of a spot machine that the log-normal distribution starts with, in seconds.
+    /// Initial median of the log-normal distribution of spot machines' lifetimes, in seconds.
     pub spot_median_s: f64,
-    /// Sigma of that distribution.
+    /// Sigma of that distribution: the standard deviation of the lifetime's logarithm.
     pub spot_sigma: f64,
-    /// The window of the unfilled spot request (paper, eq. 8), in seconds.
+    /// A job stops waiting for new spot machines once its slack is less than the time it has waited plus this, in
+    /// seconds: w in equation 8 of the paper that [`crate::core::placement`] follows.
     pub spot_window_s: f64,
     /// Seconds after which an idle machine is terminated.
     pub idle_s: f64,
-    /// A GPU machine may be idle for this many times as long.
+    /// Factor by which a GPU machine may be idle longer than [`Tuning::idle_s`].
     pub gpu_idle_factor: f64,
-    /// Stands in for the run time of services in costs, in seconds.
+    /// Run time that the planner assumes for tasks of services, which have no end, in seconds.
     pub service_horizon_s: f64,
-    /// Tasks placed in a round while little waits.
+    /// Lower bound on the batch size, the number of tasks that a round may place on machines that are up. The batch
+    /// grows with the number of ready tasks.
     pub batch_min: f64,
-    /// The most tasks placed in a round.
+    /// Upper bound on the batch size.
     pub batch_max: f64,
-    /// Shortest time between two rounds, in milliseconds.
+    /// Minimum time between the starts of two planning rounds, in milliseconds. An overloaded leader waits longer.
     pub round_ms: f64,
-    /// Requests of users in flight at once; more get 503.
+    /// Maximum number of user requests in progress at a time. Further ones are answered with status 503.
     pub user_requests: f64,
-    /// Capacity is reserved for a gang that has waited this many seconds.
+    /// Time in seconds after which capacity is reserved for a gang that could have started.
     pub gang_reservation_wait_s: f64,
 }
 
@@ -56,29 +60,29 @@
     }
 }
 
-/// Why the operators' settings can't be used, and where.
+/// An error in the operators' settings, with its position.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {kind}")]
 pub struct TuningError {
-    /// The line of the file, from 1.
+    /// Line of the file, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// Kind of the error.
     pub kind: TuningErrorKind,
 }
 
-/// What is wrong with the operators' settings. Names are those of elements.
+/// Kinds of errors in the operators' settings. The names in them are those of XML elements.
 #[derive(Debug, thiserror::Error)]
 pub enum TuningErrorKind {
     /// The file isn't well-formed XML.
     #[error(transparent)]
     Syntax(#[from] quick_xml::Error),
-    /// A setting is given a second time.
+    /// A setting occurs more than once.
     #[error("<{0}> stands twice")]
     Repeated(String),
-    /// There is no such setting, or not in this place.
+    /// There is no setting of this name, or the element is misplaced.
     #[error("unknown element <{0}>")]
     UnknownElement(String),
-    /// Settings have no attributes.
+    /// An element has attributes, which no setting takes.
     #[error("<{0}> takes no attributes")]
     Attributes(String),
     /// A setting has no value.
@@ -89,34 +93,34 @@
     NotANumber {
         /// The setting.
         name: String,
-        /// What stands there.
+        /// Content of the element.
         text: String,
     },
-    /// A setting's value is beyond its bounds.
-    #[error("<{name}> must be {least} to {most}, not {value}")]
+    /// A setting's value is out of range.
+    #[error("<{name}> must be {min} to {max}, not {value}")]
     OutOfRange {
         /// The setting.
         name: String,
-        /// The least value that it may have.
-        least: f64,
-        /// The greatest value that it may have.
-        most: f64,
-        /// The value that it has.
+        /// Minimum of the setting.
+        min: f64,
+        /// Maximum of the setting.
+        max: f64,
+        /// Value in the file.
         value: f64,
     },
-    /// There is text between the settings.
+    /// The root element contains text after the last setting.
     #[error("stray text in <{0}>")]
     StrayText(String),
-    /// The root element is missing or isn't closed.
+    /// The root element is missing or not closed.
     #[error("the document ends before </wallstile>")]
     Truncated,
-    /// The least batch is larger than the greatest.
+    /// The minimum batch size exceeds the maximum.
     #[error("batch-min is above batch-max")]
     BatchBounds,
 }
 
 impl Tuning {
-    /// The setting of that element and the bounds of its value.
+    /// The setting of an element, with the range of its value. Returns `None` if there is no such setting.
     fn setting(&mut self, element: &str) -> Option<(&mut f64, RangeInclusive<f64>)> {
         Some(match element {
             "budget-share" => (&mut self.budget_share, 0.0..=1.0),
@@ -135,13 +139,13 @@
         })
     }
 
-    /// Reads and checks a file. Errors name its path and the line.
+    /// Reads and validates a file. Errors state its path and the line.
     pub fn load(path: &str) -> Result<Tuning, ConfigError> {
-        let text = super::read(path)?;
+        let text = super::read_file(path)?;
         Tuning::parse(&text).map_err(|source| ConfigError::Tuning { path: path.into(), source })
     }
 
-    /// Reads and checks the text of a file: `<wallstile><idle-s>60</idle-s>...</wallstile>`.
+    /// Parses and validates the text of a file, such as `<wallstile><idle-s>60</idle-s>...</wallstile>`.
     pub fn parse(text: &str) -> Result<Tuning, TuningError> {
         let mut parser = TuningParser::default();
         let mut reader = Reader::from_str(text);
@@ -159,36 +163,38 @@
                 Event::End(_) => parser.end().map_err(at_line)?,
                 Event::Eof => {
                     let tuning = parser.finish().map_err(at_line)?;
-                    return tuning.check_batch().map_err(|kind| TuningError { line: 1, kind });
+                    return tuning.validate_batch_bounds().map_err(|kind| TuningError { line: 1, kind });
                 }
                 _ => {}
             }
         }
     }
 
-    fn check_batch(self) -> Result<Tuning, TuningErrorKind> {
+    /// Checks that the minimum batch size doesn't exceed the maximum.
+    fn validate_batch_bounds(self) -> Result<Tuning, TuningErrorKind> {
         if self.batch_min > self.batch_max { Err(TuningErrorKind::BatchBounds) } else { Ok(self) }
     }
 }
 
-/// What has been read of a file.
+/// State of the parser: what has been read of a file.
 #[derive(Default)]
 struct TuningParser {
     tuning: Tuning,
-    /// The elements that are open, the outermost first.
+    /// Names of the open elements, outermost first.
     open: Vec<String>,
-    /// All elements so far.
+    /// Names of all elements so far.
     seen: Vec<String>,
-    /// Text since the last setting began or ended.
+    /// Text since the last start tag or the end of the last setting.
     content: String,
 }
 
 impl TuningParser {
+    /// Handles a start tag.
     fn start(&mut self, element: &BytesStart) -> Result<(), TuningErrorKind> {
         let name = element.name().as_ref().to_string();
         let is_repeated = self.seen.contains(&name);
         match self.open.len() {
-            0 if name == ROOT && self.seen.is_empty() => {}
+            0 if name == ROOT_ELEMENT && self.seen.is_empty() => {}
             1 if is_repeated => return Err(TuningErrorKind::Repeated(name)),
             1 if self.tuning.setting(&name).is_some() => {}
             _ => return Err(TuningErrorKind::UnknownElement(name)),
@@ -202,16 +208,17 @@
         Ok(())
     }
 
-    /// `<name/>`: only the root element may have no content.
+    /// Handles an empty-element tag, `<name/>`. Only the root element may be empty.
     fn empty(&mut self, element: &BytesStart) -> Result<(), TuningErrorKind> {
         let name = element.name().as_ref().to_string();
-        if !self.open.is_empty() || name != ROOT {
+        if !self.open.is_empty() || name != ROOT_ELEMENT {
             return Err(TuningErrorKind::Empty(name));
         }
         self.seen.push(name);
         Ok(())
     }
 
+    /// Handles an end tag, which sets the value if the element is a setting.
     fn end(&mut self) -> Result<(), TuningErrorKind> {
         let name = self.open.pop().unwrap_or_default();
         let text = self.content.trim();
@@ -223,8 +230,8 @@
         };
         if let Some((setting, bounds)) = self.tuning.setting(&name) {
             if !bounds.contains(&value) {
-                let (least, most) = bounds.into_inner();
-                return Err(TuningErrorKind::OutOfRange { name, least, most, value });
+                let (min, max) = bounds.into_inner();
+                return Err(TuningErrorKind::OutOfRange { name, min, max, value });
             }
             *setting = value;
         }
@@ -232,6 +239,7 @@
         Ok(())
     }
 
+    /// Handles the end of the document.
     fn finish(&mut self) -> Result<Tuning, TuningErrorKind> {
         if self.seen.is_empty() || !self.open.is_empty() {
             return Err(TuningErrorKind::Truncated);
