--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,12 +1,12 @@
-//! Small types for names, versions and counters, so that they can't be mixed up.
+//! Newtypes for identifiers, versions and counters, so that the compiler rejects one in place of another.
 
 use serde::de::{self, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::sync::Arc;
 
-/// Name of a job, such as `req-000412`: its number, and with how many digits it is written. Leaders
-/// compare names all the time, so they are numbers here, not text.
+/// Name of a job, such as `req-000412`, stored as its number and how many digits it is written with. Leaders compare
+/// and hash job names very often, which is faster for integers than for strings.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId {
     number: u64,
@@ -14,7 +14,7 @@
 }
 
 impl JobId {
-    /// The job of that name; none if it hasn't the one form of job names: `req-` and six to 18 digits.
+    /// Parses a job name. Returns `None` unless it consists of `req-` and 6 to 18 decimal digits.
     pub fn parse(name: &str) -> Option<JobId> {
         let digits = name.strip_prefix("req-")?;
         let is_valid = (6..=18).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit());
@@ -35,10 +35,12 @@
 pub struct MachineId(pub Arc<str>);
 
 impl MachineId {
-    /// The machine of that name; none if it can't be part of a key of the key-value store.
+    /// Validates a machine name. Returns `None` if it can't be part of a key of the key-value store: it must have 1 to
+    /// 100 printable ASCII characters other than `/` and `?`.
     pub fn parse(s: &str) -> Option<MachineId> {
-        let ok = !s.is_empty() && s.len() <= 100 && s.bytes().all(|b| b.is_ascii_graphic() && b != b'/' && b != b'?');
-        ok.then(|| MachineId(s.into()))
+        let is_valid =
+            !s.is_empty() && s.len() <= 100 && s.bytes().all(|b| b.is_ascii_graphic() && b != b'/' && b != b'?');
+        is_valid.then(|| MachineId(s.into()))
     }
 }
 
@@ -48,17 +50,17 @@
     }
 }
 
-/// One task of a job: `req-000412/3`.
+/// Name of one task of a job, such as `req-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's number within the job, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// The task of that name; none if no task can have it.
+    /// Parses a task name. Returns `None` unless it is a job name, `/` and an index.
     pub fn parse(name: &str) -> Option<TaskId> {
         let (job, index) = name.split_once('/')?;
         Some(TaskId { job: JobId::parse(job)?, index: index.parse().ok()? })
@@ -71,8 +73,8 @@
     }
 }
 
-/// JSON of a name: the text that it is written as.
-macro_rules! name_as_text {
+/// Implements serialization as the string that `Display` writes, and deserialization by `parse`.
+macro_rules! impl_serde_as_str {
     ($name:ident, $example:literal) => {
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
@@ -98,10 +100,11 @@
     };
 }
 
-name_as_text!(JobId, "req-000412");
-name_as_text!(TaskId, "req-000412/3");
+impl_serde_as_str!(JobId, "req-000412");
+impl_serde_as_str!(TaskId, "req-000412/3");
 
-macro_rules! counter {
+/// Defines a newtype of `u64` that is serialized as a number.
+macro_rules! u64_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize)]
@@ -115,58 +118,66 @@
     };
 }
 
-counter!(
-    /// Revision of the key-value store: rises with each transaction, and is the version of the keys it changed.
+u64_newtype!(
+    /// Revision of the key-value store: it increases with each transaction, and is the version of the keys that the
+    /// transaction changed.
     Revision
 );
-counter!(
-    /// The revision at which a leader was elected; later leaders have larger ones.
+u64_newtype!(
+    /// A leader's term: the store revision at which it was elected. A later leader has a higher term.
     Term
 );
-counter!(
-    /// Fencing token (PROTOCOL, "Tokens"): entitles to give a worker orders; term and fence in one number.
+u64_newtype!(
+    /// Fencing token (PROTOCOL, "Tokens"), sent with everything that a leader sends to a worker. Workers ignore orders
+    /// with a lower token than the highest that they have seen. It combines the leader's term, in the high bits, with
+    /// the machine's fence, which the leader raises so that the worker rejects orders sent before.
     FencingToken
 );
-counter!(
-    /// Number of one start of a task; term and a count in one number.
+u64_newtype!(
+    /// Number of an attempt to run a task. It combines the leader's term, in the high bits, with a count within the
+    /// term.
     Attempt
 );
-counter!(
-    /// A worker's count of its lost leases, from 1.
+u64_newtype!(
+    /// A worker's epoch, from 1. It increases each time that the worker loses its lease, which ends all its tasks.
     AgentEpoch
 );
-counter!(
-    /// A worker's count of its messages within an agent epoch.
+u64_newtype!(
+    /// Sequence number of a worker's message within its agent epoch.
     SequenceNumber
 );
-counter!(
-    /// A lease of the key-value store (PROTOCOL, "POST /holds").
+u64_newtype!(
+    /// Identifies a lease of the key-value store (PROTOCOL, "POST /holds").
     LeaseId
 );
-counter!(
-    /// Number of a request that the scheduler has the edges carry out, unique in a term; the result comes back
-    /// under it.
+u64_newtype!(
+    /// Number of a request that the scheduler issues and the network layer carries out, unique within a term. The
+    /// result refers to the request by it.
     RequestId
 );
 
+/// Low bits of a fencing token that hold the fence.
 const FENCE_BITS: u32 = 14;
+/// Low bits of an attempt's number that hold the count within the term.
 const ATTEMPT_BITS: u32 = 30;
 
 impl FencingToken {
-    /// Below every token that has been given out.
+    /// A token below every token of a leader, so it entitles to nothing.
     pub const NONE: FencingToken = FencingToken(0);
 
-    /// The token of a term with a fence of at most [`MAX_FENCE`].
+    /// The token of a leader's term and a machine's fence, which must be at most [`MAX_FENCE`].
     pub fn new(term: Term, fence: u64) -> FencingToken {
         FencingToken((term.0 << FENCE_BITS) | (fence & ((1 << FENCE_BITS) - 1)))
     }
 }
 
-/// How often a fence may rise within a term; a leader that gets there hands over.
+/// The highest fence of a machine within a term, as a token has no more bits for it. A leader that has raised a fence
+/// so far retires the machine.
 pub const MAX_FENCE: u64 = (1 << FENCE_BITS) - 1;
 
 impl Attempt {
-    /// Attempts carry the term, so that no two leaders ever choose the same number.
+    /// The number of a term's attempt with this count. As the term is part of it, no two leaders ever use the same
+    /// number.
     pub fn new(term: Term, count: u64) -> Attempt {
         Attempt((term.0 << ATTEMPT_BITS) | (count & ((1 << ATTEMPT_BITS) - 1)))
     }
