--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! wallstile: a cluster scheduler. The program is in `main.rs`; the library is for it, for the benchmarks and
-//! for the tests in `tests/`.
+//! wallstile, a cluster scheduler. The executable is in `main.rs`; this library serves it, the benchmarks and the tests
+//! in `tests/`.
 //!
-//! [`core`] decides and has no I/O and no clock; [`net`] has the sockets and timers and decides nothing about
-//! tasks and machines. Between them are the messages ([`wire`], [`peer`]), the configuration ([`config`]) and
-//! the types that all use ([`ids`], [`time`]).
+//! [`core`] makes all decisions about tasks and machines, without I/O and without reading a clock. [`net`] does the I/O
+//! and runs the timers, and makes no such decisions. Both use the message types ([`wire`], [`peer`]), the
+//! configuration ([`config`]) and the basic types ([`ids`], [`time`]).
 
 pub mod config;
 pub mod core;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error at the level that operators set, with a bound on the rate of `debug`
-//! lines. A leader under overload would otherwise spend its processor time on logging.
+//! Logging to standard error, at the level that operators set. The rate of `debug` lines is limited, as an overloaded
+//! leader would otherwise spend its CPU time on logging.
 
 use env_logger::Logger;
 use log::{Level, LevelFilter, Log, Metadata, Record};
@@ -7,51 +7,52 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// The most `debug` lines written each second, on average.
+/// Maximum average rate of `debug` lines.
 const MAX_DEBUG_LINES_PER_SECOND: f64 = 500.0;
-/// The most `debug` lines written at once.
+/// Maximum number of `debug` lines written in a burst.
 const MAX_DEBUG_BURST: f64 = 2_000.0;
 
-/// A token bucket for lines.
-struct LineBudget {
+/// A token bucket that limits the rate of `debug` lines.
+struct LineRateLimiter {
     tokens: f64,
-    /// Lines left out since the last that was written.
-    left_out: u64,
+    /// Number of lines suppressed since the last one that was written.
+    suppressed: u64,
 }
 
-impl LineBudget {
-    /// Whether a line may be written `elapsed_s` seconds after the last call, and how many were left out
-    /// before it.
+impl LineRateLimiter {
+    /// Decides on a line that comes `elapsed_s` seconds after the previous call. Returns the number of lines suppressed
+    /// since the last one that was written, or `None` if this line is suppressed as well.
     fn admit(&mut self, elapsed_s: f64) -> Option<u64> {
         self.tokens = (self.tokens + elapsed_s * MAX_DEBUG_LINES_PER_SECOND).min(MAX_DEBUG_BURST);
         if self.tokens < 1.0 {
-            self.left_out += 1;
+            self.suppressed += 1;
             return None;
         }
         self.tokens -= 1.0;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-/// A logger that leaves out `debug` lines beyond a rate, and says how many.
-struct BoundedLog {
+/// A logger that suppresses `debug` lines beyond a rate, and logs how many it has suppressed.
+struct RateLimitedLogger {
     inner: Logger,
-    /// With the time of its last use.
-    debug_lines: Mutex<(LineBudget, Instant)>,
+    /// The limiter for `debug` lines and the time of its last use.
+    debug_limiter: Mutex<(LineRateLimiter, Instant)>,
 }
 
-impl BoundedLog {
+impl RateLimitedLogger {
+    /// Asks the limiter about a `debug` line; see [`LineRateLimiter::admit`].
     fn admit(&self) -> Option<u64> {
-        let mut guard = self.debug_lines.lock().unwrap_or_else(PoisonError::into_inner);
-        let (budget, last_used) = &mut *guard;
+        let mut guard = self.debug_limiter.lock().unwrap_or_else(PoisonError::into_inner);
+        let (limiter, last_used) = &mut *guard;
         let now = Instant::now();
         let elapsed_s = (now - *last_used).as_secs_f64();
         *last_used = now;
-        budget.admit(elapsed_s)
+        limiter.admit(elapsed_s)
     }
 }
 
-impl Log for BoundedLog {
+impl Log for RateLimitedLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         self.inner.enabled(metadata)
     }
@@ -61,9 +62,9 @@
             return;
         }
         if record.level() >= Level::Debug {
-            let Some(left_out) = self.admit() else { return };
-            if left_out > 0 {
-                let args = format_args!("debug lines left out: {left_out}");
+            let Some(suppressed) = self.admit() else { return };
+            if suppressed > 0 {
+                let args = format_args!("debug lines suppressed by the rate limit: {suppressed}");
                 self.inner.log(&Record::builder().level(Level::Debug).target(record.target()).args(args).build());
             }
         }
@@ -75,7 +76,8 @@
     }
 }
 
-/// Starts logging at a level such as `info`; `info` if the level isn't known. Later calls change nothing.
+/// Installs the logger, at a level such as `info`. An unknown level is treated as `info`. Calls after the first have no
+/// effect.
 pub fn start(level: &str) {
     let inner = env_logger::Builder::new()
         .filter_level(LevelFilter::Error)
@@ -86,9 +88,9 @@
         })
         .build();
     let max_level = inner.filter();
-    let budget = LineBudget { tokens: MAX_DEBUG_BURST, left_out: 0 };
-    let log = BoundedLog { inner, debug_lines: Mutex::new((budget, Instant::now())) };
-    if log::set_boxed_logger(Box::new(log)).is_ok() {
+    let limiter = LineRateLimiter { tokens: MAX_DEBUG_BURST, suppressed: 0 };
+    let logger = RateLimitedLogger { inner, debug_limiter: Mutex::new((limiter, Instant::now())) };
+    if log::set_boxed_logger(Box::new(logger)).is_ok() {
         log::set_max_level(max_level);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,16 +26,17 @@
     },
 }
 
-/// Why the program has ended.
+/// The error that the program ends with.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
     Config(#[from] config::ConfigError),
-    #[error("no settings: give --config FILE")]
+    /// No settings file is given.
+    #[error("no settings file: pass --config FILE")]
     NoSettings,
     #[error(transparent)]
     Runtime(#[from] std::io::Error),
-    /// A listener has ended.
+    /// A listener failed.
     #[error(transparent)]
     Listener(#[from] net::server::ServeError),
 }
@@ -84,7 +85,7 @@
         let sockets = node.settings.sockets();
         let users = net::server::serve(node.settings.listen, net::server::public(&node), sockets.public);
         let peers = net::server::serve(node.settings.peer_listen, net::server::internal(&node), sockets.peers);
-        // Neither listener ever ends in good order.
+        // A listener ends only with an error.
         let ended = tokio::select! { result = users => result, result = peers => result };
         Ok(ended?)
     })
