--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,5 +1,5 @@
-//! The JSON of users, workers, the cloud and the key-value store. The platform's own names for things stay
-//! here, in serde attributes. "PROTOCOL" is the platform's page of that name.
+//! JSON messages exchanged with users, workers, the cloud and the key-value store. Where the platform uses another name
+//! than this program, a serde attribute states it. "PROTOCOL" is the platform's specification of these interfaces.
 
 mod cloud;
 mod store;
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,17 +1,17 @@
-//! The JSON of the cloud (PROTOCOL, "Controller nodes -> cloud").
+//! JSON messages of the cloud's interface (PROTOCOL, "Controller nodes -> cloud").
 
 use serde::{Deserialize, Serialize};
 
-/// A type of machine (PROTOCOL, "GET /machine_types").
+/// A machine type (PROTOCOL, "GET /machine_types").
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     #[serde(rename = "sku")]
     pub name: String,
-    /// Processors.
+    /// Number of CPUs.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(default)]
     pub gpus: f64,
     /// Memory, in GB.
@@ -20,101 +20,102 @@
     /// Space for cached images, in GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Nominal rate of image fetches, in GB per second, shared by parallel fetches.
-    #[serde(default = "one")]
+    /// Nominal bandwidth of image fetches, in GB per second, shared by concurrent fetches.
+    #[serde(default = "default_fetch_gb_per_s")]
     pub fetch_gb_per_s: f64,
-    /// Price per hour, charged by the second from the request on, for at least 60 s.
+    /// Price per hour of on-demand machines, charged by the second from the request on, for at least 60 s.
     pub price: f64,
-    /// Current price per hour of spot machines.
+    /// Current price per hour of spot machines, charged in the same way.
     #[serde(rename = "market_price")]
     pub spot_price: f64,
-    /// Usual time from the request until it is up, in seconds.
+    /// Usual time from the request until a machine is up, in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones that offer it.
+    /// Zones in which it is offered.
     #[serde(rename = "quays", default)]
     pub zones: Vec<String>,
 }
 
-fn one() -> f64 {
+fn default_fetch_gb_per_s() -> f64 {
     1.0
 }
 
-/// The answer to "GET /machine_types".
+/// The response to "GET /machine_types".
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// All types.
+    /// All machine types.
     pub builds: Vec<MachineType>,
 }
 
 /// A request for machines of one instance pool (PROTOCOL, "POST /machines").
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// Name of the request: one that was granted is answered again, and provisions nothing more.
+    /// Name of the request, which makes it idempotent: if a request of this name was granted before, the cloud repeats
+    /// its response and provisions nothing more.
     #[serde(rename = "hire")]
     pub name: String,
-    /// Name of the type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub kind: String,
-    /// The zone.
+    /// Zone to provision in.
     #[serde(rename = "quay")]
     pub zone: String,
-    /// Spot machines.
+    /// Whether spot machines are requested.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// The most machines to provision, at most 50.
+    /// Maximum number of machines to provision, 50 or less.
     pub number: u32,
 }
 
-/// Names of machines: the answer to a [`ProvisionRequest`], and the request to terminate (at most 100).
+/// Names of machines: the response to a [`ProvisionRequest`], and the body of a termination request (at most 100).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
     pub plinths: Vec<String>,
 }
 
-/// State of a machine in the cloud's list.
+/// Phase of a machine in the cloud's list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListPhase {
-    /// Not up yet; some never are.
+    /// Not up yet. Some machines never come up.
     Starting,
-    /// Up, or dead since a short while.
+    /// Up, or failed only recently.
     Running,
-    /// It has stopped by itself; listed until it is terminated.
+    /// It has failed. It stays in the list until it is terminated.
     Failed,
 }
 
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     pub id: String,
-    /// Where its worker takes orders, once it is known.
+    /// Address at which its worker receives orders; `None` until it is known.
     #[serde(default)]
     pub endpoint: Option<String>,
-    /// Name of its type.
+    /// Name of its machine type.
     #[serde(rename = "build")]
     pub kind: String,
     /// Its zone.
     #[serde(rename = "quay")]
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Its state.
+    /// Its phase.
     pub phase: ListPhase,
-    /// Seconds from the request for it to the time that the list describes.
+    /// Seconds between the request that provisioned it and the time that the list describes.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// A part of the cloud's list, which is out of date (PROTOCOL, "GET /machines").
+/// A page of the cloud's list of machines, which lags behind their actual state (PROTOCOL, "GET /machines").
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineList {
-    /// Machines in the order of their names, which is that of their creation.
+    /// The machines, ordered by name, which is the order of their creation.
     pub plinths: Vec<ListedMachine>,
-    /// There are more after these.
+    /// Whether there are more pages.
     #[serde(default)]
     pub has_next: bool,
 }
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -1,20 +1,20 @@
-//! The JSON of the key-value store (PROTOCOL, "Controller nodes -> state service").
+//! JSON messages of the key-value store's interface (PROTOCOL, "Controller nodes -> state service").
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key must have a revision for the transaction to be carried out.
+/// A precondition of a transaction: a key must have a certain revision for the transaction to be committed.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Precondition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its revision; 0: it must be absent.
+    /// Revision that the key must have. 0 means that the key must be absent.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// A change of one key.
+/// A change of one key in a transaction.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Mutation {
@@ -25,7 +25,7 @@
         key: String,
         /// Its new value.
         value: Value,
-        /// The lease that the key is attached to: it is deleted when the lease ends.
+        /// Lease that the key is attached to, if any: the store deletes the key when the lease ends.
         #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -38,29 +38,30 @@
 }
 
 impl Mutation {
-    /// Sets a value without a lease.
+    /// Creates a mutation that sets the value of a key, without a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Mutation {
         Mutation::Put { key: key.into(), value, lease: None }
     }
 
-    /// Deletes a key.
+    /// Creates a mutation that deletes a key.
     pub fn delete(key: impl Into<String>) -> Mutation {
         Mutation::Delete { key: key.into() }
     }
 }
 
-/// All mutations if all preconditions hold, or none (PROTOCOL, "POST /commit").
+/// An atomic transaction: all mutations are applied if all preconditions hold, otherwise none is (PROTOCOL, "POST
+/// /commit").
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions that must all hold.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// What is changed, under one revision.
+    /// Changes to apply, which all get the same revision.
     #[serde(rename = "apply")]
     pub mutations: Vec<Mutation>,
 }
 
-/// A key with its value (PROTOCOL, "GET /store/{key}").
+/// A key and its value (PROTOCOL, "GET /store/{key}").
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyValue {
     /// The key.
@@ -68,26 +69,26 @@
     pub key: String,
     /// Its value.
     pub value: Value,
-    /// The revision of its last change.
+    /// Revision of its last change.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// Keys with a prefix (PROTOCOL, "GET /store").
+/// A page of the keys that begin with a prefix (PROTOCOL, "GET /store").
 #[derive(Clone, Debug, Deserialize)]
 pub struct RangeResponse {
-    /// In the order of the keys.
+    /// The entries, ordered by key.
     #[serde(rename = "rows")]
     pub entries: Vec<KeyValue>,
-    /// There are more after these.
+    /// Whether there are more pages.
     #[serde(default)]
     pub has_next: bool,
-    /// The store's revision at the time of the reading.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// A change of a key.
+/// A change of a key that a watch reports.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
@@ -98,7 +99,7 @@
         key: String,
         /// Its new value.
         value: Value,
-        /// The revision of the change.
+        /// Revision of the change.
         #[serde(rename = "stamp")]
         revision: u64,
     },
@@ -110,13 +111,13 @@
     },
 }
 
-/// The changes after a revision (PROTOCOL, "GET /follow").
+/// The changes of watched keys after a revision (PROTOCOL, "GET /follow").
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchResponse {
-    /// The store's revision; the next watch begins after it.
+    /// Revision of the store that the changes lead up to. The next watch request continues from it.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// All changes since, in their order.
+    /// All changes since the requested revision, in order.
     #[serde(rename = "log", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,123 +1,123 @@
-//! The JSON of users (PROTOCOL, "Users -> controller nodes").
+//! JSON messages of the interface to users (PROTOCOL, "Users -> controller nodes").
 
 use serde::{Deserialize, Serialize};
 
-/// How the tasks of a job belong together (`shape`).
+/// Kind of a job, which determines how its tasks run together (`shape` in PROTOCOL).
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Kind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Array,
-    /// All tasks run at the same time, or none does (PROTOCOL, "Gangs").
+    /// All tasks run at the same time, or none runs (PROTOCOL, "Gangs").
     #[serde(rename = "ensemble")]
     Gang,
-    /// Tasks (replicas) that run until the job is cancelled.
+    /// Replicas, which run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
 }
 
-/// From the most urgent to the least.
+/// Priority of a job. More urgent priorities compare as less.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// The most urgent.
+    /// The most urgent priority.
     Prod,
-    /// Below [`Priority::Prod`].
+    /// Less urgent than [`Priority::Prod`].
     High,
-    /// Below [`Priority::High`].
+    /// Less urgent than [`Priority::High`].
     Normal,
-    /// The least urgent.
+    /// The least urgent priority.
     Low,
 }
 
-/// A job as its user submits it (PROTOCOL, "POST /api/jobs").
+/// The description of a job that a user submits (PROTOCOL, "POST /api/jobs").
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique name, chosen by the user, such as `req-000412`.
+    /// Unique name of the job, such as `req-000412`, chosen by the user.
     pub id: String,
-    /// The class that objectives are about.
+    /// Class of the job, which determines the objectives that apply.
     #[serde(rename = "berth")]
     pub class: String,
-    /// The team whose guarantee and quota apply.
+    /// Name of the team whose guarantee and quota apply.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks belong together.
+    /// Kind of the job.
     #[serde(rename = "shape")]
     pub kind: Kind,
-    /// Its priority (PROTOCOL, "Preemption").
+    /// Priority of the job (PROTOCOL, "Preemption").
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "lots")]
     pub tasks: u32,
-    /// Processors that each task takes of its machine.
+    /// CPUs that each task needs.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs that each task takes of its machine.
+    /// GPUs that each task needs.
     pub gpus: f64,
-    /// Memory that each task takes of its machine, in GB.
+    /// Memory that each task needs, in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Image that a machine must have before a task can start.
+    /// Image that a machine must have before it can start a task.
     #[serde(rename = "cast")]
     pub image: String,
     /// Size of the image, in GB.
     #[serde(rename = "pull_gb")]
     pub image_gb: f64,
-    /// Names of the machine types allowed; none: any.
+    /// Names of the allowed machine types; `None` if all are allowed.
     #[serde(rename = "builds", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only zone allowed; none: any.
+    /// The only allowed zone; `None` if all are allowed.
     #[serde(rename = "quay", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether the tasks must be spread over zones: at most half of them, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// It may use spot machines.
+    /// Whether its tasks may run on spot machines.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time without the fetch of the image, in seconds; 0 for services.
+    /// The user's estimate of a task's run time, not including the image fetch, in seconds; 0 for services.
     #[serde(rename = "expect_s")]
     pub estimate_s: f64,
-    /// Seconds of progress between two checkpoints; 0: tasks never save.
+    /// Run time between two checkpoints of a task, in seconds. 0 means that tasks write no checkpoints.
     #[serde(rename = "mark_s")]
     pub checkpoint_s: f64,
-    /// Seconds that a task needs to save when it is stopped.
+    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub save_s: f64,
-    /// Seconds from the submission until it should be done; none: no deadline.
+    /// Deadline in seconds after the submission; `None` if the job has none.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// What users see of a job's progress.
+/// Phase of a job, as shown to users.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
-    /// All tasks are done. Final.
+    /// All tasks are done. This phase is final.
     Done,
-    /// It was cancelled. Final.
+    /// The job was cancelled. This phase is final.
     Aborted,
 }
 
-/// The answer about a job (PROTOCOL, "GET /api/jobs/{id}").
+/// The status of a job (PROTOCOL, "GET /api/jobs/{id}").
 #[derive(Clone, Debug, Serialize)]
 pub struct JobStatus<'a> {
     /// Name of the job.
     pub id: &'a str,
-    /// Its progress.
+    /// Phase of the job.
     pub phase: JobPhase,
-    /// How many tasks are done, for display.
+    /// Number of tasks that are done, for display only; `None` if the response doesn't state it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// How many tasks run, for display.
+    /// Number of running tasks, for display only; `None` if the response doesn't state it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,78 +1,80 @@
-//! The JSON of workers (PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers").
+//! JSON messages of the interface to workers (PROTOCOL, "Workers -> controller nodes" and "Controller nodes ->
+//! workers").
 
 use crate::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber, TaskId};
 use serde::{Deserialize, Deserializer, Serialize};
 use std::borrow::Cow;
 
-/// State of a task on its machine.
+/// Phase of a task on its machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
-    /// It waits for its image.
+    /// The task waits until the machine has fetched its image.
     Pulling,
-    /// Task of a gang that waits for the others of its attempt.
+    /// The task belongs to a gang and waits for the gang's other tasks of the same attempt.
     Waiting,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It was told to stop and is saving.
+    /// The task was ordered to stop and is saving a checkpoint.
     Flushing,
-    /// It has ended; [`TaskStatus::cause`] says why.
+    /// The task has exited, for the reason in [`TaskStatus::cause`].
     Exited,
 }
 
-/// Why a task has ended, or wasn't started.
+/// Why a task has exited, or was refused by the worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It is completed.
+    /// The task completed successfully.
     Done,
-    /// It was stopped by an order.
+    /// The task was stopped by an order.
     Halted,
-    /// Another task of its gang is gone.
+    /// Another task of its gang has exited.
     MatesGone,
-    /// Its gang wasn't complete in time.
+    /// The gang's other tasks weren't ready in time.
     Alone,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// Refused: the machine hasn't enough free resources.
+    /// Refused because the machine doesn't have enough free resources.
     NoRoom,
-    /// Refused: the task is on the machine with another attempt.
+    /// Refused because another attempt of the task is on the machine.
     InUse,
-    /// Refused: the worker doesn't know the task or job.
+    /// Refused because the worker doesn't know the task or its job.
     Unknown,
-    /// A cause this version doesn't know; the task is gone all the same.
+    /// A cause that this version of the program doesn't know. The task has ended all the same.
     #[serde(other)]
     Other,
 }
 
-/// A task that a worker lists.
+/// Status of a task in a worker's list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// None: a name that no task has.
-    #[serde(rename = "lot", deserialize_with = "task_if_any")]
+    /// The task; `None` if the name in the list is not a valid task name.
+    #[serde(rename = "lot", deserialize_with = "deserialize_valid_task")]
     pub task: Option<TaskId>,
-    /// Number of the start that it is about.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// The task's state.
+    /// Phase of the task.
     pub phase: TaskPhase,
-    /// Of an exited task: why.
+    /// Why the task has exited; `None` if it hasn't.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// Of a stopped task: whether its progress was saved.
+    /// Whether a stopped task saved its progress; `None` if the worker doesn't report it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
 
 impl TaskStatus {
-    /// Whether the task is completed.
+    /// Whether the task has completed successfully.
     pub fn is_done(&self) -> bool {
         self.phase == TaskPhase::Exited && self.cause == Some(Cause::Done)
     }
 }
 
-/// An invalid name must not make the whole heartbeat unreadable: unanswered, the machine would lose its lease.
-fn task_if_any<'de, D: Deserializer<'de>>(d: D) -> Result<Option<TaskId>, D::Error> {
+/// Deserializes a task name. An invalid name gives `None` instead of an error: an error would make the whole heartbeat
+/// invalid, and a machine whose heartbeats aren't answered loses its lease.
+fn deserialize_valid_task<'de, D: Deserializer<'de>>(d: D) -> Result<Option<TaskId>, D::Error> {
     let name = Cow::<str>::deserialize(d)?;
     Ok(TaskId::parse(&name))
 }
@@ -83,88 +85,92 @@
     /// Name of the machine.
     #[serde(rename = "plinth")]
     pub machine: String,
-    /// Where the worker takes orders.
+    /// Address at which the worker receives orders.
     pub endpoint: String,
-    /// Name of the machine's type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub kind: String,
     /// Zone of the machine.
     #[serde(rename = "quay")]
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Begins at 1 and rises with each lease that the worker loses.
+    /// Epoch of the worker. It starts at 1 and increases each time that the worker loses its lease.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// Larger in every later message of the agent epoch.
+    /// Sequence number of the message, which increases with each message of the agent epoch.
     #[serde(rename = "tally")]
     pub sequence: SequenceNumber,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Seconds until the cloud reclaims the spot machine; none: no notice.
+    /// Seconds until the cloud reclaims the spot machine; `None` if it has given no notice.
     #[serde(rename = "warn_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, exited ones until they are cleared.
+    /// All tasks on the machine, including exited ones that have not been cleared.
     #[serde(rename = "lots", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a worker is to do. Orders may be repeated, except for a run after a clear.
+/// An order to a worker. Repeating an order has no further effect, except that a run order that follows the attempt's
+/// clear order would start it again.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Order {
-    /// Start the attempt, unless it is known to the worker already.
+    /// Start a task attempt, unless the worker already knows it.
     Run {
         /// The task.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the start that is meant.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stop the attempt: at once, or after saving if it can save within the leeway.
+    /// Stop a task attempt, after it has saved a checkpoint if it can do so within the leeway, otherwise immediately.
     Stop {
         /// The task.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the start that is meant.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// The most seconds that it may save for; 0: none.
+        /// Maximum time for saving a checkpoint, in seconds. 0 means that the task is stopped without saving.
         leeway_s: f64,
     },
-    /// Forget the exited attempt.
+    /// Remove an exited task attempt from the worker's list.
     Clear {
         /// The task.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the start that is meant.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// The answer to a heartbeat, which renews the worker's lease if the token is current.
+/// The response to a heartbeat. It renews the worker's lease if the token is current.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The leader's fencing token for the machine. Workers drop what carries a lower one than they have seen.
+    /// The leader's fencing token for the machine. Workers ignore messages with a lower token than the highest that
+    /// they have seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// What to do, in this order.
+    /// Orders, to be carried out in sequence.
     pub orders: Vec<Order>,
 }
 
-/// Orders that are sent to a worker (PROTOCOL, "POST /orders"). They don't renew its lease.
+/// Orders that a leader sends to a worker outside of heartbeat responses (PROTOCOL, "POST /orders"). They don't renew
+/// the worker's lease.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct DirectOrders {
-    /// The leader's fencing token for the machine. Workers drop what carries a lower one than they have seen.
+    /// The leader's fencing token for the machine. Workers ignore messages with a lower token than the highest that
+    /// they have seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// The agent epoch that the orders are for; in any other the worker refuses them.
+    /// Agent epoch that the orders are for. The worker rejects them in any other.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// What to do, in this order.
+    /// Orders, to be carried out in sequence.
     pub orders: Vec<Order>,
 }
