--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,9 +1,9 @@
-//! The messages between controllers, in prost (PROTOCOL, "Controller nodes <-> controller nodes", leaves them
-//! to the service). The planner works on these messages as they are, so that a controller can plan on the
-//! leader's view without a second form of it.
+//! Protocol Buffers messages between controllers. PROTOCOL, "Controller nodes <-> controller nodes", leaves their
+//! format to the program. The planner works directly on these messages, so that a controller can plan on a leader's
+//! view without converting it.
 //!
-//! Versions of the program that run side by side during an upgrade read each other's messages: the numbers of
-//! fields stay, and fields are only added.
+//! During an upgrade, different versions of the program must be able to read each other's messages. Therefore field
+//! numbers don't change, and fields are only added.
 
 mod heartbeat;
 mod plan;
@@ -16,7 +16,8 @@
     TypeView, Waiting, ZoneCount,
 };
 
-/// Raised whenever a message changes its meaning; messages of other versions are dropped.
+/// Version of the messages. It is raised when the meaning of a message changes; messages of other versions are
+/// rejected.
 pub const VERSION: u32 = 3;
 
 #[cfg(test)]
--- a/src/peer/heartbeat.rs
+++ b/src/peer/heartbeat.rs
@@ -1,9 +1,10 @@
-//! Heartbeats between controllers, and workers' heartbeats on their way to the leader.
+//! Heartbeats between controllers, and workers' heartbeats that a controller relays to the leader.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// What controllers send each other about once a second. With `asks_extension` also the request for a pledge.
+/// A heartbeat from one controller to another. A leader sends one to each peer about once a second. With
+/// `asks_extension` it is also a request for a pledge (see [`crate::core::election`]).
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHeartbeat {
     /// [`super::VERSION`] of the sender.
@@ -12,109 +13,114 @@
     /// Name of the sender.
     #[prost(string, tag = "2")]
     pub from: String,
-    /// The sender is a leader that can't reach the key-value store and asks for a pledge, to extend its lease.
+    /// Whether the sender is a leader to which the key-value store is unavailable, and which asks for a pledge so that
+    /// it can extend its lease.
     #[prost(bool, tag = "3")]
     pub asks_extension: bool,
-    /// The sender's term, if it leads.
+    /// Term of the sender if it is the leader, otherwise 0.
     #[prost(uint64, tag = "4")]
     pub term: u64,
-    /// The leader's counts of its live jobs, which answer users' polls at its peers.
+    /// The leader's task counts of its live jobs, which its peers show to users that poll a job.
     #[prost(message, repeated, tag = "5")]
     pub counts: Vec<JobCount>,
-    /// The sender leads.
+    /// Whether the sender is the leader.
     #[prost(bool, tag = "6")]
     pub leading: bool,
-    /// The sender hands over to this controller; others don't stand for election for a while. Empty: it doesn't.
+    /// Name of the controller that the sender hands over to; empty if it doesn't hand over. The other controllers don't
+    /// stand for election for a while.
     #[prost(string, tag = "7")]
     pub successor: String,
-    /// Machines that the leader suspects: no use redirecting them to it.
+    /// Names of machines that the leader suspects of having failed. If their workers send heartbeats to a peer, they
+    /// probably can't reach the leader, so the peer doesn't redirect them to it.
     #[prost(string, repeated, tag = "8")]
     pub suspected: Vec<String>,
-    /// With `asks_extension`: the sender has read all changes of live jobs up to this revision.
+    /// Only with `asks_extension`: the store revision up to which the sender has read all changes of live jobs.
     #[prost(uint64, tag = "9")]
     pub read_through: u64,
-    /// Jobs that the sender has just answered users are cancelled. It saves the leader starts, and
-    /// no rule depends on it.
+    /// Names of jobs whose cancellation the sender has just confirmed to users. They let the leader stop starting tasks
+    /// of these jobs sooner; correctness doesn't depend on them.
     #[prost(string, repeated, tag = "10")]
     pub cancelled: Vec<String>,
 }
 
-/// Counts of a job's tasks, for display.
+/// Task counts of a job, for display only.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobCount {
     /// Name of the job.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// How many of its tasks are done.
+    /// Number of its tasks that are done.
     #[prost(uint32, tag = "2")]
     pub done: u32,
-    /// How many of its tasks run.
+    /// Number of its running tasks.
     #[prost(uint32, tag = "3")]
     pub running: u32,
 }
 
-/// The answer to a [`PeerHeartbeat`].
+/// The response to a [`PeerHeartbeat`]. "The responder" is the controller that sends it.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHeartbeatResponse {
     /// [`super::VERSION`] of the sender.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// The answering controller can reach the key-value store.
+    /// Whether the key-value store is available to the responder.
     #[prost(bool, tag = "2")]
     pub store_ok: bool,
-    /// For this many milliseconds the answering controller will not stand for election; 0: it gives no pledge.
+    /// A pledge: the responder will not stand for election for this many milliseconds. 0 means that it gives no pledge.
     #[prost(uint64, tag = "3")]
     pub pledge_ms: u64,
-    /// Of the machines that the asking leader suspects, those that have lately tried here.
+    /// Names of those machines suspected by the sender of the heartbeat whose workers have recently sent heartbeats to
+    /// the responder.
     #[prost(string, repeated, tag = "4")]
     pub redirected: Vec<String>,
-    /// Who leads, as far as the answering controller has read it from the key-value store.
+    /// Name of the leader, as the responder last read it from the key-value store; empty if it knows none or the store
+    /// is unavailable to it.
     #[prost(string, tag = "5")]
     pub leader: String,
-    /// With a pledge: all jobs that users have been answered here are cancelled, and that the asking
-    /// leader can't have read.
+    /// Only with a pledge: names of all jobs whose cancellation the responder has confirmed to users and that the
+    /// leader can't have read from the store.
     #[prost(string, repeated, tag = "6")]
     pub cancelled: Vec<String>,
-    /// The answering controller can pass workers' heartbeats on to the asking leader.
+    /// Whether the responder can relay workers' heartbeats to the leader.
     #[prost(bool, tag = "7")]
     pub relays_heartbeats: bool,
 }
 
-/// Workers' heartbeats that a controller has taken in for the leader.
+/// Workers' heartbeats that a controller has received and relays to the leader.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeartbeatBatch {
     /// [`super::VERSION`] of the sender.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// The JSON of each, as the worker wrote it.
+    /// The JSON text of each heartbeat, as the worker sent it.
     #[prost(bytes = "bytes", repeated, tag = "2")]
     pub heartbeats: Vec<Bytes>,
-    /// Name of the controller that has taken them in.
+    /// Name of the controller that received them.
     #[prost(string, tag = "3")]
     pub from: String,
 }
 
-/// What the leader has decided on the heartbeats of a [`HeartbeatBatch`].
+/// The leader's response to a [`HeartbeatBatch`].
 #[derive(Clone, PartialEq, Message)]
 pub struct HeartbeatDecisions {
     /// [`super::VERSION`] of the sender.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// False: the controller that was asked does not lead, and has decided nothing.
+    /// Whether the responder is the leader. If it isn't, there are no decisions.
     #[prost(bool, tag = "2")]
     pub leading: bool,
-    /// One for each heartbeat, in the order of the batch.
+    /// The decision on each heartbeat, in the order of the batch.
     #[prost(message, repeated, tag = "3")]
     pub decisions: Vec<HeartbeatDecision>,
 }
 
-/// The answer that a worker gets to its heartbeat.
+/// The response to one worker's heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeartbeatDecision {
-    /// The HTTP status that the worker gets.
+    /// HTTP status of the response.
     #[prost(uint32, tag = "1")]
     pub status: u32,
-    /// The JSON that the worker gets.
+    /// JSON body of the response.
     #[prost(bytes = "bytes", tag = "2")]
     pub body: Bytes,
 }
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -1,70 +1,73 @@
-//! Planning: the view that the leader sends, and the plan that comes back. Indices refer to lists of the
-//! leader's, which need not be in the view, unless said otherwise.
+//! Messages for planning rounds: the leader's view of the cluster, which it sends to each controller, and the plan that
+//! the controller returns.
+//!
+//! Indices of zones and teams refer to lists that only the leader has; planners just compare them. "The paper" is the
+//! publication that [`crate::core::placement`] follows.
 
 use prost::Message;
 
-/// A type of machine.
+/// A machine type.
 #[derive(Clone, PartialEq, Message)]
 pub struct TypeView {
-    /// Processors.
+    /// Number of CPUs.
     #[prost(double, tag = "1")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[prost(double, tag = "2")]
     pub gpus: f64,
     /// Memory, in GB.
     #[prost(double, tag = "3")]
     pub memory_gb: f64,
-    /// Rate of image fetches, in GB per second.
+    /// Bandwidth of image fetches, in GB per second, shared by concurrent fetches.
     #[prost(double, tag = "4")]
     pub fetch_gb_per_s: f64,
-    /// Price per hour.
+    /// Price per hour of an on-demand machine.
     #[prost(double, tag = "5")]
     pub price: f64,
     /// Price per hour of a spot machine.
     #[prost(double, tag = "6")]
     pub spot_price: f64,
-    /// Expected time from the request until it is up, in seconds.
+    /// Expected time from the request until a machine is up, in seconds.
     #[prost(double, tag = "7")]
     pub boot_s: f64,
 }
 
-/// An image that is on a machine or on its way there.
+/// An image that is in a machine's cache or being fetched.
 #[derive(Clone, PartialEq, Message)]
 pub struct ImageView {
     /// Number of the image.
     #[prost(uint32, tag = "1")]
     pub image: u32,
-    /// Seconds until it is there; 0: it is.
+    /// Seconds until it is fetched; 0 if it is in the cache.
     #[prost(double, tag = "2")]
     pub ready_s: f64,
 }
 
-/// A machine that tasks may be placed on.
+/// A machine that tasks may be placed on: an existing one, or one that has been requested from the cloud.
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineView {
-    /// Identifies it in this view.
+    /// Identifies the machine in this view.
     #[prost(uint32, tag = "1")]
     pub key: u32,
-    /// Index of its type in the view.
+    /// Index of its machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "2")]
     pub kind: u32,
     /// Index of its zone.
     #[prost(uint32, tag = "3")]
     pub zone: u32,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     #[prost(bool, tag = "4")]
     pub spot: bool,
-    /// It is up, and tasks placed on it start now.
+    /// Whether it is up and registered, so that tasks placed on it can start now.
     #[prost(bool, tag = "5")]
     pub up: bool,
-    /// Seconds until it is expected to be up; 0: it is.
+    /// Expected time until tasks can start on it, in seconds; 0 if they can now.
     #[prost(double, tag = "6")]
     pub ready_s: f64,
-    /// Seconds since it was provisioned.
+    /// Seconds since it was provisioned, rounded down to a multiple of 30 s.
     #[prost(double, tag = "7")]
     pub age_s: f64,
-    /// Free processors.
+    /// Free CPUs.
     #[prost(double, tag = "8")]
     pub free_cpus: f64,
     /// Free GPUs.
@@ -73,20 +76,20 @@
     /// Free memory, in GB.
     #[prost(double, tag = "10")]
     pub free_memory_gb: f64,
-    /// Images that it holds or fetches.
+    /// Images that are in its cache or being fetched.
     #[prost(message, repeated, tag = "11")]
     pub images: Vec<ImageView>,
-    /// How many times as long as elsewhere tasks run on it.
+    /// Factor by which tasks run longer on it than on other machines.
     #[prost(double, tag = "12")]
     pub slowness: f64,
-    /// Headroom of urgent work without GPUs on a GPU machine: such work isn't preempted for GPU
-    /// jobs, so it leaves them their part.
+    /// Only for a GPU machine: how many CPUs urgent jobs without GPUs may use. Such jobs aren't preempted for GPU jobs,
+    /// so they are limited in order to leave enough capacity for those.
     #[prost(double, tag = "13")]
     pub urgent_cpus: f64,
     /// See [`MachineView::urgent_cpus`]; in GB.
     #[prost(double, tag = "14")]
     pub urgent_memory_gb: f64,
-    /// Headroom of other work without GPUs on a GPU machine.
+    /// Only for a GPU machine: how many CPUs other jobs without GPUs may use. They can be preempted for GPU jobs.
     #[prost(double, tag = "15")]
     pub preemptible_cpus: f64,
     /// See [`MachineView::preemptible_cpus`]; in GB.
@@ -94,13 +97,13 @@
     pub preemptible_memory_gb: f64,
 }
 
-/// Tasks of a job in a zone.
+/// The number of a job's tasks in a zone.
 #[derive(Clone, PartialEq, Message)]
 pub struct ZoneCount {
     /// Index of the zone.
     #[prost(uint32, tag = "1")]
     pub zone: u32,
-    /// How many tasks of the job are there.
+    /// Number of the job's tasks in the zone.
     #[prost(uint32, tag = "2")]
     pub count: u32,
 }
@@ -108,25 +111,26 @@
 /// A job with tasks to place.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobView {
-    /// Identifies it in this view.
+    /// Identifies the entry in this view. A job may have two entries: one for tasks whose spot machines were reclaimed,
+    /// and one for all others.
     #[prost(uint32, tag = "1")]
     pub key: u32,
     /// Index of its team.
     #[prost(uint32, tag = "2")]
     pub team: u32,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     #[prost(uint32, tag = "3")]
     pub priority: u32,
-    /// All its tasks start at once, or none does.
+    /// Whether it is a gang: all its tasks start at the same time, or none starts.
     #[prost(bool, tag = "4")]
     pub gang: bool,
-    /// How many of its tasks may be placed.
+    /// Number of tasks to place.
     #[prost(uint32, tag = "5")]
     pub ready: u32,
-    /// How many tasks it has.
+    /// Number of all tasks of the job.
     #[prost(uint32, tag = "6")]
     pub tasks: u32,
-    /// Processors that a task needs.
+    /// CPUs that a task needs.
     #[prost(double, tag = "7")]
     pub cpus: f64,
     /// GPUs that a task needs.
@@ -141,69 +145,72 @@
     /// Size of the image, in GB.
     #[prost(double, tag = "11")]
     pub image_gb: f64,
-    /// Indices of the types allowed; empty: any.
+    /// Indices of the allowed machine types in [`PlanInput::types`]; empty if all are allowed.
     #[prost(uint32, repeated, tag = "12")]
     pub types: Vec<u32>,
-    /// Index of the only zone allowed; none: any.
+    /// Index of the only allowed zone; `None` if all are allowed.
     #[prost(uint32, optional, tag = "13")]
     pub zone: Option<u32>,
-    /// All its tasks must be in the same zone.
+    /// Whether all its tasks must be in the same zone.
     #[prost(bool, tag = "14")]
     pub one_zone: bool,
-    /// At most half of its tasks, rounded up, may be in one zone.
+    /// Whether its tasks must be spread over zones: at most half of them, rounded up, may be in one zone.
     #[prost(bool, tag = "15")]
     pub spread: bool,
-    /// May be placed on spot machines.
+    /// Whether its tasks may be placed on spot machines.
     #[prost(bool, tag = "16")]
     pub spot: bool,
-    /// May cause spot machines to be provisioned; false on the paper's two fall-backs.
+    /// Whether spot machines may be provisioned for it. It is false in the two cases in which the paper falls back to
+    /// on-demand machines: for tasks whose spot machines were reclaimed, and once the job has waited too long for spot
+    /// machines.
     #[prost(bool, tag = "17")]
     pub new_spot: bool,
-    /// Expected run time of a task, in seconds.
+    /// Expected run time of a task, in seconds. For a service it is the configured horizon.
     #[prost(double, tag = "18")]
     pub run_s: f64,
-    /// Seconds left until its deadline (paper, eq. 3); none: it has none.
+    /// Seconds until its deadline (paper, eq. 3), which is the earliest of its own, that of its start objective, and
+    /// those inherited from dependents; `None` if it has no deadline.
     #[prost(double, optional, tag = "19")]
     pub due_s: Option<f64>,
-    /// Seconds since submission.
+    /// Seconds since it could start.
     #[prost(double, tag = "20")]
     pub age_s: f64,
-    /// What earlier placements cost above the cheapest candidate.
+    /// Total cost of its earlier placements beyond that of the cheapest candidate.
     #[prost(double, tag = "21")]
     pub overspent: f64,
-    /// Where its other tasks are.
+    /// Number of its tasks that are already placed, by zone.
     #[prost(message, repeated, tag = "22")]
     pub placed: Vec<ZoneCount>,
-    /// Keys of machines that it must not be placed on.
+    /// Keys of machines that its tasks must not be placed on.
     #[prost(uint32, repeated, tag = "23")]
     pub avoid: Vec<u32>,
-    /// Fits into its team's guarantee together with the team's earlier jobs.
+    /// Whether it fits into its team's guarantee, together with those of the team's jobs that come before it.
     #[prost(bool, tag = "24")]
     pub guaranteed: bool,
-    /// Its tasks run until they are cancelled.
+    /// Whether it is a service: its tasks run until it is cancelled.
     #[prost(bool, tag = "27")]
     pub service: bool,
-    /// Seconds left until its next SLO deadline; none: it has none that can still be met.
+    /// Seconds until its earliest SLO deadline that can still be met; `None` if there is none.
     #[prost(double, optional, tag = "26")]
     pub slo_deadline_s: Option<f64>,
-    /// May cause machines to be provisioned in this round.
+    /// Whether machines may be provisioned for it in this round.
     #[prost(bool, tag = "25")]
     pub may_scale_out: bool,
-    /// How many of its SLO deadlines it can't meet any more.
+    /// Number of its SLO deadlines that can no longer be met.
     #[prost(uint32, tag = "28")]
     pub missed_slos: u32,
-    /// The part of its rank that comes from the jobs that depend on it (paper, eq. 1), in seconds.
+    /// The part of its rank that is due to the jobs that depend on it (paper, eq. 1), in seconds.
     #[prost(double, tag = "29")]
     pub dependents_s: f64,
 }
 
-/// What is left of a team's quota in this round.
+/// The part of a team's quota that is not in use.
 #[derive(Clone, PartialEq, Message)]
 pub struct TeamHeadroom {
     /// Index of the team.
     #[prost(uint32, tag = "1")]
     pub team: u32,
-    /// Processors.
+    /// CPUs.
     #[prost(double, tag = "2")]
     pub cpus: f64,
     /// GPUs.
@@ -211,140 +218,143 @@
     pub gpus: f64,
 }
 
-/// Machines of one instance pool that could be provisioned.
+/// An instance pool from which machines can be provisioned.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProvisionOffer {
-    /// Index of the type in the view.
+    /// Index of the pool's machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
-    /// Index of the zone.
+    /// Index of the pool's zone.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
-    /// They are spot machines.
+    /// Whether its machines are spot machines.
     #[prost(bool, tag = "3")]
     pub spot: bool,
-    /// The most machines to provision.
+    /// Maximum number of machines to provision.
     #[prost(uint32, tag = "4")]
     pub most: u32,
 }
 
-/// What the leader asks a controller to plan for.
+/// The leader's request to a controller to plan a shard's jobs in a round.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlanInput {
     /// [`super::VERSION`] of the sender.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// Term of the leader that asks.
+    /// Term of the leader.
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Number of the round within the term.
     #[prost(uint64, tag = "3")]
     pub round: u64,
-    /// All types; others refer to them by index.
+    /// All machine types, to which other fields refer by index.
     #[prost(message, repeated, tag = "4")]
     pub types: Vec<TypeView>,
     /// Machines that tasks may be placed on.
     #[prost(message, repeated, tag = "5")]
     pub machines: Vec<MachineView>,
-    /// Jobs to plan for.
+    /// Jobs with tasks to place.
     #[prost(message, repeated, tag = "6")]
     pub jobs: Vec<JobView>,
-    /// Headroom of teams; one that isn't listed has no limit.
+    /// Headroom of the teams. A team that isn't listed has no limit.
     #[prost(message, repeated, tag = "7")]
     pub teams: Vec<TeamHeadroom>,
-    /// What could be provisioned.
+    /// Instance pools from which machines can be provisioned.
     #[prost(message, repeated, tag = "8")]
     pub offers: Vec<ProvisionOffer>,
-    /// The most tasks to place in this round.
+    /// Batch size: the maximum number of tasks to place on machines that are up.
     #[prost(uint32, tag = "9")]
     pub batch: u32,
-    /// The paper's B, 0 to 1.
+    /// How much more than the cheapest candidate a task may cost on average, as a fraction, 0 to 1, of the difference
+    /// in cost between the most expensive and the cheapest one (B in the paper).
     #[prost(double, tag = "10")]
     pub budget_share: f64,
-    /// Logarithm of the median life of spot machines in seconds (paper, eq. 6).
+    /// Natural logarithm of the median lifetime of spot machines in seconds (paper, eq. 6).
     #[prost(double, tag = "11")]
     pub spot_mu: f64,
-    /// Sigma of the lives of spot machines (paper, eq. 6).
+    /// Sigma of the log-normal distribution of spot machines' lifetimes (paper, eq. 6).
     #[prost(double, tag = "12")]
     pub spot_sigma: f64,
 }
 
-/// Tasks of a job that are placed on a machine.
+/// A decision to place tasks of a job on a machine.
 #[derive(Clone, PartialEq, Message)]
 pub struct Placement {
-    /// Key of the job.
+    /// Key of the job in the view.
     #[prost(uint32, tag = "1")]
     pub job: u32,
-    /// Key of the machine.
+    /// Key of the machine in the view.
     #[prost(uint32, tag = "2")]
     pub machine: u32,
-    /// How many tasks.
+    /// Number of tasks.
     #[prost(uint32, tag = "3")]
     pub count: u32,
-    /// What they cost above the cheapest candidate, all together.
+    /// Total cost of these tasks beyond that of the cheapest candidate.
     #[prost(double, tag = "4")]
     pub extra: f64,
 }
 
-/// Capacity that is needed on new machines; one machine serves loads that add up to 1.
+/// A request for capacity on new machines. The leader adds up the loads for each instance pool; one machine serves a
+/// load of 1.
 #[derive(Clone, PartialEq, Message)]
 pub struct ScaleOutRequest {
-    /// Index of the type in the view.
+    /// Index of the machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "1")]
     pub kind: u32,
     /// Index of the zone.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
-    /// It is a spot machine.
+    /// Whether a spot machine is needed.
     #[prost(bool, tag = "3")]
     pub spot: bool,
-    /// The part of one machine that is needed.
+    /// Fraction of one machine that is needed.
     #[prost(double, tag = "4")]
     pub load: f64,
-    /// The most urgent priority that needs it; 0 is the most urgent.
+    /// The most urgent priority of the jobs that need it; 0 is the most urgent.
     #[prost(uint32, tag = "5")]
     pub priority: u32,
 }
 
-/// Tasks of a job that wait.
+/// Tasks of a job that have to wait.
 #[derive(Clone, PartialEq, Message)]
 pub struct Waiting {
-    /// Key of the job.
+    /// Key of the job in the view.
     #[prost(uint32, tag = "1")]
     pub job: u32,
-    /// How many could not be placed on a machine that is up.
+    /// Number of tasks that could not be placed on a machine that is up.
     #[prost(uint32, tag = "2")]
     pub count: u32,
-    /// Some of them count on a spot machine that is not up yet.
+    /// Whether some of them wait for a spot machine that is not up yet.
     #[prost(bool, tag = "3")]
     pub on_spot: bool,
-    /// The finish expected of the best candidate, in seconds from now.
+    /// The latest expected finish of those that wait for a machine to come up, in seconds from now; 0 if there are
+    /// none.
     #[prost(double, tag = "4")]
     pub finish_s: f64,
-    /// The start expected there, in seconds from now.
+    /// The latest expected start of those that wait for a machine to come up, in seconds from now; 0 if there are none.
     #[prost(double, tag = "5")]
     pub ready_s: f64,
 }
 
-/// A controller's plan for a [`PlanInput`].
+/// The plan that a controller returns for a [`PlanInput`].
 #[derive(Clone, PartialEq, Message)]
 pub struct PlanOutput {
     /// [`super::VERSION`] of the sender.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// Term of the input.
+    /// [`PlanInput::term`] of the request.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Round of the input.
+    /// [`PlanInput::round`] of the request.
     #[prost(uint64, tag = "3")]
     pub round: u64,
-    /// What to place now.
+    /// Tasks to place now.
     #[prost(message, repeated, tag = "4")]
     pub placements: Vec<Placement>,
-    /// What to provision.
+    /// Capacity to provision.
     #[prost(message, repeated, tag = "5")]
     pub scale_out: Vec<ScaleOutRequest>,
-    /// What waits.
+    /// Tasks that have to wait.
     #[prost(message, repeated, tag = "6")]
     pub waiting: Vec<Waiting>,
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,9 +1,9 @@
-//! Versions that run side by side during an upgrade read each other's messages.
+//! Tests that different versions of the program can read each other's messages, as they must during an upgrade.
 
 use super::*;
 use prost::Message;
 
-/// A part of the job in a planner's view as the version before dependencies declared it.
+/// Some fields of [`JobView`] as the version before dependencies between jobs declared them.
 #[derive(Clone, PartialEq, Message)]
 struct EarlierJobView {
     #[prost(uint32, tag = "3")]
@@ -21,6 +21,6 @@
     assert_eq!(EarlierJobView::decode(&*job.encode_to_vec()).unwrap(), earlier);
     let read = JobView::decode(&*earlier.encode_to_vec()).unwrap();
     assert_eq!(read, JobView { dependents_s: 0.0, ..job });
-    // A raised version would keep the two from speaking to each other at all.
+    // With a higher version number, each of the two would reject the other's messages.
     assert_eq!(VERSION, 3);
 }
