--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -1,5 +1,5 @@
-//! Live jobs as the scheduler knows them: which tasks are ready, placed and done, what went wrong with
-//! them, and how long the tasks of a class really run.
+//! The leader's in-memory state of each live job (which tasks are ready, placed and done, and on which
+//! machines they failed), and the measured run times of each class of jobs.
 
 use crate::config::JobAges;
 use crate::core::dependencies::InheritedConstraints;
@@ -11,86 +11,92 @@
 use fixedbitset::FixedBitSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// For how long a failure on a machine counts against the job. Longer than the longest pause between two
-/// tries of a job that fails.
-const FAULT_TTL: Millis = Millis(150_000);
+/// How long a failure on a machine counts when deciding whether the job itself is at fault. Longer than the
+/// longest backoff between two attempts of a failing job, so that consecutive failures are counted together.
+const FAILURE_WINDOW: Millis = Millis(150_000);
 
-/// A job that has failed on this many machines is itself at fault.
+/// A job whose tasks failed on this many machines within [`FAILURE_WINDOW`] is considered at fault itself.
 const MIN_FAILED_MACHINES: usize = 2;
 
-/// Most classes whose run times are learned.
+/// Maximum number of classes whose run times are tracked. Further classes use the submitter's estimate.
 const MAX_CLASSES: usize = 256;
 
-/// By what part of the difference a run time moves what is learned of its class.
-const LEARNING_RATE: f64 = 0.05;
+/// Weight of a new observation in the moving average of a class, 0 to 1.
+const RATIO_SMOOTHING: f64 = 0.05;
 
-/// A run time counts as at least this part of the estimate.
+/// Lower bound on an observed ratio of run time to estimate; limits the effect of outliers.
 const MIN_RUN_TIME_RATIO: f64 = 0.1;
 
-/// A run time counts as at most this many times the estimate.
+/// Upper bound on an observed ratio of run time to estimate; limits the effect of outliers.
 const MAX_RUN_TIME_RATIO: f64 = 10.0;
 
-/// One start of a whole gang.
+/// One attempt to run all tasks of a gang at the same time.
 #[derive(Clone, Debug)]
 pub struct GangRun {
-    /// The attempt of all its tasks.
+    /// The attempt number shared by all tasks of the gang.
     pub attempt: Attempt,
-    /// Some task of it has ended without being done, or is being stopped: the others must stop too.
+    /// Whether a task of this attempt has ended without being done or is being stopped, so that all other
+    /// tasks of the attempt must be stopped as well.
     pub broken: bool,
 }
 
-/// A job that hasn't ended.
+/// A job that is neither done nor cancelled.
 pub struct Job {
-    /// What was submitted.
+    /// The job's description, as submitted.
     pub spec: JobSpec,
-    /// The revision of its live record.
+    /// The key-value store's revision of the job's live record.
     pub revision: Revision,
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted: WallTime,
-    /// The dependencies that aren't known to be done: until there are none no task may start.
+    /// Dependencies that are not known to be done. No task may start until this set is empty.
     pub depends_on: BTreeSet<JobId>,
-    /// When it was submitted or, if that is later, its last dependency was done.
+    /// When the job could first start: the later of its submission and the completion of its last dependency.
     pub startable_at: WallTime,
-    /// What it inherits from its dependents, as of the last round.
+    /// Priority, deadlines and rank inherited from the jobs that depend on this one, as of the last scheduling
+    /// round; none if no live job depends on it.
     pub inherited: Option<InheritedConstraints>,
-    /// Its team, by position in the settings.
+    /// Index of the job's team in the settings.
     pub team: u32,
+    /// Tasks that are done, by index.
     done: FixedBitSet,
+    /// Tasks that are done according to the key-value store, by index.
     durably_done: FixedBitSet,
-    /// How many tasks are done.
+    /// Number of tasks that are done.
     pub done_count: u32,
-    /// Tasks that are neither done nor possibly on a machine.
+    /// Tasks waiting to be placed: neither done nor possibly on a machine.
     pub ready: BTreeSet<u32>,
-    /// Those of them that were last on a spot machine that was reclaimed.
+    /// Ready tasks whose last attempt was lost because its spot machine was reclaimed.
     pub reclaimed: BTreeSet<u32>,
-    /// Where each task possibly is. More than one place only where a new leader can't tell yet which of two
-    /// heartbeats is the later one.
+    /// The machines and attempts where each task may be running, by task index. A task has more than one entry
+    /// only while a new leader cannot yet tell which of two heartbeats is the later one.
     pub placed: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
-    /// The run of a gang whose tasks are possibly on machines.
+    /// The current attempt of a gang; set while any of its tasks may be on a machine.
     pub gang: Option<GangRun>,
-    /// The write of its terminal record is in flight.
+    /// Whether the write of the job's terminal record is in flight.
     pub finishing: bool,
+    /// Whether a write of the completion bitmap is in flight.
     bitmap_write_in_flight: bool,
-    /// What its placements have cost beyond the cheapest ones: less is left of its budget.
+    /// What the job's placements have cost above the cheapest candidates, in the currency of the cloud's
+    /// prices. Deducted from the job's spare budget in later rounds.
     pub overspent: f64,
-    /// How many tasks have run to their end, and their run times in seconds added up.
+    /// Number of completed tasks with a known run time, and the sum of their run times in seconds.
     pub ran: (u32, f64),
-    /// How many of its tasks have failed.
+    /// Number of task failures so far, over all tasks and attempts.
     pub errors: u32,
-    /// The machines on which its tasks have failed, and when they last did.
+    /// Machines on which tasks of the job have failed, with the time of the latest failure.
     pub error_machines: BTreeMap<MachineId, MonotonicTime>,
-    /// No task of it is placed before then.
+    /// No task of the job is placed before this time: backoff after failures or a lack of capacity.
     pub pause_until: MonotonicTime,
-    /// Since when a task of it has waited for a spot machine that isn't up yet.
+    /// Since when the job has had a task waiting for a spot machine that is not running yet.
     pub spot_wait_since: Option<MonotonicTime>,
-    /// It has waited too long for spot machines, and gets no new ones.
+    /// Whether the job has waited too long for spot machines; none are provisioned for it any more.
     pub no_new_spot: bool,
-    /// The last round in which work was preempted for it.
+    /// The last round in which the scheduler tried to preempt other work for this job.
     pub last_preemption_round: u64,
 }
 
 impl Job {
-    /// A job of which nothing but its record is known: all its tasks are ready.
+    /// Creates the state of a job from its stored record, with all tasks ready.
     pub fn new(record: LiveRecord, revision: Revision, team: u32) -> Job {
         let tasks = record.spec.tasks;
         Job {
@@ -121,29 +127,30 @@
         }
     }
 
-    /// Whether it has dependencies left: none of its tasks may start.
+    /// Whether the job still waits for dependencies, so that none of its tasks may start.
     pub fn is_waiting(&self) -> bool {
         !self.depends_on.is_empty()
     }
 
-    /// How old it is for its deadline, and for its other objectives, which count from when it could start.
+    /// The job's ages at `wall`: since its submission, from which its deadline counts, and since it could start,
+    /// from which its other objectives count (0 while it waits for dependencies).
     pub fn ages(&self, wall: WallTime) -> JobAges {
         let startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
         JobAges { submitted_s: wall.seconds_since(self.submitted), startable_s }
     }
 
-    /// How many of its tasks could be started now.
+    /// Number of tasks that could be started now.
     pub fn startable_tasks(&self) -> usize {
         if self.is_waiting() { 0 } else { self.ready.len() }
     }
 
-    /// Its own priority, or that of a more urgent dependent.
+    /// The effective priority: the job's own, or that of a more urgent dependent.
     pub fn priority(&self) -> Priority {
         let own = self.spec.priority;
         self.inherited.as_ref().map_or(own, |inherited| inherited.priority.min(own))
     }
 
-    /// A task is done. Its machine may still list it.
+    /// Marks a task as done. Its machine may still report it.
     pub fn set_done(&mut self, index: u32) {
         if !self.done.put(index as usize) {
             self.done_count += 1;
@@ -157,8 +164,9 @@
         self.done_count == self.spec.tasks
     }
 
-    /// A task attempt has ended without the task being done, so the task is ready again. An earlier attempt,
-    /// which a machine may list long after, changes nothing while the task is placed anew.
+    /// Makes a task ready again after an attempt that ended without the task being done. Does nothing if the
+    /// task is done or placed: a machine may still report an earlier attempt long after the task was placed
+    /// again. `reclaimed` says whether the attempt was lost because its spot machine was reclaimed.
     pub fn requeue(&mut self, index: u32, reclaimed: bool) {
         if !self.done.contains(index as usize) && !self.placed.contains_key(&index) {
             self.ready.insert(index);
@@ -168,7 +176,7 @@
         }
     }
 
-    /// A task attempt is possibly on a machine from now on.
+    /// Records that a task attempt may be on a machine from now on.
     pub fn place(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
         self.ready.remove(&index);
         self.reclaimed.remove(&index);
@@ -178,7 +186,7 @@
         }
     }
 
-    /// A task attempt is proven to be gone from its machine.
+    /// Records that a task attempt is proven not to be on the machine any more.
     pub fn unplace(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
         if let Some(places) = self.placed.get_mut(&index) {
             places.retain(|(other, other_attempt)| other != machine || *other_attempt != attempt);
@@ -188,35 +196,36 @@
         }
     }
 
-    /// All task attempts that are possibly on machines, by index of the task.
+    /// All task attempts that may be on machines, in ascending order of the task index.
     pub fn places(&self) -> impl Iterator<Item = (u32, &MachineId, Attempt)> {
         let places = self.placed.iter();
         places.flat_map(|(index, places)| places.iter().map(|(machine, attempt)| (*index, machine, *attempt)))
     }
 
-    /// Whether a task attempt on a machine may go on: its task isn't done, and its gang is whole.
+    /// Whether a task attempt on a machine may keep running: its task is not done, and it does not belong to a
+    /// broken gang attempt.
     pub fn goes_on(&self, (task, attempt): &(TaskId, Attempt)) -> bool {
         let broken = self.gang.as_ref().is_some_and(|gang| gang.broken && gang.attempt == *attempt);
         !broken && !self.done.contains(task.index as usize)
     }
 
-    /// Which tasks are done.
+    /// The tasks that are done, by index.
     pub fn done(&self) -> &FixedBitSet {
         &self.done
     }
 
-    /// Which tasks the key-value store holds as done.
+    /// The tasks that are done according to the key-value store, by index.
     pub fn durably_done(&self) -> &FixedBitSet {
         &self.durably_done
     }
 
-    /// Whether the key-value store holds a task as done.
+    /// Whether a task is done according to the key-value store.
     pub fn is_durably_done(&self, index: u32) -> bool {
         self.durably_done.contains(index as usize)
     }
 
-    /// Reads a stored part of the completion bitmap into it; its tasks count as done. `read` says whether it
-    /// could, and so does the result.
+    /// Loads a stored chunk of the completion bitmap: `read` adds the chunk's tasks to the bitmap that it is
+    /// given, and these tasks are marked as done. Returns what `read` returns: whether the chunk was readable.
     pub fn load_bitmap(&mut self, read: impl FnOnce(&mut FixedBitSet) -> bool) -> bool {
         let readable = read(&mut self.durably_done);
         let done: Vec<usize> = self.durably_done.ones().collect();
@@ -226,18 +235,19 @@
         readable
     }
 
-    /// Whether more tasks are done than is stored, and a write of the bitmap is worth it: a job that is wholly
-    /// done gets its terminal record instead.
+    /// Whether the completion bitmap has changes to write and no write of it is in flight. Never the case for a
+    /// job whose tasks are all done: its terminal record is written instead.
     pub fn has_unsaved_bitmap(&self) -> bool {
         self.done_count > 0 && !self.all_done() && !self.bitmap_write_in_flight && self.durably_done != self.done
     }
 
-    /// A write of the bitmap is sent; none other may be until it has ended.
+    /// Marks a write of the completion bitmap as in flight; no other may start until it has ended.
     pub fn start_bitmap_write(&mut self) {
         self.bitmap_write_in_flight = true;
     }
 
-    /// The write of the bitmap has ended: what is durably done by it, or nothing new if it failed.
+    /// Ends the write of the completion bitmap. `durably_done` is the bitmap as it is stored now; none if the
+    /// write failed.
     pub fn finish_bitmap_write(&mut self, durably_done: Option<FixedBitSet>) {
         self.bitmap_write_in_flight = false;
         if let Some(durably_done) = durably_done {
@@ -245,52 +255,53 @@
         }
     }
 
-    /// Whether the job itself is at fault, as it has failed on several machines and no task was ever done. If
-    /// it hasn't failed for long, it may just have met faulty machines.
+    /// Whether the job itself, rather than the machines, is presumed to cause its failures: no task was ever
+    /// done, and tasks failed on several machines within [`FAILURE_WINDOW`]. Older failures do not count, as
+    /// they may have been caused by faulty machines.
     pub fn at_fault(&self, now: MonotonicTime) -> bool {
-        let recent = self.error_machines.values().filter(|failed_at| now - **failed_at < FAULT_TTL);
+        let recent = self.error_machines.values().filter(|failed_at| now - **failed_at < FAILURE_WINDOW);
         self.done_count == 0 && recent.count() >= MIN_FAILED_MACHINES
     }
 
-    /// Whether it isn't placed on a machine, as it has failed there lately.
+    /// Whether the job must not be placed on a machine because it failed there within the quarantine period.
     pub fn avoids(&self, id: &MachineId, now: MonotonicTime) -> bool {
         self.error_machines.get(id).is_some_and(|failed_at| now - *failed_at < QUARANTINE_PERIOD)
     }
 
-    /// Whether its tasks make checkpoints, from which they continue after a stop.
+    /// Whether the job's tasks write checkpoints, from which they resume after a stop.
     pub fn saves(&self) -> bool {
         self.spec.checkpoint_s > 0.0
     }
 }
 
-/// How long the tasks of each class really run, against the estimates of their submitters.
+/// Corrects the submitters' run time estimates by the run times measured for each class of jobs.
 #[derive(Default)]
 pub struct ClassTimes {
-    /// By class, the moving average of run time over estimate.
+    /// The moving average of run time divided by estimate, by class.
     ratios: HashMap<String, f64>,
 }
 
 impl ClassTimes {
-    /// A task of a class has run for `actual_s` seconds where `estimate_s` were estimated.
+    /// Records that a task of the class ran for `actual_s` seconds, with an estimate of `estimate_s` seconds.
     pub fn learn(&mut self, class: &str, estimate_s: f64, actual_s: f64) {
         if estimate_s <= 0.0 || actual_s <= 0.0 {
             return;
         }
         let ratio = (actual_s / estimate_s).clamp(MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO);
-        if let Some(learned) = self.ratios.get_mut(class) {
-            *learned += LEARNING_RATE * (ratio - *learned);
+        if let Some(average) = self.ratios.get_mut(class) {
+            *average += RATIO_SMOOTHING * (ratio - *average);
         } else if self.ratios.len() < MAX_CLASSES {
-            self.ratios.insert(class.into(), 1.0 + LEARNING_RATE * (ratio - 1.0));
+            self.ratios.insert(class.into(), 1.0 + RATIO_SMOOTHING * (ratio - 1.0));
         }
     }
 
-    /// The expected run time of a task in seconds: the estimate, corrected by what is learned of the class.
+    /// The expected run time of a task in seconds: the estimate, corrected by the class's average ratio.
     pub fn expect(&self, class: &str, estimate_s: f64) -> f64 {
         estimate_s * self.ratios.get(class).copied().unwrap_or(1.0)
     }
 }
 
-/// The number of a priority in messages between controllers: 0 is the most urgent.
+/// The number that stands for a priority in messages between controllers; 0 is the most urgent.
 pub fn priority_number(priority: Priority) -> u32 {
     priority as u32
 }
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -1,4 +1,4 @@
-//! Jobs by themselves, and what is learned of classes.
+//! Tests of the state of a single job, and of the run time estimates of classes.
 
 use super::*;
 use serde_json::json;
@@ -42,7 +42,7 @@
     job.requeue(1, true);
     assert_eq!(ready(&job), [0, 2]);
     job.unplace(1, &machine(OTHER_MACHINE), Attempt(7));
-    assert_eq!(job.places().count(), 1, "the attempt is another");
+    assert_eq!(job.places().count(), 1, "an attempt that is not there is ignored");
     job.unplace(1, &machine(OTHER_MACHINE), Attempt(8));
     job.requeue(1, true);
     assert_eq!(ready(&job), [0, 1, 2]);
@@ -67,20 +67,20 @@
 #[test]
 fn a_bitmap_is_unsaved_while_it_differs_and_no_write_is_in_flight() {
     let mut job = job();
-    assert!(!job.has_unsaved_bitmap(), "no task is done");
+    assert!(!job.has_unsaved_bitmap(), "nothing to write while no task is done");
     job.set_done(1);
     assert!(job.has_unsaved_bitmap());
     job.start_bitmap_write();
     assert!(!job.has_unsaved_bitmap());
     job.finish_bitmap_write(None);
-    assert!(job.has_unsaved_bitmap() && !job.is_durably_done(1), "the write has failed");
+    assert!(job.has_unsaved_bitmap() && !job.is_durably_done(1), "a failed write stores nothing");
     job.start_bitmap_write();
     job.finish_bitmap_write(Some(bitmap(&[1])));
     assert!(!job.has_unsaved_bitmap() && job.is_durably_done(1));
     job.set_done(0);
     assert!(job.has_unsaved_bitmap());
     job.set_done(2);
-    assert!(!job.has_unsaved_bitmap(), "a job that is wholly done gets its terminal record");
+    assert!(!job.has_unsaved_bitmap(), "the terminal record is written instead of the bitmap");
 }
 
 #[test]
@@ -96,19 +96,19 @@
 }
 
 #[test]
-fn a_job_that_has_failed_lately_on_two_machines_is_at_fault() {
+fn a_job_that_failed_recently_on_two_machines_is_at_fault() {
     let mut job = job();
     job.error_machines.insert(machine(MACHINE), MonotonicTime(0));
     assert!(!job.at_fault(MonotonicTime(0)));
     job.error_machines.insert(machine(OTHER_MACHINE), MonotonicTime(1_000));
     assert!(job.at_fault(MonotonicTime(149_999)));
-    assert!(!job.at_fault(MonotonicTime(150_000)), "the first failure is too long ago");
+    assert!(!job.at_fault(MonotonicTime(150_000)), "the first failure is outside the window");
     job.set_done(0);
-    assert!(!job.at_fault(MonotonicTime(1_000)), "a task of it was done");
+    assert!(!job.at_fault(MonotonicTime(1_000)), "a job with a done task is not at fault");
 }
 
 #[test]
-fn a_job_avoids_a_machine_for_the_time_of_a_quarantine() {
+fn a_job_avoids_a_machine_where_it_failed_for_the_quarantine_period() {
     let mut job = job();
     job.error_machines.insert(machine(MACHINE), MonotonicTime(5));
     let end = MonotonicTime(5) + QUARANTINE_PERIOD;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_attempt_goes_on_unless_its_task_is_done_or_its_gang_broken() {
+fn an_attempt_may_continue_unless_its_task_is_done_or_its_gang_broken() {
     let mut job = job();
     let attempt = |index, attempt| (TaskId { job: JobId::parse("req-000001").unwrap(), index }, Attempt(attempt));
     job.gang = Some(GangRun { attempt: Attempt(7), broken: false });
@@ -132,7 +132,7 @@
     let mut job = job();
     let ages = |job: &Job, wall| (job.ages(WallTime(wall)).submitted_s, job.ages(WallTime(wall)).startable_s);
     assert_eq!(ages(&job, 12_500), (2.5, 2.5));
-    assert_eq!(ages(&job, 9_000), (0.0, 0.0), "clocks differ");
+    assert_eq!(ages(&job, 9_000), (0.0, 0.0), "an age is never negative, even if clocks differ");
     job.startable_at = WallTime(12_000);
     assert_eq!(ages(&job, 12_500), (2.5, 0.5));
     job.depends_on.insert(JobId::parse("req-000002").unwrap());
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn run_times_correct_the_estimates_of_a_class() {
+fn measured_run_times_correct_the_estimates_of_a_class() {
     let mut times = ClassTimes::default();
     assert_eq!(times.expect("x", 10.0), 10.0);
     for _ in 0..200 {
