--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -1,58 +1,67 @@
-//! Which live jobs depend on which others: what the end of a job means for its dependents, and what a job
-//! inherits from them.
+//! The dependency graph of the live jobs: which dependents the end of a job releases or cancels, and the
+//! priority, deadlines and rank that a job inherits from its dependents.
+//!
+//! "Paper" is the one that [`placement`](super::placement) names.
 
 use super::records::JobOutcome;
 use crate::ids::JobId;
 use crate::wire::Priority;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most SLO deadlines that a job inherits. All jobs after it in an ordinary pipeline have far fewer; without a
-/// limit a ladder of jobs, each depending on both of the rung before, would double them at every rung.
+/// Maximum number of SLO deadlines that a job inherits. The dependents in an ordinary pipeline have far fewer.
+/// Without a limit, a graph in which both jobs of each level depend on both jobs of the level before would
+/// double the number at each level.
 const MAX_SLO_DEADLINES: usize = 64;
 
-/// The dependencies of all live jobs, and which of these have to be cancelled.
+/// The dependencies of all live jobs, and the live jobs that have to be cancelled because of them.
 #[derive(Default)]
 pub struct DependencyGraph {
-    /// For each job that others depend on, its live dependents.
+    /// The live dependents of each job that has any.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Dependencies that aren't known to be live, nor how they have ended: the store has to be asked.
+    /// Dependencies that are not known to be live and whose outcome is not known either: they have to be looked
+    /// up in the key-value store.
     unresolved: BTreeSet<JobId>,
-    /// The last job that the store was asked about.
-    asked_last: Option<JobId>,
-    /// Live jobs that have to be cancelled, as a job that they depend on was, directly or through others.
+    /// The job that was handed out last for look-up; the next batch starts after it.
+    last_looked_up: Option<JobId>,
+    /// Live jobs that have to be cancelled because a direct or transitive dependency was cancelled.
     cascade_cancelled: BTreeSet<JobId>,
 }
 
-/// What a job adds to the deadlines and ranks of its dependencies.
+/// The properties of a job from which its dependencies inherit their constraints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobTiming {
-    /// Its own priority.
+    /// The job's own priority.
     pub priority: Priority,
-    /// Seconds left until its deadline.
+    /// Seconds left until the job's deadline; none: it has no deadline.
     pub due_s: Option<f64>,
-    /// Seconds left until each of its SLO deadlines.
+    /// Seconds left until each of the job's SLO deadlines.
     pub slo_deadlines: Vec<f64>,
-    /// Expected seconds that its tasks run.
+    /// Expected run time of one task, in seconds.
     pub run_s: f64,
-    /// Seconds from the end of a dependency to its start: the paper's communication time.
+    /// Expected time from the end of a dependency to the start of the job, in seconds: the paper's
+    /// communication time.
     pub transfer_s: f64,
 }
 
-/// What a job inherits from its dependents.
+/// The constraints that a job inherits from its direct and transitive dependents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InheritedConstraints {
-    /// The priority of the most urgent dependent, direct or not.
+    /// The priority of the most urgent dependent.
     pub priority: Priority,
-    /// Sub-deadline of the paper's eq. 3, in seconds from now.
+    /// Latest finish with which all dependents can still meet their deadlines (paper, eq. 3), in seconds from
+    /// now; none: no dependent has a deadline.
     pub due_s: Option<f64>,
-    /// SLO deadlines, in seconds from now: the earliest first, each once.
+    /// The dependents' SLO deadlines, less the time that the dependents need, in seconds from now. Ascending,
+    /// without duplicates, at most [`MAX_SLO_DEADLINES`].
     pub slo_deadlines: Vec<f64>,
-    /// The dependents' part of the paper's rank (eq. 1), in seconds.
+    /// The dependents' share of the job's rank (paper, eq. 1): the longest time that a chain of dependents
+    /// takes, in seconds.
     pub rank_s: f64,
 }
 
 impl DependencyGraph {
-    /// Adds a live job. `is_live` says which of its dependencies are live; the others are to be looked up.
+    /// Adds a live job. Dependencies for which `is_live` returns false have to be looked up. A job that depends
+    /// on one that is to be cancelled has to be cancelled too.
     pub fn add(&mut self, id: JobId, depends_on: &BTreeSet<JobId>, is_live: impl Fn(&JobId) -> bool) {
         self.unresolved.remove(&id);
         for dependency in depends_on {
@@ -66,7 +75,7 @@
         }
     }
 
-    /// Removes a job that isn't live any more; these are the dependencies that it still had.
+    /// Removes a job that is not live any more. `depends_on` are the dependencies that it still had.
     pub fn remove(&mut self, id: &JobId, depends_on: &BTreeSet<JobId>) {
         self.cascade_cancelled.remove(id);
         for dependency in depends_on {
@@ -79,9 +88,9 @@
         }
     }
 
-    /// Notes the outcome of a job, live or not. Returns the dependents that no longer wait for it: all of them
-    /// if it was done, otherwise none. If it was cancelled its dependents have to be cancelled as well, if
-    /// the outcome is unknown it is to be looked up.
+    /// Records the outcome of a job, live or not. Returns the dependents that no longer wait for it: all of them
+    /// if it was done, otherwise none. If it was cancelled, its dependents have to be cancelled as well; if its
+    /// outcome is unknown, it has to be looked up.
     pub fn ended(&mut self, id: &JobId, outcome: JobOutcome) -> BTreeSet<JobId> {
         let Some(dependents) = self.dependents.get(id) else { return BTreeSet::new() };
         match outcome {
@@ -103,77 +112,78 @@
         }
     }
 
-    /// Marks a job and all its dependents, direct or not, as to be cancelled.
+    /// Marks a job and all its direct and transitive dependents as having to be cancelled.
     fn cascade_cancel(&mut self, id: JobId) {
-        let mut next = vec![id];
-        while let Some(id) = next.pop() {
+        let mut pending = vec![id];
+        while let Some(id) = pending.pop() {
             if self.cascade_cancelled.insert(id) {
-                next.extend(self.dependents.get(&id).into_iter().flatten());
+                pending.extend(self.dependents.get(&id).into_iter().flatten());
             }
         }
     }
 
-    /// Live jobs that have to be cancelled, as a job that they depend on was.
+    /// Live jobs that have to be cancelled because a direct or transitive dependency was cancelled.
     pub fn cascade_cancelled(&self) -> impl Iterator<Item = &JobId> {
         self.cascade_cancelled.iter()
     }
 
-    /// Whether some live job depends on this one.
+    /// Whether any live job depends on the job.
     pub fn has_dependents(&self, id: &JobId) -> bool {
         self.dependents.contains_key(id)
     }
 
-    /// The next jobs to look up, in turn.
-    pub fn next_unresolved(&mut self, most: usize) -> Vec<JobId> {
+    /// The next dependencies to look up, at most `limit`. Successive calls cycle through all that are unresolved.
+    pub fn next_unresolved(&mut self, limit: usize) -> Vec<JobId> {
         let (later, earlier): (Vec<JobId>, Vec<JobId>) =
-            self.unresolved.iter().partition(|id| Some(**id) > self.asked_last);
-        let next: Vec<JobId> = later.into_iter().chain(earlier).take(most).collect();
-        self.asked_last = next.last().copied().or(self.asked_last);
+            self.unresolved.iter().partition(|id| Some(**id) > self.last_looked_up);
+        let next: Vec<JobId> = later.into_iter().chain(earlier).take(limit).collect();
+        self.last_looked_up = next.last().copied().or(self.last_looked_up);
         next
     }
 
-    /// What each job inherits from its dependents, given the timing of each live job. Dependents that are to
-    /// be cancelled don't count.
+    /// The constraints that each job inherits from its dependents, given the timing of each live job. Dependents
+    /// that have to be cancelled are left out.
     pub fn inherit(&self, job_timing: impl Fn(&JobId) -> Option<JobTiming>) -> BTreeMap<JobId, InheritedConstraints> {
-        let mut known: BTreeMap<JobId, InheritedConstraints> = BTreeMap::new();
+        let mut inherited_by_job: BTreeMap<JobId, InheritedConstraints> = BTreeMap::new();
         for id in self.dependents_first() {
-            let from = |dependent: JobId| {
-                let inherited = known.get(&dependent).cloned().unwrap_or_else(InheritedConstraints::none);
-                Some(inherited.passed_on(&job_timing(&dependent)?))
+            let inherited_from = |dependent: JobId| {
+                let inherited = inherited_by_job.get(&dependent).cloned().unwrap_or_else(InheritedConstraints::none);
+                Some(inherited.propagate(&job_timing(&dependent)?))
             };
             let dependents = self.live_dependents(&id);
-            if let Some(inherited) = dependents.filter_map(from).reduce(InheritedConstraints::merged) {
-                known.insert(id, inherited);
+            if let Some(inherited) = dependents.filter_map(inherited_from).reduce(InheritedConstraints::merge) {
+                inherited_by_job.insert(id, inherited);
             }
         }
-        known
+        inherited_by_job
     }
 
-    /// All jobs that have or are dependents, each after its dependents.
+    /// All jobs that have or are dependents, in topological order: each after its dependents.
     fn dependents_first(&self) -> Vec<JobId> {
         let mut order = Vec::new();
         let mut seen = BTreeSet::new();
-        // Depth first without recursion, as chains may be long; the flag says that the dependents are done.
-        let mut open: Vec<(JobId, bool)> = self.dependents.keys().map(|id| (*id, false)).collect();
-        while let Some((id, dependents_done)) = open.pop() {
-            if dependents_done {
+        // Depth-first search with an explicit stack, as recursion could overflow on long chains. The flag says
+        // that all dependents of the job have been visited.
+        let mut stack: Vec<(JobId, bool)> = self.dependents.keys().map(|id| (*id, false)).collect();
+        while let Some((id, dependents_visited)) = stack.pop() {
+            if dependents_visited {
                 order.push(id);
             } else if seen.insert(id) {
-                open.push((id, true));
-                open.extend(self.live_dependents(&id).map(|dependent| (dependent, false)));
+                stack.push((id, true));
+                stack.extend(self.live_dependents(&id).map(|dependent| (dependent, false)));
             }
         }
         order
     }
 
-    /// The dependents of a job that aren't to be cancelled.
+    /// The dependents of a job that do not have to be cancelled.
     fn live_dependents(&self, id: &JobId) -> impl Iterator<Item = JobId> {
         let dependents = self.dependents.get(id).into_iter().flatten().copied();
         dependents.filter(|dependent| !self.cascade_cancelled.contains(dependent))
     }
 }
 
-/// The earliest SLO deadlines, each once, at most [`MAX_SLO_DEADLINES`].
+/// The earliest of some SLO deadlines, ascending, without duplicates, at most [`MAX_SLO_DEADLINES`].
 fn earliest(mut slo_deadlines: Vec<f64>) -> Vec<f64> {
     slo_deadlines.sort_by(f64::total_cmp);
     slo_deadlines.dedup();
@@ -182,27 +192,32 @@
 }
 
 impl InheritedConstraints {
-    /// What a job without dependents inherits.
+    /// The constraints of a job without dependents.
     fn none() -> InheritedConstraints {
         InheritedConstraints { priority: Priority::Low, due_s: None, slo_deadlines: Vec::new(), rank_s: 0.0 }
     }
 
-    /// What the dependencies of a job inherit from it, given what it inherits itself and its own timing.
-    fn passed_on(self, job_timing: &JobTiming) -> InheritedConstraints {
-        let least_s = job_timing.run_s + job_timing.transfer_s;
+    /// The constraints that a job passes to its dependencies: those that it inherits itself combined with its own
+    /// timing, moved ahead by the time that the job needs.
+    fn propagate(self, job_timing: &JobTiming) -> InheritedConstraints {
+        let transfer_and_run_s = job_timing.run_s + job_timing.transfer_s;
         let due_s = self.due_s.into_iter().chain(job_timing.due_s).reduce(f64::min);
         InheritedConstraints {
             priority: self.priority.min(job_timing.priority),
-            due_s: due_s.map(|due_s| due_s - least_s),
+            due_s: due_s.map(|due_s| due_s - transfer_and_run_s),
             slo_deadlines: earliest(
-                self.slo_deadlines.iter().chain(&job_timing.slo_deadlines).map(|due_s| due_s - least_s).collect(),
+                self.slo_deadlines
+                    .iter()
+                    .chain(&job_timing.slo_deadlines)
+                    .map(|due_s| due_s - transfer_and_run_s)
+                    .collect(),
             ),
-            rank_s: self.rank_s + least_s,
+            rank_s: self.rank_s + transfer_and_run_s,
         }
     }
 
-    /// What a job inherits from two dependents.
-    fn merged(self, other: InheritedConstraints) -> InheritedConstraints {
+    /// Combines the constraints from two dependents into the stricter of both.
+    fn merge(self, other: InheritedConstraints) -> InheritedConstraints {
         let slo_deadlines = earliest([self.slo_deadlines, other.slo_deadlines].concat());
         InheritedConstraints {
             priority: self.priority.min(other.priority),
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -10,7 +10,8 @@
     numbers.iter().map(|n| id(*n)).collect()
 }
 
-/// A slow plain model: every job with all it names, and how it ended. All else is worked out anew.
+/// Reference model: each job's dependencies and its outcome, if it has ended. Everything else is recomputed
+/// from these on each query.
 #[derive(Default)]
 struct Model {
     jobs: Vec<(BTreeSet<JobId>, Option<JobOutcome>)>,
@@ -33,43 +34,44 @@
 }
 
 #[test]
-fn dependency_graph_agrees_with_a_plain_model() {
+fn dependency_graph_agrees_with_the_reference_model() {
     let (mut started, mut cascade_cancelled) = (0, 0);
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut model = Model::default();
         let mut dependencies = DependencyGraph::default();
-        // What the leader keeps for each live job.
+        // The remaining dependencies of each live job, as the leader tracks them.
         let mut depends_on: BTreeMap<JobId, BTreeSet<JobId>> = BTreeMap::new();
         for n in 0..30u32 {
             let named: BTreeSet<JobId> = (0..n).filter(|_| rng.random_bool(0.15)).map(id).collect();
             model.jobs.push((named.clone(), None));
             dependencies.add(id(n), &named, |a| depends_on.contains_key(a));
             depends_on.insert(id(n), named);
-            // Some job ends; its ending may be learned of later, or twice.
-            let over = rng.random_range(0..=n);
-            if depends_on.contains_key(&id(over)) {
-                let done = model.may_start(over as usize) && rng.random_bool(0.7);
+            // A random job ends. Half of the time its outcome is unknown at first and has to be looked up; it may
+            // also be learned of more than once.
+            let ended = rng.random_range(0..=n);
+            if depends_on.contains_key(&id(ended)) {
+                let done = model.may_start(ended as usize) && rng.random_bool(0.7);
                 let outcome = if done { JobOutcome::Done(None) } else { JobOutcome::Cancelled };
-                model.jobs[over as usize].1 = Some(outcome);
-                let left = depends_on.remove(&id(over)).unwrap();
-                dependencies.remove(&id(over), &left);
-                let first = if rng.random_bool(0.5) { JobOutcome::Unknown } else { outcome };
-                end(&mut dependencies, &mut depends_on, id(over), first);
+                model.jobs[ended as usize].1 = Some(outcome);
+                let remaining = depends_on.remove(&id(ended)).unwrap();
+                dependencies.remove(&id(ended), &remaining);
+                let reported = if rng.random_bool(0.5) { JobOutcome::Unknown } else { outcome };
+                record_outcome(&mut dependencies, &mut depends_on, id(ended), reported);
             }
-            for asked in dependencies.next_unresolved(40) {
-                let outcome = model.outcome(&asked).expect("only jobs that have ended are asked about");
-                end(&mut dependencies, &mut depends_on, asked, outcome);
+            for looked_up in dependencies.next_unresolved(40) {
+                let outcome = model.outcome(&looked_up).expect("only jobs that have ended are looked up");
+                record_outcome(&mut dependencies, &mut depends_on, looked_up, outcome);
             }
             for n in 0..model.jobs.len() {
-                let Some(left) = depends_on.get(&id(n as u32)) else { continue };
-                assert_eq!(left.is_empty(), model.may_start(n), "seed {seed}: start of {n}");
+                let Some(remaining) = depends_on.get(&id(n as u32)) else { continue };
+                assert_eq!(remaining.is_empty(), model.may_start(n), "seed {seed}: start of {n}");
                 assert_eq!(
                     dependencies.cascade_cancelled().any(|d| *d == id(n as u32)),
                     model.is_cascade_cancelled(n),
-                    "seed {seed}: cancelling {n}"
+                    "seed {seed}: cascading cancellation of {n}"
                 );
-                started += u32::from(left.is_empty());
+                started += u32::from(remaining.is_empty());
                 cascade_cancelled += u32::from(model.is_cascade_cancelled(n));
             }
         }
@@ -77,14 +79,14 @@
     assert!(started > 1_000 && cascade_cancelled > 1_000, "started={started} cancelled={cascade_cancelled}");
 }
 
-fn end(
+fn record_outcome(
     dependencies: &mut DependencyGraph,
     depends_on: &mut BTreeMap<JobId, BTreeSet<JobId>>,
-    over: JobId,
+    ended: JobId,
     outcome: JobOutcome,
 ) {
-    for released in dependencies.ended(&over, outcome) {
-        depends_on.get_mut(&released).map(|left| left.remove(&over));
+    for released in dependencies.ended(&ended, outcome) {
+        depends_on.get_mut(&released).map(|remaining| remaining.remove(&ended));
     }
 }
 
@@ -94,7 +96,8 @@
 
 #[test]
 fn priority_and_deadline_are_inherited_along_a_pipeline() {
-    // 1 and 2 before 3, 3 and 1 before 4; 5 needs 1 as well, and is cancelled with 9.
+    // Job 3 depends on 1 and 2, job 4 on 1 and 3, job 5 on 1 and 9. Job 9 is cancelled, and job 5 with it, so
+    // that job 1 inherits nothing from job 5.
     let mut dependencies = DependencyGraph::default();
     dependencies.add(id(3), &ids(&[1, 2]), |_| true);
     dependencies.add(id(4), &ids(&[1, 3]), |_| true);
@@ -112,9 +115,9 @@
     };
     assert_eq!(of(3), (Priority::High, Some(91.0), 9.0));
     assert_eq!(of(2), (Priority::High, Some(70.0), 30.0));
-    assert_eq!(of(1), (Priority::High, Some(70.0), 30.0), "the longer way counts");
+    assert_eq!(of(1), (Priority::High, Some(70.0), 30.0), "the longest chain of dependents determines the rank");
     assert!(!inherited.contains_key(&id(4)) && !inherited.contains_key(&id(9)));
-    // A long chain is no trouble.
+    // A long chain must not overflow the stack.
     let mut chain = DependencyGraph::default();
     (1..20_000).for_each(|n| chain.add(id(n), &ids(&[n - 1]), |_| true));
     let inherited = chain.inherit(|_| Some(job_timing(Priority::Low, Some(0.0), 1.0)));
@@ -127,7 +130,7 @@
     dependencies.add(id(9), &ids(&[1, 2, 3]), |_| false);
     assert_eq!(dependencies.next_unresolved(2), [id(1), id(2)]);
     assert_eq!(dependencies.next_unresolved(2), [id(3), id(1)]);
-    // One comes to be known as live after all, the others are of no use to anybody any more.
+    // Job 2 turns out to be live; the other two are dropped when their only dependent is removed.
     dependencies.add(id(2), &ids(&[]), |_| false);
     assert_eq!(dependencies.next_unresolved(9).len(), 2);
     dependencies.remove(&id(9), &ids(&[1, 2, 3]));
@@ -136,8 +139,8 @@
 
 #[test]
 fn a_ladder_of_jobs_passes_on_a_bounded_number_of_slo_deadlines() {
-    // Rungs of two jobs that both depend on both of the rung before: twice the paths at every rung, each of
-    // another length.
+    // Guards against exponential growth of the inherited SLO deadlines. Both jobs of each rung depend on both
+    // jobs of the rung before, which doubles the number of paths at each rung, and all paths differ in length.
     let mut ladder = DependencyGraph::default();
     let rungs = 40;
     for rung in 1..rungs {
