--- a/src/core/completion_bitmap.rs
+++ b/src/core/completion_bitmap.rs
@@ -1,8 +1,9 @@
-//! Completion bitmaps: which tasks of a job are done, as the key-value store holds it.
+//! The stored form of completion bitmaps, which say which tasks of a job are done.
 //!
-//! A bitmap is cut into chunks that fit the smallest value that the store may come to take. A bitmap that
-//! fits one chunk is stored as chunk 0, which every version reads alike. Earlier versions cut larger bitmaps
-//! by the limit that was in force when they ran; their chunks are read, and never overwritten.
+//! A bitmap is split into chunks that fit both the store's current limit on the size of values and any announced
+//! lower one. A bitmap that fits one chunk is stored as chunk 0, which all versions read alike. Earlier versions
+//! split larger bitmaps by the limit that was in force when they ran; their chunks are still read, and never
+//! overwritten.
 
 use super::records::BITMAP_PREFIX;
 use super::submissions::MAX_TASKS;
@@ -14,64 +15,69 @@
 use serde_json::Value;
 use std::ops::Range;
 
-/// Chunks from this number on begin with the task whose index is the chunk's number less this. Chunks of
-/// earlier versions have smaller numbers: a job has at most `MAX_TASKS` tasks, and so fewer chunks.
-const LARGE_BITMAP_OFFSET: u32 = MAX_TASKS;
+/// Chunks of bitmaps that need more than one are numbered by this base plus the index of their first task.
+/// Earlier versions numbered chunks from 0, which stays below the base: a job has at most [`MAX_TASKS`] tasks,
+/// and so fewer chunks.
+const CHUNK_NUMBER_BASE: u32 = MAX_TASKS;
 
-/// Least tasks in a chunk, however small the store's limit on values is.
+/// Minimum number of tasks in a chunk, however small the store's limit on values is.
 const MIN_TASKS_PER_CHUNK: u32 = 64;
 
-/// How bitmaps are cut into chunks.
+/// How bitmaps are split into chunks.
 #[derive(Clone, Copy, Debug)]
 pub struct BitmapLayout {
-    /// Tasks in a chunk.
-    size: u32,
-    /// Tasks in a chunk of an earlier version.
-    earlier_size: u32,
+    /// Number of tasks in a chunk.
+    tasks_per_chunk: u32,
+    /// Number of tasks in a chunk that an earlier version wrote.
+    legacy_tasks_per_chunk: u32,
 }
 
-/// One chunk of a job's bitmap: which tasks it covers, not which of them are done.
+/// The position of one chunk in a job's bitmap. It has no content: which of its tasks are done is passed to
+/// its methods.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BitmapChunk {
+    /// Identifies the chunk among those of its job, as part of its key.
     number: u32,
+    /// The indices of the tasks that the chunk covers.
     tasks: Range<usize>,
 }
 
-/// Tasks in a chunk, so that its base64 stays at half of a value's limit: each byte of it holds six tasks.
+/// The number of tasks in a chunk whose base64 text, at 6 tasks per byte, takes half of the limit on values.
 fn tasks_per_chunk(max_value_kb: f64) -> u32 {
     ((max_value_kb * 1024.0 * 0.5) as u32 * 6).clamp(MIN_TASKS_PER_CHUNK, MAX_TASKS)
 }
 
 impl BitmapLayout {
-    /// The layout for the store's limits on values, now and as they may come to be.
+    /// Creates the layout that holds for the store's current limits and for those announced in
+    /// [`StoreLimits::next`].
     pub fn new(limits: &StoreLimits) -> BitmapLayout {
         BitmapLayout {
-            size: tasks_per_chunk(limits.lowest().max_value_kb),
-            earlier_size: tasks_per_chunk(limits.max_value_kb),
+            tasks_per_chunk: tasks_per_chunk(limits.lowest().max_value_kb),
+            legacy_tasks_per_chunk: tasks_per_chunk(limits.max_value_kb),
         }
     }
 
-    /// The chunks of a job with so many tasks.
+    /// The chunks of a job with this number of tasks.
     pub fn chunks(&self, tasks: u32) -> Vec<BitmapChunk> {
-        if tasks <= self.size {
+        if tasks <= self.tasks_per_chunk {
             return vec![BitmapChunk { number: 0, tasks: 0..tasks as usize }];
         }
         let chunk = |first: u32| BitmapChunk {
-            number: LARGE_BITMAP_OFFSET + first,
-            tasks: first as usize..tasks.min(first + self.size) as usize,
+            number: CHUNK_NUMBER_BASE + first,
+            tasks: first as usize..tasks.min(first + self.tasks_per_chunk) as usize,
         };
-        (0..tasks).step_by(self.size as usize).map(chunk).collect()
+        (0..tasks).step_by(self.tasks_per_chunk as usize).map(chunk).collect()
     }
 
-    /// Adds the tasks of a stored chunk to a bitmap; false: the chunk can't be read. Tasks beyond the
-    /// bitmap's length are skipped.
+    /// Adds the done tasks of a stored chunk to a bitmap, skipping those beyond the bitmap's length. Returns
+    /// false if the value cannot be decoded.
     pub fn read(&self, bitmap: &mut FixedBitSet, number: u32, value: &Value) -> bool {
         let Some(bytes) = value.as_str().and_then(|text| STANDARD.decode(text).ok()) else {
             return false;
         };
-        let first = match number.checked_sub(LARGE_BITMAP_OFFSET) {
+        let first = match number.checked_sub(CHUNK_NUMBER_BASE) {
             Some(first) => first as usize,
-            None => number as usize * self.earlier_size as usize,
+            None => number as usize * self.legacy_tasks_per_chunk as usize,
         };
         for (position, byte) in bytes.iter().enumerate() {
             for bit in 0..8 {
@@ -86,12 +92,12 @@
 }
 
 impl BitmapChunk {
-    /// The key under which the chunk of this job is stored.
+    /// The key under which this chunk of a job's bitmap is stored.
     pub fn key(&self, id: &JobId) -> String {
         format!("{BITMAP_PREFIX}{id}/{}", self.number)
     }
 
-    /// What is stored under the chunk's key: a bit for each of its tasks, in base64.
+    /// The value to store for the chunk: one bit for each of its tasks, set if the task is done, as base64.
     pub fn encode(&self, bitmap: &FixedBitSet) -> Value {
         let mut bytes = vec![0u8; self.tasks.len().div_ceil(8)];
         for task in self.members(bitmap) {
@@ -106,13 +112,13 @@
         self.tasks.clone().filter(|task| bitmap.contains(*task))
     }
 
-    /// Whether two bitmaps differ in this chunk.
+    /// Whether two bitmaps differ in the tasks of this chunk.
     pub fn differs(&self, one: &FixedBitSet, other: &FixedBitSet) -> bool {
         self.members(one).ne(self.members(other))
     }
 }
 
-/// The job and the number of a chunk, by its key; none: it isn't the key of a chunk.
+/// Parses the key of a chunk into the job's id and the chunk's number. Returns none for any other key.
 pub fn parse_key(key: &str) -> Option<(JobId, u32)> {
     let (job, number) = key.strip_prefix(BITMAP_PREFIX)?.split_once('/')?;
     Some((JobId::parse(job)?, number.parse().ok()?))
--- a/src/core/completion_bitmap/tests.rs
+++ b/src/core/completion_bitmap/tests.rs
@@ -2,8 +2,8 @@
 use crate::config::UpcomingStoreLimits;
 use serde_json::json;
 
-fn limits(max_value_kb: f64, later_kb: Option<f64>) -> StoreLimits {
-    let next = UpcomingStoreLimits { max_value_kb: later_kb, ..UpcomingStoreLimits::default() };
+fn limits(max_value_kb: f64, upcoming_value_kb: Option<f64>) -> StoreLimits {
+    let next = UpcomingStoreLimits { max_value_kb: upcoming_value_kb, ..UpcomingStoreLimits::default() };
     StoreLimits { rps: 100.0, write_rps: 20.0, max_value_kb, max_transaction_ops: 12, next }
 }
 
@@ -13,7 +13,7 @@
     bitmap
 }
 
-/// Chunks as the version before this one wrote them: numbered from 0, cut by the limit then in force.
+/// Chunks as earlier versions wrote them: numbered from 0, with a size that follows from the limit in force.
 fn chunks_of_earlier_version(bitmap: &FixedBitSet, max_value_kb: f64) -> Vec<Value> {
     let size = ((max_value_kb * 1024.0 * 0.5) as usize * 6).clamp(64, 100_000);
     let chunk = |first: usize| {
@@ -29,19 +29,19 @@
 #[test]
 fn bitmaps_are_read_back_from_their_chunks() {
     let bitmap = large_bitmap();
-    // Now and once the limit has fallen: what is written fits from the beginning.
-    for (layout, most_bytes) in
+    // With an announced lower limit, chunks must fit that limit before it is in force.
+    for (layout, max_bytes) in
         [(BitmapLayout::new(&limits(8.0, None)), 8 * 1024), (BitmapLayout::new(&limits(8.0, Some(2.0))), 2 * 1024)]
     {
-        let mut back = FixedBitSet::with_capacity(MAX_TASKS as usize);
+        let mut restored = FixedBitSet::with_capacity(MAX_TASKS as usize);
         for chunk in layout.chunks(MAX_TASKS) {
             let value = chunk.encode(&bitmap);
-            assert!(value.to_string().len() < most_bytes);
+            assert!(value.to_string().len() < max_bytes);
             let (_, number) = parse_key(&chunk.key(&JobId::parse("req-000001").unwrap())).unwrap();
-            assert!(layout.read(&mut back, number, &value));
+            assert!(layout.read(&mut restored, number, &value));
         }
-        assert_eq!(back, bitmap);
-        assert!(!layout.read(&mut back, 0, &json!({"not": "a set"})));
+        assert_eq!(restored, bitmap);
+        assert!(!layout.read(&mut restored, 0, &json!({"not": "a set"})));
     }
 }
 
@@ -50,15 +50,15 @@
     let bitmap = large_bitmap();
     for max_value_kb in [8.0, 32.0] {
         let layout = BitmapLayout::new(&limits(max_value_kb, Some(2.0)));
-        let mut back = FixedBitSet::with_capacity(MAX_TASKS as usize);
+        let mut restored = FixedBitSet::with_capacity(MAX_TASKS as usize);
         let earlier = chunks_of_earlier_version(&bitmap, max_value_kb);
         for (number, value) in earlier.iter().enumerate() {
-            assert!(layout.read(&mut back, number as u32, value));
+            assert!(layout.read(&mut restored, number as u32, value));
             assert!(layout.chunks(MAX_TASKS).iter().all(|chunk| chunk.number != number as u32));
         }
-        assert_eq!(back, bitmap);
+        assert_eq!(restored, bitmap);
     }
-    // A bitmap that fits one chunk is the same in all versions.
+    // A bitmap that fits one chunk is stored alike by all versions.
     let mut small = FixedBitSet::with_capacity(2_000);
     small.extend([3, 1_999]);
     let layout = BitmapLayout::new(&limits(32.0, Some(2.0)));
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -1,9 +1,9 @@
-//! What versions read of each other's records.
+//! Tests that versions can read each other's records, or ignore those that they must not act on.
 
 use super::*;
 use serde_json::json;
 
-/// The records as the version before dependencies declared them.
+/// The records as declared by versions without support for dependencies.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct EarlierLiveRecord {
     at: WallTime,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn live_records_without_dependencies_are_the_same_in_all_versions() {
+fn live_records_without_dependencies_are_identical_in_all_versions() {
     let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on: Vec::new() };
     let earlier = EarlierLiveRecord { at: WallTime(7), spec: spec() };
     assert_eq!(json!(record), json!(earlier));
@@ -49,7 +49,7 @@
     for record in [TerminalRecord::done(3, WallTime(9)), TerminalRecord::cancelled(3)] {
         let earlier = EarlierTerminalRecord { phase: record.phase, tasks: 3 };
         assert_eq!(read::<EarlierTerminalRecord>(&json!(record)).as_ref(), Some(&earlier));
-        assert_eq!(read::<TerminalRecord>(&json!(earlier)).map(|r| r.phase), Some(record.phase));
+        assert_eq!(read::<TerminalRecord>(&json!(earlier)).map(|record| record.phase), Some(record.phase));
     }
     assert_eq!(
         read::<TerminalRecord>(&json!({"phase": "done", "tasks": 1})).unwrap().outcome(),
