--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -1,4 +1,4 @@
-//! What users may submit: reading a submission, and whether its job could ever run.
+//! Parsing and validation of job submissions, including whether a job could ever run on this cluster.
 
 use crate::config::Team;
 use crate::ids::JobId;
@@ -6,54 +6,55 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The most tasks that a job may have.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// The largest quantity in a job's description, in the unit of its field.
+/// Upper bound on each quantity in a job's description, in the unit of its field.
 const MAX_QUANTITY: f64 = 1e9;
-/// The most bytes of a name in a job's description.
+/// Maximum length of a name in a job's description, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-/// Sums of decimal fractions may be this much above a limit that they meet.
+/// Tolerance when a quantity is compared with a limit, as sums of decimal fractions are not exact.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Why a submission is refused for good. Users are shown the message, with the fields' names on the wire.
+/// Why a submission is permanently refused. The message is sent to the user and so names fields as in the
+/// submitted JSON.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum SubmissionError {
-    /// It can't be read, or a field is out of its range (400).
+    /// The body cannot be parsed, or a field is out of range (HTTP 400).
     #[error(transparent)]
     Malformed(#[from] MalformedSubmission),
-    /// The job could never run on this cluster (422).
+    /// The job could never run on this cluster (HTTP 422).
     #[error(transparent)]
     Unsatisfiable(#[from] UnsatisfiableSubmission),
 }
 
-/// What of a submission can't be read or is out of its range.
+/// What part of a submission cannot be parsed or is out of range.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum MalformedSubmission {
-    /// The body isn't JSON; with the parser's message.
+    /// The body is not JSON; holds the parser's message.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// The body is JSON, but no object.
+    /// The body is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// The id isn't there, or isn't a string.
+    /// The id is missing or not a string.
     #[error("id is missing")]
     MissingId,
-    /// The id isn't the name of a job.
+    /// The id is not a valid job id.
     #[error("id has not the form req-000000")]
     InvalidId,
-    /// A field is missing or of the wrong type; with the parser's message.
+    /// A field is missing or of the wrong type; holds the parser's message.
     #[error("{0}")]
     Field(String),
-    /// The dependencies aren't a list of strings; with the parser's message.
+    /// The dependencies are not a list of strings; holds the parser's message.
     #[error("awaits: {0}")]
     Dependencies(String),
-    /// A quantity is negative, too large or not a number; with the field's name.
+    /// A quantity is negative, too large or NaN; holds the field's name.
     #[error("{0} is out of range")]
     QuantityOutOfRange(&'static str),
-    /// There are no tasks, or too many.
+    /// The job has no tasks or more than [`MAX_TASKS`].
     #[error("lots must be 1 to {MAX_TASKS}")]
     TasksOutOfRange,
-    /// A name is empty or too long; with the field's name.
+    /// A name is empty or too long; holds the field's name.
     #[error("{0} must have 1 to {MAX_NAME_BYTES} bytes")]
     NameLength(&'static str),
 }
@@ -61,48 +62,51 @@
 /// Why a job could never run on this cluster.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum UnsatisfiableSubmission {
-    /// The settings have no such team.
+    /// The settings have no team of this name.
     #[error("unknown team {0}")]
     UnknownTeam(String),
-    /// No machine type that the job allows, in a zone that it allows, holds one of its tasks.
+    /// None of the machine types that the job allows, in a zone that it allows, is large enough for one of its
+    /// tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// At most half of the gang's tasks may share a zone, and there is one zone for all of them.
+    /// At most half of the gang's tasks may be in the same zone, but only one zone is open to the job.
     #[error("half of the gang at the most may be in the only zone it may use")]
     SpreadOverOneZone,
-    /// What must run at the same time is more than the team may use.
+    /// The tasks that must run at the same time exceed the team's limit.
     #[error("the job needs more than its team's limit")]
     BeyondTeamLimit,
-    /// The job's record doesn't fit one value of the key-value store.
+    /// The job's record exceeds the key-value store's limit on the size of a value.
     #[error("the job takes more than the state service holds in a value")]
     RecordTooLarge,
-    /// It depends on a job that doesn't exist; with that job's name as the user gave it.
+    /// The job depends on one that does not exist; holds that job's id as submitted.
     #[error("awaits {0}, which was never accepted")]
     DependencyNeverAccepted(String),
-    /// It depends on a service.
+    /// The job depends on a service, which runs until it is cancelled and so is never done.
     #[error("awaits {0}, a service, which is never done")]
     DependsOnService(JobId),
 }
 
-/// What a user asks for.
+/// A valid submission.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Submission {
-    /// The job's description, with fields of the wire that this version doesn't know left out.
+    /// The job's description, without JSON fields that are unknown to this version.
     pub spec: JobSpec,
-    /// The jobs that have to be done before any task of this one starts, in ascending order, each once.
+    /// The jobs that must be done before any task of this one may start, in ascending order, without duplicates.
     pub depends_on: Vec<JobId>,
 }
 
-/// A body with a readable id. A job that is known already is answered whatever else the body says.
+/// The result of parsing a body that has a valid id. The id is separate from the rest, as a submission of a job
+/// that was accepted before is answered by the job's status, even if the rest of the body is invalid.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ParsedSubmission {
     /// The job's id.
     pub id: JobId,
-    /// The rest of the body, or why it is refused.
+    /// The submission, or why it is refused.
     pub submission: Result<Submission, SubmissionError>,
 }
 
-/// Reads a submission. The error is that there is no readable id.
+/// Parses the body of a submission. Returns an error if the body has no valid id; any other fault is in the
+/// result's `submission`.
 pub fn parse_submission(body: &[u8]) -> Result<ParsedSubmission, MalformedSubmission> {
     let value: Value = serde_json::from_slice(body).map_err(|error| MalformedSubmission::NotJson(error.to_string()))?;
     let object = value.as_object().ok_or(MalformedSubmission::NotAnObject)?;
@@ -123,7 +127,7 @@
         serde_json::from_value(value).map_err(|error| MalformedSubmission::Dependencies(error.to_string()))?;
     let mut depends_on = BTreeSet::new();
     for name in names.unwrap_or_default() {
-        // What isn't the name of a job was never accepted as one.
+        // No job with an invalid id was ever accepted.
         let id = JobId::parse(&name).ok_or(UnsatisfiableSubmission::DependencyNeverAccepted(name))?;
         depends_on.insert(id);
     }
@@ -157,8 +161,8 @@
     Ok(())
 }
 
-/// Checks that the job could ever run, given the settings' teams and the cloud's machine types. A team's limit
-/// of 0 means none (docs/questions.md).
+/// Checks that a job could ever run, given the teams in the settings and the cloud's machine types. A team limit
+/// of 0 means that the team has no limit (docs/questions.md).
 pub fn check_satisfiable(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Result<(), UnsatisfiableSubmission> {
     let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
         return Err(UnsatisfiableSubmission::UnknownTeam(spec.team.clone()));
@@ -168,7 +172,8 @@
     if !types.iter().any(|machine_type| type_allows(spec, machine_type) && offers_zone(machine_type)) {
         return Err(UnsatisfiableSubmission::FitsNoMachineType);
     }
-    // All tasks of a gang run at the same time, so that what may be in one zone must do.
+    // All tasks of a gang run at the same time, so a gang that must be spread over zones needs at least two; a job
+    // that must stay in one zone has only one.
     if spec.kind == Kind::Gang
         && spec.spread
         && spec.tasks > 1
@@ -184,14 +189,15 @@
     Ok(())
 }
 
-/// The zones that a job's tasks may be in.
+/// The zones that are open to a job: those of the machine types that it allows and that fit one of its tasks,
+/// restricted to the job's own zone if it names one.
 fn allowed_zones<'a>(spec: &JobSpec, types: &'a [MachineType]) -> BTreeSet<&'a String> {
     let allowed = types.iter().filter(|machine_type| type_allows(spec, machine_type));
     let zones = allowed.flat_map(|machine_type| &machine_type.zones);
-    zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone)).collect()
+    zones.filter(|zone| spec.zone.as_ref().is_none_or(|required| required == *zone)).collect()
 }
 
-/// Whether the job allows the machine type, and an empty machine of it holds one of the job's tasks.
+/// Whether a job allows a machine type, and an empty machine of that type is large enough for one of its tasks.
 pub fn type_allows(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
         && spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -14,19 +14,19 @@
 }
 
 #[test]
-fn submission_is_read_and_kept_as_it_came() {
+fn submission_is_parsed_and_its_description_survives_serialization() {
     let ParsedSubmission { id, submission } = parse(&body()).unwrap();
     let Submission { spec, depends_on } = submission.unwrap();
     assert!(depends_on.is_empty());
     assert_eq!((&*id.to_string(), spec.tasks, spec.zone.is_none()), ("req-000412", 4, true));
-    let again: JobSpec = serde_json::from_value(json!(spec)).unwrap();
-    assert_eq!(again, spec);
+    let restored: JobSpec = serde_json::from_value(json!(spec)).unwrap();
+    assert_eq!(restored, spec);
 }
 
 #[test]
 fn malformed_submissions_are_refused() {
     assert!(parse_submission(b"{").is_err() && parse_submission(b"[]").is_err());
-    let bad = [
+    let invalid = [
         ("lots", json!(0)),
         ("lots", json!(100_001)),
         ("lots", json!(1.5)),
@@ -39,14 +39,14 @@
         ("apart", json!(0)),
         ("due_s", json!(-5)),
     ];
-    for (field, value) in bad {
+    for (field, value) in invalid {
         let mut submission = body();
         submission[field] = value.clone();
         let parsed = parse(&submission).unwrap().submission;
         assert!(matches!(parsed, Err(SubmissionError::Malformed(_))), "{field}={value}");
         submission.as_object_mut().unwrap().remove(field);
         let parsed = parse(&submission).unwrap().submission;
-        // What may be null may be absent.
+        // Only an optional field may be absent.
         assert_eq!(parsed.is_ok(), field == "due_s", "without {field}");
     }
     for id in [json!("job-000412"), json!("req-1/2"), json!(7), json!(null)] {
@@ -63,30 +63,30 @@
         "quays": ["a"]});
     let types: Vec<MachineType> = vec![serde_json::from_value(g8).unwrap()];
     let spec = parse(&body()).unwrap().submission.unwrap().spec;
-    let ok = |change: &dyn Fn(&mut JobSpec)| {
+    let is_satisfiable = |change: &dyn Fn(&mut JobSpec)| {
         let mut spec = spec.clone();
         change(&mut spec);
         check_satisfiable(&spec, &teams, &types).is_ok()
     };
-    assert!(ok(&|_| ()));
-    assert!(!ok(&|spec| spec.team = "nobody".into()));
-    assert!(!ok(&|spec| spec.cpus = 17.0));
-    assert!(!ok(&|spec| spec.zone = Some("b".into())));
-    assert!(!ok(&|spec| spec.types = Some(vec!["h1".into()])));
-    // 40 CPUs are the limit of team-a: a gang counts whole, an array by the task.
-    assert!(!ok(&|spec| spec.tasks = 6));
-    assert!(ok(&|spec| (spec.tasks, spec.kind) = (6, Kind::Array)));
-    // All tasks of a gang can't be in one zone where only half of them may be.
-    assert!(!ok(&|spec| spec.spread = true));
-    assert!(ok(&|spec| (spec.spread, spec.tasks) = (true, 1)));
-    assert!(ok(&|spec| (spec.spread, spec.kind) = (true, Kind::Array)));
-    assert!(!ok(&|spec| (spec.spread, spec.one_zone) = (true, false)), "there is one zone only");
-    // 0 as a limit is none.
-    assert!(ok(&|spec| (spec.tasks, spec.team) = (6, "team-b".into())));
+    assert!(is_satisfiable(&|_| ()));
+    assert!(!is_satisfiable(&|spec| spec.team = "nobody".into()));
+    assert!(!is_satisfiable(&|spec| spec.cpus = 17.0));
+    assert!(!is_satisfiable(&|spec| spec.zone = Some("b".into())));
+    assert!(!is_satisfiable(&|spec| spec.types = Some(vec!["h1".into()])));
+    // Team-a is limited to 40 CPUs. All tasks of a gang count at once, those of an array one by one.
+    assert!(!is_satisfiable(&|spec| spec.tasks = 6));
+    assert!(is_satisfiable(&|spec| (spec.tasks, spec.kind) = (6, Kind::Array)));
+    // A spread gang allows half of its tasks in a zone, so it cannot run in the only zone there is.
+    assert!(!is_satisfiable(&|spec| spec.spread = true));
+    assert!(is_satisfiable(&|spec| (spec.spread, spec.tasks) = (true, 1)));
+    assert!(is_satisfiable(&|spec| (spec.spread, spec.kind) = (true, Kind::Array)));
+    assert!(!is_satisfiable(&|spec| (spec.spread, spec.one_zone) = (true, false)), "only one zone exists");
+    // A limit of 0 means that the team has no limit.
+    assert!(is_satisfiable(&|spec| (spec.tasks, spec.team) = (6, "team-b".into())));
 }
 
 #[test]
-fn dependencies_are_read_once_each() {
+fn dependencies_are_sorted_and_deduplicated() {
     let depends_on = |value: Value| {
         let mut submission = body();
         submission["awaits"] = value;
@@ -99,14 +99,14 @@
     assert_eq!(depends_on(json!([])), Ok(vec![]));
     let named = json!(["req-000405", "req-000398", "req-000405"]);
     assert_eq!(depends_on(named), Ok(vec!["req-000398".into(), "req-000405".into()]));
-    for bad in [json!("req-000398"), json!([398]), json!([null]), json!({"req-000398": 1})] {
-        assert!(matches!(depends_on(bad.clone()), Err(SubmissionError::Malformed(_))), "{bad}");
+    for invalid in [json!("req-000398"), json!([398]), json!([null]), json!({"req-000398": 1})] {
+        assert!(matches!(depends_on(invalid.clone()), Err(SubmissionError::Malformed(_))), "{invalid}");
     }
     assert!(matches!(depends_on(json!(["job-1"])), Err(SubmissionError::Unsatisfiable(_))));
 }
 
 #[test]
-fn users_are_told_the_reason_in_the_words_of_the_wire() {
+fn error_messages_name_fields_as_in_the_submitted_json() {
     let malformed = |field: &str, value: Value| {
         let mut submission = body();
         submission[field] = value;
