--- a/src/core/cancellations.rs
+++ b/src/core/cancellations.rs
@@ -1,51 +1,52 @@
 //! The cancellations that this process has confirmed to users.
 //!
-//! A leader that the key-value store refuses asks its peers for those that it can't have read (see
-//! [`Election::pledge_to`](super::election::Election::pledge_to)). A process that can't tell them all
-//! must not pledge.
+//! A leader whose requests the key-value store refuses asks its peers for the cancellations that it cannot have
+//! read (see [`Election::pledge_to`](super::election::Election::pledge_to)). A process that does not know all of
+//! those that it confirmed must not give a pledge.
 
 use crate::ids::{JobId, Revision};
 use std::collections::BTreeSet;
 
-/// Most cancellations that are remembered; as many fit one message between controllers.
+/// Maximum number of cancellations kept. This many fit in one message between controllers.
 pub const MAX_CANCELLATIONS: usize = 4_096;
 
-/// Cancelled jobs by the revision that cancelled them, complete from some revision on.
+/// The confirmed cancellations, ordered by the store revision that cancelled the job. Complete only after a
+/// certain revision.
 #[derive(Default)]
 pub struct Cancellations {
-    /// `told` has every cancellation after this revision that this process, or an earlier one at its
-    /// address, has confirmed to a user. None: not known yet.
-    known_after: Option<Revision>,
-    told: BTreeSet<(Revision, JobId)>,
+    /// `confirmed` holds every cancellation after this revision that this process, or an earlier one at the same
+    /// address, has confirmed to a user. None: the store's revision was not read yet.
+    complete_after: Option<Revision>,
+    /// Cancelled jobs and the revision that cancelled them.
+    confirmed: BTreeSet<(Revision, JobId)>,
 }
 
 impl Cancellations {
-    /// The store is at this revision. Whatever an earlier process here has confirmed isn't newer than
-    /// the first revision that this process sees; later calls do nothing.
+    /// Sets the first store revision that this process has seen. No cancellation that an earlier process at the
+    /// same address has confirmed can be newer than it. Later calls do nothing.
     pub fn at_revision(&mut self, revision: Revision) {
-        self.known_after.get_or_insert(revision);
+        self.complete_after.get_or_insert(revision);
     }
 
-    /// Whether [`at_revision`](Cancellations::at_revision) was called.
+    /// Whether the first store revision was set by [`at_revision`](Cancellations::at_revision).
     pub fn is_known(&self) -> bool {
-        self.known_after.is_some()
+        self.complete_after.is_some()
     }
 
-    /// A user is about to be told that the job is cancelled, which it is since that revision.
+    /// Records that a job was cancelled at a revision. To be called before the cancellation is confirmed to a user.
     pub fn tell(&mut self, id: JobId, revision: Revision) {
-        self.told.insert((revision, id));
-        while self.told.len() > MAX_CANCELLATIONS {
-            if let Some((oldest, _)) = self.told.pop_first() {
-                // Before that revision `told` isn't complete any more.
-                self.known_after = self.known_after.map(|known_after| known_after.max(oldest));
+        self.confirmed.insert((revision, id));
+        while self.confirmed.len() > MAX_CANCELLATIONS {
+            if let Some((oldest, _)) = self.confirmed.pop_first() {
+                // `confirmed` is complete only after the newest revision that was removed.
+                self.complete_after = self.complete_after.map(|complete_after| complete_after.max(oldest));
             }
         }
     }
 
-    /// All that users were told of and that is newer than the revision, oldest first; none if that
-    /// isn't known for all revisions after it.
+    /// All confirmed cancellations after a revision, oldest first; none if they are not completely known.
     pub fn since(&self, revision: Revision) -> Option<Vec<JobId>> {
-        self.known_after.filter(|known_after| *known_after <= revision)?;
-        Some(self.told.iter().filter(|(at, _)| *at > revision).map(|(_, id)| *id).collect())
+        self.complete_after.filter(|complete_after| *complete_after <= revision)?;
+        Some(self.confirmed.iter().filter(|(at, _)| *at > revision).map(|(_, id)| *id).collect())
     }
 }
--- a/src/core/shards/tests.rs
+++ b/src/core/shards/tests.rs
@@ -7,9 +7,9 @@
 #[test]
 fn planner_for_is_the_leader_unless_the_owner_has_responded() {
     let mut shards = assignment();
-    assert_eq!(shards.planner_for(1, MonotonicTime(100)), None, "never heard of");
+    assert_eq!(shards.planner_for(1, MonotonicTime(100)), None, "b has never responded");
     shards.mark_responsive("b", MonotonicTime(100));
-    assert_eq!(shards.planner_for(0, MonotonicTime(200)), None, "the leader's own");
+    assert_eq!(shards.planner_for(0, MonotonicTime(200)), None, "team 0 is the leader's own");
     assert_eq!(shards.planner_for(1, MonotonicTime(200)), Some("b"));
     assert_eq!(shards.planner_for(1, MonotonicTime(2_700)), None);
     shards.mark_responsive("b", MonotonicTime(3_000));
@@ -23,7 +23,7 @@
     shards.mark_responsive("b", MonotonicTime(9_000));
     let moves = shards.rebalance(MonotonicTime(10_000));
     assert_eq!(moves.len(), 2, "both teams of c");
-    assert!(moves.iter().all(|moved| moved.from == "c" && moved.to != "c"));
+    assert!(moves.iter().all(|shard_move| shard_move.from == "c" && shard_move.to != "c"));
     for _ in 0..200 {
         shards.record_load(1, 50);
         shards.record_load(4, 40);
@@ -32,11 +32,11 @@
     let moves = shards.rebalance(MonotonicTime(20_500));
     assert!(moves.len() == 1 && moves[0].from == "b" && moves[0].to == "a", "{moves:?}");
     shards.mark_responsive("b", MonotonicTime(30_500));
-    assert!(shards.rebalance(MonotonicTime(31_000)).is_empty(), "even enough");
+    assert!(shards.rebalance(MonotonicTime(31_000)).is_empty(), "the load is even enough");
 }
 
 #[test]
-fn restore_takes_over_stored_owners_and_ignores_unknown_controllers() {
+fn restore_applies_stored_owners_and_ignores_unknown_controllers() {
     let names: Vec<String> = (0..6).map(|i| format!("t{i}")).collect();
     let mut shards = assignment();
     let mut record = shards.to_record(&names);
