--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -52,7 +52,7 @@
     /// now; none: no dependent has a deadline.
     pub due_s: Option<f64>,
     /// The dependents' SLO deadlines, less the time that the dependents need, in seconds from now. Ascending,
-    /// without duplicates, at most [`MAX_SLO_DEADLINES`].
+    /// without duplicates, at most `MAX_SLO_DEADLINES`.
     pub slo_deadlines: Vec<f64>,
     /// The dependents' share of the job's rank (paper, eq. 1): the longest time that a chain of dependents
     /// takes, in seconds.
@@ -183,7 +183,7 @@
     }
 }
 
-/// The earliest of some SLO deadlines, ascending, without duplicates, at most [`MAX_SLO_DEADLINES`].
+/// The earliest of some SLO deadlines, ascending, without duplicates, at most `MAX_SLO_DEADLINES`.
 fn earliest(mut slo_deadlines: Vec<f64>) -> Vec<f64> {
     slo_deadlines.sort_by(f64::total_cmp);
     slo_deadlines.dedup();
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -15,7 +15,7 @@
 /// longest backoff between two attempts of a failing job, so that consecutive failures are counted together.
 const FAILURE_WINDOW: Millis = Millis(150_000);
 
-/// A job whose tasks failed on this many machines within [`FAILURE_WINDOW`] is considered at fault itself.
+/// A job whose tasks failed on this many machines within `FAILURE_WINDOW` is considered at fault itself.
 const MIN_FAILED_MACHINES: usize = 2;
 
 /// Maximum number of classes whose run times are tracked. Further classes use the submitter's estimate.
@@ -256,7 +256,7 @@
     }
 
     /// Whether the job itself, rather than the machines, is presumed to cause its failures: no task was ever
-    /// done, and tasks failed on several machines within [`FAILURE_WINDOW`]. Older failures do not count, as
+    /// done, and tasks failed on several machines within `FAILURE_WINDOW`. Older failures do not count, as
     /// they may have been caused by faulty machines.
     pub fn at_fault(&self, now: MonotonicTime) -> bool {
         let recent = self.error_machines.values().filter(|failed_at| now - **failed_at < FAILURE_WINDOW);
--- a/src/core/shards.rs
+++ b/src/core/shards.rs
@@ -122,7 +122,7 @@
 
     /// Moves the teams of unresponsive controllers to responsive ones or, if there are none to move, at most one
     /// team from the most to the least loaded controller. Returns the moves. Does nothing if called again within
-    /// [`REBALANCE_INTERVAL`].
+    /// `REBALANCE_INTERVAL`.
     pub fn rebalance(&mut self, now: MonotonicTime) -> Vec<ShardMove> {
         if now - self.rebalanced_at < REBALANCE_INTERVAL {
             return Vec::new();
