--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -204,7 +204,7 @@
 
     /// Whether a task attempt on a machine may keep running: its task is not done, and it does not belong to a
     /// broken gang attempt.
-    pub fn goes_on(&self, (task, attempt): &(TaskId, Attempt)) -> bool {
+    pub fn may_continue(&self, (task, attempt): &(TaskId, Attempt)) -> bool {
         let broken = self.gang.as_ref().is_some_and(|gang| gang.broken && gang.attempt == *attempt);
         !broken && !self.done.contains(task.index as usize)
     }
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -122,9 +122,9 @@
     let attempt = |index, attempt| (TaskId { job: JobId::parse("req-000001").unwrap(), index }, Attempt(attempt));
     job.gang = Some(GangRun { attempt: Attempt(7), broken: false });
     job.set_done(0);
-    assert!(!job.goes_on(&attempt(0, 7)) && job.goes_on(&attempt(1, 7)));
+    assert!(!job.may_continue(&attempt(0, 7)) && job.may_continue(&attempt(1, 7)));
     job.gang = Some(GangRun { attempt: Attempt(7), broken: true });
-    assert!(!job.goes_on(&attempt(1, 7)) && job.goes_on(&attempt(1, 8)));
+    assert!(!job.may_continue(&attempt(1, 7)) && job.may_continue(&attempt(1, 8)));
 }
 
 #[test]
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -269,7 +269,7 @@
             match machine.allocations.get_mut(&key) {
                 // Most of what workers list, they have listed before.
                 Some(allocation)
-                    if allocation.is_unchanged(listed.phase) && job.is_some_and(|job| job.goes_on(&key)) =>
+                    if allocation.is_unchanged(listed.phase) && job.is_some_and(|job| job.may_continue(&key)) =>
                 {
                     allocation.last_listed = machine.heartbeats_applied;
                 }
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -73,7 +73,7 @@
             if phase != TaskPhase::Flushing || leeway_s == 0.0 {
                 stop_allocation(machine, key, leeway_s);
             }
-        } else if !job.goes_on(key) {
+        } else if !job.may_continue(key) {
             stop_allocation(machine, key, 0.0);
         }
     }
