--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -269,7 +269,7 @@
     }
 
     /// Whether the job's tasks write checkpoints, from which they resume after a stop.
-    pub fn saves(&self) -> bool {
+    pub fn writes_checkpoints(&self) -> bool {
         self.spec.checkpoint_s > 0.0
     }
 }
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -58,7 +58,7 @@
     /// Stops a task, or the whole gang that it belongs to, leaving it time to save.
     pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
         let Some(job) = self.jobs.live.get(&key.0.job) else { return };
-        let leeway_s = if job.saves() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
+        let leeway_s = if job.writes_checkpoints() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
         let mut stopped = vec![(id.clone(), *key)];
         if job.spec.kind == Kind::Gang {
             stopped = job
