--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -84,7 +84,7 @@
     /// Number of task failures so far, over all tasks and attempts.
     pub errors: u32,
     /// Machines on which tasks of the job have failed, with the time of the latest failure.
-    pub error_machines: BTreeMap<MachineId, MonotonicTime>,
+    pub last_failure_by_machine: BTreeMap<MachineId, MonotonicTime>,
     /// No task of the job is placed before this time: backoff after failures or a lack of capacity.
     pub pause_until: MonotonicTime,
     /// Since when the job has had a task waiting for a spot machine that is not running yet.
@@ -118,7 +118,7 @@
             overspent: 0.0,
             ran: (0, 0.0),
             errors: 0,
-            error_machines: BTreeMap::new(),
+            last_failure_by_machine: BTreeMap::new(),
             pause_until: MonotonicTime(0),
             spot_wait_since: None,
             no_new_spot: false,
@@ -259,13 +259,13 @@
     /// done, and tasks failed on several machines within `FAILURE_WINDOW`. Older failures do not count, as
     /// they may have been caused by faulty machines.
     pub fn at_fault(&self, now: MonotonicTime) -> bool {
-        let recent = self.error_machines.values().filter(|failed_at| now - **failed_at < FAILURE_WINDOW);
+        let recent = self.last_failure_by_machine.values().filter(|failed_at| now - **failed_at < FAILURE_WINDOW);
         self.done_count == 0 && recent.count() >= MIN_FAILED_MACHINES
     }
 
     /// Whether the job must not be placed on a machine because it failed there within the quarantine period.
     pub fn avoids(&self, id: &MachineId, now: MonotonicTime) -> bool {
-        self.error_machines.get(id).is_some_and(|failed_at| now - *failed_at < QUARANTINE_PERIOD)
+        self.last_failure_by_machine.get(id).is_some_and(|failed_at| now - *failed_at < QUARANTINE_PERIOD)
     }
 
     /// Whether the job's tasks write checkpoints, from which they resume after a stop.
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -98,9 +98,9 @@
 #[test]
 fn a_job_that_failed_recently_on_two_machines_is_at_fault() {
     let mut job = job();
-    job.error_machines.insert(machine(MACHINE), MonotonicTime(0));
+    job.last_failure_by_machine.insert(machine(MACHINE), MonotonicTime(0));
     assert!(!job.at_fault(MonotonicTime(0)));
-    job.error_machines.insert(machine(OTHER_MACHINE), MonotonicTime(1_000));
+    job.last_failure_by_machine.insert(machine(OTHER_MACHINE), MonotonicTime(1_000));
     assert!(job.at_fault(MonotonicTime(149_999)));
     assert!(!job.at_fault(MonotonicTime(150_000)), "the first failure is outside the window");
     job.set_done(0);
@@ -110,7 +110,7 @@
 #[test]
 fn a_job_avoids_a_machine_where_it_failed_for_the_quarantine_period() {
     let mut job = job();
-    job.error_machines.insert(machine(MACHINE), MonotonicTime(5));
+    job.last_failure_by_machine.insert(machine(MACHINE), MonotonicTime(5));
     let end = MonotonicTime(5) + QUARANTINE_PERIOD;
     assert!(job.avoids(&machine(MACHINE), MonotonicTime(end.0 - 1)) && !job.avoids(&machine(MACHINE), end));
     assert!(!job.avoids(&machine(OTHER_MACHINE), MonotonicTime(5)));
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -162,10 +162,10 @@
 
 /// The keys of the machines on which a job's tasks have failed lately.
 fn avoided(job: &Job, context: &JobContext) -> Vec<u32> {
-    if job.error_machines.is_empty() {
+    if job.last_failure_by_machine.is_empty() {
         return Vec::new();
     }
-    let failed = job.error_machines.keys().filter(|id| job.avoids(id, context.now));
+    let failed = job.last_failure_by_machine.keys().filter(|id| job.avoids(id, context.now));
     let mut keys: Vec<u32> = failed.filter_map(|id| context.keys.get(id).copied()).collect();
     keys.sort_unstable();
     keys
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -112,7 +112,7 @@
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.requeue(task.index, false);
         job.errors += 1;
-        job.error_machines.insert(id.clone(), now);
+        job.last_failure_by_machine.insert(id.clone(), now);
         debug!("task {task} failed on {id}, errors={}", job.errors);
         if job.at_fault(now) {
             let backoff_s = f64::from(1u32 << job.errors.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
