--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -92,7 +92,7 @@
     /// Whether the job has waited too long for spot machines; none are provisioned for it any more.
     pub no_new_spot: bool,
     /// The last round in which the scheduler tried to preempt other work for this job.
-    pub last_preemption_round: u64,
+    pub last_preemption_search_round: u64,
 }
 
 impl Job {
@@ -122,7 +122,7 @@
             pause_until: MonotonicTime(0),
             spot_wait_since: None,
             no_new_spot: false,
-            last_preemption_round: 0,
+            last_preemption_search_round: 0,
             spec: record.spec,
         }
     }
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -88,7 +88,7 @@
             let Some(job_view) = view.input.jobs.get(waiting.job as usize) else { continue };
             self.review_spot_wait(now, id, job_view, waiting);
             if self.may_preempt(id, job_view, waiting) {
-                let last_searched_round = self.jobs.live.get(id).map_or(0, |job| job.last_preemption_round);
+                let last_searched_round = self.jobs.live.get(id).map_or(0, |job| job.last_preemption_search_round);
                 preemptors.push(QueuedPreemptor {
                     id: *id,
                     urgency: (job_view.priority, !job_view.guaranteed),
@@ -129,7 +129,7 @@
 
     fn preempt_for(&mut self, now: MonotonicTime, preemptor: &QueuedPreemptor, search: &mut PreemptionSearch) {
         let Some(job) = self.jobs.live.get_mut(&preemptor.id) else { return };
-        job.last_preemption_round = self.rounds.count();
+        job.last_preemption_search_round = self.rounds.count();
         if job.spec.kind == Kind::Gang {
             // All of it or nothing: work is stopped only where that is enough.
             self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
