--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -258,7 +258,7 @@
     /// Whether the job itself, rather than the machines, is presumed to cause its failures: no task was ever
     /// done, and tasks failed on several machines within `FAILURE_WINDOW`. Older failures do not count, as
     /// they may have been caused by faulty machines.
-    pub fn at_fault(&self, now: MonotonicTime) -> bool {
+    pub fn is_at_fault(&self, now: MonotonicTime) -> bool {
         let recent = self.last_failure_by_machine.values().filter(|failed_at| now - **failed_at < FAILURE_WINDOW);
         self.done_count == 0 && recent.count() >= MIN_FAILED_MACHINES
     }
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -99,12 +99,12 @@
 fn a_job_that_failed_recently_on_two_machines_is_at_fault() {
     let mut job = job();
     job.last_failure_by_machine.insert(machine(MACHINE), MonotonicTime(0));
-    assert!(!job.at_fault(MonotonicTime(0)));
+    assert!(!job.is_at_fault(MonotonicTime(0)));
     job.last_failure_by_machine.insert(machine(OTHER_MACHINE), MonotonicTime(1_000));
-    assert!(job.at_fault(MonotonicTime(149_999)));
-    assert!(!job.at_fault(MonotonicTime(150_000)), "the first failure is outside the window");
+    assert!(job.is_at_fault(MonotonicTime(149_999)));
+    assert!(!job.is_at_fault(MonotonicTime(150_000)), "the first failure is outside the window");
     job.set_done(0);
-    assert!(!job.at_fault(MonotonicTime(1_000)), "a job with a done task is not at fault");
+    assert!(!job.is_at_fault(MonotonicTime(1_000)), "a job with a done task is not at fault");
 }
 
 #[test]
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -98,7 +98,7 @@
             && job.placed.is_empty()
             && job.gang.is_none()
             && job.pause_until <= now
-            && !job.at_fault(now)
+            && !job.is_at_fault(now)
             && !self.held_back(job)
             && wall.seconds_since(job.startable_at) >= self.tuning.gang_reservation_wait_s
     }
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -94,7 +94,7 @@
             false => self.jobs.expected_run_s(spec).max(MIN_RUN_S),
         };
         let JobDeadlines { due_s, slo_deadline_s, missed } = self.job_deadlines(job, ages, run_s, guaranteed);
-        let at_fault = job.at_fault(context.now);
+        let at_fault = job.is_at_fault(context.now);
         JobView {
             team: job.team,
             priority: priority_number(job.priority()),
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -114,7 +114,7 @@
         job.errors += 1;
         job.last_failure_by_machine.insert(id.clone(), now);
         debug!("task {task} failed on {id}, errors={}", job.errors);
-        if job.at_fault(now) {
+        if job.is_at_fault(now) {
             let backoff_s = f64::from(1u32 << job.errors.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
             job.pause_until = now + Millis::from_secs_f64(backoff_s);
             return;
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -285,5 +285,5 @@
     harness.run(70_000);
     assert_eq!(harness.running_count(&id), 4 - harness.scheduler.jobs.live[&id].done_count as usize);
     let job = &harness.scheduler.jobs.live[&id];
-    assert!(!job.at_fault(MonotonicTime(harness.now + 200_000)));
+    assert!(!job.is_at_fault(MonotonicTime(harness.now + 200_000)));
 }
