--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -78,7 +78,7 @@
     bitmap_write_in_flight: bool,
     /// What the job's placements have cost above the cheapest candidates, in the currency of the cloud's
     /// prices. Deducted from the job's spare budget in later rounds.
-    pub overspent: f64,
+    pub excess_cost: f64,
     /// Number of completed tasks with a known run time, and the sum of their run times in seconds.
     pub run_time_count_and_sum_s: (u32, f64),
     /// Number of task failures so far, over all tasks and attempts.
@@ -115,7 +115,7 @@
             gang: None,
             terminal_write_in_flight: false,
             bitmap_write_in_flight: false,
-            overspent: 0.0,
+            excess_cost: 0.0,
             run_time_count_and_sum_s: (0, 0.0),
             errors: 0,
             last_failure_by_machine: BTreeMap::new(),
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -117,7 +117,7 @@
             missed_slos: if service { 0 } else { missed },
             service,
             age_s: ages.startable_s,
-            overspent: job.overspent,
+            overspent: job.excess_cost,
             placed: zone_counts(job, &self.machines.known),
             avoid: if at_fault { Vec::new() } else { avoided(job, context) },
             guaranteed,
