--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -73,7 +73,7 @@
     /// The current attempt of a gang; set while any of its tasks may be on a machine.
     pub gang: Option<GangRun>,
     /// Whether the write of the job's terminal record is in flight.
-    pub terminal_write_in_flight: bool,
+    pub finishing: bool,
     /// Whether a write of the completion bitmap is in flight.
     bitmap_write_in_flight: bool,
     /// What the job's placements have cost above the cheapest candidates, in the currency of the cloud's
@@ -113,7 +113,7 @@
             reclaimed: BTreeSet::new(),
             placed: BTreeMap::new(),
             gang: None,
-            terminal_write_in_flight: false,
+            finishing: false,
             bitmap_write_in_flight: false,
             excess_cost: 0.0,
             run_time_count_and_sum_s: (0, 0.0),
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -85,9 +85,8 @@
 
     /// The jobs with tasks that may start now.
     fn plannable_jobs(&self, now: MonotonicTime) -> BTreeSet<JobId> {
-        let plannable = |job: &Job| {
-            job.startable_tasks() > 0 && job.pause_until <= now && !job.terminal_write_in_flight && !self.held_back(job)
-        };
+        let plannable =
+            |job: &Job| job.startable_tasks() > 0 && job.pause_until <= now && !job.finishing && !self.held_back(job);
         self.jobs.live.iter().filter(|(_, job)| plannable(job)).map(|(id, _)| *id).collect()
     }
 
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -133,7 +133,7 @@
 
     /// Ends jobs whose tasks are all done, first those that others depend on.
     fn write_finished(&mut self, wall: WallTime) {
-        let finished = self.jobs.iter().filter(|(_, job)| job.all_done() && !job.terminal_write_in_flight);
+        let finished = self.jobs.iter().filter(|(_, job)| job.all_done() && !job.finishing);
         let mut finished: Vec<JobId> = finished.map(|(id, _)| *id).collect();
         finished.sort_by_key(|id| !self.jobs.has_dependents(id));
         for id in finished {
@@ -141,7 +141,7 @@
                 break;
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            job.terminal_write_in_flight = true;
+            job.finishing = true;
             let preconditions = vec![live_precondition(&id, job.revision)];
             let mutations = termination_mutations(&id, &TerminalRecord::done(job.spec.tasks, wall)).into();
             self.commit(WritePurpose::Finish(id, wall), preconditions, mutations);
--- a/src/core/scheduler/writes/results.rs
+++ b/src/core/scheduler/writes/results.rs
@@ -71,7 +71,7 @@
             CommitOutcome::Conflict(_) if !result.conflicts_on(LEADER_KEY) => {}
             CommitOutcome::Conflict(_) | CommitOutcome::Rejected | CommitOutcome::Unknown => {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.terminal_write_in_flight = false;
+                    job.finishing = false;
                 }
             }
         }
