--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -276,14 +276,14 @@
 
 /// Corrects the submitters' run time estimates by the run times measured for each class of jobs.
 #[derive(Default)]
-pub struct ClassTimes {
+pub struct ClassRunTimes {
     /// The moving average of run time divided by estimate, by class.
     ratios: HashMap<String, f64>,
 }
 
-impl ClassTimes {
+impl ClassRunTimes {
     /// Records that a task of the class ran for `actual_s` seconds, with an estimate of `estimate_s` seconds.
-    pub fn learn(&mut self, class: &str, estimate_s: f64, actual_s: f64) {
+    pub fn record(&mut self, class: &str, estimate_s: f64, actual_s: f64) {
         if estimate_s <= 0.0 || actual_s <= 0.0 {
             return;
         }
@@ -296,7 +296,7 @@
     }
 
     /// The expected run time of a task in seconds: the estimate, corrected by the class's average ratio.
-    pub fn expect(&self, class: &str, estimate_s: f64) -> f64 {
+    pub fn expected_run_s(&self, class: &str, estimate_s: f64) -> f64 {
         estimate_s * self.ratios.get(class).copied().unwrap_or(1.0)
     }
 }
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -142,14 +142,14 @@
 
 #[test]
 fn measured_run_times_correct_the_estimates_of_a_class() {
-    let mut times = ClassTimes::default();
-    assert_eq!(times.expect("x", 10.0), 10.0);
+    let mut times = ClassRunTimes::default();
+    assert_eq!(times.expected_run_s("x", 10.0), 10.0);
     for _ in 0..200 {
-        times.learn("x", 10.0, 20.0);
+        times.record("x", 10.0, 20.0);
     }
-    assert!((times.expect("x", 10.0) - 20.0).abs() < 0.1);
+    assert!((times.expected_run_s("x", 10.0) - 20.0).abs() < 0.1);
     for i in 0..1000 {
-        times.learn(&format!("c{i}"), 1.0, 1.0);
+        times.record(&format!("c{i}"), 1.0, 1.0);
     }
     assert!(times.ratios.len() <= MAX_CLASSES);
 }
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -1,7 +1,7 @@
 //! The live jobs with their dependencies, and what the scheduler remembers of jobs that have ended.
 
 use crate::core::dependencies::{DependencyGraph, InheritedConstraints, JobTiming};
-use crate::core::jobs::{ClassTimes, Job};
+use crate::core::jobs::{ClassRunTimes, Job};
 use crate::core::records::JobOutcome;
 use crate::ids::JobId;
 use crate::time::{Millis, MonotonicTime};
@@ -33,7 +33,7 @@
     /// The latest jobs that have ended, the oldest first.
     recently_terminated: VecDeque<JobId>,
     /// How long the tasks of each class of jobs really run.
-    class_times: ClassTimes,
+    class_times: ClassRunTimes,
 }
 
 /// What the end of a job has changed.
@@ -53,19 +53,19 @@
             lookup_in_flight: false,
             next_lookup_at: now,
             recently_terminated: VecDeque::new(),
-            class_times: ClassTimes::default(),
+            class_times: ClassRunTimes::default(),
         }
     }
 
     /// The expected run time of a job's task in seconds.
     pub(super) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
-        self.class_times.expect(&spec.class, spec.estimate_s)
+        self.class_times.expected_run_s(&spec.class, spec.estimate_s)
     }
 
     /// A task of a live job has run for `ran_s` seconds.
     pub(super) fn learn_run_time(&mut self, id: &JobId, ran_s: f64) {
         if let Some(job) = self.live.get(id) {
-            self.class_times.learn(&job.spec.class, job.spec.estimate_s, ran_s);
+            self.class_times.record(&job.spec.class, job.spec.estimate_s, ran_s);
         }
     }
 
