--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -91,7 +91,7 @@
     /// Records the outcome of a job, live or not. Returns the dependents that no longer wait for it: all of them
     /// if it was done, otherwise none. If it was cancelled, its dependents have to be cancelled as well; if its
     /// outcome is unknown, it has to be looked up.
-    pub fn ended(&mut self, id: &JobId, outcome: JobOutcome) -> BTreeSet<JobId> {
+    pub fn record_outcome(&mut self, id: &JobId, outcome: JobOutcome) -> BTreeSet<JobId> {
         let Some(dependents) = self.dependents.get(id) else { return BTreeSet::new() };
         match outcome {
             JobOutcome::Unknown => {
@@ -143,7 +143,10 @@
 
     /// The constraints that each job inherits from its dependents, given the timing of each live job. Dependents
     /// that have to be cancelled are left out.
-    pub fn inherit(&self, job_timing: impl Fn(&JobId) -> Option<JobTiming>) -> BTreeMap<JobId, InheritedConstraints> {
+    pub fn inherited_constraints(
+        &self,
+        job_timing: impl Fn(&JobId) -> Option<JobTiming>,
+    ) -> BTreeMap<JobId, InheritedConstraints> {
         let mut inherited_by_job: BTreeMap<JobId, InheritedConstraints> = BTreeMap::new();
         for id in self.dependents_first() {
             let inherited_from = |dependent: JobId| {
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -85,7 +85,7 @@
     ended: JobId,
     outcome: JobOutcome,
 ) {
-    for released in dependencies.ended(&ended, outcome) {
+    for released in dependencies.record_outcome(&ended, outcome) {
         depends_on.get_mut(&released).map(|remaining| remaining.remove(&ended));
     }
 }
@@ -102,13 +102,13 @@
     dependencies.add(id(3), &ids(&[1, 2]), |_| true);
     dependencies.add(id(4), &ids(&[1, 3]), |_| true);
     dependencies.add(id(5), &ids(&[1, 9]), |_| true);
-    dependencies.ended(&id(9), JobOutcome::Cancelled);
+    dependencies.record_outcome(&id(9), JobOutcome::Cancelled);
     let stages = BTreeMap::from([
         (id(3), job_timing(Priority::Normal, None, 20.0)),
         (id(4), job_timing(Priority::High, Some(100.0), 8.0)),
         (id(5), job_timing(Priority::Prod, Some(1.0), 8.0)),
     ]);
-    let inherited = dependencies.inherit(|id| stages.get(id).cloned());
+    let inherited = dependencies.inherited_constraints(|id| stages.get(id).cloned());
     let of = |n: u32| {
         let i = &inherited[&id(n)];
         (i.priority, i.due_s, i.rank_s)
@@ -120,7 +120,7 @@
     // A long chain must not overflow the stack.
     let mut chain = DependencyGraph::default();
     (1..20_000).for_each(|n| chain.add(id(n), &ids(&[n - 1]), |_| true));
-    let inherited = chain.inherit(|_| Some(job_timing(Priority::Low, Some(0.0), 1.0)));
+    let inherited = chain.inherited_constraints(|_| Some(job_timing(Priority::Low, Some(0.0), 1.0)));
     assert_eq!(inherited[&id(0)].rank_s, 2.0 * 19_999.0);
 }
 
@@ -149,7 +149,7 @@
         }
     }
     let run_s = |job: &JobId| (0..2 * rungs).find(|n| id(*n) == *job).map_or(1.0, |n| 1.0 + 0.01 * f64::from(n * n));
-    let inherited = ladder.inherit(|job| Some(job_timing(Priority::Low, Some(1_000.0), run_s(job))));
+    let inherited = ladder.inherited_constraints(|job| Some(job_timing(Priority::Low, Some(1_000.0), run_s(job))));
     assert!(inherited.values().all(|i| i.slo_deadlines.len() <= MAX_SLO_DEADLINES));
     let first = &inherited[&id(0)];
     assert_eq!(first.due_s, first.slo_deadlines.first().copied(), "the earliest SLO deadline is kept");
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -126,7 +126,7 @@
     /// Hands the outcome of a job to its dependents. Returns whether some of them no longer wait for it.
     fn settle_dependents(&mut self, id: &JobId, outcome: JobOutcome) -> bool {
         let mut released = false;
-        for dependent in self.dependencies.ended(id, outcome) {
+        for dependent in self.dependencies.record_outcome(id, outcome) {
             let Some(job) = self.live.get_mut(&dependent) else { continue };
             job.depends_on.remove(id);
             if let JobOutcome::Done(Some(at)) = outcome {
@@ -167,7 +167,7 @@
 
     /// What each job inherits from its dependents, given the timing of each live job.
     pub(super) fn inherited(&self, timing: impl Fn(&Job) -> JobTiming) -> BTreeMap<JobId, InheritedConstraints> {
-        self.dependencies.inherit(|id| self.live.get(id).map(&timing))
+        self.dependencies.inherited_constraints(|id| self.live.get(id).map(&timing))
     }
 
     /// Sets what the live jobs inherit; those that aren't named inherit nothing. Returns the jobs whose
