--- a/src/core/completion_bitmap.rs
+++ b/src/core/completion_bitmap.rs
@@ -71,7 +71,7 @@
 
     /// Adds the done tasks of a stored chunk to a bitmap, skipping those beyond the bitmap's length. Returns
     /// false if the value cannot be decoded.
-    pub fn read(&self, bitmap: &mut FixedBitSet, number: u32, value: &Value) -> bool {
+    pub fn read_chunk(&self, bitmap: &mut FixedBitSet, number: u32, value: &Value) -> bool {
         let Some(bytes) = value.as_str().and_then(|text| STANDARD.decode(text).ok()) else {
             return false;
         };
@@ -100,7 +100,7 @@
     /// The value to store for the chunk: one bit for each of its tasks, set if the task is done, as base64.
     pub fn encode(&self, bitmap: &FixedBitSet) -> Value {
         let mut bytes = vec![0u8; self.tasks.len().div_ceil(8)];
-        for task in self.members(bitmap) {
+        for task in self.done_tasks(bitmap) {
             let position = task - self.tasks.start;
             bytes[position / 8] |= 1 << (position % 8);
         }
@@ -108,18 +108,18 @@
     }
 
     /// The tasks in this chunk that are done according to a bitmap.
-    pub fn members<'a>(&'a self, bitmap: &'a FixedBitSet) -> impl Iterator<Item = usize> + 'a {
+    pub fn done_tasks<'a>(&'a self, bitmap: &'a FixedBitSet) -> impl Iterator<Item = usize> + 'a {
         self.tasks.clone().filter(|task| bitmap.contains(*task))
     }
 
     /// Whether two bitmaps differ in the tasks of this chunk.
     pub fn differs(&self, one: &FixedBitSet, other: &FixedBitSet) -> bool {
-        self.members(one).ne(self.members(other))
+        self.done_tasks(one).ne(self.done_tasks(other))
     }
 }
 
 /// Parses the key of a chunk into the job's id and the chunk's number. Returns none for any other key.
-pub fn parse_key(key: &str) -> Option<(JobId, u32)> {
+pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let (job, number) = key.strip_prefix(BITMAP_PREFIX)?.split_once('/')?;
     Some((JobId::parse(job)?, number.parse().ok()?))
 }
--- a/src/core/completion_bitmap/tests.rs
+++ b/src/core/completion_bitmap/tests.rs
@@ -37,11 +37,11 @@
         for chunk in layout.chunks(MAX_TASKS) {
             let value = chunk.encode(&bitmap);
             assert!(value.to_string().len() < max_bytes);
-            let (_, number) = parse_key(&chunk.key(&JobId::parse("req-000001").unwrap())).unwrap();
-            assert!(layout.read(&mut restored, number, &value));
+            let (_, number) = parse_chunk_key(&chunk.key(&JobId::parse("req-000001").unwrap())).unwrap();
+            assert!(layout.read_chunk(&mut restored, number, &value));
         }
         assert_eq!(restored, bitmap);
-        assert!(!layout.read(&mut restored, 0, &json!({"not": "a set"})));
+        assert!(!layout.read_chunk(&mut restored, 0, &json!({"not": "a set"})));
     }
 }
 
@@ -53,7 +53,7 @@
         let mut restored = FixedBitSet::with_capacity(MAX_TASKS as usize);
         let earlier = chunks_of_earlier_version(&bitmap, max_value_kb);
         for (number, value) in earlier.iter().enumerate() {
-            assert!(layout.read(&mut restored, number as u32, value));
+            assert!(layout.read_chunk(&mut restored, number as u32, value));
             assert!(layout.chunks(MAX_TASKS).iter().all(|chunk| chunk.number != number as u32));
         }
         assert_eq!(restored, bitmap);
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -71,7 +71,7 @@
         let Some(job) = termination.job else { return };
         self.rounds.request();
         let chunks = self.limits.layout.chunks(job.spec.tasks);
-        let stored = chunks.iter().filter(|chunk| chunk.members(job.durably_done()).next().is_some());
+        let stored = chunks.iter().filter(|chunk| chunk.done_tasks(job.durably_done()).next().is_some());
         self.writes.delete_bitmaps(stored.map(|chunk| chunk.key(id)));
         for (index, machine_id, attempt) in job.places() {
             if let Some(machine) = self.machines.known.get_mut(machine_id) {
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -115,13 +115,13 @@
     }
 
     fn load_completion_bitmap(&mut self, row: KeyValue) -> Result<(), RowError> {
-        let parsed = completion_bitmap::parse_key(&row.key);
+        let parsed = completion_bitmap::parse_chunk_key(&row.key);
         let Some((job, number)) = parsed.and_then(|(id, number)| Some((self.jobs.get_mut(&id)?, number))) else {
             self.writes.delete_bitmaps([row.key]);
             return Ok(());
         };
         let layout = &self.limits.layout;
-        if job.load_bitmap(|bitmap| layout.read(bitmap, number, &row.value)) {
+        if job.load_bitmap(|bitmap| layout.read_chunk(bitmap, number, &row.value)) {
             Ok(())
         } else {
             Err(RowError::UnreadableBitmap { key: row.key })
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -180,7 +180,7 @@
             chunks.truncate(most);
             let mut durably_done = job.durably_done().clone();
             for chunk in chunks {
-                durably_done.extend(chunk.members(job.done()));
+                durably_done.extend(chunk.done_tasks(job.done()));
                 mutations.push(Mutation::put(chunk.key(&id), chunk.encode(job.done())));
             }
             job.start_bitmap_write();
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -31,8 +31,8 @@
             }
             let mut done = FixedBitSet::with_capacity(self.specs[&task.job].tasks as usize);
             for row in self.rows(&format!("{BITMAP_PREFIX}{}/", task.job)) {
-                let (_, chunk) = parse_key(&row.key).expect("the key of a chunk");
-                assert!(layout.read(&mut done, chunk, &row.value));
+                let (_, chunk) = parse_chunk_key(&row.key).expect("the key of a chunk");
+                assert!(layout.read_chunk(&mut done, chunk, &row.value));
             }
             assert!(done.contains(task.index as usize), "{task} was cleared and isn't done at {}", self.now);
         }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -20,7 +20,7 @@
 use self::digest::Digest;
 use self::mail::Mail;
 use self::workers::{SentHeartbeat, Worker};
-use super::completion_bitmap::{BitmapLayout, parse_key};
+use super::completion_bitmap::{BitmapLayout, parse_chunk_key};
 use super::election::{LEADER_KEY, LeaderRecord};
 use super::machine::MACHINE_PREFIX;
 use super::placement;
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use wallstile::config::{StoreLimits, UpcomingStoreLimits};
-use wallstile::core::completion_bitmap::{BitmapLayout, parse_key};
+use wallstile::core::completion_bitmap::{BitmapLayout, parse_chunk_key};
 use wallstile::core::election::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
 use wallstile::core::records::{
@@ -144,9 +144,9 @@
     let rows: BTreeMap<String, Value> = Samples::stored().read(name);
     let mut set = FixedBitSet::with_capacity(tasks);
     for (key, value) in &rows {
-        let (job, number) = parse_key(key).expect("it is the key of a row");
+        let (job, number) = parse_chunk_key(key).expect("it is the key of a row");
         assert_eq!(job, job_id(), "{key}");
-        assert!(layout().read(&mut set, number, value), "{key}");
+        assert!(layout().read_chunk(&mut set, number, value), "{key}");
     }
     set
 }
