--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -39,7 +39,7 @@
     /// The mean rate at which the machine types open to a job fetch images, in GB per second; 1 if none is
     /// open or the mean is zero.
     fn mean_fetch_rate(&self, spec: &JobSpec) -> f64 {
-        let types = self.catalog.types.iter().filter(|machine_type| submissions::type_allows(spec, machine_type));
+        let types = self.catalog.types.iter().filter(|machine_type| submissions::is_eligible_type(spec, machine_type));
         let rates = types.map(|machine_type| machine_type.fetch_gb_per_s);
         let (count, sum) = rates.fold((0.0, 0.0), |(count, sum), rate| (count + 1.0, sum + rate));
         if sum > 0.0 { sum / count } else { 1.0 }
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -40,7 +40,7 @@
             return;
         }
         for (machine_type, need) in self.catalog.types.iter().zip(&mut self.gpus.needs) {
-            if submissions::type_allows(spec, machine_type) {
+            if submissions::is_eligible_type(spec, machine_type) {
                 need.cpus = need.cpus.max(spec.cpus).min(machine_type.cpus);
                 need.memory_gb = need.memory_gb.max(spec.memory_gb).min(machine_type.memory_gb);
             }
--- a/src/core/scheduler/placement_checks.rs
+++ b/src/core/scheduler/placement_checks.rs
@@ -52,7 +52,7 @@
     }
 
     fn permits_pool(&self, spec: &JobSpec, pool: InstancePool) -> bool {
-        submissions::type_allows(spec, &self.catalog.types[pool.kind])
+        submissions::is_eligible_type(spec, &self.catalog.types[pool.kind])
             && spec.zone.as_ref().is_none_or(|zone| *zone == self.catalog.zones[pool.zone as usize])
             && (spec.spot || !pool.spot)
     }
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -169,7 +169,7 @@
     };
     let offers_zone =
         |machine_type: &MachineType| spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone));
-    if !types.iter().any(|machine_type| type_allows(spec, machine_type) && offers_zone(machine_type)) {
+    if !types.iter().any(|machine_type| is_eligible_type(spec, machine_type) && offers_zone(machine_type)) {
         return Err(UnsatisfiableSubmission::FitsNoMachineType);
     }
     // All tasks of a gang run at the same time, so a gang that must be spread over zones needs at least two; a job
@@ -192,13 +192,13 @@
 /// The zones that are open to a job: those of the machine types that it allows and that fit one of its tasks,
 /// restricted to the job's own zone if it names one.
 fn allowed_zones<'a>(spec: &JobSpec, types: &'a [MachineType]) -> BTreeSet<&'a String> {
-    let allowed = types.iter().filter(|machine_type| type_allows(spec, machine_type));
+    let allowed = types.iter().filter(|machine_type| is_eligible_type(spec, machine_type));
     let zones = allowed.flat_map(|machine_type| &machine_type.zones);
     zones.filter(|zone| spec.zone.as_ref().is_none_or(|required| required == *zone)).collect()
 }
 
 /// Whether a job allows a machine type, and an empty machine of that type is large enough for one of its tasks.
-pub fn type_allows(spec: &JobSpec, machine_type: &MachineType) -> bool {
+pub fn is_eligible_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
         && spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
         && spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
