--- a/src/core/cancellations.rs
+++ b/src/core/cancellations.rs
@@ -13,7 +13,7 @@
 /// The confirmed cancellations, ordered by the store revision that cancelled the job. Complete only after a
 /// certain revision.
 #[derive(Default)]
-pub struct Cancellations {
+pub struct ConfirmedCancellations {
     /// `confirmed` holds every cancellation after this revision that this process, or an earlier one at the same
     /// address, has confirmed to a user. None: the store's revision was not read yet.
     complete_after: Option<Revision>,
@@ -21,20 +21,20 @@
     confirmed: BTreeSet<(Revision, JobId)>,
 }
 
-impl Cancellations {
+impl ConfirmedCancellations {
     /// Sets the first store revision that this process has seen. No cancellation that an earlier process at the
     /// same address has confirmed can be newer than it. Later calls do nothing.
-    pub fn at_revision(&mut self, revision: Revision) {
+    pub fn set_first_revision(&mut self, revision: Revision) {
         self.complete_after.get_or_insert(revision);
     }
 
-    /// Whether the first store revision was set by [`at_revision`](Cancellations::at_revision).
-    pub fn is_known(&self) -> bool {
+    /// Whether the first store revision was set by [`Self::set_first_revision`].
+    pub fn is_first_revision_known(&self) -> bool {
         self.complete_after.is_some()
     }
 
     /// Records that a job was cancelled at a revision. To be called before the cancellation is confirmed to a user.
-    pub fn tell(&mut self, id: JobId, revision: Revision) {
+    pub fn record(&mut self, id: JobId, revision: Revision) {
         self.confirmed.insert((revision, id));
         while self.confirmed.len() > MAX_CANCELLATIONS {
             if let Some((oldest, _)) = self.confirmed.pop_first() {
--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -14,7 +14,7 @@
 //!
 //! This module is a state machine without I/O; `net::election` drives it.
 
-use super::cancellations::Cancellations;
+use super::cancellations::ConfirmedCancellations;
 use crate::ids::{JobId, LeaseId, Revision, Term};
 use crate::time::{Millis, MonotonicTime};
 use serde::{Deserialize, Serialize};
@@ -243,7 +243,7 @@
         now: MonotonicTime,
         term: Term,
         read_through: Revision,
-        told: &Cancellations,
+        told: &ConfirmedCancellations,
     ) -> Result<Pledge, PledgeRefusal> {
         if !self.refused {
             return Err(PledgeRefusal::StoreAnswers);
--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -34,9 +34,9 @@
 }
 
 /// The cancellations of a process that has been there since the store was empty.
-fn told_nothing() -> Cancellations {
-    let mut cancellations = Cancellations::default();
-    cancellations.at_revision(Revision(0));
+fn told_nothing() -> ConfirmedCancellations {
+    let mut cancellations = ConfirmedCancellations::default();
+    cancellations.set_first_revision(Revision(0));
     cancellations
 }
 
@@ -73,25 +73,25 @@
 fn a_pledge_carries_what_the_leader_cannot_have_read() {
     let mut follower = election();
     follower.store_refused();
-    let mut told = Cancellations::default();
-    let ask = |follower: &mut Election, told: &Cancellations, read_through| {
+    let mut told = ConfirmedCancellations::default();
+    let ask = |follower: &mut Election, told: &ConfirmedCancellations, read_through| {
         follower.pledge_to(MonotonicTime(20_000), Term(7), Revision(read_through), told).map(|pledge| pledge.cancelled)
     };
-    told.tell(job(1), Revision(11));
+    told.record(job(1), Revision(11));
     assert_eq!(
         ask(&mut follower, &told, 90),
         Err(PledgeRefusal::CancellationsUnknown),
         "an earlier process here may have confirmed more"
     );
-    told.at_revision(Revision(12));
-    told.tell(job(2), Revision(13));
-    told.tell(job(3), Revision(15));
+    told.set_first_revision(Revision(12));
+    told.record(job(2), Revision(13));
+    told.record(job(3), Revision(15));
     assert_eq!(ask(&mut follower, &told, 11), Err(PledgeRefusal::CancellationsUnknown), "what it knows begins later");
     assert_eq!(ask(&mut follower, &told, 12), Ok(vec![job(2), job(3)]));
     assert_eq!(ask(&mut follower, &told, 13), Ok(vec![job(3)]));
     // More than are remembered: what is forgotten isn't known any more.
     for n in 0..MAX_CANCELLATIONS as u64 {
-        told.tell(job(100 + n), Revision(100 + n));
+        told.record(job(100 + n), Revision(100 + n));
     }
     assert_eq!(ask(&mut follower, &told, 13), Err(PledgeRefusal::CancellationsUnknown));
     assert_eq!(ask(&mut follower, &told, 15).map(|cancelled| cancelled.len()), Ok(MAX_CANCELLATIONS));
--- a/src/core/election_simulation/controllers.rs
+++ b/src/core/election_simulation/controllers.rs
@@ -13,7 +13,7 @@
     /// When this process began; its clock counts from there.
     pub(super) started_at: u64,
     pub(super) election: Election,
-    pub(super) cancellations: Cancellations,
+    pub(super) cancellations: ConfirmedCancellations,
     pub(super) frozen_until: u64,
     /// The store refuses this controller until then.
     pub(super) refused_until: u64,
@@ -34,7 +34,7 @@
         Controller {
             started_at,
             election: Election::new(Millis(LEADER_LEASE_TTL), Millis((CANCELLATION_TIMEOUT - WORKER_LEASE) * 6 / 10)),
-            cancellations: Cancellations::default(),
+            cancellations: ConfirmedCancellations::default(),
             frozen_until: 0,
             refused_until: 0,
             cut_until: 0,
@@ -87,7 +87,7 @@
         let controller = &mut self.controllers[index];
         if served {
             controller.election.store_answered();
-            controller.cancellations.at_revision(Revision(self.revision));
+            controller.cancellations.set_first_revision(Revision(self.revision));
         } else {
             controller.election.store_refused();
         }
--- a/src/core/election_simulation/mail.rs
+++ b/src/core/election_simulation/mail.rs
@@ -94,7 +94,7 @@
         if controller.started_at != answer.started_at || self.now < controller.frozen_until {
             return;
         }
-        controller.cancellations.tell(answer.job, Revision(answer.revision));
+        controller.cancellations.record(answer.job, Revision(answer.revision));
         if controller.election.lease().is_some() {
             controller.known_cancelled.insert(answer.job);
         }
--- a/src/core/election_simulation/mod.rs
+++ b/src/core/election_simulation/mod.rs
@@ -16,7 +16,7 @@
 use self::controllers::Controller;
 use self::mail::{CancellationAnswer, PledgeAnswer};
 use self::workers::Worker;
-use super::cancellations::Cancellations;
+use super::cancellations::ConfirmedCancellations;
 use super::election::Election;
 use crate::ids::{JobId, LeaseId, Revision, Term};
 use crate::time::{Millis, MonotonicTime};
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -110,10 +110,10 @@
 
 /// Learns the first revision that this process sees, from which on it knows what it tells users.
 async fn learn_store_revision(node: &Node) {
-    if !node.lock().cancellations.is_known()
+    if !node.lock().cancellations.is_first_revision_known()
         && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
     {
-        node.lock().cancellations.at_revision(revision);
+        node.lock().cancellations.set_first_revision(revision);
     }
 }
 
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -84,7 +84,7 @@
     let mut inner = node.lock();
     inner.outcomes.put(id, record);
     if record.phase == JobPhase::Aborted {
-        inner.cancellations.tell(*id, revision);
+        inner.cancellations.record(*id, revision);
     }
     if let Some(scheduler) = &mut inner.scheduler {
         scheduler.on_job_terminated(id, record.outcome());
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -12,7 +12,7 @@
 use super::node::Node;
 use super::{election, heartbeat_relay, leader_loop, peers, relay_routes, server};
 use crate::config::{Peer, Settings, Tuning, sample_settings};
-use crate::core::cancellations::Cancellations;
+use crate::core::cancellations::ConfirmedCancellations;
 use crate::core::election::{LEADER_KEY, SUCCESSOR_KEY};
 use crate::core::scheduler::Effect;
 use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, Revision, TaskId, Term};
--- a/src/net/loopback/leadership.rs
+++ b/src/net/loopback/leadership.rs
@@ -45,7 +45,7 @@
     eventually(async || heartbeat().await == 200).await;
 
     // The other ends, and what is there in its place can't know what was confirmed to users: no pledge.
-    other.lock().cancellations = Cancellations::default();
+    other.lock().cancellations = ConfirmedCancellations::default();
     eventually(async || heartbeat().await == 421).await;
 }
 
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -15,7 +15,7 @@
 use super::relay_routes::RelayRoutes;
 use super::store_health::{StoreHealth, StoreService};
 use crate::config::{Settings, Tuning};
-use crate::core::cancellations::Cancellations;
+use crate::core::cancellations::ConfirmedCancellations;
 use crate::core::election::Election;
 use crate::core::overload::Overload;
 use crate::core::scheduler::Scheduler;
@@ -63,7 +63,7 @@
     /// Jobs known to have ended.
     pub outcomes: OutcomeCache,
     /// The cancellations that this process has confirmed to users.
-    pub cancellations: Cancellations,
+    pub cancellations: ConfirmedCancellations,
     /// Jobs that were found not to depend on a cancelled one, and when.
     pub dependency_check_cache: DependencyCheckCache,
     /// The leader's counts of its live jobs, which users are shown.
@@ -100,7 +100,7 @@
             leader_name: None,
             types: None,
             outcomes: OutcomeCache::default(),
-            cancellations: Cancellations::default(),
+            cancellations: ConfirmedCancellations::default(),
             dependency_check_cache: DependencyCheckCache::default(),
             counts: HashMap::new(),
             user_requests: 0,
