--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -78,7 +78,7 @@
     pub(crate) fn submit(&mut self, spec: JobSpec) {
         self.revision += 1;
         let id = JobId::parse(&spec.id).expect("a legal id");
-        let record = serde_json::json!(LiveRecord { at: WallTime(self.now), spec, depends_on: Vec::new() });
+        let record = serde_json::json!(LiveRecord { submitted_at: WallTime(self.now), spec, depends_on: Vec::new() });
         self.scheduler.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -101,9 +101,9 @@
         let tasks = record.spec.tasks;
         Job {
             revision,
-            submitted: record.at,
+            submitted: record.submitted_at,
             depends_on: record.depends_on.into_iter().collect(),
-            startable_at: record.at,
+            startable_at: record.submitted_at,
             inherited: None,
             team,
             done: FixedBitSet::with_capacity(tasks as usize),
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -18,7 +18,7 @@
         "apart": false, "loaner": true, "expect_s": 5.0, "mark_s": 0.0, "stow_s": 0.0
     });
     let spec = serde_json::from_value(spec).unwrap();
-    Job::new(LiveRecord { at: WallTime(10_000), spec, depends_on: Vec::new() }, Revision(1), 0)
+    Job::new(LiveRecord { submitted_at: WallTime(10_000), spec, depends_on: Vec::new() }, Revision(1), 0)
 }
 
 fn ready(job: &Job) -> Vec<u32> {
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -51,7 +51,7 @@
 #[serde(from = "StoredLive", into = "StoredLive")]
 pub struct LiveRecord {
     /// When the job was submitted.
-    pub at: WallTime,
+    pub submitted_at: WallTime,
     /// The job's description, as submitted.
     pub spec: JobSpec,
     /// The jobs that must be done before any task of this one may start.
@@ -82,9 +82,11 @@
 impl From<StoredLive> for LiveRecord {
     fn from(stored: StoredLive) -> LiveRecord {
         match stored {
-            StoredLive::WithoutDependencies { at, spec } => LiveRecord { at, spec, depends_on: Vec::new() },
+            StoredLive::WithoutDependencies { at, spec } => {
+                LiveRecord { submitted_at: at, spec, depends_on: Vec::new() }
+            }
             StoredLive::WithDependencies { at, waiting } => {
-                LiveRecord { at, spec: waiting.spec, depends_on: waiting.depends_on }
+                LiveRecord { submitted_at: at, spec: waiting.spec, depends_on: waiting.depends_on }
             }
         }
     }
@@ -92,7 +94,7 @@
 
 impl From<LiveRecord> for StoredLive {
     fn from(record: LiveRecord) -> StoredLive {
-        let LiveRecord { at, spec, depends_on } = record;
+        let LiveRecord { submitted_at: at, spec, depends_on } = record;
         if depends_on.is_empty() {
             StoredLive::WithoutDependencies { at, spec }
         } else {
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn live_records_without_dependencies_are_identical_in_all_versions() {
-    let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on: Vec::new() };
+    let record = LiveRecord { submitted_at: WallTime(7), spec: spec(), depends_on: Vec::new() };
     let earlier = EarlierLiveRecord { at: WallTime(7), spec: spec() };
     assert_eq!(json!(record), json!(earlier));
     assert!(!has_dependencies(&json!(record)));
@@ -38,7 +38,7 @@
 #[test]
 fn an_earlier_version_cannot_read_a_job_with_dependencies() {
     let depends_on = vec![JobId::parse("req-000398").unwrap(), JobId::parse("req-0000405").unwrap()];
-    let record = LiveRecord { at: WallTime(7), spec: spec(), depends_on };
+    let record = LiveRecord { submitted_at: WallTime(7), spec: spec(), depends_on };
     assert_eq!(read::<EarlierLiveRecord>(&json!(record)), None);
     assert!(has_dependencies(&json!(record)));
     assert_eq!(read::<LiveRecord>(&json!(record)), Some(record));
--- a/src/core/scheduler/job_table/tests.rs
+++ b/src/core/scheduler/job_table/tests.rs
@@ -21,7 +21,7 @@
     });
     let spec = serde_json::from_value(spec).unwrap();
     let depends_on = depends_on.iter().map(|number| id(*number)).collect();
-    Job::new(LiveRecord { at: WallTime(10_000), spec, depends_on }, Revision(revision), 0)
+    Job::new(LiveRecord { submitted_at: WallTime(10_000), spec, depends_on }, Revision(revision), 0)
 }
 
 fn table(jobs: &[(usize, &[usize])]) -> JobTable {
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -76,7 +76,7 @@
         save_s: 0.0,
         deadline_s: None,
     };
-    Job::new(LiveRecord { at: WallTime(submitted), spec, depends_on: Vec::new() }, Revision(1), team)
+    Job::new(LiveRecord { submitted_at: WallTime(submitted), spec, depends_on: Vec::new() }, Revision(1), team)
 }
 
 #[test]
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -156,7 +156,7 @@
     fn submit_after(&mut self, revision: u64, spec: JobSpec, depends_on: &[JobId]) -> JobId {
         let depends_on = depends_on.to_vec();
         let id = JobId::parse(&spec.id).unwrap();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
+        let record = json!(LiveRecord { submitted_at: WallTime(self.now), spec, depends_on });
         self.scheduler.on_job_accepted(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -111,7 +111,7 @@
         self.revision += 1;
         let depends_on =
             FixedFleet::dependency(number).into_iter().filter(|id| !self.outcomes.contains_key(id)).collect();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
+        let record = json!(LiveRecord { submitted_at: WallTime(self.now), spec, depends_on });
         self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -135,7 +135,7 @@
         let spec = spec(&format!("req-{n:06}"), Kind::Array, 2, 1.0);
         KeyValue {
             key: format!("live/{}", spec.id),
-            value: json!(LiveRecord { at: WallTime(0), spec, depends_on: vec![] }),
+            value: json!(LiveRecord { submitted_at: WallTime(0), spec, depends_on: vec![] }),
             revision: 9,
         }
     };
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -131,7 +131,7 @@
     let id = JobId::parse(&gang.id).unwrap();
     scheduler.on_job_accepted(
         &id,
-        &json!(LiveRecord { at: WallTime(0), spec: gang, depends_on: Vec::new() }),
+        &json!(LiveRecord { submitted_at: WallTime(0), spec: gang, depends_on: Vec::new() }),
         Revision(1),
     );
     let waiting = BTreeSet::from([id]);
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -27,7 +27,7 @@
             return;
         }
         let depends_on = named.into_iter().filter(|named| self.outcome(named).is_none()).collect();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
+        let record = json!(LiveRecord { submitted_at: WallTime(self.now), spec, depends_on });
         self.revision += 1;
         self.store.insert(live_key(&id), (record.clone(), self.revision));
         let (leader, revision) = (self.leader_number, self.revision);
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -20,7 +20,7 @@
     let ParsedSubmission { id, submission } =
         parse_submission(job("req-000001", 1).to_string().as_bytes()).expect("the id is readable");
     let Ok(Submission { spec, .. }) = submission else { panic!("the job is possible") };
-    let live = json!(LiveRecord { at: WallTime(0), spec, depends_on: Vec::new() });
+    let live = json!(LiveRecord { submitted_at: WallTime(0), spec, depends_on: Vec::new() });
     leader.on_job_accepted(&id, &live, Revision(1));
     node.settings.peers.iter().for_each(|peer| leader.peer_answered(MonotonicTime(0), &peer.name));
     leader.tick(MonotonicTime(0) + TICK_INTERVAL.mul_f64(40.0), WallTime(2_000));
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -83,7 +83,7 @@
     let Submission { spec, depends_on } = submission;
     let types = node.lock().types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
     check_satisfiable(&spec, &node.settings.cluster.teams, &types)?;
-    let mut record = LiveRecord { at: node.wall_time(), spec, depends_on };
+    let mut record = LiveRecord { submitted_at: node.wall_time(), spec, depends_on };
     // Checked with all dependencies, also those that are done and won't be stored.
     let value = json!(record);
     if value.to_string().len() > node.settings.cluster.store.value_bytes() {
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -22,7 +22,11 @@
 const AT: WallTime = WallTime(1_700_000_000_123);
 
 fn live(depends_on: &[&str]) -> LiveRecord {
-    LiveRecord { at: AT, spec: full_job(), depends_on: depends_on.iter().map(|name| job_named(name)).collect() }
+    LiveRecord {
+        submitted_at: AT,
+        spec: full_job(),
+        depends_on: depends_on.iter().map(|name| job_named(name)).collect(),
+    }
 }
 
 #[test]
