--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -58,13 +58,13 @@
     pub depends_on: Vec<JobId>,
 }
 
-/// The stored form of a [`LiveRecord`]. Versions without support for dependencies cannot read `WithDependencies`,
+/// The stored form of a [`LiveRecord`]. Versions without support for dependencies cannot read `Dependent`,
 /// and so ignore such a job instead of starting it too early.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredLive {
-    WithoutDependencies { at: WallTime, spec: JobSpec },
-    WithDependencies { at: WallTime, waiting: DependentSpec },
+    Independent { at: WallTime, spec: JobSpec },
+    Dependent { at: WallTime, waiting: DependentSpec },
 }
 
 #[derive(Clone, Serialize, Deserialize)]
@@ -82,10 +82,8 @@
 impl From<StoredLive> for LiveRecord {
     fn from(stored: StoredLive) -> LiveRecord {
         match stored {
-            StoredLive::WithoutDependencies { at, spec } => {
-                LiveRecord { submitted_at: at, spec, depends_on: Vec::new() }
-            }
-            StoredLive::WithDependencies { at, waiting } => {
+            StoredLive::Independent { at, spec } => LiveRecord { submitted_at: at, spec, depends_on: Vec::new() },
+            StoredLive::Dependent { at, waiting } => {
                 LiveRecord { submitted_at: at, spec: waiting.spec, depends_on: waiting.depends_on }
             }
         }
@@ -96,9 +94,9 @@
     fn from(record: LiveRecord) -> StoredLive {
         let LiveRecord { submitted_at: at, spec, depends_on } = record;
         if depends_on.is_empty() {
-            StoredLive::WithoutDependencies { at, spec }
+            StoredLive::Independent { at, spec }
         } else {
-            StoredLive::WithDependencies { at, waiting: DependentSpec { spec, depends_on } }
+            StoredLive::Dependent { at, waiting: DependentSpec { spec, depends_on } }
         }
     }
 }
