--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -82,7 +82,7 @@
     /// Number of completed tasks with a known run time, and the sum of their run times in seconds.
     pub run_time_count_and_sum_s: (u32, f64),
     /// Number of task failures so far, over all tasks and attempts.
-    pub errors: u32,
+    pub failure_count: u32,
     /// Machines on which tasks of the job have failed, with the time of the latest failure.
     pub last_failure_by_machine: BTreeMap<MachineId, MonotonicTime>,
     /// No task of the job is placed before this time: backoff after failures or a lack of capacity.
@@ -117,7 +117,7 @@
             bitmap_write_in_flight: false,
             excess_cost: 0.0,
             run_time_count_and_sum_s: (0, 0.0),
-            errors: 0,
+            failure_count: 0,
             last_failure_by_machine: BTreeMap::new(),
             pause_until: MonotonicTime(0),
             spot_wait_since: None,
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -112,11 +112,11 @@
     fn on_task_failed(&mut self, now: MonotonicTime, id: &MachineId, task: &TaskId) {
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.requeue(task.index, false);
-        job.errors += 1;
+        job.failure_count += 1;
         job.last_failure_by_machine.insert(id.clone(), now);
-        debug!("task {task} failed on {id}, errors={}", job.errors);
+        debug!("task {task} failed on {id}, errors={}", job.failure_count);
         if job.is_at_fault(now) {
-            let backoff_s = f64::from(1u32 << job.errors.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
+            let backoff_s = f64::from(1u32 << job.failure_count.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
             job.pause_until = now + Millis::from_secs_f64(backoff_s);
             return;
         }
