--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -103,12 +103,12 @@
     dependencies.add(id(4), &ids(&[1, 3]), |_| true);
     dependencies.add(id(5), &ids(&[1, 9]), |_| true);
     dependencies.record_outcome(&id(9), JobOutcome::Cancelled);
-    let stages = BTreeMap::from([
+    let timings = BTreeMap::from([
         (id(3), job_timing(Priority::Normal, None, 20.0)),
         (id(4), job_timing(Priority::High, Some(100.0), 8.0)),
         (id(5), job_timing(Priority::Prod, Some(1.0), 8.0)),
     ]);
-    let inherited = dependencies.inherited_constraints(|id| stages.get(id).cloned());
+    let inherited = dependencies.inherited_constraints(|id| timings.get(id).cloned());
     let of = |n: u32| {
         let i = &inherited[&id(n)];
         (i.priority, i.due_s, i.rank_s)
