--- a/src/core/shards.rs
+++ b/src/core/shards.rs
@@ -153,7 +153,7 @@
         moves
     }
 
-    /// The move of one team that best_team evens out the loads of the most and the least loaded controller; none if the
+    /// The move of one team that best evens out the loads of the most and the least loaded controller; none if the
     /// difference is too small to justify a move.
     fn move_by_load(&self, loads: &ControllerLoads) -> Option<ShardMove> {
         let (to, low) = loads.least_loaded();
