--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -63,7 +63,9 @@
 
     /// Whether the machine may run tasks of the job, apart from capacity and zone constraints.
     fn is_eligible(&self, now: MonotonicTime, job: &Job, id: &MachineId, machine: &Machine) -> bool {
-        machine.usable(now, self.heartbeat_timeout()) && self.permits(&job.spec, machine) && !job.avoids(id, now)
+        machine.usable(now, self.heartbeat_timeout())
+            && self.permits_machine(&job.spec, machine)
+            && !job.avoids(id, now)
     }
 
     /// The eviction needed on an eligible machine. `None` if its image, its GPU headroom or the tasks that may be
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -190,7 +190,7 @@
         let never_heard = SimulatedWorker::new(900_000, "plain", "a", false, 0);
         let workers = self.workers.iter().flatten().chain([&never_heard]);
         let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.heartbeat)).collect();
-        self.leader.on_list(MonotonicTime(self.now), &machines);
+        self.leader.on_machine_list(MonotonicTime(self.now), &machines);
     }
 
     fn peers(&mut self) {
@@ -247,9 +247,9 @@
                 }
                 self.leader.on_terminated(now, &ids, true);
             }
-            Effect::LookUp(ids) => {
+            Effect::LookUpOutcomes(ids) => {
                 let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.outcomes.get(id)?))).collect();
-                self.leader.on_looked_up(now, &outcomes);
+                self.leader.on_outcomes_looked_up(now, &outcomes);
             }
             Effect::Plan { node, input } => self.plan(&node, &input),
         }
