--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -80,7 +80,7 @@
     /// prices. Deducted from the job's spare budget in later rounds.
     pub excess_cost: f64,
     /// Number of completed tasks with a known run time, and the sum of their run times in seconds.
-    pub run_time_count_and_sum_s: (u32, f64),
+    pub run_time_totals: (u32, f64),
     /// Number of task failures so far, over all tasks and attempts.
     pub failure_count: u32,
     /// Machines on which tasks of the job have failed, with the time of the latest failure.
@@ -116,7 +116,7 @@
             finishing: false,
             bitmap_write_in_flight: false,
             excess_cost: 0.0,
-            run_time_count_and_sum_s: (0, 0.0),
+            run_time_totals: (0, 0.0),
             failure_count: 0,
             last_failure_by_machine: BTreeMap::new(),
             pause_until: MonotonicTime(0),
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -83,9 +83,9 @@
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.set_done(task.index);
         let ratio = ran_s.and_then(|ran_s| {
-            job.run_time_count_and_sum_s = (job.run_time_count_and_sum_s.0 + 1, job.run_time_count_and_sum_s.1 + ran_s);
-            (job.run_time_count_and_sum_s.0 > 4)
-                .then(|| ran_s / (job.run_time_count_and_sum_s.1 / f64::from(job.run_time_count_and_sum_s.0)).max(0.1))
+            job.run_time_totals = (job.run_time_totals.0 + 1, job.run_time_totals.1 + ran_s);
+            (job.run_time_totals.0 > 4)
+                .then(|| ran_s / (job.run_time_totals.1 / f64::from(job.run_time_totals.0)).max(0.1))
         });
         self.update_machine_after_success(now, id, ratio);
     }
