--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -37,7 +37,7 @@
     let mut response = PeerHeartbeatResponse {
         version: VERSION,
         redirected,
-        store_ok: !state.election.is_refused_by_store(),
+        store_ok: !state.election.is_store_unavailable(),
         ..Default::default()
     };
     if heartbeat.asks_extension {
@@ -50,8 +50,8 @@
 
 /// Takes in what a leader tells its peers.
 fn take_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
-    state.suspected = heartbeat.suspected.iter().cloned().collect();
-    state.take_counts(&heartbeat.counts);
+    state.suspected_machines = heartbeat.suspected.iter().cloned().collect();
+    state.set_live_job_counts(&heartbeat.counts);
     state.heartbeat_relay.heard_leader(&heartbeat.from, Term(heartbeat.term), now);
     if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
         node.relay_wakeup.notify_one();
@@ -62,7 +62,7 @@
 fn pledge(state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat, response: &mut PeerHeartbeatResponse) {
     let (term, read_through) = (Term(heartbeat.term), Revision(heartbeat.read_through));
     if let Ok(pledge) = state.election.pledge_to(now, term, read_through, &state.cancellations) {
-        response.pledge_ms = pledge.span.0;
+        response.pledge_ms = pledge.duration.0;
         response.cancelled = pledge.cancelled.iter().map(JobId::to_string).collect();
     }
 }
--- a/src/net/user_api/polls.rs
+++ b/src/net/user_api/polls.rs
@@ -14,7 +14,7 @@
 /// cached here, or too many requests are under way.
 pub(super) fn admit_for_job<'a>(node: &'a Node, id: &str) -> Result<(JobId, Admission<'a>), Reply> {
     let id = JobId::parse(id).ok_or_else(Reply::no_such_job)?;
-    let outcome = node.lock().outcomes.get(&id);
+    let outcome = node.lock().outcome_cache.get(&id);
     if let Some(record) = outcome {
         return Err(Reply::terminal(&id, record));
     }
@@ -46,7 +46,7 @@
     match dependency_check::depends_on_cancelled(node, id, &row).await {
         Ok(false) => {
             let inner = node.lock();
-            let (done, running) = inner.counts.get(id).map_or((0, 0), |count| (count.done, count.running));
+            let (done, running) = inner.live_job_counts.get(id).map_or((0, 0), |count| (count.done, count.running));
             Reply::live(id, done, running)
         }
         Ok(true) => cancel(node, id, row).await,
