--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -4,7 +4,7 @@
 use super::eviction::{PlacementTarget, Preemptor};
 use super::gang_reservations::PartialCapacity;
 use super::planner_view::{PlannedJob, PlannerView, zone_counts};
-use super::preemption_index::{Candidates, PreemptionSearch};
+use super::preemption_index::{PreemptionCandidates, PreemptionSearch};
 use crate::core::jobs::{Job, priority_number};
 use crate::core::machine::Resources;
 use crate::core::placement;
@@ -16,7 +16,7 @@
 use log::debug;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Limit on the tasks of one job that are preempted for in one round.
+/// Limit on the tasks of one job that other work is preempted for in one round.
 const MAX_TASKS_PER_PREEMPTOR: u32 = 64;
 /// Machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at different
 /// machines, so that all are examined in turn.
@@ -201,16 +201,15 @@
     }
 
     /// The machines where stopping work frees capacity for a task of the job. At most [`MAX_EXAMINED_MACHINES`]
-    /// machines
-    /// are examined, starting at another one in each round; for a gang all are.
+    /// are examined, starting at a different one in each round; for a gang, all are.
     fn candidates_for(
         &self,
         now: MonotonicTime,
         search: &mut PreemptionSearch,
         request: &PreemptionRequest,
         zones: &[ZoneCount],
-    ) -> Candidates {
-        let mut candidates = Candidates::default();
+    ) -> PreemptionCandidates {
+        let mut candidates = PreemptionCandidates::default();
         let Some(job) = self.jobs.live.get(&request.job) else { return candidates };
         let preemptor = Preemptor { id: &request.job, job, target: request.target };
         let (need, urgency) = (Resources::of_task(&job.spec), self.urgency(&request.job, job));
@@ -243,7 +242,8 @@
         let has_zone_constraint = |job: &&Job| job.spec.spread || job.spec.one_zone;
         let Some(job) = self.jobs.live.get(id).filter(has_zone_constraint) else { return Vec::new() };
         let mut zones = zone_counts(job, &self.machines.known);
-        let reserved = self.reservations.of(id).filter_map(|reservation| self.machines.known.get(&reservation.machine));
+        let reserved =
+            self.reservations.for_job(id).filter_map(|reservation| self.machines.known.get(&reservation.machine));
         zones.extend(reserved.map(|machine| ZoneCount { zone: machine.zone, count: 1 }));
         self.cost.add_tasks(job.placed.len() + zones.len());
         zones
