--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -15,7 +15,7 @@
 //!
 //! This module is a state machine without I/O; `net::election` drives it.
 
-use super::cancellations::Cancellations;
+use super::cancellations::ConfirmedCancellations;
 use crate::ids::{JobId, LeaseId, Revision, Term};
 use crate::time::{Millis, MonotonicTime};
 use serde::{Deserialize, Serialize};
@@ -255,7 +255,7 @@
         now: MonotonicTime,
         term: Term,
         read_through: Revision,
-        confirmed: &Cancellations,
+        confirmed: &ConfirmedCancellations,
     ) -> Result<Pledge, PledgeRefusal> {
         if !self.store_unavailable {
             return Err(PledgeRefusal::StoreAvailable);
--- a/src/core/election_simulation/controllers.rs
+++ b/src/core/election_simulation/controllers.rs
@@ -13,7 +13,7 @@
     /// When this process started; its clock counts from there.
     pub(super) started_at: u64,
     pub(super) election: Election,
-    pub(super) cancellations: Cancellations,
+    pub(super) cancellations: ConfirmedCancellations,
     /// This process is suspended until this time.
     pub(super) frozen_until: u64,
     /// The store refuses this controller's requests until this time.
@@ -39,7 +39,7 @@
                 Millis(LEADER_LEASE_TTL_MS),
                 Millis((CANCELLATION_LIMIT_MS - WORKER_LEASE_TTL_MS) * 6 / 10),
             ),
-            cancellations: Cancellations::default(),
+            cancellations: ConfirmedCancellations::default(),
             frozen_until: 0,
             refused_until: 0,
             partitioned_until: 0,
@@ -92,7 +92,7 @@
         let controller = &mut self.controllers[index];
         if served {
             controller.election.store_served();
-            controller.cancellations.at_revision(Revision(self.revision));
+            controller.cancellations.set_first_revision(Revision(self.revision));
         } else {
             controller.election.store_failed();
         }
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -114,10 +114,10 @@
 /// Records the first store revision that this process sees: from there on it knows all cancellations that this
 /// controller has confirmed to users.
 async fn record_first_revision(node: &Node) {
-    if !node.lock().cancellations.is_known()
+    if !node.lock().cancellations.is_first_revision_known()
         && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
     {
-        node.lock().cancellations.at_revision(revision);
+        node.lock().cancellations.set_first_revision(revision);
     }
 }
 
