--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -1,7 +1,7 @@
 //! The live jobs, their dependencies, and the ids of recently ended jobs.
 
 use crate::core::dependencies::{DependencyGraph, InheritedConstraints, JobTiming};
-use crate::core::jobs::{ClassTimes, Job};
+use crate::core::jobs::{ClassRunTimes, Job};
 use crate::core::records::JobOutcome;
 use crate::ids::JobId;
 use crate::time::{Millis, MonotonicTime};
@@ -32,7 +32,7 @@
     /// The most recently ended jobs, oldest first.
     recently_terminated: VecDeque<JobId>,
     /// Observed run times of the tasks of each job class.
-    class_times: ClassTimes,
+    class_times: ClassRunTimes,
 }
 
 /// The effects of a job's end on the table.
@@ -52,19 +52,19 @@
             lookup_in_flight: false,
             next_lookup_at: now,
             recently_terminated: VecDeque::new(),
-            class_times: ClassTimes::default(),
+            class_times: ClassRunTimes::default(),
         }
     }
 
     /// The expected run time of a job's task in seconds.
     pub(super) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
-        self.class_times.expect(&spec.class, spec.estimate_s)
+        self.class_times.expected_run_s(&spec.class, spec.estimate_s)
     }
 
     /// Records that a task of a live job has run for `ran_s` seconds.
     pub(super) fn record_run_time(&mut self, id: &JobId, ran_s: f64) {
         if let Some(job) = self.live.get(id) {
-            self.class_times.learn(&job.spec.class, job.spec.estimate_s, ran_s);
+            self.class_times.record(&job.spec.class, job.spec.estimate_s, ran_s);
         }
     }
 
@@ -125,7 +125,7 @@
     /// Applies the outcome of a job to its dependents. Returns whether any of them no longer waits for it.
     fn apply_outcome_to_dependents(&mut self, id: &JobId, outcome: JobOutcome) -> bool {
         let mut released = false;
-        for dependent in self.dependencies.ended(id, outcome) {
+        for dependent in self.dependencies.record_outcome(id, outcome) {
             let Some(job) = self.live.get_mut(&dependent) else { continue };
             job.depends_on.remove(id);
             if let JobOutcome::Done(Some(at)) = outcome {
@@ -166,7 +166,7 @@
 
     /// The constraints that each job inherits from its dependents, given the timing of each live job.
     pub(super) fn inherited(&self, timing: impl Fn(&Job) -> JobTiming) -> BTreeMap<JobId, InheritedConstraints> {
-        self.dependencies.inherit(|id| self.live.get(id).map(&timing))
+        self.dependencies.inherited_constraints(|id| self.live.get(id).map(&timing))
     }
 
     /// Sets the inherited constraints of all live jobs; jobs missing from `inherited` inherit none. Returns the jobs
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -16,7 +16,7 @@
 use super::relay_routes::RelayRoutes;
 use super::store_health::{StoreHealth, StoreService};
 use crate::config::{Settings, Tuning};
-use crate::core::cancellations::Cancellations;
+use crate::core::cancellations::ConfirmedCancellations;
 use crate::core::election::Election;
 use crate::core::overload::OverloadDetector;
 use crate::core::scheduler::Scheduler;
@@ -64,7 +64,7 @@
     /// Outcomes of jobs that are known to have ended.
     pub outcome_cache: OutcomeCache,
     /// The cancellations that this process has confirmed to users.
-    pub cancellations: Cancellations,
+    pub cancellations: ConfirmedCancellations,
     /// Jobs that were found not to depend on a cancelled job, with the time of the check.
     pub dependency_check_cache: DependencyCheckCache,
     /// The leader's latest task counts of its live jobs, shown to users that poll a job.
@@ -101,7 +101,7 @@
             leader_name: None,
             machine_types: None,
             outcome_cache: OutcomeCache::default(),
-            cancellations: Cancellations::default(),
+            cancellations: ConfirmedCancellations::default(),
             dependency_check_cache: DependencyCheckCache::default(),
             live_job_counts: HashMap::new(),
             user_requests_in_progress: 0,
