--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -166,7 +166,7 @@
                 _ => self.leader.on_heartbeat(MonotonicTime(now), &heartbeat),
             };
             let answer = response.ok();
-            self.digest.answer(answer.as_ref());
+            self.digest.add_heartbeat_response(answer.as_ref());
             if let Some(answer) = answer {
                 worker.execute_orders(now, answer.token, &answer.orders);
             }
@@ -219,7 +219,7 @@
     }
 
     fn perform(&mut self, effect: Effect) {
-        self.digest.effect(&effect);
+        self.digest.add_effect(&effect);
         let now = MonotonicTime(self.now);
         match effect {
             Effect::Orders { request, endpoint, body } => {
@@ -312,7 +312,7 @@
     fn plan(&mut self, node: &str, input: &PlanInput) {
         self.given.plans += 1;
         let plan = (!self.given.plans.is_multiple_of(13)).then(|| placement::plan(input));
-        plan.iter().for_each(|plan| self.digest.peer_plan(plan));
+        plan.iter().for_each(|plan| self.digest.add_peer_plan(plan));
         self.leader.on_plan(MonotonicTime(self.now), node, plan);
     }
 }
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -1,28 +1,40 @@
-//! The rules of the protocol, checked against the true state that the model keeps.
+//! The invariants of the protocol, checked against the actual state of the simulation.
 
 use super::*;
 
 impl Simulation {
-    /// A record that says done is right, and one that says cancelled has its reason.
+    /// Checks a terminal record that was just written: all tasks of a done job have completed, and a cancelled job
+    /// was cancelled by a user or depends on a cancelled job.
     pub(super) fn check_terminal_record(&self, id: &JobId) {
         let record: TerminalRecord = serde_json::from_value(self.store[&terminal_key(id)].0.clone()).unwrap();
         if record.phase == JobPhase::Done {
             for index in 0..self.specs[id].tasks {
                 let task = TaskId { job: *id, index };
-                assert!(self.completed_tasks.contains(&task), "not_done: {task} at {}", self.now);
+                assert!(
+                    self.completed_tasks.contains(&task),
+                    "{task} has not completed, but its job is recorded as done at {} ms",
+                    self.now
+                );
             }
-            assert!(!self.cancelled.contains_key(id), "went_back: {id}");
+            assert!(!self.cancelled.contains_key(id), "{id} is recorded as done after its cancellation was confirmed");
         } else {
-            let needed = self.depends_on[id].iter().any(|dependency| self.is_cancelled_or_follows_one(dependency));
-            assert!(self.cancelled.contains_key(id) || needed, "{id} is cancelled for no reason at {}", self.now);
+            let has_cancelled_dependency =
+                self.depends_on[id].iter().any(|dependency| self.is_cancelled_or_depends_on_cancelled(dependency));
+            assert!(
+                self.cancelled.contains_key(id) || has_cancelled_dependency,
+                "{id} is recorded as cancelled without a reason at {} ms",
+                self.now
+            );
         }
     }
 
-    fn is_cancelled_or_follows_one(&self, id: &JobId) -> bool {
-        self.cancelled.contains_key(id) || self.depends_on[id].iter().any(|id| self.is_cancelled_or_follows_one(id))
+    fn is_cancelled_or_depends_on_cancelled(&self, id: &JobId) -> bool {
+        self.cancelled.contains_key(id)
+            || self.depends_on[id].iter().any(|id| self.is_cancelled_or_depends_on_cancelled(id))
     }
 
-    /// What workers were ordered to clear stays durably done while its job is live.
+    /// Checks that all cleared tasks of live jobs are marked as done in the stored completion bitmaps. No worker lists
+    /// them any longer, so a leader that doesn't find them there would start them again.
     pub(super) fn check_cleared_tasks_are_done(&self) {
         let layout = BitmapLayout::new(&self.settings.cluster.store);
         for task in &self.cleared_tasks {
@@ -31,45 +43,57 @@
             }
             let mut done = FixedBitSet::with_capacity(self.specs[&task.job].tasks as usize);
             for row in self.rows(&format!("{BITMAP_PREFIX}{}/", task.job)) {
-                let (_, chunk) = parse_key(&row.key).expect("the key of a chunk");
+                let (_, chunk) = parse_key(&row.key).expect("key of a bitmap chunk");
                 assert!(layout.read(&mut done, chunk, &row.value));
             }
-            assert!(done.contains(task.index as usize), "{task} was cleared and isn't done at {}", self.now);
+            assert!(
+                done.contains(task.index as usize),
+                "{task} was cleared, but is not stored as done at {} ms",
+                self.now
+            );
         }
     }
 
-    /// The rules at the moment of a start.
+    /// Checks that a task may start on this worker now: its job permits the machine, was not cancelled 30 s ago or
+    /// earlier, and its dependencies are done.
     pub(super) fn check_start(&self, index: usize, task: &TaskId) {
         let spec = &self.specs[&task.job];
         let (now, worker) = (self.now, &self.workers[index]);
         let machine_type = &self.types[worker.type_index];
         let zone = &machine_type.zones[worker.zone_index];
-        assert!(!worker.spot || spec.spot, "wrong_place: {task} on a spot machine");
-        assert!(spec.zone.as_ref().is_none_or(|wanted| wanted == zone), "wrong_place: zone of {task}");
+        assert!(!worker.spot || spec.spot, "{task} starts on a spot machine, which its job doesn't permit");
+        assert!(
+            spec.zone.as_ref().is_none_or(|wanted| wanted == zone),
+            "{task} starts in a zone that its job doesn't permit"
+        );
         let types = spec.types.as_ref();
-        assert!(types.is_none_or(|types| types.contains(&machine_type.name)), "wrong_place: type of {task}");
+        assert!(
+            types.is_none_or(|types| types.contains(&machine_type.name)),
+            "{task} starts on a machine type that its job doesn't permit"
+        );
         if let Some(at) = self.cancelled.get(&task.job) {
-            assert!(now - at < 30_000, "ran_cancelled: {task} starts");
+            assert!(now - at < 30_000, "{task} starts at {now} ms, cancellation confirmed at {at} ms");
         }
         for dependency in &self.depends_on[&task.job] {
             let done = matches!(self.outcome(dependency), Some(JobOutcome::Done(_)));
-            assert!(done, "too_early: {task} starts before {dependency} is done at {now}");
+            assert!(done, "{task} starts before its dependency {dependency} is done, at {now} ms");
         }
-        self.check_start_beside_others(index, task, spec);
+        self.check_start_against_running_tasks(index, task, spec);
     }
 
-    /// The rules on what runs elsewhere at the moment of a start: one run of a task, quota, zones.
-    fn check_start_beside_others(&self, index: usize, task: &TaskId, spec: &JobSpec) {
+    /// Checks the start of a task against all running tasks: no other attempt of it is active, and the team's quota and
+    /// the job's rules on zones are kept.
+    fn check_start_against_running_tasks(&self, index: usize, task: &TaskId, spec: &JobSpec) {
         let (now, zone_index) = (self.now, self.workers[index].zone_index);
-        let mut used = spec.cpus;
+        let mut used_cpus = spec.cpus;
         let mut tasks_by_zone = [0; 2];
         tasks_by_zone[zone_index] += 1;
-        for (other_index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.dead) {
-            for ((other, _), _) in worker.tasks.iter().filter(|(_, listed)| !listed.has_exited()) {
-                assert!(other != task, "ran_twice: {task} on m-{other_index:06} and m-{index:06} at {now}");
+        for (other_index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_gone) {
+            for ((other, _), _) in worker.tasks.iter().filter(|(_, state)| !state.has_exited()) {
+                assert!(other != task, "{task} runs on m-{other_index:06} and starts on m-{index:06} at {now} ms");
                 let other_spec = &self.specs[&other.job];
                 if other_spec.team == spec.team {
-                    used += other_spec.cpus;
+                    used_cpus += other_spec.cpus;
                 }
                 if other.job == task.job {
                     tasks_by_zone[worker.zone_index] += 1;
@@ -77,29 +101,44 @@
             }
         }
         let team = self.settings.cluster.teams.iter().find(|team| team.name == spec.team).unwrap();
-        assert!(team.cpus_max == 0.0 || used <= team.cpus_max + 1e-6, "quota: {used} by {} at {now}", team.name);
+        assert!(
+            team.cpus_max == 0.0 || used_cpus <= team.cpus_max + 1e-6,
+            "team {} uses {used_cpus} CPUs, over its limit, at {now} ms",
+            team.name
+        );
         if spec.one_zone {
-            assert!(tasks_by_zone.contains(&0), "wrong_place: {task} in two zones at {now}");
+            assert!(
+                tasks_by_zone.contains(&0),
+                "tasks of a one-zone job run in two zones after the start of {task} at {now} ms"
+            );
         }
         if spec.spread {
-            let most = spec.tasks.div_ceil(2);
-            assert!(tasks_by_zone[zone_index] <= most, "wrong_place: {task} not spread at {now}");
+            let max_per_zone = spec.tasks.div_ceil(2);
+            assert!(
+                tasks_by_zone[zone_index] <= max_per_zone,
+                "{task} starts at {now} ms in a zone that has its share of the job's tasks"
+            );
         }
     }
 
+    /// Checks that no task of a cancelled job runs later than 30 s (`cancel_s`) after the cancellation was confirmed.
     pub(super) fn check_cancelled_jobs_do_not_run(&self) {
-        for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.dead) {
-            for ((task, _), listed) in &worker.tasks {
+        for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_gone) {
+            for ((task, _), state) in &worker.tasks {
                 if let Some(at) = self.cancelled.get(&task.job) {
-                    let gone = listed.has_exited() || self.now - at <= 30_000;
-                    assert!(gone, "ran_cancelled: {task} on m-{index:06} at {}", self.now);
+                    let allowed = state.has_exited() || self.now - at <= 30_000;
+                    assert!(
+                        allowed,
+                        "{task} still runs on m-{index:06} at {} ms, cancellation confirmed at {at} ms",
+                        self.now
+                    );
                 }
             }
         }
     }
 
-    /// Arrays and gangs that are neither done nor cancelled.
-    pub(super) fn unfinished(&self) -> Vec<String> {
+    /// Live jobs other than services, which never end by themselves.
+    pub(super) fn unfinished_jobs(&self) -> Vec<String> {
         let live = self.store.keys().filter_map(|key| key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse));
         live.filter(|id| self.specs[id].kind != Kind::Service).map(|id| id.to_string()).collect()
     }
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -1,26 +1,27 @@
-//! The cloud of the model, with capacity for a few machines.
+//! Model of the cloud, which has capacity for a few machines.
 
 use super::*;
 
-/// Machines that live at once.
+/// Maximum number of machines that exist at the same time.
 const MAX_MACHINES: usize = 12;
-/// Machines that one request gets.
+/// Maximum number of machines provisioned for one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 2;
 
 impl Simulation {
+    /// Provisions machines that boot some time later, or returns the earlier ones if the request is repeated.
     pub(super) fn provision(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
         if let Some(names) = self.provision_requests.get(&request.name) {
             return ProvisionOutcome::Provisioned(names.clone());
         }
-        if self.workers.iter().filter(|worker| !worker.dead).count() >= MAX_MACHINES {
+        if self.workers.iter().filter(|worker| !worker.is_gone).count() >= MAX_MACHINES {
             return ProvisionOutcome::NoCapacity;
         }
         let type_index = self.types.iter().position(|machine_type| machine_type.name == request.kind).unwrap();
         let zone_index = self.types[type_index].zones.iter().position(|zone| *zone == request.zone).unwrap();
         let names: Vec<String> = (0..request.number.min(MAX_MACHINES_PER_REQUEST))
             .map(|_| {
-                let up_at = self.now + self.rng.random_range(100..12_000);
-                self.add_worker(type_index, zone_index, request.spot, up_at)
+                let boots_at = self.now + self.rng.random_range(100..12_000);
+                self.add_worker(type_index, zone_index, request.spot, boots_at)
             })
             .collect();
         self.provision_requests.insert(request.name.clone(), names.clone());
@@ -29,7 +30,7 @@
 
     pub(super) fn terminate(&mut self, name: &str) {
         let index: usize = name[2..].parse().unwrap();
-        self.workers[index].dead = true;
+        self.workers[index].is_gone = true;
         self.workers[index].tasks.clear();
     }
 }
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -1,13 +1,13 @@
-//! A digest of all that the core puts out, for characterisation tests: a change that is to keep the
-//! behaviour must keep the digests.
+//! Digest of everything that the core puts out, for characterization tests: a change that is meant to preserve the
+//! behavior must not change the digests.
 //!
-//! Only wire forms are hashed (JSON and prost messages), so renames in the source disturb nothing.
+//! Only the encoded forms are hashed (JSON and protobuf messages), so the digests don't depend on names in the source.
 
 use super::*;
 use prost::Message;
 use serde::Serialize;
 
-/// The fixed first byte of everything that is hashed. The tags are also the places in [`Digest::counts`].
+/// Kind of a hashed output, and the first byte hashed for it. Also the index of the kind in [`Digest::counts`].
 #[derive(Clone, Copy)]
 #[repr(u8)]
 enum Tag {
@@ -16,110 +16,113 @@
     FenceRefresh = 2,
     Provision = 3,
     Terminate = 4,
-    LookUp = 5,
+    LookUpOutcomes = 5,
     Plan = 6,
     PeerPlan = 7,
-    Answer = 8,
-    NoAnswer = 9,
+    HeartbeatResponse = 8,
+    HeartbeatRejection = 9,
 }
 
-const TAGS: usize = 10;
+const TAG_COUNT: usize = 10;
 
-/// FNV-1a over 64 bits, with a count of what was hashed under each tag.
+/// 64-bit FNV-1a hash, with the number of outputs hashed for each tag.
 pub(in crate::core) struct Digest {
     state: u64,
-    counts: [u64; TAGS],
+    counts: [u64; TAG_COUNT],
 }
 
 impl Digest {
+    /// The digest of no output.
     pub(in crate::core) fn new() -> Digest {
-        Digest { state: 0xcbf2_9ce4_8422_2325, counts: [0; TAGS] }
+        Digest { state: 0xcbf2_9ce4_8422_2325, counts: [0; TAG_COUNT] }
     }
 
+    /// The hash of all outputs so far.
     pub(in crate::core) fn value(&self) -> u64 {
         self.state
     }
 
-    /// How often each kind of output was hashed: orders, commits, fence refreshes, provisions,
-    /// terminations, lookups, plan inputs, plans of peers, answers to heartbeats, heartbeats without an answer.
-    pub(in crate::core) fn counts(&self) -> [u64; TAGS] {
+    /// How many outputs of each kind were hashed: orders, commits, fence refreshes, provision requests, terminations,
+    /// lookups of outcomes, inputs of plans, plans of peers, heartbeat responses, rejected heartbeats.
+    pub(in crate::core) fn counts(&self) -> [u64; TAG_COUNT] {
         self.counts
     }
 
-    pub(in crate::core) fn effect(&mut self, effect: &Effect) {
+    /// Hashes an effect of the scheduler.
+    pub(in crate::core) fn add_effect(&mut self, effect: &Effect) {
         match effect {
             Effect::Orders { request, endpoint, body } => {
-                self.tag(Tag::Orders);
-                self.number(request.0);
-                self.part(endpoint.as_bytes());
-                self.json(body);
+                self.add_tag(Tag::Orders);
+                self.add_u64(request.0);
+                self.add_length_prefixed(endpoint.as_bytes());
+                self.add_json(body);
             }
             Effect::Commit { request, transaction } => {
-                self.tag(Tag::Commit);
-                self.number(request.0);
-                self.json(transaction);
+                self.add_tag(Tag::Commit);
+                self.add_u64(request.0);
+                self.add_json(transaction);
             }
             Effect::RefreshFence(transaction) => {
-                self.tag(Tag::FenceRefresh);
-                self.json(transaction);
+                self.add_tag(Tag::FenceRefresh);
+                self.add_json(transaction);
             }
             Effect::Provision(request) => {
-                self.tag(Tag::Provision);
-                self.json(request);
+                self.add_tag(Tag::Provision);
+                self.add_json(request);
             }
             Effect::Terminate(machines) => {
-                self.tag(Tag::Terminate);
-                self.json(machines);
+                self.add_tag(Tag::Terminate);
+                self.add_json(machines);
             }
             Effect::LookUpOutcomes(jobs) => {
-                self.tag(Tag::LookUp);
-                self.json(jobs);
+                self.add_tag(Tag::LookUpOutcomes);
+                self.add_json(jobs);
             }
             Effect::Plan { node, input } => {
-                self.tag(Tag::Plan);
-                self.part(node.as_bytes());
-                self.part(&input.encode_to_vec());
+                self.add_tag(Tag::Plan);
+                self.add_length_prefixed(node.as_bytes());
+                self.add_length_prefixed(&input.encode_to_vec());
             }
         }
     }
 
-    /// What a peer has planned for its shard.
-    pub(in crate::core) fn peer_plan(&mut self, plan: &PlanOutput) {
-        self.tag(Tag::PeerPlan);
-        self.part(&plan.encode_to_vec());
+    /// Hashes the plan of a peer for its shard.
+    pub(in crate::core) fn add_peer_plan(&mut self, plan: &PlanOutput) {
+        self.add_tag(Tag::PeerPlan);
+        self.add_length_prefixed(&plan.encode_to_vec());
     }
 
-    /// What the leader answers to a heartbeat, if it does.
-    pub(in crate::core) fn answer(&mut self, answer: Option<&HeartbeatResponse>) {
-        match answer {
-            Some(answer) => {
-                self.tag(Tag::Answer);
-                self.json(answer);
+    /// Hashes the leader's response to a heartbeat; `None` if the leader rejected the heartbeat.
+    pub(in crate::core) fn add_heartbeat_response(&mut self, response: Option<&HeartbeatResponse>) {
+        match response {
+            Some(response) => {
+                self.add_tag(Tag::HeartbeatResponse);
+                self.add_json(response);
             }
-            None => self.tag(Tag::NoAnswer),
+            None => self.add_tag(Tag::HeartbeatRejection),
         }
     }
 
-    fn tag(&mut self, tag: Tag) {
+    fn add_tag(&mut self, tag: Tag) {
         self.counts[tag as usize] += 1;
-        self.bytes(&[tag as u8]);
+        self.add_bytes(&[tag as u8]);
     }
 
-    fn json(&mut self, value: &impl Serialize) {
-        self.part(&serde_json::to_vec(value).expect("a wire form is JSON"));
+    fn add_json(&mut self, value: &impl Serialize) {
+        self.add_length_prefixed(&serde_json::to_vec(value).expect("serializable as JSON"));
     }
 
-    /// Bytes with their length in front, so that parts can't be shifted into each other.
-    fn part(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        self.bytes(bytes);
+    /// Hashes bytes after their length, so that different splits of the same bytes give different digests.
+    fn add_length_prefixed(&mut self, bytes: &[u8]) {
+        self.add_u64(bytes.len() as u64);
+        self.add_bytes(bytes);
     }
 
-    fn number(&mut self, number: u64) {
-        self.bytes(&number.to_le_bytes());
+    fn add_u64(&mut self, number: u64) {
+        self.add_bytes(&number.to_le_bytes());
     }
 
-    fn bytes(&mut self, bytes: &[u8]) {
+    fn add_bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.state = (self.state ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
@@ -129,12 +132,12 @@
 #[test]
 fn digest_is_fnv_1a() {
     let mut digest = Digest::new();
-    digest.bytes(b"foobar");
+    digest.add_bytes(b"foobar");
     assert_eq!(digest.value(), 0x8594_4171_f739_67e8);
 }
 
-/// The digests of some histories, each with its seed: a difference can be traced to one of them.
-const EXPECTED: [(u64, u64); 12] = [
+/// The seed and the digest of each run. One digest per seed shows which runs have changed.
+const EXPECTED_DIGESTS: [(u64, u64); 12] = [
     (0, 0x54b7_c723_c8db_a6f1),
     (1, 0xaaf2_2edf_e48d_f0b9),
     (2, 0x23a4_9024_c086_3c54),
@@ -149,11 +152,12 @@
     (11, 0x0047_1e22_e5a6_4894),
 ];
 
-/// How often each kind of output occurs in all of them, in the order of [`Digest::counts`].
-const EXPECTED_COUNTS: [u64; TAGS] = [1806, 1165, 112, 426, 266, 62, 1652, 1603, 3532, 266];
+/// The number of outputs of each kind in all these runs, in the order of [`Digest::counts`].
+const EXPECTED_COUNTS: [u64; TAG_COUNT] = [1806, 1165, 112, 426, 266, 62, 1652, 1603, 3532, 266];
 
-/// Histories with more cancellations, pipelines and late writes than usual, and fewer changes of leader.
-fn play(seed: u64) -> Digest {
+/// Returns the digest of a run with more cancellations, dependencies and late commits than by default, and fewer leader
+/// crashes.
+fn run_digest(seed: u64) -> Digest {
     let mut simulation = Simulation::new(seed);
     (
         simulation.leader_crash_probability,
@@ -166,17 +170,17 @@
 }
 
 #[test]
-fn digests_of_random_histories_are_unchanged() {
-    let played = EXPECTED.map(|(seed, _)| (seed, play(seed)));
-    let mut counts = [0; TAGS];
-    for (_, digest) in &played {
+fn digests_of_random_runs_are_unchanged() {
+    let digests = EXPECTED_DIGESTS.map(|(seed, _)| (seed, run_digest(seed)));
+    let mut counts = [0; TAG_COUNT];
+    for (_, digest) in &digests {
         counts.iter_mut().zip(digest.counts()).for_each(|(sum, count)| *sum += count);
     }
-    let actual = played.map(|(seed, digest)| (seed, digest.value()));
+    let actual = digests.map(|(seed, digest)| (seed, digest.value()));
     for (seed, value) in &actual {
         println!("    ({seed}, {value:#018x}),");
     }
     println!("counts={counts:?}");
-    assert_eq!(actual, EXPECTED);
+    assert_eq!(actual, EXPECTED_DIGESTS);
     assert_eq!(counts, EXPECTED_COUNTS);
 }
--- a/src/core/simulation/effects.rs
+++ b/src/core/simulation/effects.rs
@@ -1,23 +1,24 @@
-//! What the leader puts out becomes mail to workers, store, cloud and peers.
+//! Carries out the leader's effects: sends messages to the workers and the store, and requests to the cloud and
+//! the peers.
 
 use super::*;
 use crate::ids::RequestId;
 
-/// After this the edges give up an exchange with a worker.
-pub(super) const ORDERS_TIMEOUT: u64 = 2_000;
-/// After this the edges give up an exchange with the store.
-const COMMIT_TIMEOUT: u64 = 1_200;
+/// Timeout of a request to a worker.
+pub(super) const ORDERS_TIMEOUT_MS: u64 = 2_000;
+/// Timeout of a request to the store.
+const COMMIT_TIMEOUT_MS: u64 = 1_200;
 
 impl Simulation {
     pub(super) fn perform_effects(&mut self) {
         let Some(effects) = self.leader.as_mut().map(|leader| leader.take_effects()) else { return };
         for effect in effects {
-            self.digest.effect(&effect);
-            self.perform(effect);
+            self.digest.add_effect(&effect);
+            self.perform_effect(effect);
         }
     }
 
-    fn perform(&mut self, effect: Effect) {
+    fn perform_effect(&mut self, effect: Effect) {
         let leader = self.leader_number;
         match effect {
             Effect::Orders { request, endpoint, body } => self.send_orders(request, &endpoint, body),
@@ -25,75 +26,75 @@
             Effect::RefreshFence(transaction) => self.send_fence_refresh(transaction),
             Effect::Plan { node, input } => self.plan_on_peer(node, &input),
             Effect::LookUpOutcomes(ids) => {
-                let lost = self.lost();
+                let lost = self.is_message_lost();
                 let outcomes = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).filter(|_| !lost);
                 let outcomes = outcomes.collect();
                 let delay = self.rng.random_range(5..1_400);
-                self.post(delay, Mail::LookedUp { leader, outcomes });
+                self.send(delay, Message::LookedUp { leader, outcomes });
             }
             Effect::Provision(request) => {
-                let outcome = if self.lost() { ProvisionOutcome::Unknown } else { self.provision(&request) };
-                self.post(200, Mail::Provisioned { leader, name: request.name, outcome });
+                let outcome = if self.is_message_lost() { ProvisionOutcome::Unknown } else { self.provision(&request) };
+                self.send(200, Message::Provisioned { leader, name: request.name, outcome });
             }
             Effect::Terminate(ids) => {
-                let ok = !self.lost();
+                let ok = !self.is_message_lost();
                 let names: Vec<String> = ids.iter().map(|id| id.to_string()).collect();
                 names.iter().for_each(|name| self.terminate(name));
-                self.post(200, Mail::Terminated { leader, names, ok });
+                self.send(200, Message::Terminated { leader, names, ok });
             }
         }
     }
 
     fn send_orders(&mut self, request: RequestId, endpoint: &str, body: DirectOrders) {
         let leader = self.leader_number;
-        let worker: usize = endpoint.parse().expect("an endpoint that a heartbeat named");
-        let delay = self.delay();
-        if delay > ORDERS_TIMEOUT {
-            self.post(ORDERS_TIMEOUT, Mail::OrdersResult { leader, request, result: OrdersResult::Unknown });
+        let worker: usize = endpoint.parse().expect("endpoint from a heartbeat");
+        let delay = self.message_delay();
+        if delay > ORDERS_TIMEOUT_MS {
+            self.send(ORDERS_TIMEOUT_MS, Message::OrdersResult { leader, request, result: OrdersResult::Unknown });
         }
-        self.post(delay, Mail::Orders { leader, request, worker, body });
+        self.send(delay, Message::Orders { leader, request, worker, body });
     }
 
     fn send_commit(&mut self, request: RequestId, transaction: Transaction) {
         let leader = self.leader_number;
-        let delay = self.delay();
-        let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { delay };
-        if delay > COMMIT_TIMEOUT {
-            self.post(COMMIT_TIMEOUT, Mail::Committed { leader, request, outcome: CommitOutcome::Unknown });
+        let delay = self.message_delay();
+        let delay = if self.is_commit_late() { self.rng.random_range(2_000..12_000) } else { delay };
+        if delay > COMMIT_TIMEOUT_MS {
+            self.send(COMMIT_TIMEOUT_MS, Message::Committed { leader, request, outcome: CommitOutcome::Unknown });
         }
-        self.post(delay, Mail::Commit { leader, request, transaction });
+        self.send(delay, Message::Commit { leader, request, transaction });
     }
 
     fn send_fence_refresh(&mut self, transaction: Transaction) {
         let leader = self.leader_number;
-        let delay = if self.late() { self.rng.random_range(2_000..12_000) } else { self.delay() };
-        if delay > COMMIT_TIMEOUT {
-            // The read that follows an unanswered write.
-            self.post(COMMIT_TIMEOUT, Mail::ReadKey { leader, transaction: transaction.clone() });
+        let delay = if self.is_commit_late() { self.rng.random_range(2_000..12_000) } else { self.message_delay() };
+        if delay > COMMIT_TIMEOUT_MS {
+            // The write's outcome is unknown, so the leader's key is read.
+            self.send(COMMIT_TIMEOUT_MS, Message::ReadLeaderKey { leader, transaction: transaction.clone() });
         }
-        self.post(delay, Mail::FenceRefresh { leader, transaction });
+        self.send(delay, Message::FenceRefresh { leader, transaction });
     }
 
-    /// Peers plan on a view that is old by then, answer late, twice or not at all, and at times an
-    /// answer is of another round, or plain wrong.
+    /// Plans as a peer. The plan reaches the leader later, when its view may be outdated; it can be duplicated or
+    /// lost. Some plans are corrupted: their placements are random, or they belong to another round.
     fn plan_on_peer(&mut self, node: String, input: &PlanInput) {
         let leader = self.leader_number;
-        let mut plan = (!self.lost()).then(|| placement::plan(input));
-        plan.iter().for_each(|plan| self.digest.peer_plan(plan));
+        let mut plan = (!self.is_message_lost()).then(|| placement::plan(input));
+        plan.iter().for_each(|plan| self.digest.add_peer_plan(plan));
         if let Some(plan) = &mut plan
-            && self.faults
+            && self.faults_enabled
             && self.chance(0.1)
         {
-            self.corrupt(plan);
+            self.corrupt_plan(plan);
         }
-        let delay = self.delay() * 4;
+        let delay = self.message_delay() * 4;
         if self.chance(0.1) {
-            self.post(delay + 100, Mail::Plan { leader, node: node.clone(), plan: plan.clone() });
+            self.send(delay + 100, Message::Plan { leader, node: node.clone(), plan: plan.clone() });
         }
-        self.post(delay, Mail::Plan { leader, node, plan });
+        self.send(delay, Message::Plan { leader, node, plan });
     }
 
-    fn corrupt(&mut self, plan: &mut PlanOutput) {
+    fn corrupt_plan(&mut self, plan: &mut PlanOutput) {
         for placement in &mut plan.placements {
             placement.machine = self.rng.random_range(0..8);
             placement.count = self.rng.random_range(0..30);
--- a/src/core/simulation/leaders.rs
+++ b/src/core/simulation/leaders.rs
@@ -1,9 +1,10 @@
-//! The leaders of the model, one after the other.
+//! The leaders, which are elected one after another.
 
 use super::*;
 
 impl Simulation {
-    pub(super) fn elect(&mut self) {
+    /// Elects a new leader, which writes the leader's key and loads the stored cluster state.
+    pub(super) fn elect_leader(&mut self) {
         self.leader_number += 1;
         self.leader_count += 1;
         self.revision += 1;
@@ -41,8 +42,8 @@
         self.perform_effects();
     }
 
-    /// The leader that a message is for, if it still leads.
-    pub(super) fn leader_numbered(&mut self, number: u64) -> Option<&mut Scheduler> {
+    /// Returns the leader with this number, or `None` if it has crashed or another has been elected since.
+    pub(super) fn leader_with_number(&mut self, number: u64) -> Option<&mut Scheduler> {
         self.leader.as_mut().filter(|_| number == self.leader_number)
     }
 }
--- a/src/core/simulation/mail.rs
+++ b/src/core/simulation/mail.rs
@@ -1,21 +1,20 @@
-//! Messages on their way, and what happens when they arrive.
+//! Messages in transit, and their delivery.
 
-use super::effects::ORDERS_TIMEOUT;
-use super::workers::HEARTBEAT_TIMEOUT;
+use super::effects::ORDERS_TIMEOUT_MS;
+use super::workers::HEARTBEAT_TIMEOUT_MS;
 use super::*;
 use crate::ids::RequestId;
 
-/// Something on its way; delivered when its time has come. `leader` is the number of the leader that it
-/// comes from or goes to.
-pub(super) enum Mail {
+/// A message in transit. `leader` is the number of the leader that sent it or that it is addressed to.
+pub(super) enum Message {
     Heartbeat(SentHeartbeat),
-    /// Heartbeats that a controller which does not lead has gathered; all go the same way.
+    /// Heartbeats that a relaying controller sends to the leader together.
     RelayBatch(Vec<SentHeartbeat>),
-    HeartbeatAnswer {
+    HeartbeatResponse {
         worker: usize,
         sent_at: u64,
         agent_epoch: AgentEpoch,
-        answer: HeartbeatResponse,
+        response: HeartbeatResponse,
     },
     Orders {
         leader: u64,
@@ -38,11 +37,13 @@
         request: RequestId,
         outcome: CommitOutcome,
     },
+    /// A transaction that rewrites the leader's key to get a new fence revision.
     FenceRefresh {
         leader: u64,
         transaction: Transaction,
     },
-    ReadKey {
+    /// A read of the leader's key after a fence refresh with an unknown outcome.
+    ReadLeaderKey {
         leader: u64,
         transaction: Transaction,
     },
@@ -65,7 +66,8 @@
         leader: u64,
         outcomes: Vec<(JobId, JobOutcome)>,
     },
-    Watch {
+    /// A change of a live job's record; without a value, its deletion.
+    WatchEvent {
         leader: u64,
         key: String,
         value: Option<(Value, u64)>,
@@ -73,214 +75,224 @@
 }
 
 impl Simulation {
-    pub(super) fn post(&mut self, delay: u64, mail: Mail) {
-        self.mail.push((self.now + delay, mail));
+    /// Sends a message that is delivered after `delay` milliseconds.
+    pub(super) fn send(&mut self, delay: u64, message: Message) {
+        self.messages.push((self.now + delay, message));
     }
 
-    pub(super) fn deliver(&mut self) {
+    /// Delivers all messages that are due.
+    pub(super) fn deliver_due_messages(&mut self) {
         let now = self.now;
         let (mut due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.mail).into_iter().partition(|(due_at, _)| *due_at <= now);
-        self.mail = rest;
+            std::mem::take(&mut self.messages).into_iter().partition(|(due_at, _)| *due_at <= now);
+        self.messages = rest;
         due.sort_by_key(|(due_at, _)| *due_at);
-        for (_, mail) in due {
-            self.deliver_one(mail);
+        for (_, message) in due {
+            self.deliver_message(message);
             self.perform_effects();
         }
     }
 
-    fn deliver_one(&mut self, mail: Mail) {
-        match mail {
-            Mail::Heartbeat(sent) => self.deliver_heartbeat(&sent),
-            Mail::RelayBatch(batch) => self.deliver_relay_batch(&batch),
-            Mail::HeartbeatAnswer { worker, sent_at, agent_epoch, answer } => {
-                self.deliver_heartbeat_answer(worker, sent_at, agent_epoch, &answer);
+    fn deliver_message(&mut self, message: Message) {
+        match message {
+            Message::Heartbeat(sent) => self.deliver_heartbeat(&sent),
+            Message::RelayBatch(batch) => self.deliver_relay_batch(&batch),
+            Message::HeartbeatResponse { worker, sent_at, agent_epoch, response } => {
+                self.deliver_heartbeat_response(worker, sent_at, agent_epoch, &response);
             }
-            Mail::Orders { leader, request, worker, body } => self.deliver_orders(leader, request, worker, body),
-            Mail::Commit { leader, request, transaction } => self.deliver_commit(leader, request, &transaction),
-            Mail::FenceRefresh { leader, transaction } => self.deliver_fence_refresh(leader, transaction),
-            Mail::ReadKey { leader, transaction } => self.deliver_key_read(leader, &transaction),
+            Message::Orders { leader, request, worker, body } => self.deliver_orders(leader, request, worker, body),
+            Message::Commit { leader, request, transaction } => self.deliver_commit(leader, request, &transaction),
+            Message::FenceRefresh { leader, transaction } => self.deliver_fence_refresh(leader, transaction),
+            Message::ReadLeaderKey { leader, transaction } => self.deliver_leader_key_read(leader, &transaction),
             to_leader => self.deliver_to_leader(to_leader),
         }
     }
 
-    /// A late heartbeat may still reach a leader that came meanwhile.
+    /// Delivers a heartbeat to the current leader, even if it was sent before that leader was elected.
     fn deliver_heartbeat(&mut self, sent: &SentHeartbeat) {
-        let Some(answer) = self.answer_heartbeat(sent) else { return };
-        if !self.lost() {
-            let delay = self.delay();
-            self.post(delay, answer);
+        let Some(response) = self.respond_to_heartbeat(sent) else { return };
+        if !self.is_message_lost() {
+            let delay = self.message_delay();
+            self.send(delay, response);
         }
     }
 
     fn deliver_relay_batch(&mut self, batch: &[SentHeartbeat]) {
-        let answers: Vec<Mail> = batch.iter().filter_map(|sent| self.answer_heartbeat(sent)).collect();
-        if !self.lost() {
-            let delay = self.delay();
-            answers.into_iter().for_each(|answer| self.post(delay, answer));
+        let responses: Vec<Message> = batch.iter().filter_map(|sent| self.respond_to_heartbeat(sent)).collect();
+        if !self.is_message_lost() {
+            let delay = self.message_delay();
+            responses.into_iter().for_each(|response| self.send(delay, response));
         }
     }
 
-    /// What the leader answers to a heartbeat, if the answer can reach the worker.
-    fn answer_heartbeat(&mut self, sent: &SentHeartbeat) -> Option<Mail> {
+    /// Passes a heartbeat to the leader. Returns the message with its response, or `None` if there is no leader, if it
+    /// rejects the heartbeat, or if the response can't reach the worker.
+    fn respond_to_heartbeat(&mut self, sent: &SentHeartbeat) -> Option<Message> {
         let leader = self.leader.as_mut()?;
-        let answer = leader.on_heartbeat(MonotonicTime(self.now), &sent.heartbeat).ok();
-        self.digest.answer(answer.as_ref());
-        let answer = answer?;
+        let response = leader.on_heartbeat(MonotonicTime(self.now), &sent.heartbeat).ok();
+        self.digest.add_heartbeat_response(response.as_ref());
+        let response = response?;
         let worker = &self.workers[sent.worker];
-        let reachable = self.now >= worker.cut_until && self.now >= worker.inbound_cut_until;
+        let reachable = self.now >= worker.partitioned_until && self.now >= worker.inbound_partitioned_until;
         let agent_epoch = sent.heartbeat.agent_epoch;
-        reachable.then_some(Mail::HeartbeatAnswer { worker: sent.worker, sent_at: sent.sent_at, agent_epoch, answer })
+        reachable.then_some(Message::HeartbeatResponse {
+            worker: sent.worker,
+            sent_at: sent.sent_at,
+            agent_epoch,
+            response,
+        })
     }
 
-    fn deliver_heartbeat_answer(
+    fn deliver_heartbeat_response(
         &mut self,
         index: usize,
         sent_at: u64,
         agent_epoch: AgentEpoch,
-        answer: &HeartbeatResponse,
+        response: &HeartbeatResponse,
     ) {
         let worker = &mut self.workers[index];
-        let listens = !worker.dead && self.now >= worker.hangs_until && worker.agent_epoch == agent_epoch.0;
-        if !listens
-            || self.now - sent_at > HEARTBEAT_TIMEOUT
+        let is_listening = !worker.is_gone && self.now >= worker.frozen_until && worker.agent_epoch == agent_epoch.0;
+        if !is_listening
+            || self.now - sent_at > HEARTBEAT_TIMEOUT_MS
             || worker.unanswered_heartbeat_sent_at.is_none_or(|awaited| awaited != sent_at)
         {
             return;
         }
         worker.unanswered_heartbeat_sent_at = None;
-        if answer.token.0 < worker.token {
+        if response.token.0 < worker.token {
             return;
         }
-        if answer.token.0 > worker.token {
-            worker.next_heartbeat = worker.next_heartbeat.min(self.now + 500);
+        if response.token.0 > worker.token {
+            worker.next_heartbeat_at = worker.next_heartbeat_at.min(self.now + 500);
         }
-        worker.token = answer.token.0;
+        worker.token = response.token.0;
         worker.lease_renewed_at = worker.lease_renewed_at.max(sent_at);
-        self.execute(index, &answer.orders);
+        self.execute_orders(index, &response.orders);
     }
 
     fn deliver_orders(&mut self, leader: u64, request: RequestId, index: usize, body: DirectOrders) {
         let worker = &self.workers[index];
-        if worker.dead || self.now < worker.up_at {
+        if worker.is_gone || self.now < worker.boots_at {
             return;
         }
-        let unanswered = Mail::OrdersResult { leader, request, result: OrdersResult::Unknown };
-        if self.now < worker.inbound_cut_until {
-            self.post(ORDERS_TIMEOUT, unanswered);
+        let timed_out = Message::OrdersResult { leader, request, result: OrdersResult::Unknown };
+        if self.now < worker.inbound_partitioned_until {
+            self.send(ORDERS_TIMEOUT_MS, timed_out);
             return;
         }
-        let held_until = worker.hangs_until.max(worker.cut_until);
+        let held_until = worker.frozen_until.max(worker.partitioned_until);
         if self.now < held_until {
-            // Held back, and delivered after all.
-            let later = held_until - self.now + 10;
-            self.post(later, Mail::Orders { leader, request, worker: index, body });
-            self.post(ORDERS_TIMEOUT, unanswered);
+            // The request times out, but its orders are delivered once the worker is reachable again.
+            let delay = held_until - self.now + 10;
+            self.send(delay, Message::Orders { leader, request, worker: index, body });
+            self.send(ORDERS_TIMEOUT_MS, timed_out);
             return;
         }
         let worker = &mut self.workers[index];
         let accepted = body.token.0 >= worker.token && body.agent_epoch.0 == worker.agent_epoch;
         if accepted {
             worker.token = body.token.0;
-            self.execute(index, &body.orders);
+            self.execute_orders(index, &body.orders);
         }
-        let heartbeat = self.heartbeat(index);
-        if self.lost() {
-            self.post(ORDERS_TIMEOUT, unanswered);
+        let heartbeat = self.next_heartbeat(index);
+        if self.is_message_lost() {
+            self.send(ORDERS_TIMEOUT_MS, timed_out);
             return;
         }
         let result = if accepted { OrdersResult::Executed(heartbeat) } else { OrdersResult::Rejected(heartbeat) };
-        let delay = self.delay();
+        let delay = self.message_delay();
         if delay > 1_900 {
-            self.post(ORDERS_TIMEOUT, unanswered);
+            self.send(ORDERS_TIMEOUT_MS, timed_out);
         } else {
-            self.post(delay, Mail::OrdersResult { leader, request, result });
+            self.send(delay, Message::OrdersResult { leader, request, result });
         }
     }
 
     fn deliver_commit(&mut self, leader: u64, request: RequestId, transaction: &Transaction) {
         let outcome = self.commit(transaction);
-        let outcome = if self.lost() { CommitOutcome::Unknown } else { outcome };
+        let outcome = if self.is_message_lost() { CommitOutcome::Unknown } else { outcome };
         let delay = self.rng.random_range(1..20);
-        self.post(delay, Mail::Committed { leader, request, outcome });
+        self.send(delay, Message::Committed { leader, request, outcome });
     }
 
     fn deliver_fence_refresh(&mut self, leader: u64, transaction: Transaction) {
-        if self.commit(&transaction) == CommitOutcome::Committed && !self.faults {
+        if self.commit(&transaction) == CommitOutcome::Committed && !self.faults_enabled {
             let (now, revision) = (MonotonicTime(self.now), Revision(self.revision));
-            if let Some(scheduler) = self.leader_numbered(leader) {
+            if let Some(scheduler) = self.leader_with_number(leader) {
                 scheduler.on_fence_refreshed(now, Some(revision));
                 return;
             }
         }
-        // Answered late, or not at all: read.
-        self.post(100, Mail::ReadKey { leader, transaction });
+        // The refresh failed, or (always while faults are enabled) its response is lost: read the outcome.
+        self.send(100, Message::ReadLeaderKey { leader, transaction });
     }
 
-    fn deliver_key_read(&mut self, leader: u64, transaction: &Transaction) {
-        let is_own = |stored: &Value| {
+    fn deliver_leader_key_read(&mut self, leader: u64, transaction: &Transaction) {
+        let is_written_by_refresh = |stored: &Value| {
             let mut mutations = transaction.mutations.iter();
             mutations.any(|mutation| matches!(mutation, Mutation::Put { value, .. } if value == stored))
         };
         let leader_key = self.store.get(LEADER_KEY);
-        let fence_revision = leader_key.filter(|(value, _)| is_own(value)).map(|(_, revision)| Revision(*revision));
+        let fence_revision =
+            leader_key.filter(|(value, _)| is_written_by_refresh(value)).map(|(_, revision)| Revision(*revision));
         let now = MonotonicTime(self.now);
-        if let Some(scheduler) = self.leader_numbered(leader) {
+        if let Some(scheduler) = self.leader_with_number(leader) {
             scheduler.on_fence_refreshed(now, fence_revision);
         }
     }
 
-    /// Results that the leader which asked for them gets, if it still leads.
-    fn deliver_to_leader(&mut self, mail: Mail) {
+    /// Delivers a result or a watch event to the leader that it is addressed to, if that one still leads.
+    fn deliver_to_leader(&mut self, message: Message) {
         let now = MonotonicTime(self.now);
-        let Some(number) = mail.addressed_leader() else { return };
-        let Some(scheduler) = self.leader_numbered(number) else { return };
-        match mail {
-            Mail::OrdersResult { request, result, .. } => scheduler.on_orders_result(now, request, result),
-            Mail::Committed { request, outcome, .. } => scheduler.on_committed(now, request, outcome),
-            Mail::Provisioned { name, outcome, .. } => scheduler.on_provisioned(now, &name, outcome),
-            Mail::Terminated { names, ok, .. } => {
+        let Some(number) = message.addressed_leader() else { return };
+        let Some(scheduler) = self.leader_with_number(number) else { return };
+        match message {
+            Message::OrdersResult { request, result, .. } => scheduler.on_orders_result(now, request, result),
+            Message::Committed { request, outcome, .. } => scheduler.on_committed(now, request, outcome),
+            Message::Provisioned { name, outcome, .. } => scheduler.on_provisioned(now, &name, outcome),
+            Message::Terminated { names, ok, .. } => {
                 let ids: Vec<_> = names.iter().filter_map(|name| MachineId::parse(name)).collect();
                 scheduler.on_terminated(now, &ids, ok);
             }
-            Mail::Plan { node, plan, .. } => scheduler.on_plan(now, &node, plan),
-            Mail::LookedUp { outcomes, .. } => scheduler.on_outcomes_looked_up(now, &outcomes),
-            Mail::Watch { key, value, .. } => {
+            Message::Plan { node, plan, .. } => scheduler.on_plan(now, &node, plan),
+            Message::LookedUp { outcomes, .. } => scheduler.on_outcomes_looked_up(now, &outcomes),
+            Message::WatchEvent { key, value, .. } => {
                 let Some(id) = key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) else { return };
                 match value {
                     Some((record, revision)) => scheduler.on_job_accepted(&id, &record, Revision(revision)),
                     None => scheduler.on_job_terminated(&id, JobOutcome::Unknown),
                 }
             }
-            Mail::Heartbeat(_)
-            | Mail::RelayBatch(_)
-            | Mail::HeartbeatAnswer { .. }
-            | Mail::Orders { .. }
-            | Mail::Commit { .. }
-            | Mail::FenceRefresh { .. }
-            | Mail::ReadKey { .. } => unreachable!("this mail is delivered to workers and the store"),
+            Message::Heartbeat(_)
+            | Message::RelayBatch(_)
+            | Message::HeartbeatResponse { .. }
+            | Message::Orders { .. }
+            | Message::Commit { .. }
+            | Message::FenceRefresh { .. }
+            | Message::ReadLeaderKey { .. } => unreachable!("not addressed to a leader by its number"),
         }
     }
 }
 
-impl Mail {
-    /// The number of the leader that a result is for; none for mail that workers and the store get.
+impl Message {
+    /// Returns the number of the leader that the message is addressed to, or `None` for messages to workers, the store
+    /// or whichever leader is current.
     fn addressed_leader(&self) -> Option<u64> {
         match self {
-            Mail::OrdersResult { leader, .. }
-            | Mail::Committed { leader, .. }
-            | Mail::Provisioned { leader, .. }
-            | Mail::Terminated { leader, .. }
-            | Mail::Plan { leader, .. }
-            | Mail::LookedUp { leader, .. }
-            | Mail::Watch { leader, .. } => Some(*leader),
-            Mail::Heartbeat(_)
-            | Mail::RelayBatch(_)
-            | Mail::HeartbeatAnswer { .. }
-            | Mail::Orders { .. }
-            | Mail::Commit { .. }
-            | Mail::FenceRefresh { .. }
-            | Mail::ReadKey { .. } => None,
+            Message::OrdersResult { leader, .. }
+            | Message::Committed { leader, .. }
+            | Message::Provisioned { leader, .. }
+            | Message::Terminated { leader, .. }
+            | Message::Plan { leader, .. }
+            | Message::LookedUp { leader, .. }
+            | Message::WatchEvent { leader, .. } => Some(*leader),
+            Message::Heartbeat(_)
+            | Message::RelayBatch(_)
+            | Message::HeartbeatResponse { .. }
+            | Message::Orders { .. }
+            | Message::Commit { .. }
+            | Message::FenceRefresh { .. }
+            | Message::ReadLeaderKey { .. } => None,
         }
     }
 }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! The scheduler against a slow plain model of everything round it: workers, key-value store and cloud
-//! with losses, delays, late orders, hanging machines, crashes and changes of leader. The model
-//! knows the truth, and checks the rules of the protocol at every step.
+//! Simulation of the scheduler against simple models of the workers, the key-value store, the cloud, the peers
+//! and the users, with lost, delayed and duplicated messages, frozen machines, crashes and leader changes. The
+//! simulation knows the actual state of every worker and checks the invariants of the protocol against it.
 //!
-//! A history is a function of its seed: each random draw is made in the order of the code, so that a
-//! reordered draw changes the [`Digest`] of the history.
+//! A run depends on its seed only. Random numbers are drawn in the order of the code, so reordering code that
+//! draws them changes the [`Digest`] of the run.
 
 mod checks;
 mod cloud;
@@ -18,7 +18,7 @@
 mod workers;
 
 use self::digest::Digest;
-use self::mail::Mail;
+use self::mail::Message;
 use self::workers::{SentHeartbeat, Worker};
 use super::completion_bitmap::{BitmapLayout, parse_key};
 use super::election::{LEADER_KEY, LeaderRecord};
@@ -44,58 +44,64 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds of simulated time between two steps.
-const STEP_INTERVAL: u64 = 50;
+/// Simulated time between two steps.
+const STEP_INTERVAL_MS: u64 = 50;
 
-/// The whole model. All times are milliseconds since the history began.
+/// The state of the simulation. All times are milliseconds since its start.
 pub(super) struct Simulation {
     rng: StdRng,
     now: u64,
     settings: Settings,
     types: Vec<MachineType>,
-    /// The key-value store: each value with the revision at which it was written.
+    /// Contents of the key-value store: each value with the revision at which it was written.
     store: BTreeMap<String, (Value, u64)>,
     /// The store's latest revision.
     revision: u64,
     workers: Vec<Worker>,
-    /// Messages on their way, and when they are due.
-    mail: Vec<(u64, Mail)>,
-    /// Heartbeats that wait at the controller which relays them.
+    /// Messages in transit, each with the time at which it is delivered.
+    messages: Vec<(u64, Message)>,
+    /// Heartbeats that the relaying controller has collected and will send to the leader together.
     relay_batch: Vec<SentHeartbeat>,
+    /// The current leader's scheduler, or `None` between a crash and the next election.
     leader: Option<Scheduler>,
-    /// Counts the leaders; a message to an earlier one is dropped.
+    /// Number of the latest leader, counted from 1. Messages to earlier leaders are dropped.
     leader_number: u64,
+    /// When the next leader is elected after the current one has crashed.
     next_leader_at: u64,
-    /// The machines of each provision request, which may be repeated under its name.
+    /// The machines provisioned for each request name. A repeated request gets the same machines.
     provision_requests: BTreeMap<String, Vec<String>>,
+    /// The specs of all jobs submitted so far.
     specs: BTreeMap<JobId, JobSpec>,
-    /// The dependencies of each job, as its user named them.
+    /// The dependencies of each job, as its user stated them.
     depends_on: BTreeMap<JobId, Vec<JobId>>,
-    /// The jobs whose users know that they are cancelled, and since when.
+    /// The jobs whose cancellation was confirmed to a user, with the time of the confirmation.
     cancelled: BTreeMap<JobId, u64>,
+    /// Tasks that a worker has run to completion.
     completed_tasks: BTreeSet<TaskId>,
-    /// Done tasks that their workers were ordered to clear.
+    /// Completed tasks that their workers have cleared on a leader's order.
     cleared_tasks: BTreeSet<TaskId>,
-    /// The share of transactions that get no answer and are carried out after newer ones.
+    /// Probability that a transaction gets no response and is applied after newer ones.
     late_commit_probability: f64,
-    /// How likely the leader ends at a step.
+    /// Probability that the leader crashes in a step.
     leader_crash_probability: f64,
-    /// For how long there may be no leader after one has ended.
+    /// Maximum time without a leader after a crash.
     max_leaderless_time: u64,
-    /// How likely a job is cancelled at a step.
+    /// Probability that a user cancels a job in a step.
     cancellation_probability: f64,
-    /// How likely a new job depends on earlier ones.
+    /// Probability that a new job depends on earlier ones.
     dependency_probability: f64,
-    /// The share of heartbeats that reach a controller which relays them.
+    /// Probability that a heartbeat reaches the leader through a controller that relays it.
     relay_probability: f64,
-    /// How much longer than usual all mail takes at most.
-    extra_delay: u64,
+    /// Upper bound of the delay added to each message while faults are enabled.
+    max_extra_delay: u64,
     last_job_number: u64,
-    /// Whether losses, delays and troubles happen now.
-    faults: bool,
+    /// Whether faults are injected and new jobs submitted in the current step.
+    faults_enabled: bool,
+    /// How many task attempts have been started.
     start_count: u64,
+    /// How many leaders have been elected.
     leader_count: u64,
-    /// Over all that the leaders put out.
+    /// Digest of everything that the leaders and the planning peers have put out.
     digest: Digest,
 }
 
@@ -125,7 +131,7 @@
             store: BTreeMap::new(),
             revision: 0,
             workers: Vec::new(),
-            mail: Vec::new(),
+            messages: Vec::new(),
             relay_batch: Vec::new(),
             leader: None,
             leader_number: 0,
@@ -142,9 +148,9 @@
             cancellation_probability: 0.01,
             dependency_probability: 0.2,
             relay_probability: 0.5,
-            extra_delay: 0,
+            max_extra_delay: 0,
             last_job_number: 0,
-            faults: true,
+            faults_enabled: true,
             start_count: 0,
             leader_count: 0,
             digest: Digest::new(),
@@ -155,23 +161,23 @@
         simulation
     }
 
-    /// Plays `faulty_s` seconds with faults and new jobs, and then `calm_s` without.
-    pub(super) fn run(&mut self, faulty_s: u64, calm_s: u64) {
-        let end = (faulty_s + calm_s) * 1000;
+    /// Simulates `faulty_s` seconds with faults and new jobs, and then `fault_free_s` seconds without either.
+    pub(super) fn run(&mut self, faulty_s: u64, fault_free_s: u64) {
+        let end = (faulty_s + fault_free_s) * 1000;
         while self.now < end {
-            self.now += STEP_INTERVAL;
-            self.faults = self.now < faulty_s * 1000;
+            self.now += STEP_INTERVAL_MS;
+            self.faults_enabled = self.now < faulty_s * 1000;
             if self.leader.is_none() && self.now >= self.next_leader_at {
-                self.elect();
+                self.elect_leader();
             }
             self.inject_faults();
             self.step_users();
-            if !self.faults {
+            if !self.faults_enabled {
                 for worker in &mut self.workers {
                     worker.fails_tasks = false;
                 }
             }
-            self.deliver();
+            self.deliver_due_messages();
             self.step_workers();
             self.step_leader();
             self.check_cancelled_jobs_do_not_run();
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -1,9 +1,9 @@
-//! The key-value store of the model.
+//! Model of the key-value store.
 
 use super::*;
 
 impl Simulation {
-    /// Applies a transaction if its preconditions hold, and sends the watch its events.
+    /// Applies a transaction if its preconditions hold, and sends watch events for the live jobs that it changes.
     pub(super) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         let revision = |key: &str| self.store.get(key).map_or(0, |(_, revision)| *revision);
         let preconditions = transaction.preconditions.iter();
@@ -16,7 +16,7 @@
         }
         assert!(
             transaction.mutations.len() <= self.settings.cluster.store.max_transaction_ops,
-            "too many changes in a transaction"
+            "transaction exceeds the limit on operations"
         );
         self.revision += 1;
         for mutation in &transaction.mutations {
@@ -45,7 +45,7 @@
         if key.starts_with(LIVE_PREFIX) {
             let (leader, value) = (self.leader_number, value.map(|value| (value, self.revision)));
             let delay = self.rng.random_range(1..200);
-            self.post(delay, Mail::Watch { leader, key: key.clone(), value });
+            self.send(delay, Message::WatchEvent { leader, key: key.clone(), value });
         }
     }
 
@@ -55,7 +55,7 @@
             .collect()
     }
 
-    /// How a job has ended; none: it hasn't.
+    /// Returns how a job has ended, or `None` if it has not ended.
     pub(super) fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
         let (value, _) = self.store.get(&terminal_key(id))?;
         serde_json::from_value::<TerminalRecord>(value.clone()).ok().map(|record| record.outcome())
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -1,10 +1,10 @@
-//! The users of the model: they submit and cancel jobs.
+//! Model of the users, who submit and cancel jobs.
 
 use super::*;
 
 impl Simulation {
     pub(super) fn step_users(&mut self) {
-        if self.faults && self.chance(0.03) {
+        if self.faults_enabled && self.chance(0.03) {
             self.submit();
         }
         if self.chance(self.cancellation_probability)
@@ -14,28 +14,31 @@
         }
     }
 
+    /// Submits a job. Like a controller that accepts it, leaves out dependencies that are done, and records the job as
+    /// cancelled at once if one of them is cancelled.
     fn submit(&mut self) {
         self.last_job_number += 1;
         let id = JobId::parse(&format!("req-{:06}", self.last_job_number)).unwrap();
         let spec = self.random_spec(&id);
         self.specs.insert(id, spec.clone());
-        let named = if self.chance(self.dependency_probability) { self.named_by_new_job(id) } else { Vec::new() };
-        self.depends_on.insert(id, named.clone());
-        if named.iter().any(|named| self.outcome(named) == Some(JobOutcome::Cancelled)) {
+        let dependencies =
+            if self.chance(self.dependency_probability) { self.random_dependencies(id) } else { Vec::new() };
+        self.depends_on.insert(id, dependencies.clone());
+        if dependencies.iter().any(|dependency| self.outcome(dependency) == Some(JobOutcome::Cancelled)) {
             self.revision += 1;
             self.store.insert(terminal_key(&id), (json!(TerminalRecord::cancelled(spec.tasks)), self.revision));
             return;
         }
-        let depends_on = named.into_iter().filter(|named| self.outcome(named).is_none()).collect();
+        let depends_on = dependencies.into_iter().filter(|dependency| self.outcome(dependency).is_none()).collect();
         let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
         self.revision += 1;
         self.store.insert(live_key(&id), (record.clone(), self.revision));
         let (leader, revision) = (self.leader_number, self.revision);
         let delay = self.rng.random_range(1..300);
-        self.post(delay, Mail::Watch { leader, key: live_key(&id), value: Some((record, revision)) });
+        self.send(delay, Message::WatchEvent { leader, key: live_key(&id), value: Some((record, revision)) });
     }
 
-    /// The fields are drawn in the order of this literal.
+    /// Draws the spec of a new job. The order of the fields in the literal is the order of the draws.
     fn random_spec(&mut self, id: &JobId) -> JobSpec {
         let kind = [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
         let gpu = self.chance(0.2);
@@ -67,14 +70,15 @@
         }
     }
 
-    /// One or two of the latest jobs that end by themselves.
-    fn named_by_new_job(&mut self, new: JobId) -> Vec<JobId> {
+    /// Draws up to two dependencies from the five latest jobs that are not services. Services never end.
+    fn random_dependencies(&mut self, new: JobId) -> Vec<JobId> {
         let earlier = self.specs.iter().rev().filter(|(id, spec)| **id != new && spec.kind != Kind::Service);
         let earlier: Vec<JobId> = earlier.map(|(id, _)| *id).take(5).collect();
         let count = self.rng.random_range(1..3);
         earlier.into_iter().filter(|_| self.rng.random_bool(0.4)).take(count).collect()
     }
 
+    /// Cancels a live job for a user, unless the store rejects the transaction.
     fn cancel(&mut self, id: &JobId) {
         let Some((_, revision)) = self.store.get(&live_key(id)) else { return };
         let record = TerminalRecord::cancelled(self.specs[id].tasks);
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -1,20 +1,25 @@
-//! The workers of the model: they send heartbeats, execute orders, run tasks and gangs, and lose their leases.
+//! Model of the workers: they send heartbeats, execute orders, run tasks and gangs, and end their agent epochs when
+//! their leases expire.
 
 use super::*;
 
-/// After this a worker sends its next heartbeat without the answer to the last.
-pub(super) const HEARTBEAT_TIMEOUT: u64 = 4_000;
-const HEARTBEAT_INTERVAL: u64 = 1_500;
-const HEARTBEAT_BACKOFF: u64 = 1_000;
-/// How long the controller that relays gathers heartbeats.
-const RELAY_INTERVAL: u64 = 100;
+/// How long a worker waits for the response to a heartbeat before it sends the next.
+pub(super) const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
+/// Delay of the next heartbeat after one that got no response.
+const HEARTBEAT_BACKOFF_MS: u64 = 1_000;
+/// Interval at which the relaying controller sends its batch.
+const RELAY_INTERVAL_MS: u64 = 100;
 
-/// What a worker lists of one task attempt.
-pub(super) struct Task {
+/// The state of a task attempt on a worker.
+pub(super) struct AttemptState {
     phase: TaskPhase,
+    /// Why the attempt exited, or `None` while it is active.
     cause: Option<Cause>,
+    /// When the current phase ends.
     next_phase_at: u64,
-    kept: bool,
+    /// Whether the progress of a stopped attempt was saved.
+    progress_saved: bool,
 }
 
 pub(super) struct Worker {
@@ -23,38 +28,44 @@
     /// Index among the zones of its type.
     pub(super) zone_index: usize,
     pub(super) spot: bool,
-    pub(super) up_at: u64,
-    pub(super) dead: bool,
-    /// Executes and says nothing until then.
-    pub(super) hangs_until: u64,
-    pub(super) cut_until: u64,
-    /// Its heartbeats arrive, but neither answers nor orders reach it.
-    pub(super) inbound_cut_until: u64,
-    /// Its heartbeats reach no controller, while orders reach it.
-    pub(super) outbound_cut_until: u64,
+    /// When the machine finishes booting.
+    pub(super) boots_at: u64,
+    /// The machine no longer exists: it crashed, was reclaimed, or was terminated by the cloud.
+    pub(super) is_gone: bool,
+    /// The machine executes nothing and sends nothing until this time.
+    pub(super) frozen_until: u64,
+    /// Until this time, messages in either direction are lost or delayed.
+    pub(super) partitioned_until: u64,
+    /// Until this time, its heartbeats arrive but neither responses nor orders reach it.
+    pub(super) inbound_partitioned_until: u64,
+    /// Until this time, orders reach it but its heartbeats reach no controller.
+    pub(super) outbound_partitioned_until: u64,
+    /// All tasks that finish pulling their images fail at once.
     pub(super) fails_tasks: bool,
     pub(super) agent_epoch: u64,
     sequence: u64,
+    /// The highest fencing token received.
     pub(super) token: u64,
     epoch_started_at: u64,
-    /// When the latest heartbeat that was answered was sent; the lease counts from there.
+    /// When the latest answered heartbeat was sent. The lease counts from then.
     pub(super) lease_renewed_at: u64,
-    pub(super) next_heartbeat: u64,
-    /// When the heartbeat was sent whose answer it waits for.
+    pub(super) next_heartbeat_at: u64,
+    /// When the heartbeat was sent that awaits its response.
     pub(super) unanswered_heartbeat_sent_at: Option<u64>,
-    pub(super) tasks: BTreeMap<(TaskId, Attempt), Task>,
+    /// Task attempts on the worker, including exited ones that have not been cleared.
+    pub(super) tasks: BTreeMap<(TaskId, Attempt), AttemptState>,
     /// When the cloud reclaims this spot machine.
     pub(super) reclaimed_at: Option<u64>,
 }
 
-/// A heartbeat on its way. Nobody hears the answer to a copy, whose `sent_at` is 0.
+/// A heartbeat in transit. A duplicate has `sent_at` 0, so that the worker ignores the response to it.
 pub(super) struct SentHeartbeat {
     pub(super) worker: usize,
     pub(super) sent_at: u64,
     pub(super) heartbeat: Heartbeat,
 }
 
-impl Task {
+impl AttemptState {
     pub(super) fn has_exited(&self) -> bool {
         self.phase == TaskPhase::Exited
     }
@@ -64,10 +75,11 @@
         self.cause = Some(cause);
     }
 
-    fn stop(&mut self, saves: bool, leeway_s: f64, now: u64) {
+    /// Stops the attempt. If it writes checkpoints and is granted some leeway, it saves its progress first.
+    fn stop(&mut self, writes_checkpoints: bool, leeway_s: f64, now: u64) {
         let has_leeway = leeway_s > 0.0;
         match self.phase {
-            TaskPhase::Running if saves && has_leeway => {
+            TaskPhase::Running if writes_checkpoints && has_leeway => {
                 self.phase = TaskPhase::Flushing;
                 self.next_phase_at = now + 500;
             }
@@ -79,6 +91,7 @@
         }
     }
 
+    /// Ends the pulling phase. Members of a gang then wait for the others; other tasks run.
     fn finish_pulling(&mut self, kind: Kind, fails: bool, run_time: u64, now: u64) {
         self.phase = if kind == Kind::Gang { TaskPhase::Waiting } else { TaskPhase::Running };
         self.next_phase_at = now + run_time;
@@ -89,31 +102,31 @@
 }
 
 impl Worker {
-    fn new(type_index: usize, zone_index: usize, spot: bool, up_at: u64) -> Worker {
+    fn new(type_index: usize, zone_index: usize, spot: bool, boots_at: u64) -> Worker {
         Worker {
             type_index,
             zone_index,
             spot,
-            up_at,
-            dead: false,
-            hangs_until: 0,
-            cut_until: 0,
-            inbound_cut_until: 0,
-            outbound_cut_until: 0,
+            boots_at,
+            is_gone: false,
+            frozen_until: 0,
+            partitioned_until: 0,
+            inbound_partitioned_until: 0,
+            outbound_partitioned_until: 0,
             fails_tasks: false,
             agent_epoch: 1,
             sequence: 0,
             token: 0,
-            epoch_started_at: up_at,
-            lease_renewed_at: up_at,
-            next_heartbeat: up_at,
+            epoch_started_at: boots_at,
+            lease_renewed_at: boots_at,
+            next_heartbeat_at: boots_at,
             unanswered_heartbeat_sent_at: None,
             tasks: BTreeMap::new(),
             reclaimed_at: None,
         }
     }
 
-    /// All tasks are gone, and the next heartbeat says so.
+    /// Kills all tasks and begins a new agent epoch, which the next heartbeat states.
     pub(super) fn begin_agent_epoch(&mut self, now: u64) {
         self.agent_epoch += 1;
         self.epoch_started_at = now;
@@ -122,25 +135,26 @@
     }
 
     fn task_statuses(&self) -> Vec<TaskStatus> {
-        let status = |((task, attempt), listed): (&(TaskId, Attempt), &Task)| TaskStatus {
+        let status = |((task, attempt), state): (&(TaskId, Attempt), &AttemptState)| TaskStatus {
             task: Some(*task),
             attempt: *attempt,
-            phase: listed.phase,
-            cause: listed.cause,
-            kept: listed.kept.then_some(true),
+            phase: state.phase,
+            cause: state.cause,
+            kept: state.progress_saved.then_some(true),
         };
         self.tasks.iter().map(status).collect()
     }
 }
 
 impl Simulation {
-    /// Returns the name of the new machine.
-    pub(super) fn add_worker(&mut self, type_index: usize, zone_index: usize, spot: bool, up_at: u64) -> String {
-        self.workers.push(Worker::new(type_index, zone_index, spot, up_at));
+    /// Adds a machine with its worker and returns the machine's name.
+    pub(super) fn add_worker(&mut self, type_index: usize, zone_index: usize, spot: bool, boots_at: u64) -> String {
+        self.workers.push(Worker::new(type_index, zone_index, spot, boots_at));
         format!("m-{:06}", self.workers.len() - 1)
     }
 
-    pub(super) fn heartbeat(&mut self, index: usize) -> Heartbeat {
+    /// Creates the next heartbeat of a worker. Its answers to orders have the same form.
+    pub(super) fn next_heartbeat(&mut self, index: usize) -> Heartbeat {
         let worker = &mut self.workers[index];
         worker.sequence += 1;
         let machine_type = &self.types[worker.type_index];
@@ -158,15 +172,15 @@
         }
     }
 
-    pub(super) fn execute(&mut self, index: usize, orders: &[Order]) {
+    pub(super) fn execute_orders(&mut self, index: usize, orders: &[Order]) {
         for order in orders {
             match order {
                 Order::Run { task, attempt } => self.start_task(index, *task, *attempt),
                 Order::Stop { task, attempt, leeway_s } => {
-                    let saves = self.specs[&task.job].checkpoint_s > 0.0;
+                    let writes_checkpoints = self.specs[&task.job].checkpoint_s > 0.0;
                     let now = self.now;
-                    if let Some(listed) = self.workers[index].tasks.get_mut(&(*task, *attempt)) {
-                        listed.stop(saves, *leeway_s, now);
+                    if let Some(state) = self.workers[index].tasks.get_mut(&(*task, *attempt)) {
+                        state.stop(writes_checkpoints, *leeway_s, now);
                     }
                 }
                 Order::Clear { task, attempt } => self.clear_task(index, *task, *attempt),
@@ -181,13 +195,13 @@
         self.check_start(index, &task);
         self.start_count += 1;
         let next_phase_at = self.now + self.rng.random_range(50..2_000);
-        let pulling = Task { phase: TaskPhase::Pulling, cause: None, next_phase_at, kept: false };
+        let pulling = AttemptState { phase: TaskPhase::Pulling, cause: None, next_phase_at, progress_saved: false };
         self.workers[index].tasks.insert((task, attempt), pulling);
     }
 
     fn clear_task(&mut self, index: usize, task: TaskId, attempt: Attempt) {
         let tasks = &mut self.workers[index].tasks;
-        if !tasks.get(&(task, attempt)).is_some_and(Task::has_exited) {
+        if !tasks.get(&(task, attempt)).is_some_and(AttemptState::has_exited) {
             return;
         }
         let cleared = tasks.remove(&(task, attempt));
@@ -200,18 +214,19 @@
     pub(super) fn step_workers(&mut self) {
         for index in 0..self.workers.len() {
             let worker = &self.workers[index];
-            if worker.dead || self.now < worker.up_at {
+            if worker.is_gone || self.now < worker.boots_at {
                 continue;
             }
-            // Hanging or not: a machine that resumes past its lease kills before anything else.
-            self.step_lease(index);
+            // Even while frozen, because a machine that resumes after its lease has expired kills its tasks before
+            // anything else.
+            self.expire_lease(index);
             let now = self.now;
             let worker = &mut self.workers[index];
-            if now < worker.hangs_until {
+            if now < worker.frozen_until {
                 continue;
             }
             if worker.reclaimed_at.is_some_and(|at| at <= now) {
-                worker.dead = true;
+                worker.is_gone = true;
                 worker.tasks.clear();
                 continue;
             }
@@ -222,7 +237,8 @@
         self.send_relay_batch();
     }
 
-    fn step_lease(&mut self, index: usize) {
+    /// Begins a new agent epoch if the worker's lease has expired.
+    fn expire_lease(&mut self, index: usize) {
         let lease = Millis::from_secs_f64(self.settings.cluster.workers.lease_s).0;
         let now = self.now;
         let worker = &mut self.workers[index];
@@ -234,23 +250,23 @@
     fn step_tasks(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
-        for ((task, attempt), listed) in &mut worker.tasks {
-            if listed.next_phase_at > now {
+        for ((task, attempt), state) in &mut worker.tasks {
+            if state.next_phase_at > now {
                 continue;
             }
             let kind = self.specs[&task.job].kind;
-            match listed.phase {
+            match state.phase {
                 TaskPhase::Pulling => {
                     let run_time = 2_000 + (attempt.0 * 7919 + u64::from(task.index) * 104_729) % 6_000;
-                    listed.finish_pulling(kind, worker.fails_tasks, run_time, now);
+                    state.finish_pulling(kind, worker.fails_tasks, run_time, now);
                 }
                 TaskPhase::Running if kind == Kind::Array => {
-                    listed.exit(Cause::Done);
+                    state.exit(Cause::Done);
                     self.completed_tasks.insert(*task);
                 }
                 TaskPhase::Flushing => {
-                    listed.exit(Cause::Halted);
-                    listed.kept = true;
+                    state.exit(Cause::Halted);
+                    state.progress_saved = true;
                 }
                 TaskPhase::Running | TaskPhase::Waiting | TaskPhase::Exited => {}
             }
@@ -260,78 +276,85 @@
     fn step_heartbeat(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
-        if worker.unanswered_heartbeat_sent_at.is_some_and(|sent_at| now - sent_at > HEARTBEAT_TIMEOUT) {
+        if worker.unanswered_heartbeat_sent_at.is_some_and(|sent_at| now - sent_at > HEARTBEAT_TIMEOUT_MS) {
             worker.unanswered_heartbeat_sent_at = None;
-            worker.next_heartbeat = now + HEARTBEAT_BACKOFF;
+            worker.next_heartbeat_at = now + HEARTBEAT_BACKOFF_MS;
         }
-        if worker.unanswered_heartbeat_sent_at.is_some() || now < worker.next_heartbeat {
+        if worker.unanswered_heartbeat_sent_at.is_some() || now < worker.next_heartbeat_at {
             return;
         }
-        let heartbeat = self.heartbeat(index);
+        let heartbeat = self.next_heartbeat(index);
         let worker = &mut self.workers[index];
         worker.unanswered_heartbeat_sent_at = Some(now);
-        worker.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         self.send_heartbeat(index, heartbeat);
     }
 
     fn send_heartbeat(&mut self, index: usize, heartbeat: Heartbeat) {
         let now = self.now;
-        let cut = now < self.workers[index].cut_until;
-        // A heartbeat on its way into a cut comes late or never.
-        if cut && self.chance(0.5) || self.lost() || now < self.workers[index].outbound_cut_until {
+        let partitioned = now < self.workers[index].partitioned_until;
+        // During a partition, half of the heartbeats are lost and the others arrive late.
+        if partitioned && self.chance(0.5)
+            || self.is_message_lost()
+            || now < self.workers[index].outbound_partitioned_until
+        {
             return;
         }
-        let delay = if cut { self.rng.random_range(3_000..20_000) } else { self.delay() };
-        if self.faults && self.chance(0.05) {
-            // A copy, seconds to well over a lease later.
+        let delay = if partitioned { self.rng.random_range(3_000..20_000) } else { self.message_delay() };
+        if self.faults_enabled && self.chance(0.05) {
+            // A duplicate arrives later, possibly long after the lease has expired.
             let late = self.rng.random_range(1_000..30_000);
-            let copy = SentHeartbeat { worker: index, sent_at: 0, heartbeat: heartbeat.clone() };
-            self.post(late, Mail::Heartbeat(copy));
+            let duplicate = SentHeartbeat { worker: index, sent_at: 0, heartbeat: heartbeat.clone() };
+            self.send(late, Message::Heartbeat(duplicate));
         }
         let sent = SentHeartbeat { worker: index, sent_at: now, heartbeat };
         if self.chance(self.relay_probability) {
             self.relay_batch.push(sent);
         } else {
-            self.post(delay, Mail::Heartbeat(sent));
+            self.send(delay, Message::Heartbeat(sent));
         }
     }
 
-    /// The controller that relays heartbeats sends a batch. Batches are lost, late and doubled as a
-    /// whole, and that controller restarts.
+    /// Sends the heartbeats that the relaying controller has collected. A batch is lost, delayed or duplicated as a
+    /// whole; a lost one also stands for a restart of that controller.
     fn send_relay_batch(&mut self) {
-        if self.relay_batch.is_empty() || !self.now.is_multiple_of(RELAY_INTERVAL) {
+        if self.relay_batch.is_empty() || !self.now.is_multiple_of(RELAY_INTERVAL_MS) {
             return;
         }
         let batch = std::mem::take(&mut self.relay_batch);
-        if self.lost() {
+        if self.is_message_lost() {
             return;
         }
-        if self.faults && self.chance(0.03) {
+        if self.faults_enabled && self.chance(0.03) {
             let late = self.rng.random_range(1_000..30_000);
-            let copy = |sent: &SentHeartbeat| SentHeartbeat {
+            let duplicate = |sent: &SentHeartbeat| SentHeartbeat {
                 worker: sent.worker,
                 sent_at: 0,
                 heartbeat: sent.heartbeat.clone(),
             };
-            self.post(late, Mail::RelayBatch(batch.iter().map(copy).collect()));
+            self.send(late, Message::RelayBatch(batch.iter().map(duplicate).collect()));
         }
-        let delay = self.delay();
-        self.post(delay, Mail::RelayBatch(batch));
+        let delay = self.message_delay();
+        self.send(delay, Message::RelayBatch(batch));
     }
 
-    /// Gangs begin when all tasks wait, complete together, and break when one is gone.
+    /// Steps the gangs: a gang starts to run once all members wait, its members complete together, and the running
+    /// members exit if one is lost.
     fn step_gangs(&mut self) {
-        for ((job, attempt), members) in self.gang_members() {
-            let whole = members.len() as u32 == self.specs[&job].tasks;
+        for ((job, attempt), members) in self.active_gang_attempts() {
+            let complete = members.len() as u32 == self.specs[&job].tasks;
             let now = self.now;
-            let listed = |(index, task): &(usize, TaskId)| &self.workers[*index].tasks[&(*task, attempt)];
-            let begin = whole && members.iter().all(|member| listed(member).phase == TaskPhase::Waiting);
-            let done =
-                whole && members.iter().map(listed).all(|x| x.phase == TaskPhase::Running && x.next_phase_at <= now);
-            let broken = !whole && members.iter().any(|member| listed(member).phase == TaskPhase::Running);
+            let state = |(index, task): &(usize, TaskId)| &self.workers[*index].tasks[&(*task, attempt)];
+            let starts = complete && members.iter().all(|member| state(member).phase == TaskPhase::Waiting);
+            let done = complete
+                && members
+                    .iter()
+                    .map(state)
+                    .all(|member| member.phase == TaskPhase::Running && member.next_phase_at <= now);
+            let broken = !complete && members.iter().any(|member| state(member).phase == TaskPhase::Running);
             for (index, task) in &members {
                 let member = self.workers[*index].tasks.get_mut(&(*task, attempt)).unwrap();
-                if begin {
+                if starts {
                     member.phase = TaskPhase::Running;
                     member.next_phase_at = now + 4_000;
                 } else if done {
@@ -344,12 +367,12 @@
         }
     }
 
-    /// The workers and tasks of each attempt of a gang.
-    fn gang_members(&self) -> BTreeMap<(JobId, Attempt), Vec<(usize, TaskId)>> {
+    /// The members of each gang attempt that have not exited, with the indices of their workers.
+    fn active_gang_attempts(&self) -> BTreeMap<(JobId, Attempt), Vec<(usize, TaskId)>> {
         let mut members: BTreeMap<(JobId, Attempt), Vec<(usize, TaskId)>> = BTreeMap::new();
-        for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.dead) {
-            for ((task, attempt), listed) in &worker.tasks {
-                if self.specs[&task.job].kind == Kind::Gang && !listed.has_exited() {
+        for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_gone) {
+            for ((task, attempt), state) in &worker.tasks {
+                if self.specs[&task.job].kind == Kind::Gang && !state.has_exited() {
                     members.entry((task.job, *attempt)).or_default().push((index, *task));
                 }
             }
