--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -59,7 +59,7 @@
 /// State of this leader's planning rounds.
 pub(super) struct Rounds {
     /// Whether something that planning depends on has changed since the last round.
-    needed: bool,
+    requested: bool,
     /// When the last round started.
     last_started: MonotonicTime,
     /// Number of rounds started.
@@ -71,12 +71,12 @@
 impl Rounds {
     /// No round has started, and the first one is requested.
     pub(super) fn new(now: MonotonicTime) -> Rounds {
-        Rounds { needed: true, last_started: now, count: 0, open: None }
+        Rounds { requested: true, last_started: now, count: 0, open: None }
     }
 
     /// Requests a round, as something that planning depends on has changed.
     pub(super) fn request(&mut self) {
-        self.needed = true;
+        self.requested = true;
     }
 
     /// Number of rounds started, which is also the number of the last round.
@@ -88,14 +88,14 @@
     /// requested since or [`IDLE_ROUND_INTERVAL`] has passed.
     pub(super) fn is_due(&self, now: MonotonicTime, interval: Millis) -> bool {
         let since_last = now - self.last_started;
-        let is_needed = self.needed || since_last >= IDLE_ROUND_INTERVAL;
+        let is_needed = self.requested || since_last >= IDLE_ROUND_INTERVAL;
         self.open.is_none() && since_last >= interval && is_needed
     }
 
     /// Records the start of a round.
     fn begin(&mut self, now: MonotonicTime) {
         self.last_started = now;
-        self.needed = false;
+        self.requested = false;
         self.count += 1;
     }
 
@@ -107,11 +107,11 @@
 
 impl Scheduler {
     /// Starts a round: sends each controller the jobs of its shard's teams, and plans the leader's own share.
-    pub(super) fn round(&mut self, now: MonotonicTime, wall: WallTime) {
+    pub(super) fn start_round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.rounds.begin(now);
         // Before the view is taken, or the round would place other work on the capacity that these gangs wait for.
         self.reserve_for_large_gangs(now, wall);
-        self.inherit(wall);
+        self.update_inherited_constraints(wall);
         let view = self.planner_view(now, wall);
         let jobs_by_planner = self.jobs_by_planner(now, &view);
         let keys: Vec<&[u32]> = jobs_by_planner.values().map(Vec::as_slice).collect();
@@ -190,7 +190,7 @@
     }
 
     /// Notes that a peer has responded, so that it may be assigned teams to plan for.
-    pub fn peer_answered(&mut self, now: MonotonicTime, node: &str) {
+    pub fn mark_peer_responsive(&mut self, now: MonotonicTime, node: &str) {
         self.shards.mark_responsive(node, now);
     }
 
