--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Single situations, played against a leader with workers that answer at once.
+//! Tests of the scheduler in single situations, with simulated workers that respond at once.
 
 mod dependencies;
 mod digest;
@@ -23,39 +23,42 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// A scheduler with workers that answer at once, a store that commits everything and a cloud without
-/// capacity. Troubles are set by name.
+/// A scheduler with workers that respond at once, a store that commits everything, and a cloud without capacity.
+/// Tests inject faults through the fields.
 struct SchedulerHarness {
     scheduler: Scheduler,
     /// Milliseconds since the first leader was elected.
     now: u64,
-    /// Each worker's next heartbeat, by its endpoint.
+    /// The state of each worker by its endpoint, in the form of its latest heartbeat.
     workers: BTreeMap<String, Heartbeat>,
-    /// Workers that answers and orders don't reach.
-    unreachable: BTreeSet<String>,
-    /// Machines that the scheduler has terminated.
+    /// Workers that neither responses to heartbeats nor orders reach.
+    inbound_partitioned: BTreeSet<String>,
+    /// Machines whose termination the scheduler has requested.
     terminated: BTreeSet<String>,
-    /// Workers whose heartbeats don't arrive anywhere.
-    unheard: BTreeSet<String>,
-    /// The cloud carries out no terminations.
-    cloud_refuses: bool,
-    /// Writes get no answer; they are kept here.
-    unanswered_writes: Option<Vec<Transaction>>,
+    /// Workers whose heartbeats are lost, while orders still reach them.
+    outbound_partitioned: BTreeSet<String>,
+    /// Whether requests to the cloud to terminate machines fail.
+    cloud_refuses_terminations: bool,
+    /// If set, transactions get no response and are collected here instead of being applied.
+    unanswered_transactions: Option<Vec<Transaction>>,
+    /// Transactions that the store has applied.
     committed: Vec<Transaction>,
-    /// The highest cost of a tick.
+    /// The cost of the most expensive tick so far.
     longest_tick: CostCounters,
-    /// The key-value store: each value with the revision at which it was written.
+    /// Contents of the key-value store: each value with the revision at which it was written.
     store: BTreeMap<String, (Value, u64)>,
+    /// Term of the current leader.
     term: Term,
 }
 
+/// Term of the first leader.
 const TERM: Term = Term(100);
 
 fn leader_record() -> LeaderRecord {
     LeaderRecord { node: "plinth-0".into(), incarnation: 1, lease: LeaseId(7) }
 }
 
-/// A plain type and one with GPUs, in two zones.
+/// Two machine types, without and with GPUs, both offered in two zones.
 pub(super) fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, gpus: f64| MachineType {
         name: name.into(),
@@ -97,34 +100,34 @@
     }
 }
 
-/// The row of a machine that an earlier leader has registered.
-fn record(index: usize) -> KeyValue {
+/// The stored record of a machine that an earlier leader has registered.
+fn machine_row(index: usize) -> KeyValue {
     let record = MachineRecord { endpoint: format!("w{index}"), kind: "plain".into(), zone: "a".into(), spot: false };
     KeyValue { key: format!("fleet/m-{index:06}"), value: json!(record), revision: 1 }
 }
 
 impl SchedulerHarness {
-    /// A leader that has just been elected over machines that an earlier one has registered.
+    /// A newly elected leader, with machines that an earlier one has registered.
     fn new(machines: usize) -> SchedulerHarness {
         let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_s: 600.0, ..Tuning::default() };
         let mut leader =
             Scheduler::new(sample_settings(), tuning, machine_types(), TERM, leader_record(), MonotonicTime(0));
         leader.load(
             MonotonicTime(0),
-            StoredState { machines: (0..machines).map(record).collect(), ..StoredState::default() },
+            StoredState { machines: (0..machines).map(machine_row).collect(), ..StoredState::default() },
         );
-        let store = (0..machines).map(record).map(|row| (row.key, (row.value, row.revision))).collect();
+        let store = (0..machines).map(machine_row).map(|row| (row.key, (row.value, row.revision))).collect();
         let workers =
             (0..machines).map(|index| (format!("w{index}"), SchedulerHarness::idle_heartbeat(index))).collect();
         SchedulerHarness {
             scheduler: leader,
             now: 0,
             workers,
-            unreachable: BTreeSet::new(),
+            inbound_partitioned: BTreeSet::new(),
             terminated: BTreeSet::new(),
-            unheard: BTreeSet::new(),
-            cloud_refuses: false,
-            unanswered_writes: None,
+            outbound_partitioned: BTreeSet::new(),
+            cloud_refuses_terminations: false,
+            unanswered_transactions: None,
             store,
             term: TERM,
             committed: Vec::new(),
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Of a worker that has just started and holds no task.
+    /// The heartbeat of a worker that has just started and has no tasks.
     fn idle_heartbeat(index: usize) -> Heartbeat {
         Heartbeat {
             machine: format!("m-{index:06}"),
@@ -149,11 +152,11 @@
     }
 
     fn submit(&mut self, revision: u64, spec: JobSpec) -> JobId {
-        self.submit_after(revision, spec, &[])
+        self.submit_with_dependencies(revision, spec, &[])
     }
 
-    /// A job that depends on others.
-    fn submit_after(&mut self, revision: u64, spec: JobSpec, depends_on: &[JobId]) -> JobId {
+    /// Submits a job that depends on others, and reports it to the leader.
+    fn submit_with_dependencies(&mut self, revision: u64, spec: JobSpec, depends_on: &[JobId]) -> JobId {
         let depends_on = depends_on.to_vec();
         let id = JobId::parse(&spec.id).unwrap();
         let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
@@ -162,17 +165,18 @@
         id
     }
 
-    /// A user cancels the job; the leader doesn't know yet.
+    /// Deletes the live record as a cancellation does. The leader is not notified.
     fn cancel(&mut self, id: &JobId) {
         self.store.remove(&live_key(id));
     }
 
-    /// How the job has ended, as the store has it.
+    /// Returns how the job has ended according to the store, or `None` if it has not ended.
     fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
         let (record, _) = self.store.get(&terminal_key(id))?;
         Some(serde_json::from_value::<TerminalRecord>(record.clone()).unwrap().outcome())
     }
 
+    /// Applies a transaction without checking its preconditions.
     fn commit(&mut self, transaction: Transaction) {
         for mutation in &transaction.mutations {
             match mutation {
@@ -187,7 +191,7 @@
         self.committed.push(transaction);
     }
 
-    /// The leader ends, and another is elected.
+    /// Replaces the leader by a new one, which loads the stored cluster state.
     fn change_leader(&mut self) {
         self.term.0 += 1_000_000;
         let rows = |prefix: &str| -> Vec<KeyValue> {
@@ -216,7 +220,7 @@
         self.scheduler.load(MonotonicTime(self.now), stored);
     }
 
-    fn execute(heartbeat: &mut Heartbeat, orders: &[Order]) {
+    fn execute_orders(heartbeat: &mut Heartbeat, orders: &[Order]) {
         for order in orders {
             match order {
                 Order::Run { task, attempt } => heartbeat.tasks.push(TaskStatus {
@@ -230,32 +234,34 @@
                     SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, Cause::Halted);
                 }
                 Order::Clear { task, attempt } => {
-                    heartbeat.tasks.retain(|listed| listed.task != Some(*task) || listed.attempt != *attempt);
+                    heartbeat.tasks.retain(|status| status.task != Some(*task) || status.attempt != *attempt);
                 }
             }
         }
     }
 
     fn exit_task(heartbeat: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
-        let same = |listed: &&mut TaskStatus| listed.task == task && listed.attempt == attempt;
-        for listed in heartbeat.tasks.iter_mut().filter(same) {
-            (listed.phase, listed.cause) = (TaskPhase::Exited, Some(cause));
+        let is_attempt = |status: &&mut TaskStatus| status.task == task && status.attempt == attempt;
+        for status in heartbeat.tasks.iter_mut().filter(is_attempt) {
+            (status.phase, status.cause) = (TaskPhase::Exited, Some(cause));
         }
     }
 
-    /// A worker sends its heartbeat and executes the orders of the answer. Returns whether it was answered.
+    /// Sends a worker's next heartbeat and lets the worker execute the orders of the response, if that reaches it.
+    /// Returns whether the leader responded.
     fn heartbeat(&mut self, name: &str) -> bool {
         let Some(heartbeat) = self.workers.get_mut(name) else { return false };
         heartbeat.sequence.0 += 1;
-        let answer = self.scheduler.on_heartbeat(MonotonicTime(self.now), heartbeat).ok();
-        let reachable = !self.unreachable.contains(name);
-        if let Some(answer) = answer.as_ref().filter(|answer| answer.token >= heartbeat.token && reachable) {
-            heartbeat.token = answer.token;
-            SchedulerHarness::execute(heartbeat, &answer.orders);
+        let response = self.scheduler.on_heartbeat(MonotonicTime(self.now), heartbeat).ok();
+        let reachable = !self.inbound_partitioned.contains(name);
+        if let Some(response) = response.as_ref().filter(|response| response.token >= heartbeat.token && reachable) {
+            heartbeat.token = response.token;
+            SchedulerHarness::execute_orders(heartbeat, &response.orders);
         }
-        answer.is_some()
+        response.is_some()
     }
 
+    /// Simulates `ms` milliseconds: ticks of the leader, heartbeats, and the leader's effects.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -263,17 +269,18 @@
             self.tick();
             if self.now.is_multiple_of(500) {
                 for name in self.workers.keys().cloned().collect::<Vec<_>>() {
-                    if !self.unheard.contains(&name) {
+                    if !self.outbound_partitioned.contains(&name) {
                         self.heartbeat(&name);
                     }
                 }
             }
             for effect in self.scheduler.take_effects() {
-                self.perform(effect);
+                self.perform_effect(effect);
             }
         }
     }
 
+    /// Ticks the leader and records the cost.
     fn tick(&mut self) {
         let before = self.scheduler.cost_counters();
         self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
@@ -283,16 +290,16 @@
         }
     }
 
-    fn perform(&mut self, effect: Effect) {
+    fn perform_effect(&mut self, effect: Effect) {
         let now = MonotonicTime(self.now);
         match effect {
             Effect::Orders { request, endpoint, body } => {
                 let result = self.send_orders(&endpoint, &body);
                 self.scheduler.on_orders_result(now, request, result);
             }
-            Effect::Commit { request, transaction } => match &mut self.unanswered_writes {
-                Some(writes) => {
-                    writes.push(transaction);
+            Effect::Commit { request, transaction } => match &mut self.unanswered_transactions {
+                Some(unanswered) => {
+                    unanswered.push(transaction);
                     self.scheduler.on_committed(now, request, CommitOutcome::Unknown);
                 }
                 None => {
@@ -301,16 +308,16 @@
                 }
             },
             Effect::RefreshFence(_) => {
-                let next = || Revision(self.scheduler.fence_revision().0 + 1_000);
-                let next = self.unanswered_writes.is_none().then(next);
-                self.scheduler.on_fence_refreshed(now, next);
+                let next_revision = || Revision(self.scheduler.fence_revision().0 + 1_000);
+                let next_revision = self.unanswered_transactions.is_none().then(next_revision);
+                self.scheduler.on_fence_refreshed(now, next_revision);
             }
             Effect::Provision(request) => {
                 self.scheduler.on_provisioned(now, &request.name, ProvisionOutcome::NoCapacity);
             }
             Effect::Terminate(ids) => {
                 self.terminated.extend(ids.iter().map(|id| id.to_string()));
-                self.scheduler.on_terminated(now, &ids, !self.cloud_refuses);
+                self.scheduler.on_terminated(now, &ids, !self.cloud_refuses_terminations);
             }
             Effect::LookUpOutcomes(ids) => {
                 let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).collect();
@@ -321,7 +328,7 @@
     }
 
     fn send_orders(&mut self, endpoint: &str, body: &DirectOrders) -> OrdersResult {
-        let reachable = !self.unreachable.contains(endpoint);
+        let reachable = !self.inbound_partitioned.contains(endpoint);
         let Some(heartbeat) = self.workers.get_mut(endpoint).filter(|_| reachable) else {
             return OrdersResult::Unknown;
         };
@@ -330,27 +337,27 @@
             return OrdersResult::Rejected(heartbeat.clone());
         }
         heartbeat.token = body.token;
-        SchedulerHarness::execute(heartbeat, &body.orders);
+        SchedulerHarness::execute_orders(heartbeat, &body.orders);
         OrdersResult::Executed(heartbeat.clone())
     }
 
-    /// The first task that a worker lists completes.
+    /// Completes the first task that a worker lists.
     fn finish_first_task(&mut self, name: &str) {
         let heartbeat = self.workers.get_mut(name).expect("a worker of the harness");
         let first = heartbeat.tasks[0].clone();
         SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, Cause::Done);
     }
 
-    /// The first worker that holds something.
-    fn busy_worker(&self) -> String {
-        let busy = self.workers.iter().find(|(_, heartbeat)| !heartbeat.tasks.is_empty());
-        busy.map(|(name, _)| name.clone()).expect("some worker is busy")
+    /// The first worker that lists a task.
+    fn first_busy_worker(&self) -> String {
+        let first_busy = self.workers.iter().find(|(_, heartbeat)| !heartbeat.tasks.is_empty());
+        first_busy.map(|(name, _)| name.clone()).expect("some worker is busy")
     }
 
-    /// How many tasks of a job run.
+    /// Number of running tasks of a job.
     fn running_count(&self, id: &JobId) -> usize {
-        let of_job = |listed: &&TaskStatus| listed.task.is_some_and(|task| task.job == *id);
-        let listed = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks).filter(of_job);
-        listed.filter(|listed| listed.phase == TaskPhase::Running).count()
+        let of_job = |status: &&TaskStatus| status.task.is_some_and(|task| task.job == *id);
+        let statuses = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks).filter(of_job);
+        statuses.filter(|status| status.phase == TaskPhase::Running).count()
     }
 }
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of what a leader of a fixed fleet puts out while a fixed mix of jobs comes, and its operation
-//! counts: a change that is to keep the behaviour must keep both.
+//! Digest of the outputs of a leader with a fixed fleet and a fixed sequence of jobs, and its operation counts. A
+//! change that is meant to preserve the behavior must not change either.
 
 mod worker;
 
@@ -9,23 +9,24 @@
 use crate::core::simulation::digest::Digest;
 use crate::peer::PlanInput;
 
-const MACHINES: usize = 300;
-/// Those that an earlier leader has recorded; the others are new.
-const RECORDED: usize = 290;
+/// Number of machines at the start.
+const MACHINE_COUNT: usize = 300;
+/// How many of them an earlier leader has registered. The others are unknown to the leader.
+const REGISTERED_COUNT: usize = 290;
 const SIMULATED_MS: u64 = 100_000;
 const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
 const BOOT_TIME_MS: u64 = 10_000;
-/// The cloud's list of machines is read this often.
+/// Interval at which the cloud's list of machines is read.
 const LIST_INTERVAL_MS: u64 = 10_000;
-/// A job comes this often, until [`LAST_JOB_MS`].
+/// Interval at which jobs are submitted, until [`LAST_JOB_MS`].
 const JOB_INTERVAL_MS: u64 = 250;
 const LAST_JOB_MS: u64 = 75_000;
-/// From then on a few workers announce that their spot machines are reclaimed.
-const FIRST_NOTICE_MS: u64 = 30_000;
+/// Time at which the first spot machine is reclaimed.
+const FIRST_RECLAMATION_MS: u64 = 30_000;
 
-/// How many effects of each kind were performed; some get unusual answers.
+/// How many effects of each kind were carried out. Every so many of them get an unusual result.
 #[derive(Default)]
-struct Given {
+struct EffectCounts {
     orders: u64,
     commits: u64,
     provisions: u64,
@@ -36,11 +37,11 @@
     leader: Scheduler,
     now: u64,
     revision: u64,
-    /// None: terminated, or gone after a notice.
+    /// The workers by the number of their machine; `None` if the machine has been terminated or reclaimed.
     workers: Vec<Option<SimulatedWorker>>,
     services: BTreeSet<JobId>,
     outcomes: BTreeMap<JobId, JobOutcome>,
-    given: Given,
+    effect_counts: EffectCounts,
     digest: Digest,
 }
 
@@ -50,8 +51,8 @@
         let mut types = machine_types();
         types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
         let mut leader = Scheduler::new(sample_settings(), tuning, types, TERM, leader_record(), MonotonicTime(0));
-        let workers: Vec<SimulatedWorker> = (0..MACHINES).map(SimulatedWorker::of_first_fleet).collect();
-        let machines = workers.iter().take(RECORDED).map(SimulatedWorker::record).collect();
+        let workers: Vec<SimulatedWorker> = (0..MACHINE_COUNT).map(SimulatedWorker::initial).collect();
+        let machines = workers.iter().take(REGISTERED_COUNT).map(SimulatedWorker::machine_row).collect();
         leader.load(MonotonicTime(0), StoredState { machines, ..StoredState::default() });
         FixedFleet {
             leader,
@@ -60,15 +61,15 @@
             workers: workers.into_iter().map(Some).collect(),
             services: BTreeSet::new(),
             outcomes: BTreeMap::new(),
-            given: Given::default(),
+            effect_counts: EffectCounts::default(),
             digest: Digest::new(),
         }
     }
 
-    /// The jobs come in turns of ten.
+    /// The spec of a job. Each ten jobs in a row have different specs, in the same order.
     fn job(number: u64) -> JobSpec {
         let id = format!("req-{number:06}");
-        let usual = |kind: Kind, tasks: u32, cpus: f64| JobSpec {
+        let basic = |kind: Kind, tasks: u32, cpus: f64| JobSpec {
             priority: Priority::Normal,
             image: format!("img-{}", number % 7),
             spot: kind != Kind::Service,
@@ -77,22 +78,22 @@
         let of_team_a = |spec: JobSpec| JobSpec { team: "team-a".into(), ..spec };
         match number % 10 {
             0 => {
-                JobSpec { class: "feed".into(), priority: Priority::Prod, spread: true, ..usual(Kind::Service, 4, 2.0) }
+                JobSpec { class: "feed".into(), priority: Priority::Prod, spread: true, ..basic(Kind::Service, 4, 2.0) }
             }
-            1 => usual(Kind::Array, 60, 1.0),
-            2 => JobSpec { checkpoint_s: 2.0, save_s: 0.5, ..usual(Kind::Gang, 6, 8.0) },
-            3 => JobSpec { gpus: 1.0, deadline_s: Some(60.0), ..usual(Kind::Array, 12, 2.0) },
-            4 => JobSpec { priority: Priority::Low, ..usual(Kind::Array, 150, 2.0) },
-            5 => of_team_a(usual(Kind::Array, 10, 1.0)),
-            6 => JobSpec { gpus: 2.0, priority: Priority::High, ..usual(Kind::Gang, 5, 4.0) },
-            7 => JobSpec { types: Some(vec!["large".into()]), ..usual(Kind::Array, 8, 16.0) },
-            8 => JobSpec { zone: Some("b".into()), ..usual(Kind::Array, 30, 4.0) },
-            _ => JobSpec { priority: Priority::High, spot: false, ..usual(Kind::Gang, 3, 32.0) },
+            1 => basic(Kind::Array, 60, 1.0),
+            2 => JobSpec { checkpoint_s: 2.0, save_s: 0.5, ..basic(Kind::Gang, 6, 8.0) },
+            3 => JobSpec { gpus: 1.0, deadline_s: Some(60.0), ..basic(Kind::Array, 12, 2.0) },
+            4 => JobSpec { priority: Priority::Low, ..basic(Kind::Array, 150, 2.0) },
+            5 => of_team_a(basic(Kind::Array, 10, 1.0)),
+            6 => JobSpec { gpus: 2.0, priority: Priority::High, ..basic(Kind::Gang, 5, 4.0) },
+            7 => JobSpec { types: Some(vec!["large".into()]), ..basic(Kind::Array, 8, 16.0) },
+            8 => JobSpec { zone: Some("b".into()), ..basic(Kind::Array, 30, 4.0) },
+            _ => JobSpec { priority: Priority::High, spot: false, ..basic(Kind::Gang, 3, 32.0) },
         }
     }
 
-    /// Jobs depend on one or two of their turn, which end by themselves.
-    fn dependency(number: u64) -> Vec<JobId> {
+    /// The dependencies of a job: none, one or two of the ten in a row. None of them is a service, which never ends.
+    fn dependencies(number: u64) -> Vec<JobId> {
         let before = |distance: u64| JobId::parse(&format!("req-{:06}", number - distance)).unwrap();
         match number % 10 {
             4 => vec![before(3)],
@@ -110,12 +111,12 @@
         }
         self.revision += 1;
         let depends_on =
-            FixedFleet::dependency(number).into_iter().filter(|id| !self.outcomes.contains_key(id)).collect();
+            FixedFleet::dependencies(number).into_iter().filter(|id| !self.outcomes.contains_key(id)).collect();
         let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
         self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
-    /// The watch brings a cancellation; of each second one it doesn't say how the job has ended.
+    /// Reports a cancelled job to the leader. For jobs with odd numbers the outcome is unknown.
     fn cancel(&mut self, number: u64) {
         let id = JobId::parse(&format!("req-{number:06}")).unwrap();
         if self.outcomes.contains_key(&id) {
@@ -126,7 +127,7 @@
         self.leader.on_job_terminated(&id, if known { JobOutcome::Cancelled } else { JobOutcome::Unknown });
     }
 
-    fn users(&mut self) {
+    fn step_users(&mut self) {
         if self.now > LAST_JOB_MS || !self.now.is_multiple_of(JOB_INTERVAL_MS) {
             return;
         }
@@ -140,21 +141,22 @@
         }
     }
 
-    /// Some spot machines get a notice, and are gone when it has run out.
-    fn notices(&mut self) {
-        for index in (0..MACHINES).step_by(35) {
-            let gone_at = FIRST_NOTICE_MS + index as u64 * 100;
+    /// Reclaims some spot machines. Their heartbeats announce it 6 s before.
+    fn reclaim_spot_machines(&mut self) {
+        for index in (0..MACHINE_COUNT).step_by(35) {
+            let reclaimed_at = FIRST_RECLAMATION_MS + index as u64 * 100;
             match &mut self.workers[index] {
-                Some(_) if self.now >= gone_at => self.workers[index] = None,
-                Some(worker) if self.now + 6_000 >= gone_at => {
-                    worker.heartbeat.notice_s = Some((gone_at - self.now) as f64 / 1_000.0);
+                Some(_) if self.now >= reclaimed_at => self.workers[index] = None,
+                Some(worker) if self.now + 6_000 >= reclaimed_at => {
+                    worker.heartbeat.notice_s = Some((reclaimed_at - self.now) as f64 / 1_000.0);
                 }
                 _ => {}
             }
         }
     }
 
-    fn heartbeats(&mut self) {
+    /// Sends the heartbeats that are due, a third of them through a peer.
+    fn send_heartbeats(&mut self) {
         let now = self.now;
         for (index, worker) in self.workers.iter_mut().enumerate() {
             let Some(worker) = worker.as_mut().filter(|worker| worker.next_heartbeat_at <= now) else { continue };
@@ -165,16 +167,16 @@
                 0 => self.leader.on_heartbeat_via(MonotonicTime(now), &heartbeat, HeartbeatRoute::via_peer(0)),
                 _ => self.leader.on_heartbeat(MonotonicTime(now), &heartbeat),
             };
-            let answer = response.ok();
-            self.digest.add_heartbeat_response(answer.as_ref());
-            if let Some(answer) = answer {
-                worker.execute_orders(now, answer.token, &answer.orders);
+            let response = response.ok();
+            self.digest.add_heartbeat_response(response.as_ref());
+            if let Some(response) = response {
+                worker.execute_orders(now, response.token, &response.orders);
             }
         }
     }
 
-    /// The cloud lists all machines, and one that no worker runs on.
-    fn list(&mut self) {
+    /// Passes the cloud's machine list to the leader. It also contains a machine that never sends a heartbeat.
+    fn send_machine_list(&mut self) {
         if !self.now.is_multiple_of(LIST_INTERVAL_MS) {
             return;
         }
@@ -187,13 +189,13 @@
             phase: ListPhase::Running,
             age_s: 60.0,
         };
-        let never_heard = SimulatedWorker::new(900_000, "plain", "a", false, 0);
-        let workers = self.workers.iter().flatten().chain([&never_heard]);
+        let silent = SimulatedWorker::new(900_000, "plain", "a", false, 0);
+        let workers = self.workers.iter().flatten().chain([&silent]);
         let machines: Vec<ListedMachine> = workers.map(|worker| listed(&worker.heartbeat)).collect();
         self.leader.on_machine_list(MonotonicTime(self.now), &machines);
     }
 
-    fn peers(&mut self) {
+    fn mark_peers_responsive(&mut self) {
         if self.now.is_multiple_of(1_000) {
             ["plinth-1", "plinth-2"]
                 .into_iter()
@@ -204,26 +206,26 @@
     fn run(&mut self) {
         while self.now < SIMULATED_MS {
             self.now += TICK_INTERVAL.0;
-            self.users();
-            self.notices();
-            self.peers();
-            self.list();
+            self.step_users();
+            self.reclaim_spot_machines();
+            self.mark_peers_responsive();
+            self.send_machine_list();
             self.leader.tick(MonotonicTime(self.now), WallTime(self.now));
-            self.heartbeats();
+            self.send_heartbeats();
             let mut effects = self.leader.take_effects();
             while !effects.is_empty() {
-                effects.into_iter().for_each(|effect| self.perform(effect));
+                effects.into_iter().for_each(|effect| self.perform_effect(effect));
                 effects = self.leader.take_effects();
             }
         }
     }
 
-    fn perform(&mut self, effect: Effect) {
+    fn perform_effect(&mut self, effect: Effect) {
         self.digest.add_effect(&effect);
         let now = MonotonicTime(self.now);
         match effect {
             Effect::Orders { request, endpoint, body } => {
-                let result = self.execute(&endpoint, &body);
+                let result = self.execute_orders(&endpoint, &body);
                 self.leader.on_orders_result(now, request, result);
             }
             Effect::Commit { request, transaction } => {
@@ -239,7 +241,7 @@
                 self.leader.on_provisioned(now, &request.name, result);
             }
             Effect::Terminate(ids) => {
-                let number = |id: &MachineId| id.0[2..].parse::<usize>().expect("a machine's number");
+                let number = |id: &MachineId| id.0[2..].parse::<usize>().expect("machine number");
                 for id in &ids {
                     if let Some(worker) = self.workers.get_mut(number(id)) {
                         *worker = None;
@@ -251,16 +253,16 @@
                 let outcomes: Vec<_> = ids.iter().filter_map(|id| Some((*id, *self.outcomes.get(id)?))).collect();
                 self.leader.on_outcomes_looked_up(now, &outcomes);
             }
-            Effect::Plan { node, input } => self.plan(&node, &input),
+            Effect::Plan { node, input } => self.plan_as_peer(&node, &input),
         }
     }
 
-    /// Some orders get no answer, or are rejected.
-    fn execute(&mut self, endpoint: &str, body: &DirectOrders) -> OrdersResult {
-        self.given.orders += 1;
-        let index: usize = endpoint.parse().expect("a worker's number");
+    /// Lets a worker execute orders, except that some get no response and some are rejected.
+    fn execute_orders(&mut self, endpoint: &str, body: &DirectOrders) -> OrdersResult {
+        self.effect_counts.orders += 1;
+        let index: usize = endpoint.parse().expect("worker number");
         let Some(worker) = &mut self.workers[index] else { return OrdersResult::Unknown };
-        match self.given.orders % 100 {
+        match self.effect_counts.orders % 100 {
             50 => OrdersResult::Unknown,
             90 => OrdersResult::Rejected(worker.next_heartbeat()),
             _ => {
@@ -270,30 +272,30 @@
         }
     }
 
-    /// Some transactions are refused; of others it isn't known whether they were carried out.
+    /// Applies a transaction, except that some are rejected. For some that are applied the outcome is unknown.
     fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
-        self.given.commits += 1;
+        self.effect_counts.commits += 1;
         self.revision += 1;
-        let answer = match self.given.commits % 40 {
+        let outcome = match self.effect_counts.commits % 40 {
             10 => CommitOutcome::Unknown,
             30 => return CommitOutcome::Rejected,
             _ => CommitOutcome::Committed,
         };
-        for change in &transaction.mutations {
-            if let Mutation::Put { key: write, value, .. } = change
-                && let Some(id) = write.strip_prefix(TERMINAL_PREFIX).and_then(JobId::parse)
+        for mutation in &transaction.mutations {
+            if let Mutation::Put { key: written_key, value, .. } = mutation
+                && let Some(id) = written_key.strip_prefix(TERMINAL_PREFIX).and_then(JobId::parse)
             {
-                let record: TerminalRecord = serde_json::from_value(value.clone()).expect("a terminal record");
+                let record: TerminalRecord = serde_json::from_value(value.clone()).expect("terminal record");
                 self.outcomes.entry(id).or_insert(record.outcome());
             }
         }
-        answer
+        outcome
     }
 
-    /// The cloud has no capacity left at first, and provisions at times.
+    /// Provisions machines. Every fourth request finds no capacity, and every fourth gets no response.
     fn provision(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
-        self.given.provisions += 1;
-        match self.given.provisions % 4 {
+        self.effect_counts.provisions += 1;
+        match self.effect_counts.provisions % 4 {
             1 => ProvisionOutcome::NoCapacity,
             3 => ProvisionOutcome::Unknown,
             _ => ProvisionOutcome::Provisioned((0..request.number.min(3)).map(|_| self.add_worker(request)).collect()),
@@ -301,17 +303,17 @@
     }
 
     fn add_worker(&mut self, request: &ProvisionRequest) -> String {
-        let (index, up_at) = (self.workers.len(), self.now + BOOT_TIME_MS);
-        let worker = SimulatedWorker::new(index, &request.kind, &request.zone, request.spot, up_at);
+        let (index, boots_at) = (self.workers.len(), self.now + BOOT_TIME_MS);
+        let worker = SimulatedWorker::new(index, &request.kind, &request.zone, request.spot, boots_at);
         let name = worker.heartbeat.machine.clone();
         self.workers.push(Some(worker));
         name
     }
 
-    /// Peers plan at once, and at times not at all.
-    fn plan(&mut self, node: &str, input: &PlanInput) {
-        self.given.plans += 1;
-        let plan = (!self.given.plans.is_multiple_of(13)).then(|| placement::plan(input));
+    /// Plans as a peer. The plan reaches the leader at once; some requests fail.
+    fn plan_as_peer(&mut self, node: &str, input: &PlanInput) {
+        self.effect_counts.plans += 1;
+        let plan = (!self.effect_counts.plans.is_multiple_of(13)).then(|| placement::plan(input));
         plan.iter().for_each(|plan| self.digest.add_peer_plan(plan));
         self.leader.on_plan(MonotonicTime(self.now), node, plan);
     }
@@ -319,14 +321,14 @@
 
 #[test]
 fn digest_and_operation_counts_of_a_fixed_fleet_are_unchanged() {
-    let mut machines = FixedFleet::new();
-    machines.run();
-    let (work, counts) = (machines.leader.cost_counters(), machines.digest.counts());
-    println!("digest={:#018x} counts={counts:?} {work}", machines.digest.value());
-    println!("endings={} workers={}", machines.outcomes.len(), machines.workers.iter().flatten().count());
+    let mut fleet = FixedFleet::new();
+    fleet.run();
+    let (cost, counts) = (fleet.leader.cost_counters(), fleet.digest.counts());
+    println!("digest={:#018x} counts={counts:?} {cost}", fleet.digest.value());
+    println!("ended_jobs={} workers={}", fleet.outcomes.len(), fleet.workers.iter().flatten().count());
     let expected = CostCounters { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, choices: 83_142 };
     // In the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
-    assert_eq!(work, expected);
-    assert_eq!(machines.digest.value(), 0x2274_5ee1_d7e3_b1b3);
+    assert_eq!(cost, expected);
+    assert_eq!(fleet.digest.value(), 0x2274_5ee1_d7e3_b1b3);
 }
--- a/src/core/scheduler/tests/digest/worker.rs
+++ b/src/core/scheduler/tests/digest/worker.rs
@@ -1,12 +1,14 @@
-//! The workers of the fixed fleet.
+//! Simulated workers of the fixed fleet.
 
 use super::*;
 
-/// A worker whose tasks go on by themselves.
+/// A worker whose tasks proceed through their phases by themselves.
 pub(super) struct SimulatedWorker {
+    /// Number of its machine.
     index: usize,
+    /// Its state, in the form of its latest heartbeat.
     pub(super) heartbeat: Heartbeat,
-    /// When each listed task goes on to its next phase.
+    /// When each status task attempt enters its next phase.
     next_phase_at: BTreeMap<TaskAttempt, u64>,
     pub(super) next_heartbeat_at: u64,
 }
@@ -24,18 +26,19 @@
         SimulatedWorker { index, heartbeat, next_phase_at: BTreeMap::new(), next_heartbeat_at }
     }
 
-    pub(super) fn of_first_fleet(index: usize) -> SimulatedWorker {
+    /// One of the [`MACHINE_COUNT`] workers at the start, with a mix of machine types, zones and spot machines.
+    pub(super) fn initial(index: usize) -> SimulatedWorker {
         let kind = match index {
             _ if index.is_multiple_of(10) => "gpu",
             _ if index.is_multiple_of(8) => "large",
             _ => "plain",
         };
         let zone = if index.is_multiple_of(2) { "a" } else { "b" };
-        let next_heartbeat_at = index as u64 * HEARTBEAT_INTERVAL_MS / MACHINES as u64;
+        let next_heartbeat_at = index as u64 * HEARTBEAT_INTERVAL_MS / MACHINE_COUNT as u64;
         SimulatedWorker::new(index, kind, zone, index.is_multiple_of(5), next_heartbeat_at)
     }
 
-    pub(super) fn record(&self) -> KeyValue {
+    pub(super) fn machine_row(&self) -> KeyValue {
         let Heartbeat { endpoint, kind, zone, spot, .. } = self.heartbeat.clone();
         let value = json!(MachineRecord { endpoint, kind, zone, spot });
         KeyValue { key: format!("{MACHINE_PREFIX}{}", self.heartbeat.machine), value, revision: 1 }
@@ -43,45 +46,45 @@
 
     pub(super) fn execute_orders(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
         self.heartbeat.token = self.heartbeat.token.max(token);
-        SchedulerHarness::execute(&mut self.heartbeat, orders);
+        SchedulerHarness::execute_orders(&mut self.heartbeat, orders);
         for order in orders {
             if let Order::Run { task, attempt } = order {
                 self.next_phase_at.insert((*task, *attempt), now + 500);
             }
         }
-        for listed in self.heartbeat.tasks.iter_mut().filter(|listed| listed.phase == TaskPhase::Running) {
-            let key = (listed.task.expect("a task that was ordered"), listed.attempt);
+        for status in self.heartbeat.tasks.iter_mut().filter(|status| status.phase == TaskPhase::Running) {
+            let key = (status.task.expect("ordered tasks have ids"), status.attempt);
             if self.next_phase_at.get(&key) == Some(&(now + 500)) {
-                listed.phase = TaskPhase::Pulling;
+                status.phase = TaskPhase::Pulling;
             }
         }
     }
 
-    /// All tasks of a few machines fail.
+    /// Whether all tasks fail on this machine.
     fn is_faulty(&self) -> bool {
         self.index % 40 == 7
     }
 
-    /// On a few machines tasks take several times as long.
+    /// Factor by which tasks take longer on this machine.
     fn slowness(&self) -> u64 {
         if self.index % 40 == 23 { 5 } else { 1 }
     }
 
-    /// Tasks go on to their next phases; services never end.
+    /// Moves tasks to their next phase when it is due. Services never end.
     pub(super) fn step(&mut self, now: u64, services: &BTreeSet<JobId>) {
         let (faulty, slowness) = (self.is_faulty(), self.slowness());
-        for listed in &mut self.heartbeat.tasks {
-            let key = (listed.task.expect("a task that was ordered"), listed.attempt);
-            if listed.phase == TaskPhase::Exited || self.next_phase_at.get(&key).is_none_or(|at| *at > now) {
+        for status in &mut self.heartbeat.tasks {
+            let key = (status.task.expect("ordered tasks have ids"), status.attempt);
+            if status.phase == TaskPhase::Exited || self.next_phase_at.get(&key).is_none_or(|at| *at > now) {
                 continue;
             }
-            if listed.phase == TaskPhase::Pulling {
-                let run = 4_000 + (key.1.0 * 7_919 + u64::from(key.0.index) * 104_729) % 12_000;
-                listed.phase = TaskPhase::Running;
-                self.next_phase_at.insert(key, now + run * slowness);
+            if status.phase == TaskPhase::Pulling {
+                let run_time = 4_000 + (key.1.0 * 7_919 + u64::from(key.0.index) * 104_729) % 12_000;
+                status.phase = TaskPhase::Running;
+                self.next_phase_at.insert(key, now + run_time * slowness);
             } else if !services.contains(&key.0.job) {
                 let cause = if faulty || key.1.0.is_multiple_of(17) { Cause::Error } else { Cause::Done };
-                (listed.phase, listed.cause) = (TaskPhase::Exited, Some(cause));
+                (status.phase, status.cause) = (TaskPhase::Exited, Some(cause));
             }
         }
     }
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -1,41 +1,44 @@
-//! Changes of leader, the write queue, and a leader in doubt about cancellations.
+//! Tests of leader changes, the write queue, and a leader in doubt about the state of the store.
 
 use super::*;
 
 #[test]
-fn new_leader_does_not_suspect_machines_that_it_has_not_heard() {
-    // Peers let a machine that the leader suspects go on to the next controller. Suspected 3 s
-    // after a restart, most workers were sent past it and lost all they had.
+fn new_leader_does_not_suspect_machines_that_have_not_sent_heartbeats_to_it() {
+    // Guards against a new leader that suspects machines 3 s after the start of its term. Peers redirect the
+    // workers of suspected machines to the next controller, so most workers missed the leader and lost their tasks.
     let mut harness = SchedulerHarness::new(3);
-    let names = |harness: &SchedulerHarness| harness.scheduler.suspected_machines(MonotonicTime(harness.now)).0;
+    let suspected = |harness: &SchedulerHarness| harness.scheduler.suspected_machines(MonotonicTime(harness.now)).0;
     harness.workers.retain(|name, _| name == "w0");
     harness.run(5_000);
-    assert_eq!(names(&harness), Vec::<String>::new());
+    assert_eq!(suspected(&harness), Vec::<String>::new());
     harness.workers.clear();
     harness.run(4_000);
-    assert_eq!(names(&harness), ["m-000000"], "it was heard, and is no more");
+    assert_eq!(suspected(&harness), ["m-000000"], "its heartbeats have stopped");
 }
 
 #[test]
 fn write_queue_refreshes_the_fence_after_an_unanswered_write() {
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
-    harness.unanswered_writes = Some(Vec::new());
+    harness.unanswered_transactions = Some(Vec::new());
     let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 1.0));
     harness.run(1_000);
     harness.finish_first_task("w0");
     harness.run(4_000);
-    let lost = harness.unanswered_writes.take().unwrap();
-    assert_eq!(lost.len(), 1, "nothing more is written while an older write may come late");
-    let is_bits = |t: &Transaction| matches!(&t.mutations[0], Mutation::Put { key: write, .. } if write.starts_with(BITMAP_PREFIX));
-    assert!(is_bits(&lost[0]));
-    assert!(harness.workers["w0"].tasks.iter().any(TaskStatus::is_done), "kept until it is durable");
+    let unanswered = harness.unanswered_transactions.take().unwrap();
+    assert_eq!(unanswered.len(), 1, "no write is sent while an older one may still be applied");
+    let writes_bitmap = |t: &Transaction| matches!(&t.mutations[0], Mutation::Put { key: written, .. } if written.starts_with(BITMAP_PREFIX));
+    assert!(writes_bitmap(&unanswered[0]));
+    assert!(harness.workers["w0"].tasks.iter().any(TaskStatus::is_done), "not cleared until its completion is stored");
     harness.committed.clear();
     harness.run(3_000);
-    assert!(harness.committed.iter().any(is_bits));
+    assert!(harness.committed.iter().any(writes_bitmap));
     assert!(
-        harness.committed.iter().all(|t| t.preconditions[0].revision > lost[0].preconditions[0].revision),
-        "the older one is dead"
+        harness
+            .committed
+            .iter()
+            .all(|transaction| transaction.preconditions[0].revision > unanswered[0].preconditions[0].revision),
+        "the older write can no longer be applied"
     );
     assert!(!harness.workers["w0"].tasks.iter().any(TaskStatus::is_done));
     assert_eq!(harness.running_count(&id), 1);
@@ -55,69 +58,73 @@
 }
 
 #[test]
-fn quota_counts_all_of_a_machine_that_cannot_be_asked() {
-    // team-a may use 40 CPUs; 32 are in use when the leader changes and one machine is not heard any more.
+fn quota_counts_all_resources_of_an_unreconciled_machine() {
+    // team-a may use 40 CPUs. 32 are in use when the leader changes and the heartbeats of one machine stop.
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
-    let team_a = |s: JobSpec| JobSpec { team: "team-a".into(), ..s };
-    let full = harness.submit(200, team_a(spec("req-000001", Kind::Array, 4, 8.0)));
+    let of_team_a = |spec: JobSpec| JobSpec { team: "team-a".into(), ..spec };
+    let full = harness.submit(200, of_team_a(spec("req-000001", Kind::Array, 4, 8.0)));
     harness.run(3_000);
     assert_eq!(harness.running_count(&full), 4);
-    let held = harness.busy_worker();
-    harness.unheard.insert(held.clone());
+    let silent = harness.first_busy_worker();
+    harness.outbound_partitioned.insert(silent.clone());
     harness.change_leader();
-    // Cancelled meanwhile: what it held on the unheard machine still counts.
+    // The job is cancelled, but its tasks on the silent machine still count.
     harness.cancel(&full);
     harness.scheduler.on_job_terminated(&full, JobOutcome::Cancelled);
     let term = harness.term.0;
-    let next = harness.submit(term + 1, team_a(spec("req-000002", Kind::Array, 5, 8.0)));
+    let next = harness.submit(term + 1, of_team_a(spec("req-000002", Kind::Array, 5, 8.0)));
     harness.run(8_000);
-    assert_eq!(harness.running_count(&full), 1, "those that can be asked have stopped");
-    assert!(harness.running_count(&next) <= 4, "{} run beside one that may", harness.running_count(&next));
-    // Past its lease the unheard machine is proven empty.
-    harness.workers.get_mut(&held).unwrap().tasks.clear();
+    assert_eq!(harness.running_count(&full), 1, "only the task on the silent machine still runs");
+    assert!(
+        harness.running_count(&next) <= 4,
+        "{} tasks run besides the one on the silent machine",
+        harness.running_count(&next)
+    );
+    // After its lease has expired, the silent machine is known to run nothing.
+    harness.workers.get_mut(&silent).unwrap().tasks.clear();
     harness.run(12_000);
     assert_eq!(harness.running_count(&next), 5);
 }
 
 #[test]
-fn heartbeat_held_back_until_a_new_leader_has_acted_proves_nothing() {
+fn delayed_heartbeat_to_a_new_leader_proves_nothing() {
     let mut harness = SchedulerHarness::new(3);
     harness.run(2_000);
     let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
-    // Sent before the machine got its task.
-    let sent: BTreeMap<String, Heartbeat> = harness.workers.clone();
+    // Heartbeats that were sent before the machines got their tasks.
+    let earlier: BTreeMap<String, Heartbeat> = harness.workers.clone();
     harness.run(3_000);
     assert_eq!(harness.running_count(&id), 2);
-    let name = harness.busy_worker();
-    let held = sent[&name].clone();
-    harness.unheard.insert(name.clone());
+    let name = harness.first_busy_worker();
+    let delayed = earlier[&name].clone();
+    harness.outbound_partitioned.insert(name.clone());
     harness.change_leader();
     harness.run(1_000);
-    // It arrives at the new leader before any other of its machine: an empty list, which isn't true.
-    let mut late = held.clone();
+    // The delayed heartbeat is the first one of its machine at the new leader. Its empty task list is outdated.
+    let mut late = delayed.clone();
     late.sequence.0 += 1;
     let _ = harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &late);
     harness.run(3_000);
-    assert_eq!(harness.running_count(&id), 2, "nothing is started twice");
-    let machine = MachineId::parse(&held.machine).unwrap();
+    assert_eq!(harness.running_count(&id), 2, "no task is started a second time");
+    let machine = MachineId::parse(&delayed.machine).unwrap();
     assert!(!harness.scheduler.machines.known[&machine].reconciled);
-    // And after newer ones.
-    harness.unheard.clear();
+    // The same heartbeat after newer ones of its machine.
+    harness.outbound_partitioned.clear();
     harness.run(2_000);
     assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &late).is_err());
-    let old = Heartbeat { agent_epoch: AgentEpoch(0), sequence: SequenceNumber(900), ..held };
-    assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &old).is_err(), "of an earlier agent epoch");
+    let ended = Heartbeat { agent_epoch: AgentEpoch(0), sequence: SequenceNumber(900), ..delayed };
+    assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &ended).is_err(), "from an earlier agent epoch");
     harness.run(1_000);
     assert_eq!(harness.running_count(&id), 2);
 }
 
 #[test]
 fn one_zone_job_stays_in_its_zone_while_lost_tasks_may_run_there() {
-    // Four machines in zone a, one in zone b with all the capacity.
+    // Four machines are in zone a, one is in zone b.
     let mut harness = SchedulerHarness::new(5);
-    let far = MachineRecord { endpoint: "w4".into(), kind: "plain".into(), zone: "b".into(), spot: false };
-    harness.store.insert("fleet/m-000004".into(), (json!(far), 1));
+    let in_zone_b = MachineRecord { endpoint: "w4".into(), kind: "plain".into(), zone: "b".into(), spot: false };
+    harness.store.insert("fleet/m-000004".into(), (json!(in_zone_b), 1));
     harness.workers.get_mut("w4").unwrap().zone = "b".into();
     harness.change_leader();
     harness.run(2_000);
@@ -126,63 +133,64 @@
     let id = harness.submit(term + 1, array);
     harness.run(4_000);
     let zones = |harness: &SchedulerHarness| -> BTreeSet<String> {
-        let runs = |r: &&Heartbeat| r.tasks.iter().any(|l| l.phase == TaskPhase::Running);
-        harness.workers.values().filter(runs).map(|r| r.zone.clone()).collect()
+        let runs_tasks = |worker: &&Heartbeat| worker.tasks.iter().any(|status| status.phase == TaskPhase::Running);
+        harness.workers.values().filter(runs_tasks).map(|worker| worker.zone.clone()).collect()
     };
     assert_eq!(zones(&harness).len(), 1);
-    // Its machines are not heard any more, all but one: what may still run there binds the rest.
-    let lost: Vec<String> =
-        harness.workers.iter().filter(|(_, r)| !r.tasks.is_empty()).map(|(n, _)| n.clone()).collect();
-    harness.unheard.extend(lost.iter().skip(1).cloned());
+    // The heartbeats of all its machines but one stop. Tasks that may still run there bind the other tasks to the zone.
+    let busy: Vec<String> =
+        harness.workers.iter().filter(|(_, worker)| !worker.tasks.is_empty()).map(|(name, _)| name.clone()).collect();
+    harness.outbound_partitioned.extend(busy.iter().skip(1).cloned());
     harness.run(4_000);
     assert_eq!(zones(&harness).len(), 1);
-    // The leader changes before anything is proven, and can ask none of them.
-    harness.unheard.extend(lost);
+    // The leader changes before any lease expires, and the new leader gets no heartbeat from any of them.
+    harness.outbound_partitioned.extend(busy);
     harness.change_leader();
     harness.run(4_000);
-    assert_eq!(zones(&harness).len(), 1, "{} run", harness.running_count(&id));
+    assert_eq!(zones(&harness).len(), 1, "{} tasks run", harness.running_count(&id));
 }
 
 #[test]
-fn done_tasks_stay_done_over_a_change_of_leader() {
-    // Two tasks that end far apart, with a change of leader between.
+fn done_tasks_stay_done_across_a_leader_change() {
+    // The leader changes between the ends of two tasks.
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
     let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
     harness.run(3_000);
     harness.finish_first_task("w0");
     harness.run(4_000);
-    assert!(harness.workers["w0"].tasks.is_empty(), "cleared, as it is durably done");
+    assert!(harness.workers["w0"].tasks.is_empty(), "cleared, because its completion is stored");
     harness.change_leader();
     harness.run(4_000);
-    let over = format!("over/{id}");
+    let terminal_key = format!("over/{id}");
     assert!(harness.running_count(&id) == 1 && harness.workers["w0"].tasks.is_empty(), "not started again");
-    assert!(!harness.store.contains_key(&over));
+    assert!(!harness.store.contains_key(&terminal_key));
     harness.finish_first_task("w1");
     harness.run(1_000);
-    assert_eq!(harness.store[&over].0["phase"], "done");
-    // An old list, from when the first task ran: a copy of a job that is over.
+    assert_eq!(harness.store[&terminal_key].0["phase"], "done");
+    // No task of the ended job is started again.
     harness.run(1_000);
     assert_eq!(harness.running_count(&id), 0);
 }
 
 #[test]
-fn terminal_record_does_not_overrule_a_cancellation() {
+fn job_is_not_recorded_as_done_after_its_cancellation() {
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
     let id = harness.submit(200, spec("req-000001", Kind::Array, 1, 1.0));
     harness.run(2_000);
-    harness.unanswered_writes = Some(Vec::new());
+    harness.unanswered_transactions = Some(Vec::new());
     harness.finish_first_task("w0");
     harness.run(1_000);
-    // The job's own key guards the end, so that it can't be declared over a cancellation, however late.
-    let end = &harness.unanswered_writes.as_ref().unwrap()[0];
-    let guard = end.preconditions.iter().find(|g| g.key == live_key(&id)).unwrap();
-    assert_eq!(guard.revision, 200);
+    // The transaction is conditional on the live record's revision, so it fails after a cancellation, however late
+    // it is applied.
+    let completion = &harness.unanswered_transactions.as_ref().unwrap()[0];
+    let precondition = completion.preconditions.iter().find(|precondition| precondition.key == live_key(&id)).unwrap();
+    assert_eq!(precondition.revision, 200);
     harness.cancel(&id);
     harness.scheduler.on_job_terminated(&id, JobOutcome::Cancelled);
-    harness.unanswered_writes = None;
+    harness.unanswered_transactions = None;
     harness.run(3_000);
-    assert!(harness.workers["w0"].tasks.is_empty(), "nothing is kept of it");
+    assert!(harness.workers["w0"].tasks.is_empty(), "its task is cleared");
     assert!(!harness.store.contains_key(&format!("over/{id}")));
 }
