--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -24,7 +24,7 @@
 /// Time at which the first spot machine is reclaimed.
 const FIRST_RECLAMATION_MS: u64 = 30_000;
 
-/// How many effects of each kind were carried out. Every so many of them get an unusual result.
+/// How many effects of each kind were carried out. The counts decide which of them get an unusual result.
 #[derive(Default)]
 struct EffectCounts {
     orders: u64,
@@ -33,6 +33,7 @@
     plans: u64,
 }
 
+/// A leader, and the simulated workers, store, cloud, peers and users that it interacts with.
 struct FixedFleet {
     leader: Scheduler,
     now: u64,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The spec of a job. Each ten jobs in a row have different specs, in the same order.
+    /// The spec of a job. The specs repeat after ten jobs, except for the image.
     fn job(number: u64) -> JobSpec {
         let id = format!("req-{number:06}");
         let basic = |kind: Kind, tasks: u32, cpus: f64| JobSpec {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The dependencies of a job: none, one or two of the ten in a row. None of them is a service, which never ends.
+    /// The dependencies of a job: up to two earlier jobs of the same ten, but no services, as these never end.
     fn dependencies(number: u64) -> Vec<JobId> {
         let before = |distance: u64| JobId::parse(&format!("req-{:06}", number - distance)).unwrap();
         match number % 10 {
--- a/src/core/simulation/effects.rs
+++ b/src/core/simulation/effects.rs
@@ -26,18 +26,19 @@
             Effect::RefreshFence(transaction) => self.send_fence_refresh(transaction),
             Effect::Plan { node, input } => self.plan_on_peer(node, &input),
             Effect::LookUpOutcomes(ids) => {
-                let lost = self.is_message_lost();
+                let lost = self.draw_message_loss();
                 let outcomes = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).filter(|_| !lost);
                 let outcomes = outcomes.collect();
                 let delay = self.rng.random_range(5..1_400);
                 self.send(delay, Message::LookedUp { leader, outcomes });
             }
             Effect::Provision(request) => {
-                let outcome = if self.is_message_lost() { ProvisionOutcome::Unknown } else { self.provision(&request) };
+                let outcome =
+                    if self.draw_message_loss() { ProvisionOutcome::Unknown } else { self.provision(&request) };
                 self.send(200, Message::Provisioned { leader, name: request.name, outcome });
             }
             Effect::Terminate(ids) => {
-                let ok = !self.is_message_lost();
+                let ok = !self.draw_message_loss();
                 let names: Vec<String> = ids.iter().map(|id| id.to_string()).collect();
                 names.iter().for_each(|name| self.terminate(name));
                 self.send(200, Message::Terminated { leader, names, ok });
@@ -48,7 +49,7 @@
     fn send_orders(&mut self, request: RequestId, endpoint: &str, body: DirectOrders) {
         let leader = self.leader_number;
         let worker: usize = endpoint.parse().expect("endpoint from a heartbeat");
-        let delay = self.message_delay();
+        let delay = self.draw_message_delay();
         if delay > ORDERS_TIMEOUT_MS {
             self.send(ORDERS_TIMEOUT_MS, Message::OrdersResult { leader, request, result: OrdersResult::Unknown });
         }
@@ -57,8 +58,8 @@
 
     fn send_commit(&mut self, request: RequestId, transaction: Transaction) {
         let leader = self.leader_number;
-        let delay = self.message_delay();
-        let delay = if self.is_commit_late() { self.rng.random_range(2_000..12_000) } else { delay };
+        let delay = self.draw_message_delay();
+        let delay = if self.draw_late_commit() { self.rng.random_range(2_000..12_000) } else { delay };
         if delay > COMMIT_TIMEOUT_MS {
             self.send(COMMIT_TIMEOUT_MS, Message::Committed { leader, request, outcome: CommitOutcome::Unknown });
         }
@@ -67,7 +68,8 @@
 
     fn send_fence_refresh(&mut self, transaction: Transaction) {
         let leader = self.leader_number;
-        let delay = if self.is_commit_late() { self.rng.random_range(2_000..12_000) } else { self.message_delay() };
+        let delay =
+            if self.draw_late_commit() { self.rng.random_range(2_000..12_000) } else { self.draw_message_delay() };
         if delay > COMMIT_TIMEOUT_MS {
             // The write's outcome is unknown, so the leader's key is read.
             self.send(COMMIT_TIMEOUT_MS, Message::ReadLeaderKey { leader, transaction: transaction.clone() });
@@ -79,7 +81,7 @@
     /// lost. Some plans are corrupted: their placements are random, or they belong to another round.
     fn plan_on_peer(&mut self, node: String, input: &PlanInput) {
         let leader = self.leader_number;
-        let mut plan = (!self.is_message_lost()).then(|| placement::plan(input));
+        let mut plan = (!self.draw_message_loss()).then(|| placement::plan(input));
         plan.iter().for_each(|plan| self.digest.add_peer_plan(plan));
         if let Some(plan) = &mut plan
             && self.faults_enabled
@@ -87,7 +89,7 @@
         {
             self.corrupt_plan(plan);
         }
-        let delay = self.message_delay() * 4;
+        let delay = self.draw_message_delay() * 4;
         if self.chance(0.1) {
             self.send(delay + 100, Message::Plan { leader, node: node.clone(), plan: plan.clone() });
         }
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -8,7 +8,7 @@
     }
 
     /// Draws the delay of a message. Most messages arrive soon; while faults are enabled, a few take up to 15 s.
-    pub(super) fn message_delay(&mut self) -> u64 {
+    pub(super) fn draw_message_delay(&mut self) -> u64 {
         let max_extra_delay = if self.faults_enabled { self.max_extra_delay } else { 0 };
         match self.faults_enabled && self.chance(0.03) {
             true => self.rng.random_range(500..15_000),
@@ -17,12 +17,12 @@
     }
 
     /// Draws whether a message is lost.
-    pub(super) fn is_message_lost(&mut self) -> bool {
+    pub(super) fn draw_message_loss(&mut self) -> bool {
         self.faults_enabled && self.chance(0.03)
     }
 
     /// Draws whether a transaction is applied late.
-    pub(super) fn is_commit_late(&mut self) -> bool {
+    pub(super) fn draw_late_commit(&mut self) -> bool {
         self.faults_enabled && self.chance(self.late_commit_probability)
     }
 
--- a/src/core/simulation/mail.rs
+++ b/src/core/simulation/mail.rs
@@ -111,16 +111,16 @@
     /// Delivers a heartbeat to the current leader, even if it was sent before that leader was elected.
     fn deliver_heartbeat(&mut self, sent: &SentHeartbeat) {
         let Some(response) = self.respond_to_heartbeat(sent) else { return };
-        if !self.is_message_lost() {
-            let delay = self.message_delay();
+        if !self.draw_message_loss() {
+            let delay = self.draw_message_delay();
             self.send(delay, response);
         }
     }
 
     fn deliver_relay_batch(&mut self, batch: &[SentHeartbeat]) {
         let responses: Vec<Message> = batch.iter().filter_map(|sent| self.respond_to_heartbeat(sent)).collect();
-        if !self.is_message_lost() {
-            let delay = self.message_delay();
+        if !self.draw_message_loss() {
+            let delay = self.draw_message_delay();
             responses.into_iter().for_each(|response| self.send(delay, response));
         }
     }
@@ -195,12 +195,12 @@
             self.execute_orders(index, &body.orders);
         }
         let heartbeat = self.next_heartbeat(index);
-        if self.is_message_lost() {
+        if self.draw_message_loss() {
             self.send(ORDERS_TIMEOUT_MS, timed_out);
             return;
         }
         let result = if accepted { OrdersResult::Executed(heartbeat) } else { OrdersResult::Rejected(heartbeat) };
-        let delay = self.message_delay();
+        let delay = self.draw_message_delay();
         if delay > 1_900 {
             self.send(ORDERS_TIMEOUT_MS, timed_out);
         } else {
@@ -210,7 +210,7 @@
 
     fn deliver_commit(&mut self, leader: u64, request: RequestId, transaction: &Transaction) {
         let outcome = self.commit(transaction);
-        let outcome = if self.is_message_lost() { CommitOutcome::Unknown } else { outcome };
+        let outcome = if self.draw_message_loss() { CommitOutcome::Unknown } else { outcome };
         let delay = self.rng.random_range(1..20);
         self.send(delay, Message::Committed { leader, request, outcome });
     }
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -295,12 +295,12 @@
         let partitioned = now < self.workers[index].partitioned_until;
         // During a partition, half of the heartbeats are lost and the others arrive late.
         if partitioned && self.chance(0.5)
-            || self.is_message_lost()
+            || self.draw_message_loss()
             || now < self.workers[index].outbound_partitioned_until
         {
             return;
         }
-        let delay = if partitioned { self.rng.random_range(3_000..20_000) } else { self.message_delay() };
+        let delay = if partitioned { self.rng.random_range(3_000..20_000) } else { self.draw_message_delay() };
         if self.faults_enabled && self.chance(0.05) {
             // A duplicate arrives later, possibly long after the lease has expired.
             let late = self.rng.random_range(1_000..30_000);
@@ -322,7 +322,7 @@
             return;
         }
         let batch = std::mem::take(&mut self.relay_batch);
-        if self.is_message_lost() {
+        if self.draw_message_loss() {
             return;
         }
         if self.faults_enabled && self.chance(0.03) {
@@ -334,7 +334,7 @@
             };
             self.send(late, Message::RelayBatch(batch.iter().map(duplicate).collect()));
         }
-        let delay = self.message_delay();
+        let delay = self.draw_message_delay();
         self.send(delay, Message::RelayBatch(batch));
     }
 
