--- a/src/core/cost.rs
+++ b/src/core/cost.rs
@@ -1,87 +1,88 @@
-//! Operation counts: what the core looks at. The counts are independent of the processor's speed, so tests can
-//! hold bounds against them and operators can tell a slow machine from too much work.
+//! Operation counts: how many objects the core examines. Unlike times they don't depend on the processor's speed, so
+//! tests can check them against bounds, and operators can tell a slow host from too much work.
 
 use std::cell::Cell;
 use std::fmt;
 
-/// How many things were looked at. Each look takes about the same small time, so that the sum is a cost.
+/// How many objects of each kind were examined. Examining one takes about the same short time for all kinds, so the sum
+/// is a measure of the work done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CostCounters {
-    /// Jobs.
+pub struct OperationCounts {
+    /// Jobs examined.
     pub jobs: u64,
-    /// Machines.
+    /// Machines examined.
     pub machines: u64,
-    /// Allocations: tasks on machines.
+    /// Allocations (tasks on machines) examined.
     pub tasks: u64,
-    /// Reservations.
+    /// Reservations examined.
     pub reservations: u64,
-    /// Candidates that a planner compared for a job.
-    pub choices: u64,
+    /// Comparisons of a job with a candidate, which is a machine that a planner may place its tasks on.
+    pub comparisons: u64,
 }
 
-impl CostCounters {
+impl OperationCounts {
     /// The sum of all counts.
     pub fn total(&self) -> u64 {
-        self.jobs + self.machines + self.tasks + self.reservations + self.choices
+        self.jobs + self.machines + self.tasks + self.reservations + self.comparisons
     }
 
-    /// What was counted after `earlier` was read from the same meter.
-    pub fn since(&self, earlier: &CostCounters) -> CostCounters {
-        CostCounters {
+    /// The operations counted since `earlier` was read from the same meter.
+    pub fn since(&self, earlier: &OperationCounts) -> OperationCounts {
+        OperationCounts {
             jobs: self.jobs - earlier.jobs,
             machines: self.machines - earlier.machines,
             tasks: self.tasks - earlier.tasks,
             reservations: self.reservations - earlier.reservations,
-            choices: self.choices - earlier.choices,
+            comparisons: self.comparisons - earlier.comparisons,
         }
     }
 }
 
-impl fmt::Display for CostCounters {
+impl fmt::Display for OperationCounts {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let CostCounters { jobs, machines, tasks, reservations, choices } = self;
-        write!(f, "jobs={jobs} machines={machines} tasks={tasks} reservations={reservations} choices={choices}")
+        let OperationCounts { jobs, machines, tasks, reservations, comparisons } = self;
+        write!(f, "jobs={jobs} machines={machines} tasks={tasks} reservations={reservations} choices={comparisons}")
     }
 }
 
-/// A running count, shared by the parts that do the work.
+/// Counts operations as they are done.
 #[derive(Default)]
-pub struct CostMeter(Cell<CostCounters>);
+pub struct OperationMeter(Cell<OperationCounts>);
 
-impl CostMeter {
+impl OperationMeter {
     /// The counts so far.
-    pub fn read(&self) -> CostCounters {
+    pub fn read(&self) -> OperationCounts {
         self.0.get()
     }
 
-    /// Counts jobs that were looked at.
+    /// Counts examined jobs.
     pub fn add_jobs(&self, count: usize) {
-        self.update(|cost| cost.jobs += count as u64);
+        self.update(|counts| counts.jobs += count as u64);
     }
 
-    /// Counts machines that were looked at.
+    /// Counts examined machines.
     pub fn add_machines(&self, count: usize) {
-        self.update(|cost| cost.machines += count as u64);
+        self.update(|counts| counts.machines += count as u64);
     }
 
-    /// Counts allocations that were looked at.
+    /// Counts examined allocations.
     pub fn add_tasks(&self, count: usize) {
-        self.update(|cost| cost.tasks += count as u64);
+        self.update(|counts| counts.tasks += count as u64);
     }
 
-    /// Counts reservations that were looked at.
+    /// Counts examined reservations.
     pub fn add_reservations(&self, count: usize) {
-        self.update(|cost| cost.reservations += count as u64);
+        self.update(|counts| counts.reservations += count as u64);
     }
 
-    /// Counts candidates that were compared.
-    pub fn add_choices(&self, count: usize) {
-        self.update(|cost| cost.choices += count as u64);
+    /// Counts comparisons of a job with a candidate.
+    pub fn add_comparisons(&self, count: usize) {
+        self.update(|counts| counts.comparisons += count as u64);
     }
 
-    fn update(&self, change: impl FnOnce(&mut CostCounters)) {
-        let mut cost = self.0.get();
-        change(&mut cost);
-        self.0.set(cost);
+    fn update(&self, change: impl FnOnce(&mut OperationCounts)) {
+        let mut counts = self.0.get();
+        change(&mut counts);
+        self.0.set(counts);
     }
 }
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -41,7 +41,7 @@
             return;
         }
         for (machine_type, need) in self.catalog.types.iter().zip(&mut self.gpus.gpu_job_needs) {
-            if submissions::type_allows(spec, machine_type) {
+            if submissions::is_eligible_type(spec, machine_type) {
                 need.cpus = need.cpus.max(spec.cpus).min(machine_type.cpus);
                 need.memory_gb = need.memory_gb.max(spec.memory_gb).min(machine_type.memory_gb);
             }
@@ -73,7 +73,7 @@
         let Some(job) = termination.job else { return };
         self.rounds.request();
         let chunks = self.limits.layout.chunks(job.spec.tasks);
-        let stored = chunks.iter().filter(|chunk| chunk.members(job.durably_done()).next().is_some());
+        let stored = chunks.iter().filter(|chunk| chunk.done_tasks(job.durably_done()).next().is_some());
         self.writes.queue_bitmap_deletions(stored.map(|chunk| chunk.key(id)));
         for (index, machine_id, attempt) in job.places() {
             if let Some(machine) = self.machines.known.get_mut(machine_id) {
--- a/src/core/scheduler/placement_checks.rs
+++ b/src/core/scheduler/placement_checks.rs
@@ -26,7 +26,7 @@
         let team = job.team;
         !self.in_doubt
             && !job.is_waiting()
-            && machine.usable(now, self.heartbeat_timeout())
+            && machine.is_schedulable(now, self.heartbeat_timeout())
             && !self.held_back(job)
             && free.covers(&need)
             && self.permits_machine(spec, machine)
@@ -54,7 +54,7 @@
     }
 
     fn permits_pool(&self, spec: &JobSpec, pool: InstancePool) -> bool {
-        submissions::type_allows(spec, &self.catalog.types[pool.kind])
+        submissions::is_eligible_type(spec, &self.catalog.types[pool.kind])
             && spec.zone.as_ref().is_none_or(|zone| *zone == self.catalog.zones[pool.zone as usize])
             && (spec.spot || !pool.spot)
     }
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -44,7 +44,7 @@
     /// Transactions that the store has applied.
     committed: Vec<Transaction>,
     /// The cost of the most expensive tick so far.
-    longest_tick: CostCounters,
+    longest_tick: OperationCounts,
     /// Contents of the key-value store: each value with the revision at which it was written.
     store: BTreeMap<String, (Value, u64)>,
     /// Term of the current leader.
@@ -131,7 +131,7 @@
             store,
             term: TERM,
             committed: Vec::new(),
-            longest_tick: CostCounters::default(),
+            longest_tick: OperationCounts::default(),
         }
     }
 
@@ -159,7 +159,7 @@
     fn submit_with_dependencies(&mut self, revision: u64, spec: JobSpec, depends_on: &[JobId]) -> JobId {
         let depends_on = depends_on.to_vec();
         let id = JobId::parse(&spec.id).unwrap();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
+        let record = json!(LiveRecord { submitted_at: WallTime(self.now), spec, depends_on });
         self.scheduler.on_job_accepted(&id, &record, Revision(revision));
         self.store.insert(live_key(&id), (record, revision));
         id
@@ -282,9 +282,9 @@
 
     /// Ticks the leader and records the cost.
     fn tick(&mut self) {
-        let before = self.scheduler.cost_counters();
+        let before = self.scheduler.operation_counts();
         self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
-        let cost = self.scheduler.cost_counters().since(&before);
+        let cost = self.scheduler.operation_counts().since(&before);
         if cost.total() > self.longest_tick.total() {
             self.longest_tick = cost;
         }
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -113,7 +113,7 @@
         self.revision += 1;
         let depends_on =
             FixedFleet::dependencies(number).into_iter().filter(|id| !self.outcomes.contains_key(id)).collect();
-        let record = json!(LiveRecord { at: WallTime(self.now), spec, depends_on });
+        let record = json!(LiveRecord { submitted_at: WallTime(self.now), spec, depends_on });
         self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
@@ -324,10 +324,11 @@
 fn digest_and_operation_counts_of_a_fixed_fleet_are_unchanged() {
     let mut fleet = FixedFleet::new();
     fleet.run();
-    let (cost, counts) = (fleet.leader.cost_counters(), fleet.digest.counts());
+    let (cost, counts) = (fleet.leader.operation_counts(), fleet.digest.counts());
     println!("digest={:#018x} counts={counts:?} {cost}", fleet.digest.value());
     println!("ended_jobs={} workers={}", fleet.outcomes.len(), fleet.workers.iter().flatten().count());
-    let expected = CostCounters { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, choices: 83_142 };
+    let expected =
+        OperationCounts { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, comparisons: 83_142 };
     // In the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
     assert_eq!(cost, expected);
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -185,7 +185,7 @@
     assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &later).is_ok());
     let id = MachineId::parse("m-000008").unwrap();
     harness.run(1_000);
-    assert!(!harness.scheduler.machines.known[&id].usable(MonotonicTime(harness.now), Millis(5_000)));
+    assert!(!harness.scheduler.machines.known[&id].is_schedulable(MonotonicTime(harness.now), Millis(5_000)));
 }
 
 #[test]
@@ -288,5 +288,5 @@
     harness.run(70_000);
     assert_eq!(harness.running_count(&id), 4 - harness.scheduler.jobs.live[&id].done_count as usize);
     let job = &harness.scheduler.jobs.live[&id];
-    assert!(!job.at_fault(MonotonicTime(harness.now + 200_000)));
+    assert!(!job.is_at_fault(MonotonicTime(harness.now + 200_000)));
 }
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -21,7 +21,7 @@
     for number in 0..machines as u32 {
         harness.submit(300, spec(&format!("req-{:06}", 100 + number), Kind::Array, 16, 2.0));
     }
-    harness.longest_tick = CostCounters::default();
+    harness.longest_tick = OperationCounts::default();
     harness.run(3_000);
     let urgent =
         harness.workers.values().flat_map(|worker| &worker.tasks).filter(|status| status.phase == TaskPhase::Running);
@@ -44,7 +44,7 @@
     let jobs = 1_000;
     let mut harness = SchedulerHarness::new(machines);
     harness.run(2_000);
-    harness.longest_tick = CostCounters::default();
+    harness.longest_tick = OperationCounts::default();
     for number in 0..jobs {
         harness.submit(300, spec(&format!("req-{:06}", 100 + number), Kind::Array, 4, 1.0));
     }
@@ -137,7 +137,7 @@
         let spec = spec(&format!("req-{number:06}"), Kind::Array, 2, 1.0);
         KeyValue {
             key: format!("live/{}", spec.id),
-            value: json!(LiveRecord { at: WallTime(0), spec, depends_on: vec![] }),
+            value: json!(LiveRecord { submitted_at: WallTime(0), spec, depends_on: vec![] }),
             revision: 9,
         }
     };
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -150,7 +150,7 @@
     let id = JobId::parse(&gang.id).unwrap();
     scheduler.on_job_accepted(
         &id,
-        &json!(LiveRecord { at: WallTime(0), spec: gang, depends_on: Vec::new() }),
+        &json!(LiveRecord { submitted_at: WallTime(0), spec: gang, depends_on: Vec::new() }),
         Revision(1),
     );
     let waiting = BTreeSet::from([id]);
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -43,8 +43,8 @@
             }
             let mut done = FixedBitSet::with_capacity(self.specs[&task.job].tasks as usize);
             for row in self.rows(&format!("{BITMAP_PREFIX}{}/", task.job)) {
-                let (_, chunk) = parse_key(&row.key).expect("key of a bitmap chunk");
-                assert!(layout.read(&mut done, chunk, &row.value));
+                let (_, chunk) = parse_chunk_key(&row.key).expect("key of a bitmap chunk");
+                assert!(layout.read_chunk(&mut done, chunk, &row.value));
             }
             assert!(
                 done.contains(task.index as usize),
