--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -249,7 +249,7 @@
 
     /// Sends a worker's next heartbeat and lets the worker execute the orders of the response, if that reaches it.
     /// Returns whether the leader responded.
-    fn heartbeat(&mut self, name: &str) -> bool {
+    fn send_heartbeat(&mut self, name: &str) -> bool {
         let Some(heartbeat) = self.workers.get_mut(name) else { return false };
         heartbeat.sequence.0 += 1;
         let response = self.scheduler.on_heartbeat(MonotonicTime(self.now), heartbeat).ok();
@@ -270,7 +270,7 @@
             if self.now.is_multiple_of(500) {
                 for name in self.workers.keys().cloned().collect::<Vec<_>>() {
                     if !self.outbound_partitioned.contains(&name) {
-                        self.heartbeat(&name);
+                        self.send_heartbeat(&name);
                     }
                 }
             }
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -10,9 +10,9 @@
     let old = harness.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
     harness.run(9_000);
     assert_eq!(harness.running_count(&old), 0, "its tasks may still run on w0");
-    assert!(harness.heartbeat("w0"), "the machine may be slow to acknowledge the token");
+    assert!(harness.send_heartbeat("w0"), "the machine may be slow to acknowledge the token");
     harness.run(2_000);
-    assert!(!harness.heartbeat("w0"), "without responses the worker ends its agent epoch");
+    assert!(!harness.send_heartbeat("w0"), "without responses the worker ends its agent epoch");
     harness.run(12_000);
     assert_eq!(harness.running_count(&old), 2, "after its lease has expired, w0 is known to run nothing");
     assert!(harness.terminated.contains("m-000000"), "w0 is terminated");
@@ -31,7 +31,7 @@
     let worker = harness.workers.get_mut("w0").unwrap();
     (worker.agent_epoch, worker.sequence) = (AgentEpoch(2), SequenceNumber(0));
     worker.tasks.clear();
-    harness.heartbeat("w0");
+    harness.send_heartbeat("w0");
     assert_eq!(harness.scheduler.jobs.live[&id].ready.len(), 1, "its task is to be started again");
 }
 
@@ -225,7 +225,7 @@
     }
     assert!(ordered);
     harness.scheduler.on_job_terminated(&id, JobOutcome::Cancelled);
-    harness.heartbeat("w0");
+    harness.send_heartbeat("w0");
     assert_eq!(harness.running_count(&id), 0);
     // If the response is lost, the next one repeats the stop orders.
     let stops =
--- a/src/core/simulation/effects.rs
+++ b/src/core/simulation/effects.rs
@@ -30,7 +30,7 @@
                 let outcomes = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).filter(|_| !lost);
                 let outcomes = outcomes.collect();
                 let delay = self.rng.random_range(5..1_400);
-                self.send(delay, Message::LookedUp { leader, outcomes });
+                self.send(delay, Message::OutcomesLookedUp { leader, outcomes });
             }
             Effect::Provision(request) => {
                 let outcome =
--- a/src/core/simulation/mail.rs
+++ b/src/core/simulation/mail.rs
@@ -62,7 +62,7 @@
         node: String,
         plan: Option<PlanOutput>,
     },
-    LookedUp {
+    OutcomesLookedUp {
         leader: u64,
         outcomes: Vec<(JobId, JobOutcome)>,
     },
@@ -255,7 +255,7 @@
                 scheduler.on_terminated(now, &ids, ok);
             }
             Message::Plan { node, plan, .. } => scheduler.on_plan(now, &node, plan),
-            Message::LookedUp { outcomes, .. } => scheduler.on_outcomes_looked_up(now, &outcomes),
+            Message::OutcomesLookedUp { outcomes, .. } => scheduler.on_outcomes_looked_up(now, &outcomes),
             Message::WatchEvent { key, value, .. } => {
                 let Some(id) = key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse) else { return };
                 match value {
@@ -284,7 +284,7 @@
             | Message::Provisioned { leader, .. }
             | Message::Terminated { leader, .. }
             | Message::Plan { leader, .. }
-            | Message::LookedUp { leader, .. }
+            | Message::OutcomesLookedUp { leader, .. }
             | Message::WatchEvent { leader, .. } => Some(*leader),
             Message::Heartbeat(_)
             | Message::RelayBatch(_)
