--- a/src/net/heartbeat_balancing.rs
+++ b/src/net/heartbeat_balancing.rs
@@ -1,48 +1,54 @@
-//! Which controller each worker should send its heartbeats to, as the leader sees it. A batch of a peer costs
-//! the leader about as much as one worker's heartbeat, so workers are moved to peers; and to peers of their own
-//! zone, so that a cut between zones separates few workers from the leader.
+//! Selects, at the leader, the controller that each worker should send its heartbeats to.
+//!
+//! A batch that a peer relays costs the leader about as much as a single worker's heartbeat, so workers are
+//! redirected to peers. Peers in the worker's own zone are preferred, so that a network partition between zones
+//! separates few workers from the leader.
 
 use super::round_robin::RoundRobin;
 use crate::config::Peer;
 use crate::time::{Millis, MonotonicTime};
 
-/// At most one worker is moved in this time, so that it shows whether the peers cope.
-const MOVE_INTERVAL: Millis = Millis(40);
+/// Minimum time between two redirects. It gives overloaded peers time to report that they have no more capacity.
+const MIN_REDIRECT_INTERVAL: Millis = Millis(40);
 
-/// The peers that relay workers' heartbeats, as of their last answers to the leader's peer heartbeat.
+/// Distributes workers over the peers that can relay their heartbeats, according to the peers' latest responses to
+/// the leader's heartbeat.
 #[derive(Default)]
 pub struct HeartbeatBalancer {
     peers: Vec<Peer>,
-    turns: RoundRobin,
-    next_move_at: MonotonicTime,
+    round_robin: RoundRobin,
+    next_redirect_at: MonotonicTime,
 }
 
 impl HeartbeatBalancer {
-    /// Replaces the peers that can relay heartbeats now; the turns go on.
+    /// Sets the peers that can relay heartbeats now. The round-robin order continues where it was.
     pub fn set_peers(&mut self, peers: Vec<Peer>) {
         self.peers = peers;
     }
 
-    /// The name of the peer that a worker of a zone should be moved to now; `None`: it stays where it is. Peers
-    /// take turns. `relayed_by` names the peer that has relayed its heartbeat; `None`: it came from the worker
-    /// itself.
-    pub fn better_peer(&self, now: MonotonicTime, zone: &str, relayed_by: Option<&str>) -> Option<&str> {
-        if now < self.next_move_at {
+    /// Returns the name of the peer that a worker in `zone` should be redirected to now, in round-robin order.
+    /// Returns `None` if the worker should keep its current controller.
+    ///
+    /// `relayed_by` is the name of the peer that relayed the worker's heartbeat, or `None` if the worker sent it to
+    /// the leader.
+    pub fn preferred_relay(&self, now: MonotonicTime, zone: &str, relayed_by: Option<&str>) -> Option<&str> {
+        if now < self.next_redirect_at {
             return None;
         }
-        let near: Vec<&Peer> = self.peers.iter().filter(|peer| peer.zone == zone).collect();
-        let stays = relayed_by.is_some_and(|name| near.is_empty() || near.iter().any(|peer| peer.name == name));
-        if stays {
+        let same_zone: Vec<&Peer> = self.peers.iter().filter(|peer| peer.zone == zone).collect();
+        let keeps_controller =
+            relayed_by.is_some_and(|name| same_zone.is_empty() || same_zone.iter().any(|peer| peer.name == name));
+        if keeps_controller {
             return None;
         }
-        let candidates = if near.is_empty() { self.peers.iter().collect() } else { near };
-        self.turns.current(&candidates).map(|peer| peer.name.as_str())
+        let candidates = if same_zone.is_empty() { self.peers.iter().collect() } else { same_zone };
+        self.round_robin.current(&candidates).map(|peer| peer.name.as_str())
     }
 
-    /// A worker has been moved to the peer whose turn it was.
-    pub fn moved(&mut self, now: MonotonicTime) {
-        self.turns.advance();
-        self.next_move_at = now + MOVE_INTERVAL;
+    /// Records that a worker has been redirected to the peer that [`HeartbeatBalancer::preferred_relay`] returned.
+    pub fn record_redirect(&mut self, now: MonotonicTime) {
+        self.round_robin.advance();
+        self.next_redirect_at = now + MIN_REDIRECT_INTERVAL;
     }
 }
 
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -1,7 +1,8 @@
-//! Workers' heartbeats: the leader decides on them, other controllers relay them or redirect the worker.
+//! Handles workers' heartbeats: the leader decides on them, and other controllers relay them to the leader or
+//! redirect the worker.
 //!
-//! A heartbeat that comes from the worker itself passes `respond_to_worker`, one that a peer has relayed
-//! `answer_batch`. Both end in `decide`, which gives it to the leader's scheduler.
+//! `respond_to_worker` handles a heartbeat received from the worker itself, and `answer_batch` heartbeats that a
+//! peer has relayed. Both use `decide`, which passes the heartbeats to the leader's scheduler.
 
 use super::heartbeat_relay::{self, RelayOutcome};
 use super::input_latency::InputKind;
@@ -18,29 +19,31 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Heartbeats of a batch that are decided on in one step. Between steps other tasks of this process run.
+/// Maximum number of heartbeats of a batch that are processed in one step. Between steps, other tasks of this
+/// process can run.
 const MAX_HEARTBEATS_PER_STEP: usize = 256;
 
-/// What is said to a worker about its heartbeat.
+/// The reply to a worker's heartbeat, each with its HTTP status.
 enum HeartbeatReply {
-    /// 200: the leader's answer, with orders; it extends the worker's lease.
-    Answered(HeartbeatResponse),
-    /// 400: the body isn't a heartbeat.
+    /// 200: the leader's response, which carries orders. Its fencing token, if any, renews the worker's lease.
+    Accepted(HeartbeatResponse),
+    /// 400: the body isn't a valid heartbeat.
     Malformed,
-    /// 421: the controller to heartbeat to, if one is known.
+    /// 421: the worker should send its heartbeats to another controller, which is named if one is known.
     Redirected(Option<String>),
-    /// 503: the leader leaves it unanswered, as a copy or one of a machine whose lease is to run out.
-    Unanswered,
+    /// 503: the leader rejects the heartbeat and doesn't renew the worker's lease. Reasons are in
+    /// [`HeartbeatRejection`].
+    Rejected,
 }
 
 impl From<HeartbeatReply> for HeartbeatDecision {
     fn from(reply: HeartbeatReply) -> HeartbeatDecision {
         let (status, body) = match reply {
-            HeartbeatReply::Answered(response) => (200, serde_json::to_vec(&response).unwrap_or_default()),
+            HeartbeatReply::Accepted(response) => (200, serde_json::to_vec(&response).unwrap_or_default()),
             HeartbeatReply::Malformed => (400, json!({"error": "not a report"}).to_string().into()),
             HeartbeatReply::Redirected(Some(name)) => (421, json!({ "steward": name }).to_string().into()),
             HeartbeatReply::Redirected(None) => (421, json!({}).to_string().into()),
-            HeartbeatReply::Unanswered => (503, json!({"error": "not answered"}).to_string().into()),
+            HeartbeatReply::Rejected => (503, json!({"error": "not answered"}).to_string().into()),
         };
         HeartbeatDecision { status, body: body.into() }
     }
@@ -48,109 +51,118 @@
 
 impl From<Result<HeartbeatResponse, HeartbeatRejection>> for HeartbeatReply {
     fn from(response: Result<HeartbeatResponse, HeartbeatRejection>) -> HeartbeatReply {
-        response.map_or(HeartbeatReply::Unanswered, HeartbeatReply::Answered)
+        response.map_or(HeartbeatReply::Rejected, HeartbeatReply::Accepted)
     }
 }
 
-/// This controller doesn't lead, or not any more, so it decides on no heartbeat.
+/// The error that this controller isn't the leader, or no longer is, and so can't decide on heartbeats.
 #[derive(Debug)]
 struct NotLeading;
 
-/// Answers a worker that has sent its heartbeat to this controller: as the leader, with the leader's decision,
-/// or with the name of another controller.
+/// Responds to a worker that has sent its heartbeat to this controller.
+///
+/// The leader decides on the heartbeat. Any other controller relays it and passes on the leader's decision, or
+/// redirects the worker if that isn't possible.
 pub async fn respond_to_worker(node: &Arc<Node>, body: &Bytes) -> HeartbeatDecision {
     let is_leading = {
         let now = node.now();
         node.lock().election.active_term(now).is_some()
     };
     if is_leading {
-        return answer_directly(node, body);
+        return respond_without_relay(node, body);
     }
     match heartbeat_relay::forward(node, body.clone()).await {
         RelayOutcome::Decided(decision) => decision,
-        RelayOutcome::Unanswered => HeartbeatReply::Redirected(node.lock().relay_routes.take_turn()).into(),
-        RelayOutcome::Unavailable => answer_directly(node, body),
+        RelayOutcome::Unanswered => HeartbeatReply::Redirected(node.lock().relay_routes.next_peer()).into(),
+        RelayOutcome::Unavailable => respond_without_relay(node, body),
     }
 }
 
-/// Answers a worker without a relay: as the leader, or by redirecting it.
-fn answer_directly(node: &Arc<Node>, body: &[u8]) -> HeartbeatDecision {
+/// Responds to a worker without relaying its heartbeat: decides on it if this controller leads, and redirects the
+/// worker otherwise.
+fn respond_without_relay(node: &Arc<Node>, body: &[u8]) -> HeartbeatDecision {
     let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else { return HeartbeatReply::Malformed.into() };
     match decide(node, std::slice::from_ref(&heartbeat), None) {
-        Ok(mut decisions) => decisions.pop().unwrap_or_else(|| HeartbeatReply::Unanswered.into()),
+        Ok(mut decisions) => decisions.pop().unwrap_or_else(|| HeartbeatReply::Rejected.into()),
         Err(NotLeading) => HeartbeatReply::Redirected(redirect_target(node, &heartbeat)).into(),
     }
 }
 
-/// The leader's decisions on heartbeats that arrived together, in their order. `relayed_by` names the peer that
-/// has relayed them; `None`: they came from the workers themselves.
+/// Decides on heartbeats as the leader, and returns the decisions in the order of the heartbeats.
+///
+/// `relayed_by` is the name of the peer that relayed the heartbeats, or `None` if the workers sent them here.
+///
+/// # Errors
+/// Returns [`NotLeading`] if this controller doesn't lead.
 fn decide(
     node: &Arc<Node>,
     heartbeats: &[Heartbeat],
     relayed_by: Option<&str>,
 ) -> Result<Vec<HeartbeatDecision>, NotLeading> {
     let now = node.now();
-    let moves = {
-        let mut inner = node.lock();
-        let term = inner.election.active_term(now).ok_or(NotLeading)?;
-        if inner.scheduler.is_none() {
-            let answer = |heartbeat| HeartbeatReply::Answered(response_before_load(term, heartbeat)).into();
-            return Ok(heartbeats.iter().map(answer).collect());
+    let redirects = {
+        let mut state = node.lock();
+        let term = state.election.active_term(now).ok_or(NotLeading)?;
+        if state.scheduler.is_none() {
+            let respond = |heartbeat| HeartbeatReply::Accepted(response_before_load(term, heartbeat)).into();
+            return Ok(heartbeats.iter().map(respond).collect());
         }
-        heartbeats.iter().map(|heartbeat| move_worker(&mut inner, now, heartbeat, relayed_by)).collect::<Vec<_>>()
+        heartbeats.iter().map(|heartbeat| redirect_to_relay(&mut state, now, heartbeat, relayed_by)).collect::<Vec<_>>()
     };
     let route = heartbeat_route(node, relayed_by);
     let decisions = leader_loop::step(node, InputKind::Heartbeats, |scheduler| {
-        let decide_one = |(heartbeat, moved_to): (&Heartbeat, Option<String>)| match moved_to {
+        let decide_one = |(heartbeat, redirect): (&Heartbeat, Option<String>)| match redirect {
             Some(peer) => HeartbeatReply::Redirected(Some(peer)).into(),
             None => HeartbeatReply::from(scheduler.on_heartbeat_via(now, heartbeat, route)).into(),
         };
-        heartbeats.iter().zip(moves).map(decide_one).collect()
+        heartbeats.iter().zip(redirects).map(decide_one).collect()
     });
     decisions.ok_or(NotLeading)
 }
 
-/// The way that heartbeats have taken, by the peer that relayed them.
+/// Returns the route of heartbeats that the peer named `relayed_by` has relayed, or of direct ones if it is `None`.
 fn heartbeat_route(node: &Node, relayed_by: Option<&str>) -> HeartbeatRoute {
     let index = relayed_by.and_then(|name| node.settings.peers.iter().position(|peer| peer.name == name));
     index.map_or(HeartbeatRoute::DIRECT, HeartbeatRoute::via_peer)
 }
 
-/// Moves a worker to a better controller, whose name is returned; `None`: it stays where it is.
-fn move_worker(
-    inner: &mut NodeState,
+/// Redirects a worker to a peer that should relay its heartbeats from now on, and returns the peer's name. Returns
+/// `None` if the worker isn't redirected.
+fn redirect_to_relay(
+    state: &mut NodeState,
     now: MonotonicTime,
     heartbeat: &Heartbeat,
     relayed_by: Option<&str>,
 ) -> Option<String> {
-    // First, as most workers are where they should be.
-    let peer = inner.heartbeat_balancer.better_peer(now, &heartbeat.zone, relayed_by)?.to_string();
+    // Checked first because it is `None` for most heartbeats: most workers already use the right controller.
+    let peer = state.heartbeat_balancer.preferred_relay(now, &heartbeat.zone, relayed_by)?.to_string();
     let id = MachineId::parse(&heartbeat.machine)?;
-    if !inner.scheduler.as_ref()?.may_redirect_worker(now, &id) {
+    if !state.scheduler.as_ref()?.may_redirect_worker(now, &id) {
         return None;
     }
-    inner.heartbeat_balancer.moved(now);
+    state.heartbeat_balancer.record_redirect(now);
     Some(peer)
 }
 
-/// The controller to redirect a worker to that can't be answered here, if one is known.
+/// Returns the controller to redirect a worker to whose heartbeat can't be decided on or relayed here. Returns
+/// `None` if no suitable controller is known.
 fn redirect_target(node: &Node, heartbeat: &Heartbeat) -> Option<String> {
     let now = node.now();
-    let mut inner = node.lock();
-    if let Some(peer) = inner.relay_routes.take_turn() {
+    let mut state = node.lock();
+    if let Some(peer) = state.relay_routes.next_peer() {
         return Some(peer);
     }
-    // A name that was read before the key-value store failed may send workers round in circles; peers may know
-    // a newer one.
-    let health = &inner.store_health;
-    let leader = if health.is_refused() { health.leader_per_peers() } else { inner.leader_name.as_ref() };
-    // A worker that the leader doesn't hear would wait there in vain.
-    let leader = if inner.suspected.contains(&heartbeat.machine) { None } else { leader.cloned() };
-    inner.redirected_workers.record(&heartbeat.machine, now, leader).filter(|name| *name != node.settings.name)
+    // While the key-value store doesn't serve this controller, the leader's name that was last read from it may be
+    // outdated, and redirects to it could send workers in circles. Peers may know the current leader.
+    let health = &state.store_health;
+    let leader = if health.is_refused() { health.leader_per_peers() } else { state.leader_name.as_ref() };
+    // The leader suspects this machine because it gets no heartbeats from it, so the worker probably can't reach it.
+    let leader = if state.suspected.contains(&heartbeat.machine) { None } else { leader.cloned() };
+    state.redirected_workers.record(&heartbeat.machine, now, leader).filter(|name| *name != node.settings.name)
 }
 
-/// Decides on heartbeats that a peer has relayed, and encodes the decisions; `None`: the message can't be read
-/// or is of another version.
+/// Decides on an encoded batch of heartbeats that a peer has relayed, and returns the encoded decisions. Returns
+/// `None` if the batch can't be decoded or is of another protocol version.
 pub async fn answer_batch(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
     let batch = HeartbeatBatch::decode(body).ok().filter(|batch| batch.version == VERSION)?;
     let (leading, decisions) = match decide_in_steps(node, &batch).await {
@@ -160,9 +172,13 @@
     Some(HeartbeatDecisions { version: VERSION, leading, decisions }.encode_to_vec())
 }
 
-/// Decides on all heartbeats of a batch, some in each step.
+/// Decides on all heartbeats of a batch, at most [`MAX_HEARTBEATS_PER_STEP`] in each step.
+///
+/// # Errors
+/// Returns [`NotLeading`] if this controller doesn't lead, or loses its leadership between two steps.
 async fn decide_in_steps(node: &Arc<Node>, batch: &HeartbeatBatch) -> Result<Vec<HeartbeatDecision>, NotLeading> {
-    // An empty batch asks whether this controller leads, so the first step is made without heartbeats too.
+    // The sender of an empty batch asks whether this controller leads, so the first step is also made without any
+    // heartbeats.
     let (first, rest) = batch.heartbeats.split_at(batch.heartbeats.len().min(MAX_HEARTBEATS_PER_STEP));
     let mut decisions = decide_encoded(node, first, &batch.from)?;
     for heartbeats in rest.chunks(MAX_HEARTBEATS_PER_STEP) {
@@ -172,25 +188,29 @@
     Ok(decisions)
 }
 
-/// Decides on some heartbeats of a batch, of which some may not be readable.
+/// Parses JSON-encoded heartbeats and decides on them in one step. Those that can't be parsed are reported as
+/// malformed.
+///
+/// # Errors
+/// Returns [`NotLeading`] if this controller doesn't lead.
 fn decide_encoded(
     node: &Arc<Node>,
     heartbeats: &[Bytes],
     relayed_by: &str,
 ) -> Result<Vec<HeartbeatDecision>, NotLeading> {
-    let mut readable = Vec::new();
-    let mut is_readable = Vec::new();
+    let mut parsed = Vec::new();
+    let mut is_valid = Vec::new();
     for heartbeat in heartbeats {
         let heartbeat = serde_json::from_slice::<Heartbeat>(heartbeat);
-        is_readable.push(heartbeat.is_ok());
-        readable.extend(heartbeat);
+        is_valid.push(heartbeat.is_ok());
+        parsed.extend(heartbeat);
     }
-    let mut decisions = decide(node, &readable, Some(relayed_by))?.into_iter();
-    let decision = |is_readable| match is_readable {
-        true => decisions.next().unwrap_or_else(|| HeartbeatReply::Unanswered.into()),
+    let mut decisions = decide(node, &parsed, Some(relayed_by))?.into_iter();
+    let decision = |is_valid| match is_valid {
+        true => decisions.next().unwrap_or_else(|| HeartbeatReply::Rejected.into()),
         false => HeartbeatReply::Malformed.into(),
     };
-    Ok(is_readable.into_iter().map(decision).collect())
+    Ok(is_valid.into_iter().map(decision).collect())
 }
 
 #[cfg(test)]
--- a/src/net/redirected_workers.rs
+++ b/src/net/redirected_workers.rs
@@ -1,46 +1,49 @@
-//! Workers that have tried here while another controller led.
+//! Records workers that have sent a heartbeat to this controller while another controller led.
 //!
-//! A leader asks its peers which of its suspected machines have tried there: if most have, it is the leader
-//! that can't be reached.
+//! A leader asks its peers which of the machines that it suspects have done so. If most have, the machines are alive
+//! and it is the leader that they can't reach.
 
 use crate::time::{Millis, MonotonicTime};
 use std::collections::HashMap;
 
-/// A worker waits this long for an answer (PROTOCOL).
+/// How long a worker waits for the response to a heartbeat, as the platform's protocol specifies.
 const WORKER_RESPONSE_TIMEOUT: Millis = Millis(4_000);
-/// A worker that has lost its leader may take this long to come back to the same controller.
+/// How long a redirect is remembered. A worker that tries one controller after the other comes back to the same one
+/// within this time.
 const REDIRECT_TTL: Millis = Millis(8_000);
-/// Far more machines than any known fleet has. Beyond it all are forgotten at once.
+/// Maximum number of recorded machines, far above the size of known clusters. When it is reached, all records are
+/// discarded.
 const MAX_REDIRECTED: usize = 65_536;
 
 struct Redirect {
     at: MonotonicTime,
-    /// The controller that the worker was sent to.
-    sent_to: Option<String>,
+    /// The leader, if one was known, that was passed to [`RedirectedWorkers::record`].
+    leader: Option<String>,
 }
 
-/// The latest redirection of each machine.
+/// The latest redirect of each machine.
 #[derive(Default)]
 pub struct RedirectedWorkers {
     by_machine: HashMap<String, Redirect>,
 }
 
 impl RedirectedWorkers {
-    /// Notes that a machine has tried here, and returns the controller to send it to.
+    /// Records that a machine's worker has sent its heartbeat here, and returns the controller to redirect it to.
     ///
-    /// None: no `leader` is known, or the worker has been sent there before, has waited in vain and is back.
-    /// It can't reach that controller and would only be sent to and fro. One that was turned away there at
-    /// once is sent again, as that controller may be about to start.
+    /// Returns `None` if `leader` is `None`, or if it is the same leader as at the worker's previous heartbeat here
+    /// and that was at least a response timeout ago: the worker can't reach that leader and would only alternate
+    /// between the two controllers. A worker that is back sooner was refused there at once; it is redirected again,
+    /// as that controller may be about to start leading.
     pub fn record(&mut self, machine: &str, now: MonotonicTime, leader: Option<String>) -> Option<String> {
         if self.by_machine.len() >= MAX_REDIRECTED {
             self.by_machine.clear();
         }
-        let before = self.by_machine.insert(machine.into(), Redirect { at: now, sent_to: leader.clone() });
-        let waited = |before: &Redirect| (WORKER_RESPONSE_TIMEOUT..=REDIRECT_TTL).contains(&(now - before.at));
-        leader.filter(|name| before.is_none_or(|before| !waited(&before) || before.sent_to.as_ref() != Some(name)))
+        let previous = self.by_machine.insert(machine.into(), Redirect { at: now, leader: leader.clone() });
+        let timed_out = |previous: &Redirect| (WORKER_RESPONSE_TIMEOUT..=REDIRECT_TTL).contains(&(now - previous.at));
+        leader.filter(|name| previous.is_none_or(|last| !timed_out(&last) || last.leader.as_ref() != Some(name)))
     }
 
-    /// Of these machines, those that have lately tried here.
+    /// Returns those of `machines` whose workers have sent a heartbeat here recently, in the order of `machines`.
     pub fn among(&mut self, machines: &[String], now: MonotonicTime) -> Vec<String> {
         self.by_machine.retain(|_, redirect| now - redirect.at <= REDIRECT_TTL);
         machines.iter().filter(|machine| self.by_machine.contains_key(*machine)).cloned().collect()
--- a/src/net/relay_routes.rs
+++ b/src/net/relay_routes.rs
@@ -1,6 +1,8 @@
-//! Relay routes: peers that reach the leader while this controller does not, as when two zones can't reach
-//! each other. Workers that heartbeat here are redirected to such a peer. The leader's own name would not
-//! help the workers on this side of the cut, which would wait for it in vain.
+//! Relay routes: peers that can reach the leader while this controller can't, for example during a network
+//! partition between two zones.
+//!
+//! Workers that send heartbeats to this controller are redirected to such a peer. Redirecting them to the leader
+//! itself would not help workers on this side of the partition: they can't reach it either and would only time out.
 
 use super::node::Node;
 use super::peers;
@@ -8,34 +10,34 @@
 use crate::time::Millis;
 use std::sync::Arc;
 
-/// How often peers are asked while the leader can't be reached.
+/// Interval at which peers are queried while the leader can't be reached.
 const REFRESH_INTERVAL: Millis = Millis(1_000);
-/// How long a peer has to answer.
+/// How long a peer may take to answer.
 const REFRESH_TIMEOUT: Millis = Millis(700);
 
-/// The peers that relay heartbeats to the leader, as of their last answers.
+/// The peers that relay heartbeats to the leader, according to their latest responses.
 #[derive(Default)]
 pub struct RelayRoutes {
     peers: Vec<String>,
-    turns: RoundRobin,
+    round_robin: RoundRobin,
 }
 
 impl RelayRoutes {
-    /// Replaces the peers; the turns go on.
-    pub fn set(&mut self, peers: Vec<String>) {
+    /// Sets the peers, by name. The round-robin order continues where it was.
+    pub fn set_peers(&mut self, peers: Vec<String>) {
         self.peers = peers;
     }
 
-    /// The name of the peer that a worker should be redirected to, and ends that peer's turn; `None`: no peer
+    /// Returns the name of the next peer to redirect a worker to, in round-robin order. Returns `None` if no peer
     /// relays heartbeats.
-    pub fn take_turn(&mut self) -> Option<String> {
-        let peer = self.turns.current(&self.peers)?.clone();
-        self.turns.advance();
+    pub fn next_peer(&mut self) -> Option<String> {
+        let peer = self.round_robin.current(&self.peers)?.clone();
+        self.round_robin.advance();
         Some(peer)
     }
 }
 
-/// Refreshes the relay routes at regular intervals, for as long as the process runs.
+/// Refreshes the relay routes at a regular interval until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(REFRESH_INTERVAL.to_std()).await;
@@ -43,21 +45,21 @@
     }
 }
 
-/// Asks the peers whether they relay heartbeats, if relay routes are needed now; otherwise clears them.
+/// Updates the relay routes: queries the peers if routes are needed now, and clears them otherwise.
 pub async fn refresh(node: &Arc<Node>) {
     let names = if needs_relay_routes(node) { relaying_peers(node).await } else { Vec::new() };
-    node.lock().relay_routes.set(names);
+    node.lock().relay_routes.set_peers(names);
 }
 
-/// Whether another controller leads and heartbeats can't be passed on to it.
+/// Returns whether another controller leads and heartbeats can't be relayed to it from here.
 fn needs_relay_routes(node: &Node) -> bool {
     let now = node.now();
-    let inner = node.lock();
-    let another_leads = inner.leader_name.as_ref().is_some_and(|name| *name != node.settings.name);
-    another_leads && !inner.heartbeat_relay.is_open(now)
+    let state = node.lock();
+    let another_leads = state.leader_name.as_ref().is_some_and(|name| *name != node.settings.name);
+    another_leads && !state.heartbeat_relay.can_relay(now)
 }
 
-/// Asks all peers, and returns the names of those that relay heartbeats.
+/// Queries all peers and returns the names of those that can relay heartbeats to the leader.
 async fn relaying_peers(node: &Arc<Node>) -> Vec<String> {
     let answers = peers::ask_all(node, &peers::peer_heartbeat(node), REFRESH_TIMEOUT).await;
     let relaying = peers::answered(node, &answers).filter(|(_, answer)| answer.relays_heartbeats);
