--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::config::Peer;
-use crate::net::loopback::{FakeCluster, free_addr, pair, start};
+use crate::net::loopback::{FakeCluster, free_addr, start, start_pair};
 use crate::net::server;
 use serde_json::json;
 
@@ -78,7 +78,7 @@
     // unanswered batch waited for a second timeout, and their workers were then redirected to controllers that
     // they couldn't reach, until their leases expired.
     let cluster = FakeCluster::default();
-    let [(relaying, _), (other, _)] = pair(&cluster).await;
+    let [(relaying, _), (other, _)] = start_pair(&cluster).await;
     tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal(&relaying), 64));
     // A leader on a machine that hangs: it accepts connections but never responds.
     let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -1,4 +1,4 @@
-//! Controllers on loopback against fakes of the key-value store, the cloud and a worker.
+//! Integration tests: controllers on the loopback interface with a fake key-value store, cloud and worker.
 
 mod bounds;
 mod dependencies;
@@ -24,17 +24,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Ports of the tests' servers: below those that the system gives to outgoing connections, which could take
-/// one between the look here and the server's start.
+/// Ports of the tests' servers. They lie below the ephemeral ports, as the operating system could assign one of
+/// those to an outgoing connection after `free_addr` has found it free and before the server binds it.
 const TEST_PORTS: std::ops::Range<u32> = 10_000..32_000;
 
-/// An address that nothing listens on and no other test of this process gets.
+/// Returns an address that nothing listens on and that no other test of this process gets.
 pub(super) fn free_addr() -> SocketAddr {
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
-    // Processes that run beside each other begin far apart.
+    static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
+    // Test processes that run at the same time start at ports that are far apart.
     let first = std::process::id().wrapping_mul(211);
     loop {
-        let number = first.wrapping_add(TAKEN.fetch_add(1, Ordering::Relaxed));
+        let number = first.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed));
         let port = TEST_PORTS.start + number % (TEST_PORTS.end - TEST_PORTS.start);
         let addr = SocketAddr::from(([127, 0, 0, 1], port as u16));
         if std::net::TcpListener::bind(addr).is_ok() {
@@ -43,6 +43,7 @@
     }
 }
 
+/// An HTTP client of one controller's public API, for users and workers.
 pub(super) struct Client {
     http: Http,
     addr: String,
@@ -75,10 +76,11 @@
         self.get(&format!("/api/jobs/{id}")).await
     }
 
-    /// The worker sends a heartbeat here, and takes in the token of the answer but no orders.
+    /// Sends the worker's next heartbeat to this controller. The worker adopts the response's fencing token and ignores
+    /// its orders.
     async fn heartbeat(&self, cluster: &FakeCluster) -> (u16, Value) {
         let (status, answer) = self.post("/v1/report", cluster.heartbeat()).await;
-        cluster.lock().worker.on_answer(&answer);
+        cluster.lock().worker.on_heartbeat_response(&answer);
         (status, answer)
     }
 }
@@ -89,39 +91,40 @@
         "apart": false, "loaner": true, "expect_s": 5.0, "mark_s": 0.0, "stow_s": 0.0})
 }
 
-/// Waits until something holds; a stuck controller fails the test instead of hanging it.
-async fn eventually(mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until a condition holds, and panics after 10 s, so that a controller that is stuck doesn't hang the test.
+async fn eventually(mut condition: impl AsyncFnMut() -> bool) {
     for _ in 0..200 {
-        if holds().await {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Millis(50).to_std()).await;
     }
-    panic!("it didn't happen within 10 s");
+    panic!("condition did not hold within 10 s");
 }
 
-async fn listens(addr: SocketAddr) {
+/// Waits until a server accepts connections at the address.
+async fn wait_for_listener(addr: SocketAddr) {
     eventually(async || tokio::net::TcpStream::connect(addr).await.is_ok()).await;
 }
 
-/// A controller without peers.
-async fn start_alone(cluster: &FakeCluster) -> (Arc<Node>, Client) {
+/// Starts a controller without peers.
+async fn start_without_peers(cluster: &FakeCluster) -> (Arc<Node>, Client) {
     let mut settings = sample_settings();
     settings.peers.clear();
     settings.peer_listen = free_addr();
     start(cluster, settings).await
 }
 
-/// A controller whose peers are behind a cut.
-async fn start_cut_off(cluster: &FakeCluster) -> (Arc<Node>, Client) {
+/// Starts a controller whose peers can't be reached.
+async fn start_with_unreachable_peers(cluster: &FakeCluster) -> (Arc<Node>, Client) {
     let mut settings = sample_settings();
     settings.peers.iter_mut().for_each(|peer| peer.addr = free_addr());
     settings.peer_listen = free_addr();
     start(cluster, settings).await
 }
 
-/// A controller with fakes round it, and a client of its users' side. Returns once all of them listen; the
-/// controller doesn't stand for election yet.
+/// Starts a controller and the fakes that it talks to, and returns it with a client of its public API. All servers
+/// accept connections when this returns. The controller doesn't stand for election yet.
 pub(super) async fn start(cluster: &FakeCluster, mut settings: Settings) -> (Arc<Node>, Client) {
     settings.listen = free_addr();
     settings.services.store = cluster.serve_store(&settings.name);
@@ -133,37 +136,39 @@
     tokio::spawn(relay_routes::run(node.clone()));
     tokio::spawn(server::serve(node.settings.listen, server::public(&node), 64));
     for addr in [node.settings.services.store, node.settings.services.cloud, worker, node.settings.listen] {
-        listens(addr).await;
+        wait_for_listener(addr).await;
     }
     (node, client)
 }
 
-/// Lets a controller hear its peers.
+/// Starts a controller's server for its peers, so that it receives their messages.
 async fn serve_peers(node: &Arc<Node>) {
     tokio::spawn(server::serve(node.settings.peer_listen, server::internal(node), 64));
-    listens(node.settings.peer_listen).await;
+    wait_for_listener(node.settings.peer_listen).await;
 }
 
-/// Lets a controller learn the machine types and stand for election.
-fn stand(node: &Arc<Node>) {
+/// Starts the tasks of a controller that poll the machine types and take part in leader elections.
+fn start_election(node: &Arc<Node>) {
     tokio::spawn(leader_loop::learn_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
 }
 
-/// A controller that leads alone and serves users.
+/// Starts a controller without peers, and waits until it leads and serves users.
 async fn start_leading(cluster: &FakeCluster) -> (Arc<Node>, Client) {
-    let (node, client) = start_alone(cluster).await;
-    stand(&node);
+    let (node, client) = start_without_peers(cluster).await;
+    start_election(&node);
     eventually(async || client.get("/healthz").await.0 == 200).await;
     (node, client)
 }
 
-/// Two controllers that know each other. The first hears no messages of the other's own accord.
-pub(super) async fn pair(cluster: &FakeCluster) -> [(Arc<Node>, Client); 2] {
-    pair_with(cluster, sample_settings()).await
+/// Starts two controllers that are each other's peers. The first doesn't receive messages from the second until
+/// [`serve_peers`] is called for it.
+pub(super) async fn start_pair(cluster: &FakeCluster) -> [(Arc<Node>, Client); 2] {
+    start_pair_with(cluster, sample_settings()).await
 }
 
-async fn pair_with(cluster: &FakeCluster, settings: Settings) -> [(Arc<Node>, Client); 2] {
+/// Like [`start_pair`], with other settings.
+async fn start_pair_with(cluster: &FakeCluster, settings: Settings) -> [(Arc<Node>, Client); 2] {
     let (mut first, mut second) = (settings.clone(), settings);
     first.peers.truncate(1);
     second.peers.truncate(1);
@@ -176,9 +181,9 @@
     [start(cluster, first).await, second]
 }
 
-/// Lets both stand for election, the first before the other, and waits until it leads.
+/// Lets two controllers take part in leader elections: the first is elected before the other one starts.
 async fn elect_first(cluster: &FakeCluster, [first, other]: [&Arc<Node>; 2]) {
-    stand(first);
+    start_election(first);
     eventually(async || cluster.has_key(LEADER_KEY)).await;
-    stand(other);
+    start_election(other);
 }
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -1,4 +1,4 @@
-//! What happens past the bound of a leader's lease, and how long one message may hold everything else.
+//! Tests of a leader whose lease has expired, and of heartbeat batches that are processed in several steps.
 
 use super::*;
 use crate::core::election::LeaderRecord;
@@ -12,14 +12,14 @@
 use crate::time::WallTime;
 use prost::Message;
 
-/// A leader in the middle of a round that a peer plans for.
-async fn leader_in_a_round(node: &Arc<Node>) -> Scheduler {
-    let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud names its types");
+/// Returns the scheduler of a leader in a planning round, part of which a peer plans.
+async fn leader_in_planning_round(node: &Arc<Node>) -> Scheduler {
+    let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud lists its machine types");
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: 1, lease: LeaseId(7) };
     let mut leader = Scheduler::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
     let ParsedSubmission { id, submission } =
         parse_submission(job("req-000001", 1).to_string().as_bytes()).expect("the id is readable");
-    let Ok(Submission { spec, .. }) = submission else { panic!("the job is possible") };
+    let Ok(Submission { spec, .. }) = submission else { panic!("the submission was refused") };
     let live = json!(LiveRecord { at: WallTime(0), spec, depends_on: Vec::new() });
     leader.on_job_accepted(&id, &live, Revision(1));
     node.settings.peers.iter().for_each(|peer| leader.peer_answered(MonotonicTime(0), &peer.name));
@@ -28,13 +28,13 @@
 }
 
 #[tokio::test]
-async fn leader_past_its_bound_abandons_the_round_and_refuses_users() {
+async fn leader_with_expired_lease_abandons_the_round_and_refuses_users() {
     let cluster = FakeCluster::default();
-    let (node, client) = start_cut_off(&cluster).await;
-    let leader = leader_in_a_round(&node).await;
+    let (node, client) = start_with_unreachable_peers(&cluster).await;
+    let leader = leader_in_planning_round(&node).await;
     assert!(leader.has_open_round());
     node.lock().scheduler = Some(leader);
-    // Not elected, or not any more: the step is not given, and nothing of the round goes out.
+    // The controller holds no lease: the step isn't executed, and no effects of the round are carried out.
     let answer = leader_loop::step(&node, InputKind::Tick, |leader| {
         leader.on_job_terminated(&JobId::parse("req-000001").unwrap(), JobOutcome::Unknown)
     });
@@ -45,22 +45,22 @@
 }
 
 #[tokio::test]
-async fn large_heartbeat_batch_is_answered_whole_and_in_order() {
+async fn large_heartbeat_batch_is_answered_completely_and_in_order() {
     let cluster = FakeCluster::default();
-    let (node, _client) = start_alone(&cluster).await;
+    let (node, _client) = start_without_peers(&cluster).await;
     let heartbeat = cluster.heartbeat().to_string();
     let malformed = |n: usize| n.is_multiple_of(97);
     let body = |n: usize| if malformed(n) { "{}".to_string() } else { heartbeat.clone() };
     let heartbeats = (0..600).map(|n| body(n).into()).collect();
     let batch = HeartbeatBatch { version: VERSION, heartbeats, from: "plinth-1".into() }.encode_to_vec();
-    let ask = async || {
-        let answer = heartbeats::answer_batch(&node, &batch).await.expect("it can be read");
-        HeartbeatDecisions::decode(answer.as_slice()).expect("it is a message")
+    let send_batch = async || {
+        let answer = heartbeats::answer_batch(&node, &batch).await.expect("the batch is valid");
+        HeartbeatDecisions::decode(answer.as_slice()).expect("the response can be decoded")
     };
-    let answer = ask().await;
-    assert!(!answer.leading && answer.decisions.is_empty(), "nobody leads here");
+    let answer = send_batch().await;
+    assert!(!answer.leading && answer.decisions.is_empty(), "this controller doesn't lead");
     node.lock().election.elected(Term(5), LeaseId(7), node.now());
-    let answer = ask().await;
+    let answer = send_batch().await;
     assert!(answer.leading);
     let statuses: Vec<u32> = answer.decisions.iter().map(|decision| decision.status).collect();
     let expected: Vec<u32> = (0..600).map(|n| if malformed(n) { 400 } else { 200 }).collect();
--- a/src/net/loopback/fakes.rs
+++ b/src/net/loopback/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes of what a controller talks to: key-value store, cloud and one worker, each a server on loopback.
+//! Fakes of a controller's key-value store, cloud and single worker, each a server on the loopback interface.
 
 use super::free_addr;
 use crate::net::server;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A handle on the state of all fakes; its clones share it.
+/// A handle to the state of all fakes. Clones share the state.
 #[derive(Clone, Default)]
 pub(in crate::net) struct FakeCluster(Arc<Mutex<FakeState>>);
 
@@ -26,7 +26,7 @@
         self.0.lock().expect("no test panics while it holds the lock")
     }
 
-    /// The worker's next heartbeat.
+    /// Returns the worker's next heartbeat.
     pub(in crate::net) fn heartbeat(&self) -> Value {
         self.lock().worker.heartbeat()
     }
@@ -35,7 +35,7 @@
         self.lock().store.entries.contains_key(key)
     }
 
-    /// The store as one controller sees it.
+    /// Starts a server of the store for one controller, which can be refused separately.
     pub(super) fn serve_store(&self, controller: &str) -> SocketAddr {
         serve(StoreServer { cluster: self.clone(), controller: controller.to_string() })
     }
@@ -51,20 +51,20 @@
     }
 }
 
-/// The key-value store. Leases never end, and the watch is answered from the log of all changes.
+/// The key-value store. Its leases never expire, and watches are answered from a log of all changes.
 #[derive(Default)]
 pub(in crate::net) struct FakeStore {
     /// Each value with the revision at which it was written.
     pub(super) entries: BTreeMap<String, (Value, u64)>,
-    /// All changes: key, revision and the entry of the watch.
+    /// All changes, each with its key, its revision and its entry in the response to a watch.
     changes: Vec<(String, u64, Value)>,
     revision: u64,
-    /// Refuses everything.
+    /// Whether all requests are refused.
     pub(super) refuses_all: bool,
-    /// Doesn't answer at all.
+    /// Whether responses are delayed beyond the clients' timeouts.
     pub(super) unresponsive: bool,
-    /// Refuses these controllers alone.
-    pub(super) refuses: BTreeSet<String>,
+    /// Names of the controllers whose requests are refused.
+    pub(super) refused_controllers: BTreeSet<String>,
 }
 
 impl FakeStore {
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Changes of keys with a prefix, after a revision.
+    /// Returns the changes of keys with the given prefix after the given revision.
     fn watch(&self, query: &str) -> (u16, Value) {
         let field = |name: &str| query.split('&').find_map(|field| field.strip_prefix(name)).unwrap_or_default();
         let since: u64 = field("since=").parse().unwrap();
         let prefix = field("prefix=");
-        let new = self.changes.iter().filter(|(key, revision, _)| key.starts_with(prefix) && *revision > since);
-        let log: Vec<&Value> = new.map(|(_, _, entry)| entry).collect();
+        let matching = self.changes.iter().filter(|(key, revision, _)| key.starts_with(prefix) && *revision > since);
+        let log: Vec<&Value> = matching.map(|(_, _, entry)| entry).collect();
         (200, json!({"epoch": self.revision, "log": log}))
     }
 
@@ -132,28 +132,28 @@
         json!({"path": key, "value": value, "stamp": revision})
     }
 
-    fn answer(&mut self, call: &Call) -> (u16, Value) {
-        match (call.method.as_str(), call.path.as_str()) {
-            (_, "follow") => self.watch(&call.query),
-            ("POST", "commit") => self.commit(&serde_json::from_slice(&call.body).unwrap()),
+    fn respond(&mut self, request: &ReceivedRequest) -> (u16, Value) {
+        match (request.method.as_str(), request.path.as_str()) {
+            (_, "follow") => self.watch(&request.query),
+            ("POST", "commit") => self.commit(&serde_json::from_slice(&request.body).unwrap()),
             ("POST", "holds") => (200, json!({"tenure": 7})),
             (_, path) if path.starts_with("holds/") => (200, json!({})),
-            ("GET", "store") => self.list(&call.query),
+            ("GET", "store") => self.list(&request.query),
             ("GET", path) => self.read(path.strip_prefix("store/").unwrap_or_default()),
             _ => (400, json!({})),
         }
     }
 }
 
-/// A worker that starts what it is ordered to, and whose tasks end only as a test lets them.
+/// A worker that executes run orders at once and ignores stop orders. Its tasks run until the test ends them.
 #[derive(Default)]
 pub(in crate::net) struct FakeWorker {
     pub(super) endpoint: String,
     sequence: u64,
     pub(super) token: u64,
-    /// What it lists of each task.
+    /// The entry of each task in its heartbeats.
     pub(super) tasks: BTreeMap<String, Value>,
-    /// All orders that it got directly.
+    /// All orders that were sent to its endpoint.
     pub(super) orders: Vec<Order>,
 }
 
@@ -165,8 +165,8 @@
             "lots": self.tasks.values().collect::<Vec<_>>()})
     }
 
-    /// Takes in the answer to a heartbeat.
-    pub(super) fn on_answer(&mut self, answer: &Value) {
+    /// Adopts the fencing token of the response to a heartbeat.
+    pub(super) fn on_heartbeat_response(&mut self, answer: &Value) {
         self.token = self.token.max(answer["baton"].as_u64().unwrap_or(0));
     }
 
@@ -182,24 +182,24 @@
     }
 
     pub(super) fn complete_all_tasks(&mut self) {
-        for listed in self.tasks.values_mut() {
-            listed["phase"] = json!("exited");
-            listed["cause"] = json!("done");
+        for entry in self.tasks.values_mut() {
+            entry["phase"] = json!("exited");
+            entry["cause"] = json!("done");
         }
     }
 }
 
-/// A request as the fakes see it.
-struct Call {
+/// The parts of a request that the fakes use.
+struct ReceivedRequest {
     method: Method,
     path: String,
     query: String,
     body: Vec<u8>,
 }
 
-impl Call {
-    async fn of(req: &mut Request) -> Call {
-        Call {
+impl ReceivedRequest {
+    async fn read(req: &mut Request) -> ReceivedRequest {
+        ReceivedRequest {
             method: req.method().clone(),
             path: req.uri().path().trim_start_matches('/').to_string(),
             query: req.uri().query().unwrap_or_default().to_string(),
@@ -227,40 +227,40 @@
 #[salvo::handler]
 impl StoreServer {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let call = Call::of(req).await;
-        let unresponsive = self.cluster.lock().store.unresponsive;
-        if unresponsive {
+        let request = ReceivedRequest::read(req).await;
+        let is_unresponsive = self.cluster.lock().store.unresponsive;
+        if is_unresponsive {
             tokio::time::sleep(Millis(8_000).to_std()).await;
         }
-        if call.path == "follow" {
-            // Answered from time to time, whether or not something has changed.
+        if request.path == "follow" {
+            // A watch blocks for a fixed time, whether or not there are changes.
             tokio::time::sleep(Millis(300).to_std()).await;
         }
         let answer = {
             let store = &mut self.cluster.lock().store;
-            match store.refuses_all || store.refuses.contains(&self.controller) {
+            match store.refuses_all || store.refused_controllers.contains(&self.controller) {
                 true => (503, json!({"error": "trouble"})),
-                false => store.answer(&call),
+                false => store.respond(&request),
             }
         };
         render(res, answer);
     }
 }
 
-/// A cloud with one machine type and no capacity.
+/// A cloud that offers one machine type and has no capacity.
 struct CloudServer;
 
 #[salvo::handler]
 impl CloudServer {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let call = Call::of(req).await;
-        let answer = match call.path.as_str() {
+        let request = ReceivedRequest::read(req).await;
+        let answer = match request.path.as_str() {
             "machine_types" => (
                 200,
                 json!({"builds": [{"sku": "g8", "cores": 16, "gpus": 0, "ram_gb": 64, "local_gb": 50,
                     "fetch_gb_per_s": 1.0, "price": 1.0, "market_price": 0.5, "startup_s": 5, "quays": ["a"]}]}),
             ),
-            "machines" if call.method == Method::GET => (200, json!({"plinths": [], "has_next": false})),
+            "machines" if request.method == Method::GET => (200, json!({"plinths": [], "has_next": false})),
             _ => (503, json!({"error": "no capacity"})),
         };
         render(res, answer);
@@ -272,8 +272,8 @@
 #[salvo::handler]
 impl WorkerServer {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let call = Call::of(req).await;
-        let body: Value = serde_json::from_slice(&call.body).unwrap();
+        let request = ReceivedRequest::read(req).await;
+        let body: Value = serde_json::from_slice(&request.body).unwrap();
         let heartbeat = {
             let worker = &mut self.0.lock().worker;
             worker.execute(&body);
--- a/src/net/loopback/relay.rs
+++ b/src/net/loopback/relay.rs
@@ -1,10 +1,10 @@
-//! Heartbeats by way of a controller that does not lead.
+//! Tests of heartbeats that a controller relays to the leader.
 
 use super::*;
 
-/// A leader and its peer that relays, with a client of each. The worker's heartbeats are answered through it.
+/// Starts a leader and a peer, and waits until the peer relays the worker's heartbeats to the leader.
 async fn leader_and_relay(cluster: &FakeCluster, settings: Settings) -> [(Arc<Node>, Client); 2] {
-    let [leader, relay] = pair_with(cluster, settings).await;
+    let [leader, relay] = start_pair_with(cluster, settings).await;
     serve_peers(&leader.0).await;
     elect_first(cluster, [&leader.0, &relay.0]).await;
     eventually(async || {
@@ -17,32 +17,36 @@
 }
 
 #[tokio::test]
-async fn relay_hands_out_the_leaders_token_and_orders() {
+async fn relay_passes_on_the_leaders_token_and_orders() {
     let cluster = FakeCluster::default();
-    let [(leader, at_leader), (_relay, at_relay)] = leader_and_relay(&cluster, sample_settings()).await;
-    // The worker never sends to the leader, and gets its token and its tasks.
-    eventually(async || at_leader.submit(job("req-000001", 1)).await.0 == 201).await;
+    let [(leader, leader_client), (_relay, relay_client)] = leader_and_relay(&cluster, sample_settings()).await;
+    // The worker sends no heartbeat to the leader itself, and yet gets its fencing token and its tasks.
+    eventually(async || leader_client.submit(job("req-000001", 1)).await.0 == 201).await;
     eventually(async || {
-        let (status, answer) = at_relay.heartbeat(&cluster).await;
+        let (status, answer) = relay_client.heartbeat(&cluster).await;
         let term = leader.lock().election.lease().map(|lease| FencingToken::new(lease.term, 0));
         let has_tasks = !cluster.lock().worker.tasks.is_empty();
         has_tasks && status == 200 && answer["baton"] == json!(term)
     })
     .await;
-    // A cancellation reaches it the same way.
-    assert_eq!(at_relay.cancel("req-000001").await.1["phase"], "aborted");
-    eventually(async || at_relay.heartbeat(&cluster).await.1["orders"].to_string().contains("stop")).await;
+    // The stop order of a cancelled job reaches it through the relay too.
+    assert_eq!(relay_client.cancel("req-000001").await.1["phase"], "aborted");
+    eventually(async || relay_client.heartbeat(&cluster).await.1["orders"].to_string().contains("stop")).await;
 }
 
 #[tokio::test]
 async fn relay_refuses_malformed_heartbeats() {
     let cluster = FakeCluster::default();
-    let [_leader, (_relay, at_relay)] = leader_and_relay(&cluster, sample_settings()).await;
-    assert_eq!(at_relay.post("/v1/report", json!({"what": "is this"})).await.0, 400, "malformed wherever it arrives");
+    let [_leader, (_relay, relay_client)] = leader_and_relay(&cluster, sample_settings()).await;
+    assert_eq!(
+        relay_client.post("/v1/report", json!({"what": "is this"})).await.0,
+        400,
+        "refused by the relay as by the leader"
+    );
 }
 
 #[tokio::test]
-async fn peer_routes_refuse_what_is_no_message_of_this_version() {
+async fn peer_routes_refuse_invalid_messages() {
     let cluster = FakeCluster::default();
     let [_leader, (relay, _)] = leader_and_relay(&cluster, sample_settings()).await;
     let peer = Client { http: Http::new(4), addr: relay.settings.peer_listen.to_string() };
@@ -52,19 +56,19 @@
 }
 
 #[tokio::test]
-async fn settled_leader_moves_workers_to_a_relay() {
+async fn leader_redirects_workers_to_a_relay_after_a_lease() {
     let cluster = FakeCluster::default();
-    // A leader is settled once the workers' leases of an earlier one are over.
+    // A leader redirects workers only after it has led for one worker lease, which is shortened here.
     let mut settings = sample_settings();
     settings.cluster.workers.lease_s = 4.0;
-    let [(_leader, at_leader), (relay, _)] = leader_and_relay(&cluster, settings).await;
+    let [(_leader, leader_client), (relay, _)] = leader_and_relay(&cluster, settings).await;
     let relay_name = relay.settings.name.clone();
-    eventually(async || at_leader.heartbeat(&cluster).await == (421, json!({"steward": relay_name}))).await;
+    eventually(async || leader_client.heartbeat(&cluster).await == (421, json!({"steward": relay_name}))).await;
 }
 
 #[tokio::test]
-async fn controller_that_reaches_the_relay_alone_sends_workers_there() {
-    // Naming the leader would be in vain.
+async fn controller_that_reaches_only_the_relay_redirects_workers_there() {
+    // The workers presumably can't reach the leader either, so they must not be redirected to it.
     let cluster = FakeCluster::default();
     let [(leader, _), (relay, _)] = leader_and_relay(&cluster, sample_settings()).await;
     let relay_name = relay.settings.name.clone();
@@ -73,17 +77,17 @@
     settings.peers.truncate(2);
     settings.peers[0] = Peer { addr: free_addr(), name: leader.settings.name.clone(), zone: String::new() };
     settings.peers[1] = Peer { addr: relay.settings.peer_listen, name: relay_name.clone(), zone: String::new() };
-    let (third, at_third) = start(&cluster, settings).await;
+    let (third, third_client) = start(&cluster, settings).await;
     third.lock().leader_name = Some(leader.settings.name.clone());
-    eventually(async || at_third.heartbeat(&cluster).await == (421, json!({"steward": relay_name}))).await;
+    eventually(async || third_client.heartbeat(&cluster).await == (421, json!({"steward": relay_name}))).await;
 }
 
 #[tokio::test]
-async fn relay_answers_nothing_of_its_own_without_a_leader() {
+async fn relay_without_a_leader_accepts_no_heartbeats() {
     let cluster = FakeCluster::default();
-    let [(leader, _), (_relay, at_relay)] = leader_and_relay(&cluster, sample_settings()).await;
+    let [(leader, _), (_relay, relay_client)] = leader_and_relay(&cluster, sample_settings()).await;
     leader.lock().election.step_down();
-    // Neither made up nor remembered.
-    assert_eq!(at_relay.heartbeat(&cluster).await, (421, json!({})));
-    assert_ne!(at_relay.heartbeat(&cluster).await.0, 200);
+    // The relay neither decides itself nor repeats an earlier decision of the leader.
+    assert_eq!(relay_client.heartbeat(&cluster).await, (421, json!({})));
+    assert_ne!(relay_client.heartbeat(&cluster).await.0, 200);
 }
--- a/src/net/loopback/users.rs
+++ b/src/net/loopback/users.rs
@@ -1,9 +1,9 @@
-//! What users get from a controller that leads alone, and what its worker gets.
+//! Tests of the responses to users and the worker from a leader without peers.
 
 use super::*;
 
-/// The worker runs the job's tasks and completes them, and the leader records that.
-async fn run_to_the_end(cluster: &FakeCluster, client: &Client, id: &str, tasks: u32) {
+/// Submits a job, has the worker run and complete its tasks, and waits until the job is done.
+async fn run_to_completion(cluster: &FakeCluster, client: &Client, id: &str, tasks: u32) {
     assert_eq!(client.submit(job(id, tasks)).await.0, 201);
     eventually(async || {
         let (status, _) = client.heartbeat(cluster).await;
@@ -21,30 +21,30 @@
 
 #[tokio::test]
 async fn controller_refuses_users_until_it_knows_the_machine_types() {
-    let (_node, client) = start_alone(&FakeCluster::default()).await;
-    // Nothing can be decided, and that is answered at once.
+    let (_node, client) = start_without_peers(&FakeCluster::default()).await;
+    // Submissions can't be checked yet, so they are refused without waiting.
     assert_eq!(client.get("/healthz").await.0, 503);
     assert_eq!(client.submit(job("req-000001", 2)).await.0, 503);
 }
 
 #[tokio::test]
-async fn submission_is_accepted_and_its_repetitions_are_answered() {
+async fn submission_is_accepted_and_repeated_ones_are_answered() {
     let (_node, client) = start_leading(&FakeCluster::default()).await;
     assert_eq!(client.submit(job("req-000001", 2)).await, (201, json!({"id": "req-000001", "phase": "queued"})));
     assert_eq!(client.submit(job("req-000001", 2)).await.0, 200);
-    assert_eq!(client.submit(job("req-000001", 0)).await.0, 200, "a known id answers whatever else it says");
+    assert_eq!(client.submit(job("req-000001", 0)).await.0, 200, "of a repeated submission only the id matters");
 }
 
 #[tokio::test]
-async fn submission_that_is_malformed_or_impossible_is_refused_and_not_kept() {
+async fn invalid_submission_is_refused_and_not_stored() {
     let (_node, client) = start_leading(&FakeCluster::default()).await;
     assert_eq!(client.submit(job("req-000009", 0)).await.0, 400);
     let mut large = job("req-000009", 1);
     large["cast"] = json!("x".repeat(70_000));
     assert_eq!(client.submit(large).await.0, 400);
-    let mut of_unknown_team = job("req-000009", 1);
-    of_unknown_team["crew"] = json!("nobody");
-    assert_eq!(client.submit(of_unknown_team).await.0, 422);
+    let mut unknown_team = job("req-000009", 1);
+    unknown_team["crew"] = json!("nobody");
+    assert_eq!(client.submit(unknown_team).await.0, 422);
     assert_eq!(client.job("req-000009").await.0, 404);
 }
 
@@ -65,8 +65,8 @@
 async fn job_runs_on_the_worker_until_its_tasks_are_done() {
     let cluster = FakeCluster::default();
     let (_node, client) = start_leading(&cluster).await;
-    run_to_the_end(&cluster, &client, "req-000001", 2).await;
-    assert!(cluster.has_key("fleet/m-000001"), "registered before its first order");
+    run_to_completion(&cluster, &client, "req-000001", 2).await;
+    assert!(cluster.has_key("fleet/m-000001"), "its record is stored before its first order");
     assert_eq!(client.cancel("req-000001").await.1["phase"], "done");
 }
 
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn unreadable_record_is_neither_overwritten_nor_denied() {
+async fn job_with_unreadable_record_is_not_overwritten_and_counts_as_existing() {
     let cluster = FakeCluster::default();
     let (_node, client) = start_leading(&cluster).await;
     cluster.lock().store.put("live/req-000003", json!("garbage"), 1);
@@ -91,10 +91,10 @@
 }
 
 #[tokio::test]
-async fn controller_that_the_store_refuses_still_knows_outcomes_and_refuses_the_rest() {
+async fn controller_refused_by_the_store_answers_only_about_jobs_that_have_ended() {
     let cluster = FakeCluster::default();
     let (_node, client) = start_leading(&cluster).await;
-    run_to_the_end(&cluster, &client, "req-000001", 2).await;
+    run_to_completion(&cluster, &client, "req-000001", 2).await;
     cluster.lock().store.refuses_all = true;
     assert_eq!(client.job("req-000001").await.1["phase"], "done");
     assert_eq!(client.job("req-000009").await.0, 503);
