--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -157,7 +157,7 @@
     let health = &state.store_health;
     let leader = if health.is_refused() { health.leader_per_peers() } else { state.leader_name.as_ref() };
     // The leader suspects this machine because it gets no heartbeats from it, so the worker probably can't reach it.
-    let leader = if state.suspected.contains(&heartbeat.machine) { None } else { leader.cloned() };
+    let leader = if state.suspected_machines.contains(&heartbeat.machine) { None } else { leader.cloned() };
     state.redirected_workers.record(&heartbeat.machine, now, leader).filter(|name| *name != node.settings.name)
 }
 
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -149,7 +149,7 @@
 
 /// Starts the tasks of a controller that poll the machine types and take part in leader elections.
 fn start_election(node: &Arc<Node>) {
-    tokio::spawn(leader_loop::learn_types(node.clone()));
+    tokio::spawn(leader_loop::poll_machine_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
 }
 
--- a/src/net/loopback/dependencies.rs
+++ b/src/net/loopback/dependencies.rs
@@ -16,7 +16,7 @@
     let pair = start_pair(cluster).await;
     for (node, _) in &pair {
         let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud lists its machine types");
-        node.lock().types = Some(types);
+        node.lock().machine_types = Some(types);
     }
     pair
 }
