--- a/src/net/heartbeat_relay.rs
+++ b/src/net/heartbeat_relay.rs
@@ -63,7 +63,7 @@
 impl HeartbeatRelay {
     /// Records a heartbeat from a leader. It is ignored if a leader of a later term is known: its sender may not have
     /// noticed yet that it has lost its lease.
-    pub fn heard_leader(&mut self, name: &str, term: Term, now: MonotonicTime) {
+    pub fn record_leader_heartbeat(&mut self, name: &str, term: Term, now: MonotonicTime) {
         if self.leader.as_ref().is_some_and(|known| term < known.term) {
             return;
         }
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -8,7 +8,7 @@
 
 fn relay_with_confirmed_leader() -> HeartbeatRelay {
     let mut relay = HeartbeatRelay::default();
-    relay.heard_leader("plinth-1", Term(5), NOW);
+    relay.record_leader_heartbeat("plinth-1", Term(5), NOW);
     relay.record_batch_result(Term(5), true);
     relay
 }
@@ -21,11 +21,11 @@
 fn current_leader_is_that_of_the_latest_term_while_it_sends_heartbeats() {
     let mut relay = HeartbeatRelay::default();
     assert_eq!(current_leader(&relay), None);
-    relay.heard_leader("plinth-1", Term(5), NOW);
+    relay.record_leader_heartbeat("plinth-1", Term(5), NOW);
     assert_eq!(current_leader(&relay), Some("plinth-1"));
-    relay.heard_leader("plinth-2", Term(4), NOW);
+    relay.record_leader_heartbeat("plinth-2", Term(4), NOW);
     assert_eq!(current_leader(&relay), Some("plinth-1"), "a heartbeat of an earlier term is ignored");
-    relay.heard_leader("plinth-2", Term(6), NOW);
+    relay.record_leader_heartbeat("plinth-2", Term(6), NOW);
     assert_eq!(current_leader(&relay), Some("plinth-2"));
     assert!(relay.current_leader(NOW + LEADER_HEARTBEAT_TIMEOUT + Millis(1)).is_none(), "its heartbeats have ceased");
 }
@@ -33,17 +33,17 @@
 #[test]
 fn heartbeats_are_queued_only_if_the_leader_has_answered_the_last_batch() {
     let mut relay = HeartbeatRelay::default();
-    relay.heard_leader("plinth-1", Term(5), NOW);
+    relay.record_leader_heartbeat("plinth-1", Term(5), NOW);
     assert!(!relay.can_relay(NOW) && relay.enqueue(Bytes::new(), NOW).is_none(), "no batch has been sent yet");
     relay.record_batch_result(Term(5), true);
     assert!(relay.enqueue(Bytes::from_static(b"{}"), NOW).is_some());
     assert_eq!(relay.take_waiting().len(), 1);
-    relay.heard_leader("plinth-1", Term(5), NOW);
+    relay.record_leader_heartbeat("plinth-1", Term(5), NOW);
     assert!(relay.can_relay(NOW), "a further heartbeat of the same leader changes nothing");
     relay.record_batch_result(Term(5), false);
     assert!(!relay.can_relay(NOW));
     relay.record_batch_result(Term(5), true);
-    relay.heard_leader("plinth-2", Term(6), NOW);
+    relay.record_leader_heartbeat("plinth-2", Term(6), NOW);
     assert!(!relay.can_relay(NOW), "the new leader hasn't answered a batch yet");
     relay.record_batch_result(Term(5), true);
     assert!(!relay.can_relay(NOW), "a late answer of the previous leader doesn't count");
@@ -97,7 +97,7 @@
     for node in [&relaying, &node] {
         let now = node.now();
         let mut state = node.lock();
-        state.heartbeat_relay.heard_leader("plinth-9", Term(5), now);
+        state.heartbeat_relay.record_leader_heartbeat("plinth-9", Term(5), now);
         state.heartbeat_relay.record_batch_result(Term(5), true);
     }
     let started = std::time::Instant::now();
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -52,7 +52,7 @@
 fn take_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
     state.suspected_machines = heartbeat.suspected.iter().cloned().collect();
     state.set_live_job_counts(&heartbeat.counts);
-    state.heartbeat_relay.heard_leader(&heartbeat.from, Term(heartbeat.term), now);
+    state.heartbeat_relay.record_leader_heartbeat(&heartbeat.from, Term(heartbeat.term), now);
     if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
         node.relay_wakeup.notify_one();
     }
