--- a/src/net/heartbeat_relay.rs
+++ b/src/net/heartbeat_relay.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the number of heartbeats that wait for the next batch.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
--- a/src/net/load_log.rs
+++ b/src/net/load_log.rs
@@ -21,7 +21,7 @@
     // Without an input there is nothing new to say.
     let Some(line) = state.input_latency.take_line() else { return };
     info!("inputs: {line}");
-    let (heartbeats, requests) = (state.heartbeat_relay.waiting(), state.user_requests_in_progress);
+    let (heartbeats, requests) = (state.heartbeat_relay.waiting_count(), state.user_requests_in_progress);
     match (&state.scheduler, state.election.active_term(now)) {
         (Some(scheduler), Some(term)) => {
             let load = scheduler.load_summary();
