--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -27,7 +27,7 @@
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
-    let redirected = state.redirected_workers.among(&heartbeat.suspected, now);
+    let redirected = state.redirected_workers.filter_recent(&heartbeat.suspected, now);
     if heartbeat.leading && !heartbeat.asks_extension {
         take_leader_heartbeat(node, state, now, &heartbeat);
     }
--- a/src/net/redirected_workers.rs
+++ b/src/net/redirected_workers.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns those of `machines` whose workers have sent a heartbeat here recently, in the order of `machines`.
-    pub fn among(&mut self, machines: &[String], now: MonotonicTime) -> Vec<String> {
+    pub fn filter_recent(&mut self, machines: &[String], now: MonotonicTime) -> Vec<String> {
         self.by_machine.retain(|_, redirect| now - redirect.at <= REDIRECT_TTL);
         machines.iter().filter(|machine| self.by_machine.contains_key(*machine)).cloned().collect()
     }
--- a/src/net/redirected_workers/tests.rs
+++ b/src/net/redirected_workers/tests.rs
@@ -22,5 +22,5 @@
         workers.record(machine, MonotonicTime(at), None);
     }
     let asked = ["m-3", "m-4", "m-2", "m-1"].map(String::from);
-    assert_eq!(workers.among(&asked, MonotonicTime(9_600)), ["m-3", "m-2"]);
+    assert_eq!(workers.filter_recent(&asked, MonotonicTime(9_600)), ["m-3", "m-2"]);
 }
