--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -148,7 +148,7 @@
 }
 
 /// Starts the tasks of a controller that poll the machine types and take part in leader elections.
-fn start_election(node: &Arc<Node>) {
+fn join_election(node: &Arc<Node>) {
     tokio::spawn(leader_loop::poll_machine_types(node.clone()));
     tokio::spawn(election::run(node.clone()));
 }
@@ -156,7 +156,7 @@
 /// Starts a controller without peers, and waits until it leads and serves users.
 async fn start_leading(cluster: &FakeCluster) -> (Arc<Node>, Client) {
     let (node, client) = start_without_peers(cluster).await;
-    start_election(&node);
+    join_election(&node);
     eventually(async || client.get("/healthz").await.0 == 200).await;
     (node, client)
 }
@@ -183,7 +183,7 @@
 
 /// Lets two controllers take part in leader elections: the first is elected before the other one starts.
 async fn elect_first(cluster: &FakeCluster, [first, other]: [&Arc<Node>; 2]) {
-    start_election(first);
+    join_election(first);
     eventually(async || cluster.has_key(LEADER_KEY)).await;
-    start_election(other);
+    join_election(other);
 }
--- a/src/net/loopback/leadership.rs
+++ b/src/net/loopback/leadership.rs
@@ -22,7 +22,8 @@
     };
     eventually(async || {
         heartbeat().await;
-        // The other controller knows all cancellations since the revision up to which the leader has read.
+        // The other controller must know all cancellations since the revision up to which the leader has read,
+        // otherwise it can give no pledge.
         let read_through = leader.lock().election.lease().map_or(0, |lease| lease.read_through.0);
         let known = other.lock().cancellations.since(Revision(read_through)).is_some();
         !cluster.lock().worker.tasks.is_empty() && known
@@ -55,7 +56,7 @@
 async fn leader_without_store_and_peers_stops_when_its_lease_expires_and_refuses_users() {
     let cluster = FakeCluster::default();
     let (node, client) = start_with_unreachable_peers(&cluster).await;
-    start_election(&node);
+    join_election(&node);
     eventually(async || client.get("/healthz").await.0 == 200).await;
     let heartbeat = async || client.post("/v1/report", cluster.heartbeat()).await;
     eventually(async || heartbeat().await.0 == 200).await;
@@ -83,7 +84,7 @@
     let cluster = FakeCluster::default();
     cluster.lock().store.put(SUCCESSOR_KEY, json!("plinth-1"), 1);
     let (node, _client) = start_without_peers(&cluster).await;
-    start_election(&node);
+    join_election(&node);
     tokio::time::sleep(Millis(1_500).to_std()).await;
     assert!(!cluster.has_key(LEADER_KEY));
     cluster.lock().store.entries.clear();
@@ -97,7 +98,7 @@
     let other_leader = json!({"node": "plinth-1", "incarnation": 1, "hold": 7});
     cluster.lock().store.put(LEADER_KEY, other_leader, 2);
     let (node, client) = start_without_peers(&cluster).await;
-    start_election(&node);
+    join_election(&node);
     eventually(async || node.lock().leader_name.is_some()).await;
     let heartbeat = json!({"plinth": "m-000009", "endpoint": "", "build": "g8", "quay": "a", "loaner": false,
         "shift": 1, "tally": 1, "baton": 0});
@@ -132,7 +133,7 @@
 
 #[tokio::test]
 async fn orders_of_an_earlier_term_are_not_sent() {
-    // Guards against orders that were decided before the process froze and are sent after its lease has expired.
+    // Guards against orders that a leader decided on before its process froze and sends after its lease has expired.
     let cluster = FakeCluster::default();
     let (node, _client) = start_without_peers(&cluster).await;
     let endpoint = cluster.lock().worker.endpoint.clone();
