--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -193,7 +193,7 @@
                 retiring.push(id.clone());
             }
         }
-        self.terminate(retiring, idle);
+        self.terminate_machines(retiring, idle);
     }
 
     /// Gathers the cluster-wide inputs before the machines are decided on one by one.
