--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,12 +1,12 @@
-//! The edges: sockets and timers round the core. Nothing here decides about tasks and machines; that is the
-//! scheduler's alone, and the leader's.
+//! Network I/O and timers around the core. This module makes no scheduling decisions: those are made by the
+//! leader's scheduler in `core::scheduler`.
 //!
-//! - Clients: `kv` (key-value store), `cloud`, `peers` (other controllers), all by way of `http`.
+//! - Clients: `kv` (key-value store), `cloud` and `peers` (other controllers), all built on `http`.
 //! - Services: `user_api` with `admission`, `linearizable_reads` and `dependency_check`; `heartbeats` with
-//!   `heartbeat_relay`, `relay_routes` and `heartbeat_balancing`; `election`; `leader_loop`, which gives the
-//!   scheduler its inputs and carries out its effects.
-//! - `server` maps the routes to the services, and `node` holds what the services share.
-//! - `input_latency` and `rate_limited_log` are for the log.
+//!   `heartbeat_relay`, `relay_routes` and `heartbeat_balancing`; `election`; `leader_loop`, which passes inputs to
+//!   the scheduler and carries out its effects.
+//! - `server` routes requests to the services, and `node` holds the state that the services share.
+//! - Logging: `input_latency`, `load_log` and `rate_limited_log`.
 
 mod admission;
 pub mod cloud;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: users, workers and health checks on one address, peers on the other.
+//! HTTP servers: one address serves users, workers and health checks, the other serves peer controllers.
 
 use super::heartbeats;
 use super::leader_loop;
@@ -12,20 +12,20 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The limit of PROTOCOL on a request's body.
+/// Maximum size of a request body, as specified in PROTOCOL.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A worker with a great many tasks may send more than users may.
+/// Maximum size of a worker's heartbeat, which lists all its tasks.
 const MAX_HEARTBEAT_BYTES: usize = 4 * MAX_BODY_BYTES;
-/// A plan's input for a few thousand machines, with the images of each, has one or two MB. One beyond this is
-/// refused and logged, and the leader plans that shard itself.
+/// Maximum size of a peer's request body. The input of a plan for a few thousand machines, with their cached images,
+/// takes 1 to 2 MB. A larger body is rejected and logged, and the leader plans that shard itself.
 const MAX_PEER_BODY_BYTES: usize = 16 << 20;
 
-/// What the handler of a path does.
+/// An endpoint of this controller.
 #[derive(Clone, Copy)]
 enum Route {
     Submit,
     Poll,
-    Withdraw,
+    Cancel,
     Health,
     Heartbeat,
     PeerHeartbeat,
@@ -33,7 +33,7 @@
     HeartbeatBatch,
 }
 
-/// The handler of one path.
+/// Handles the requests to one route.
 struct RouteHandler {
     node: Arc<Node>,
     route: Route,
@@ -46,109 +46,112 @@
         match self.route {
             Route::Health => {
                 let ok = user_api::is_healthy(node);
-                send(response, if ok { 200 } else { 503 }, json!({ "ok": ok }).to_string());
+                send_json(response, if ok { 200 } else { 503 }, json!({ "ok": ok }).to_string());
             }
             Route::Submit => match request.payload_with_max_size(MAX_BODY_BYTES).await {
                 Ok(body) => {
                     let body = body.clone();
-                    reply(response, user_api::submit(node, &body).await);
+                    send_reply(response, user_api::submit(node, &body).await);
                 }
-                Err(_) => reply(response, Reply::error(400, "the body can't be read or is over 64 KiB")),
+                Err(_) => send_reply(response, Reply::error(400, "the body can't be read or is over 64 KiB")),
             },
             Route::Poll => {
                 let id = request.param::<String>("id").unwrap_or_default();
-                reply(response, user_api::poll(node, &id).await);
+                send_reply(response, user_api::poll(node, &id).await);
             }
-            Route::Withdraw => {
+            Route::Cancel => {
                 let id = request.param::<String>("id").unwrap_or_default();
-                reply(response, user_api::withdraw(node, &id).await);
+                send_reply(response, user_api::withdraw(node, &id).await);
                 leader_loop::perform_pending(node);
             }
             Route::Heartbeat => {
-                // Unreadable, it is answered like any other that is not a heartbeat.
+                // An unreadable or oversized body is handled as an empty one, which is not a valid heartbeat.
                 let body = request.payload_with_max_size(MAX_HEARTBEAT_BYTES).await.cloned().unwrap_or_default();
                 let decision = heartbeats::respond_to_worker(node, &body).await;
-                send(response, decision.status as u16, decision.body);
+                send_json(response, decision.status as u16, decision.body);
             }
             Route::PeerHeartbeat => {
-                let answer = peer_body(request).await.and_then(|body| peer_service::respond_to_heartbeat(node, &body));
-                send_to_peer(node, response, answer);
+                let response_body =
+                    read_peer_body(request).await.and_then(|body| peer_service::respond_to_heartbeat(node, &body));
+                send_to_peer(node, response, response_body);
             }
             Route::Plan => {
-                let answer = peer_body(request).await.and_then(|body| peer_service::plan(node, &body));
-                send_to_peer(node, response, answer);
+                let response_body = read_peer_body(request).await.and_then(|body| peer_service::plan(node, &body));
+                send_to_peer(node, response, response_body);
             }
             Route::HeartbeatBatch => {
-                let answer = match peer_body(request).await {
+                let response_body = match read_peer_body(request).await {
                     Some(body) => heartbeats::answer_batch(node, &body).await,
                     None => None,
                 };
-                send_to_peer(node, response, answer);
+                send_to_peer(node, response, response_body);
             }
         }
     }
 }
 
-/// A peer's message; none: it can't be read or is too large.
-async fn peer_body(request: &mut Request) -> Option<Bytes> {
+/// Reads the body of a peer's request. Returns `None` if it can't be read or is over `MAX_PEER_BODY_BYTES`.
+async fn read_peer_body(request: &mut Request) -> Option<Bytes> {
     request.payload_with_max_size(MAX_PEER_BODY_BYTES).await.ok().cloned()
 }
 
-/// Sends a peer its answer; none: its message was bad.
-fn send_to_peer(node: &Node, response: &mut Response, answer: Option<Vec<u8>>) {
-    if let Some(answer) = answer {
+/// Sends a response to a peer. `None` means that the request was invalid; it is answered with status 400.
+fn send_to_peer(node: &Node, response: &mut Response, body: Option<Vec<u8>>) {
+    if let Some(body) = body {
         response.status_code(StatusCode::OK);
-        // It fails only for a response that has a body already.
-        let _ = response.write_body(answer);
+        // Fails only if the response already has a body.
+        let _ = response.write_body(body);
         return;
     }
     let now = node.now();
     if let Some(count) = node.lock().bad_messages.record(now) {
-        log::warn!("messages of peers that can't be read or are of another version: count={count}");
+        log::warn!(
+            "rejected peer messages that are unreadable, too large or of another protocol version: count={count}"
+        );
     }
-    send(response, 400, json!({"error": "not a message of this version"}).to_string());
+    send_json(response, 400, json!({"error": "not a message of this version"}).to_string());
 }
 
-fn send(response: &mut Response, status: u16, body: impl Into<Bytes>) {
+fn send_json(response: &mut Response, status: u16, body: impl Into<Bytes>) {
     response.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    // It fails only for a response that has a body already.
+    // Fails only if the response already has a body.
     let _ = response.write_body(body.into());
 }
 
-fn reply(response: &mut Response, reply: Reply) {
+fn send_reply(response: &mut Response, reply: Reply) {
     if let Some(seconds) = reply.retry_after {
         let _ = response.add_header("retry-after", seconds.to_string(), true);
     }
-    send(response, reply.status, reply.body);
+    send_json(response, reply.status, reply.body);
 }
 
-fn handler(node: &Arc<Node>, route: Route) -> RouteHandler {
+fn route_handler(node: &Arc<Node>, route: Route) -> RouteHandler {
     RouteHandler { node: node.clone(), route }
 }
 
-/// The paths for users, workers and the load balancer.
+/// The routes for users, workers and the load balancer.
 pub fn public(node: &Arc<Node>) -> Router {
     Router::new()
-        .push(Router::with_path("healthz").get(handler(node, Route::Health)))
+        .push(Router::with_path("healthz").get(route_handler(node, Route::Health)))
         .push(
             Router::with_path("api/jobs")
-                .post(handler(node, Route::Submit))
-                .push(Router::with_path("{id}").get(handler(node, Route::Poll)))
-                .push(Router::with_path("{id}/withdraw").post(handler(node, Route::Withdraw))),
+                .post(route_handler(node, Route::Submit))
+                .push(Router::with_path("{id}").get(route_handler(node, Route::Poll)))
+                .push(Router::with_path("{id}/withdraw").post(route_handler(node, Route::Cancel))),
         )
-        .push(Router::with_path("v1/report").post(handler(node, Route::Heartbeat)))
+        .push(Router::with_path("v1/report").post(route_handler(node, Route::Heartbeat)))
 }
 
-/// The paths for peers.
+/// The routes for peer controllers.
 pub fn internal(node: &Arc<Node>) -> Router {
     Router::new()
-        .push(Router::with_path(&peers::HEARTBEAT_PATH[1..]).post(handler(node, Route::PeerHeartbeat)))
-        .push(Router::with_path(&peers::PLAN_PATH[1..]).post(handler(node, Route::Plan)))
-        .push(Router::with_path(&peers::HEARTBEAT_BATCH_PATH[1..]).post(handler(node, Route::HeartbeatBatch)))
+        .push(Router::with_path(&peers::HEARTBEAT_PATH[1..]).post(route_handler(node, Route::PeerHeartbeat)))
+        .push(Router::with_path(&peers::PLAN_PATH[1..]).post(route_handler(node, Route::Plan)))
+        .push(Router::with_path(&peers::HEARTBEAT_BATCH_PATH[1..]).post(route_handler(node, Route::HeartbeatBatch)))
 }
 
-/// The listener can't be opened, or has ended.
+/// The address can't be bound, or its server has stopped with an error.
 #[derive(Debug, thiserror::Error)]
 #[error("{addr}: {reason}")]
 pub struct ServeError {
@@ -156,8 +159,8 @@
     reason: String,
 }
 
-/// Serves at most `max_connections` connections at once. Those beyond wait unaccepted, so that the load
-/// balancer and the workers turn to another controller.
+/// Serves at most `max_connections` connections at once. Further connections are not accepted, so that the load
+/// balancer and the workers time out and use another controller.
 pub async fn serve(addr: SocketAddr, router: Router, max_connections: usize) -> Result<(), ServeError> {
     let error = |reason: String| ServeError { addr, reason };
     let listener = TcpListener::new(addr).try_bind().await.map_err(|e| error(e.to_string()))?;
