--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -1,4 +1,5 @@
-//! Answers the peers: their heartbeats, a leader's requests to extend its lease, and requests for plans.
+//! Handles requests of peer controllers: their heartbeats, a leader's requests for pledges that extend its lease, and
+//! requests for plans.
 
 use super::input_latency::InputKind;
 use super::leader_loop;
@@ -15,7 +16,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Answers a peer's heartbeat; none: the message can't be read or is of another version.
+/// Handles a peer's heartbeat and returns the response. Returns `None` if the message can't be decoded or is of another
+/// version.
 pub fn respond_to_heartbeat(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
     let heartbeat = PeerHeartbeat::decode(body).ok().filter(|heartbeat| heartbeat.version == VERSION)?;
     let cancelled = peers::parse_job_ids(&heartbeat.cancelled)?;
@@ -29,7 +31,7 @@
     let state = &mut *guard;
     let redirected = state.redirected_workers.among(&heartbeat.suspected, now);
     if heartbeat.leading && !heartbeat.asks_extension {
-        take_leader_heartbeat(node, state, now, &heartbeat);
+        apply_leader_heartbeat(node, state, now, &heartbeat);
     }
     if !heartbeat.successor.is_empty() && heartbeat.successor != node.settings.name {
         state.election.back_off_for_successor(now);
@@ -41,15 +43,15 @@
         ..Default::default()
     };
     if heartbeat.asks_extension {
-        pledge(state, now, &heartbeat, &mut response);
+        grant_pledge(state, now, &heartbeat, &mut response);
     }
     response.relays_heartbeats = state.heartbeat_relay.has_capacity(now);
     response.leader = state.leader_name.clone().filter(|_| response.store_ok).unwrap_or_default();
     Some(response.encode_to_vec())
 }
 
-/// Takes in what a leader tells its peers.
-fn take_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
+/// Updates this controller's state from a leader's heartbeat.
+fn apply_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
     state.suspected = heartbeat.suspected.iter().cloned().collect();
     state.take_counts(&heartbeat.counts);
     state.heartbeat_relay.heard_leader(&heartbeat.from, Term(heartbeat.term), now);
@@ -58,8 +60,14 @@
     }
 }
 
-/// Pledges to a leader that the store refuses, if this controller may.
-fn pledge(state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat, response: &mut PeerHeartbeatResponse) {
+/// Pledges not to stand for election to a leader that the store doesn't serve, if the rules of the election allow it.
+/// The response then contains the length of the pledge and the cancellations that the leader can't have read.
+fn grant_pledge(
+    state: &mut NodeState,
+    now: MonotonicTime,
+    heartbeat: &PeerHeartbeat,
+    response: &mut PeerHeartbeatResponse,
+) {
     let (term, read_through) = (Term(heartbeat.term), Revision(heartbeat.read_through));
     if let Ok(pledge) = state.election.pledge_to(now, term, read_through, &state.cancellations) {
         response.pledge_ms = pledge.span.0;
@@ -67,8 +75,8 @@
     }
 }
 
-/// Plans for a leader, which checks every placement itself; none: the message can't be read or is of another
-/// version.
+/// Plans a shard for a leader, which checks every placement before it applies it. Returns `None` if the message can't
+/// be decoded or is of another version.
 pub fn plan(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
     let (now, started, meter) = (node.now(), Instant::now(), CostMeter::default());
