--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -1,40 +1,40 @@
-//! Whether the key-value store serves this controller, and what the peers say of themselves.
+//! Tracks whether the key-value store serves this controller, and what its peers report about themselves.
 
 use super::kv::KvError;
 use crate::peer::PeerHeartbeatResponse;
 use crate::time::{Millis, MonotonicTime};
 
-/// A shorter trouble of the store is left to retries.
-const TROUBLE_TIMEOUT: Millis = Millis(1_500);
+/// A failure of the store counts only once it has lasted longer than this; shorter ones are left to retries.
+const FAILURE_GRACE_PERIOD: Millis = Millis(1_500);
 
-/// How the latest requests to the store went, and the peers' latest answers.
+/// The results of the latest requests to the store, and the peers' latest responses.
 #[derive(Default)]
 pub struct StoreHealth {
-    /// No request has been served since then.
-    refused_since: Option<MonotonicTime>,
-    /// No request has been answered since then, not even by a refusal.
+    /// No request to the store has been served since then.
+    not_served_since: Option<MonotonicTime>,
+    /// The store has not responded at all since then, not even to refuse a request.
     unreachable_since: Option<MonotonicTime>,
-    /// The store serves a peer.
-    peer_reaches_store: bool,
-    /// No peer answered when last asked.
-    no_peer_answers: bool,
-    /// Who leads, as told by a peer that the store serves.
+    /// The store serves at least one peer.
+    is_peer_served: bool,
+    /// There are peers, and none of them responded when last asked.
+    no_peer_responds: bool,
+    /// The leader's name, as reported by a peer that the store serves.
     leader_per_peers: Option<String>,
 }
 
-/// What a request to the store says of its health.
+/// What the result of a request shows about the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreService {
-    /// The store serves this controller: anything but a refusal and silence.
+    /// The store serves this controller: it responded, though perhaps with an error other than a refusal.
     Served,
-    /// It has refused the request.
+    /// The store responded that it doesn't serve this controller (status 503).
     Refused,
-    /// It has not answered.
+    /// The store didn't respond, or its response can't be decoded.
     Unreachable,
 }
 
 impl From<Option<&KvError>> for StoreService {
-    /// The error of a request, or none if it succeeded.
+    /// Converts the error of a request, or `None` if it succeeded.
     fn from(error: Option<&KvError>) -> StoreService {
         match error {
             None | Some(KvError::Busy | KvError::TooLarge | KvError::Status(_)) => StoreService::Served,
@@ -45,58 +45,61 @@
 }
 
 impl StoreHealth {
-    /// Takes in how a request to the store went.
+    /// Records the result of a request to the store.
     pub fn record(&mut self, now: MonotonicTime, service: StoreService) {
         match service {
             StoreService::Served => {
-                self.refused_since = None;
+                self.not_served_since = None;
                 self.unreachable_since = None;
             }
             StoreService::Refused => {
-                self.refused_since.get_or_insert(now);
+                self.not_served_since.get_or_insert(now);
                 self.unreachable_since = None;
             }
             StoreService::Unreachable => {
-                self.refused_since.get_or_insert(now);
+                self.not_served_since.get_or_insert(now);
                 self.unreachable_since.get_or_insert(now);
             }
         }
     }
 
-    /// Takes in the answers of all peers, asked together; none for a peer that didn't answer.
-    pub fn record_peer_answers(&mut self, answers: &[Option<PeerHeartbeatResponse>]) {
-        let leader = |answer: &PeerHeartbeatResponse| Some(answer.leader.clone()).filter(|name| !name.is_empty());
-        self.peer_reaches_store = answers.iter().flatten().any(|answer| answer.store_ok);
-        self.no_peer_answers = !answers.is_empty() && answers.iter().all(Option::is_none);
-        self.leader_per_peers = answers.iter().flatten().find_map(leader);
+    /// Records the responses of all peers to one heartbeat; `None` for a peer that didn't respond.
+    pub fn record_peer_answers(&mut self, responses: &[Option<PeerHeartbeatResponse>]) {
+        let leader = |response: &PeerHeartbeatResponse| Some(response.leader.clone()).filter(|name| !name.is_empty());
+        self.is_peer_served = responses.iter().flatten().any(|response| response.store_ok);
+        self.no_peer_responds = !responses.is_empty() && responses.iter().all(Option::is_none);
+        self.leader_per_peers = responses.iter().flatten().find_map(leader);
     }
 
-    /// Whether the last request was refused or not answered.
+    /// Whether the last request was not served: the store refused it or didn't respond.
     pub fn is_refused(&self) -> bool {
-        self.refused_since.is_some()
+        self.not_served_since.is_some()
     }
 
-    /// Who leads, as told by a peer that the store serves.
+    /// The leader's name, as reported by a peer that the store serves.
     pub fn leader_per_peers(&self) -> Option<&String> {
         self.leader_per_peers.as_ref()
     }
 
-    /// Whether the store has been silent for so long that asking it for a user would only make the user wait.
+    /// Whether the store hasn't responded for so long that a user's request should fail at once instead of waiting for
+    /// it.
     pub fn is_unreachable(&self, now: MonotonicTime) -> bool {
-        lasts(self.unreachable_since, now)
+        is_persistent(self.unreachable_since, now)
     }
 
-    /// Whether users are served better by other controllers: the store refuses this one alone, or this one
-    /// reaches neither the store nor any peer. Refused like all, nothing is gained by hiding.
+    /// Whether other controllers can serve users better: the store doesn't serve this controller but does serve a peer,
+    /// or neither the store nor any peer responds. If the store serves no controller, this one stays in rotation, as no
+    /// other would do better.
     pub fn is_isolated(&self, now: MonotonicTime) -> bool {
-        let refused_alone = lasts(self.refused_since, now) && self.peer_reaches_store;
-        let cut_off = lasts(self.unreachable_since, now) && self.no_peer_answers;
-        refused_alone || cut_off
+        let only_peers_served = is_persistent(self.not_served_since, now) && self.is_peer_served;
+        let partitioned = is_persistent(self.unreachable_since, now) && self.no_peer_responds;
+        only_peers_served || partitioned
     }
 }
 
-fn lasts(since: Option<MonotonicTime>, now: MonotonicTime) -> bool {
-    since.is_some_and(|since| now - since > TROUBLE_TIMEOUT)
+/// Whether a failure that began at `since` has lasted longer than `FAILURE_GRACE_PERIOD`.
+fn is_persistent(since: Option<MonotonicTime>, now: MonotonicTime) -> bool {
+    since.is_some_and(|since| now - since > FAILURE_GRACE_PERIOD)
 }
 
 #[cfg(test)]
--- a/src/net/store_health/tests.rs
+++ b/src/net/store_health/tests.rs
@@ -3,17 +3,17 @@
 const START: MonotonicTime = MonotonicTime(10_000);
 const LATER: MonotonicTime = MonotonicTime(11_501);
 
-fn answer(store_ok: bool, leader: &str) -> Option<PeerHeartbeatResponse> {
+fn response(store_ok: bool, leader: &str) -> Option<PeerHeartbeatResponse> {
     Some(PeerHeartbeatResponse { store_ok, leader: leader.into(), ..Default::default() })
 }
 
 #[test]
-fn a_refusal_is_no_silence_and_either_ends_with_the_first_request_served() {
+fn refused_store_is_reachable_and_first_served_request_clears_any_failure() {
     for (error, unreachable) in [(KvError::Refused, false), (KvError::Unknown("timeout".into()), true)] {
         let mut health = StoreHealth::default();
         health.record(START, StoreService::from(Some(&error)));
         assert!(health.is_refused());
-        assert!(!health.is_unreachable(MonotonicTime(LATER.0 - 1)), "not for long enough: {error}");
+        assert!(!health.is_unreachable(MonotonicTime(LATER.0 - 1)), "has not lasted long enough: {error}");
         assert_eq!(health.is_unreachable(LATER), unreachable, "{error}");
         health.record(LATER, StoreService::from(None));
         assert!(!health.is_refused() && !health.is_unreachable(LATER + Millis(9_000)), "{error}");
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn errors_that_are_answers_mean_being_served() {
+fn error_responses_other_than_refusals_count_as_served() {
     for error in [KvError::Busy, KvError::TooLarge, KvError::Status(400)] {
         assert_eq!(StoreService::from(Some(&error)), StoreService::Served, "{error}");
     }
 }
 
 #[test]
-fn a_refusal_between_ends_a_silence() {
+fn refusal_restarts_the_time_without_response() {
     let mut health = StoreHealth::default();
     health.record(START, StoreService::Unreachable);
     health.record(START + Millis(1_000), StoreService::Refused);
@@ -38,25 +38,25 @@
 }
 
 #[test]
-fn users_are_sent_away_where_the_store_refuses_this_controller_alone() {
+fn controller_is_isolated_if_the_store_serves_only_its_peers() {
     let mut health = StoreHealth::default();
     health.record(START, StoreService::Refused);
-    health.record_peer_answers(&[answer(false, ""), None]);
-    assert!(!health.is_isolated(LATER), "refused like all");
-    health.record_peer_answers(&[answer(true, "plinth-1"), None]);
+    health.record_peer_answers(&[response(false, ""), None]);
+    assert!(!health.is_isolated(LATER), "the store serves no peer either");
+    health.record_peer_answers(&[response(true, "plinth-1"), None]);
     assert!(health.is_isolated(LATER));
-    assert!(!health.is_isolated(START + TROUBLE_TIMEOUT), "not for long enough");
+    assert!(!health.is_isolated(START + FAILURE_GRACE_PERIOD), "has not lasted long enough");
     assert_eq!(health.leader_per_peers().map(String::as_str), Some("plinth-1"));
 }
 
 #[test]
-fn users_are_sent_away_where_neither_the_store_nor_a_peer_answers() {
+fn controller_is_isolated_if_neither_store_nor_peers_respond() {
     let mut health = StoreHealth::default();
     health.record(START, StoreService::Unreachable);
     health.record_peer_answers(&[]);
-    assert!(!health.is_isolated(LATER), "there are no peers");
-    health.record_peer_answers(&[None, answer(false, "")]);
-    assert!(!health.is_isolated(LATER), "a peer answers");
+    assert!(!health.is_isolated(LATER), "no peers are configured");
+    health.record_peer_answers(&[None, response(false, "")]);
+    assert!(!health.is_isolated(LATER), "a peer responds");
     health.record_peer_answers(&[None, None]);
     assert!(health.is_isolated(LATER));
     assert_eq!(health.leader_per_peers(), None);
