--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -1,23 +1,23 @@
-//! A bound on the users' requests that this controller serves at once.
+//! Limits the number of users' requests that this controller serves concurrently.
 
 use super::node::Node;
 
-/// As many users' requests are under way as this controller serves at once.
+/// The limit on concurrent requests is reached.
 pub(super) struct TooManyRequests;
 
-/// Counts one user's request as under way, for as long as it lives.
+/// A slot for one user's request, which is released when this value is dropped.
 pub(super) struct Admission<'a> {
     node: &'a Node,
 }
 
 impl Admission<'_> {
-    /// Admits a request, unless the limit of the tuning is reached.
-    pub(super) fn request(node: &Node) -> Result<Admission<'_>, TooManyRequests> {
-        let mut inner = node.lock();
-        if inner.user_requests >= node.tuning.user_requests as usize {
+    /// Admits a request, unless the limit [`Tuning::user_requests`](crate::config::Tuning::user_requests) is reached.
+    pub(super) fn try_acquire(node: &Node) -> Result<Admission<'_>, TooManyRequests> {
+        let mut state = node.lock();
+        if state.user_requests >= node.tuning.user_requests as usize {
             return Err(TooManyRequests);
         }
-        inner.user_requests += 1;
+        state.user_requests += 1;
         Ok(Admission { node })
     }
 }
--- a/src/net/admission/tests.rs
+++ b/src/net/admission/tests.rs
@@ -2,15 +2,15 @@
 use crate::config::{Tuning, sample_settings};
 
 #[tokio::test]
-async fn an_admission_counts_until_it_is_dropped() {
+async fn admission_counts_until_dropped() {
     let tuning = Tuning { user_requests: 2.0, ..Tuning::default() };
     let node = Node::new(sample_settings(), tuning);
-    let first = Admission::request(&node);
-    let second = Admission::request(&node);
+    let first = Admission::try_acquire(&node);
+    let second = Admission::try_acquire(&node);
     assert!(first.is_ok() && second.is_ok());
-    assert!(Admission::request(&node).is_err(), "the limit is reached");
+    assert!(Admission::try_acquire(&node).is_err(), "the limit is reached");
     drop(first);
-    assert!(Admission::request(&node).is_ok(), "one has ended");
-    // A request that was refused, or has ended, doesn't count.
+    assert!(Admission::try_acquire(&node).is_ok(), "the slot of the first request is free again");
+    // Neither the rejected request nor the admissions already dropped are counted.
     assert_eq!(node.lock().user_requests, 1);
 }
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -82,7 +82,7 @@
 /// its watch is late, and a leader that can't read the store learns of cancellations by pledges.
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut inner = node.lock();
-    inner.outcomes.put(id, record);
+    inner.outcomes.insert(id, record);
     if record.phase == JobPhase::Aborted {
         inner.cancellations.tell(*id, revision);
     }
--- a/src/net/outcome_cache.rs
+++ b/src/net/outcome_cache.rs
@@ -1,4 +1,4 @@
-//! Jobs known to have ended. What isn't here is read from the store.
+//! Cache of the terminal records of jobs that have ended. Records that are not cached are read from the store.
 
 use crate::core::records::TerminalRecord;
 use crate::ids::JobId;
@@ -6,26 +6,26 @@
 
 const MAX_CACHED_OUTCOMES: usize = 20_000;
 
-/// Terminal records by job; beyond `MAX_CACHED_OUTCOMES` the one put first is dropped.
+/// Terminal records by job. Beyond `MAX_CACHED_OUTCOMES` records, the one inserted first is evicted.
 #[derive(Default)]
 pub struct OutcomeCache {
     records: HashMap<JobId, TerminalRecord>,
-    /// The jobs in `records` in the order in which they were put.
-    order: VecDeque<JobId>,
+    /// The jobs of `records` in insertion order.
+    insertion_order: VecDeque<JobId>,
 }
 
 impl OutcomeCache {
-    /// A job's terminal record, if it is known here.
+    /// Returns a job's terminal record, or `None` if it isn't cached.
     pub fn get(&self, id: &JobId) -> Option<TerminalRecord> {
         self.records.get(id).copied()
     }
 
-    /// Remembers a job's terminal record, as read from the store or committed.
-    pub fn put(&mut self, id: &JobId, record: TerminalRecord) {
+    /// Inserts a job's terminal record, which has been read from the store or committed to it.
+    pub fn insert(&mut self, id: &JobId, record: TerminalRecord) {
         if self.records.insert(*id, record).is_none() {
-            self.order.push_back(*id);
-            if self.order.len() > MAX_CACHED_OUTCOMES
-                && let Some(oldest) = self.order.pop_front()
+            self.insertion_order.push_back(*id);
+            if self.insertion_order.len() > MAX_CACHED_OUTCOMES
+                && let Some(oldest) = self.insertion_order.pop_front()
             {
                 self.records.remove(&oldest);
             }
--- a/src/net/rate_limited_log.rs
+++ b/src/net/rate_limited_log.rs
@@ -1,33 +1,33 @@
-//! Counts events that may be very frequent, and says when to log how many there were, so that they can't flood the
-//! log.
+//! Rate limit for log lines about frequent events: the events are counted, and their number is logged at most once per
+//! interval.
 
 use crate::time::{Millis, MonotonicTime};
 
-/// Events of one kind since they were last logged.
+/// Counts events of one kind and decides when to log their number.
 pub struct RateLimitedLog {
-    /// At most one line in this time.
+    /// Minimum time between two log lines.
     interval: Millis,
     unlogged: u64,
-    logged_at: Option<MonotonicTime>,
+    last_logged_at: Option<MonotonicTime>,
 }
 
 impl RateLimitedLog {
-    /// Nothing has happened yet; lines come at least `interval` apart.
+    /// Creates a counter that allows one log line per `interval`.
     pub fn new(interval: Millis) -> RateLimitedLog {
-        RateLimitedLog { interval, unlogged: 0, logged_at: None }
+        RateLimitedLog { interval, unlogged: 0, last_logged_at: None }
     }
 
-    /// Counts one more event. Returns how many there were since the last line, if it is time for one.
+    /// Counts an event. If a log line is due, returns the number of events since the last one, including this event.
     pub fn record(&mut self, now: MonotonicTime) -> Option<u64> {
         self.unlogged += 1;
-        if self.logged_at.is_some_and(|at| now - at < self.interval) {
+        if self.last_logged_at.is_some_and(|at| now - at < self.interval) {
             return None;
         }
-        self.logged_at = Some(now);
+        self.last_logged_at = Some(now);
         Some(std::mem::take(&mut self.unlogged))
     }
 
-    /// How many have not been logged yet.
+    /// Number of events since the last log line.
     #[cfg(test)]
     pub(super) fn unlogged(&self) -> u64 {
         self.unlogged
--- a/src/net/round_robin.rs
+++ b/src/net/round_robin.rs
@@ -1,18 +1,19 @@
-//! Turns among the items of a list that may be another one each time.
+//! Round-robin selection from a list whose items may change between selections.
 
-/// Counts the turns taken so far. The list isn't kept, so that it may change from one turn to the next.
+/// A round-robin selector. It stores only the number of turns, so the list may differ from turn to turn.
 #[derive(Default)]
 pub(super) struct RoundRobin {
     turns: usize,
 }
 
 impl RoundRobin {
-    /// The item whose turn it is, the same one until `advance`; `None`: the list is empty.
+    /// The item whose turn it is. It stays the same until [`advance`](RoundRobin::advance). Returns `None` if the list is
+    /// empty.
     pub(super) fn current<'a, T>(&self, items: &'a [T]) -> Option<&'a T> {
         items.get(self.turns.checked_rem(items.len())?)
     }
 
-    /// Ends this turn.
+    /// Ends the current turn.
     pub(super) fn advance(&mut self) {
         self.turns += 1;
     }
--- a/src/net/user_api/polls.rs
+++ b/src/net/user_api/polls.rs
@@ -18,7 +18,7 @@
     if let Some(record) = outcome {
         return Err(Reply::terminal(&id, record));
     }
-    Ok((id, Admission::request(node)?))
+    Ok((id, Admission::try_acquire(node)?))
 }
 
 /// Answers a poll of a job.
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -56,7 +56,7 @@
 
 /// Accepts a job and makes it durable. A job whose id is known is described instead, whatever the body says.
 pub async fn submit(node: &Arc<Node>, body: &[u8]) -> Reply {
-    let _admission = match Admission::request(node) {
+    let _admission = match Admission::try_acquire(node) {
         Ok(admission) => admission,
         Err(too_many) => return too_many.into(),
     };
