--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -1,5 +1,5 @@
-//! How long each input holds the core, and what it looked at. A controller has one thread: while the core works,
-//! renewals, heartbeats and users wait.
+//! Measures how long each input occupies the core, and how much it examined. A controller has a single thread, so lease
+//! renewals, heartbeats and users' requests wait while the core handles an input.
 
 use super::rate_limited_log::RateLimitedLog;
 use crate::core::cost::CostCounters;
@@ -10,27 +10,27 @@
 use std::fmt::{self, Write};
 use std::time::Duration;
 
-/// An input that takes this long gets a line of its own.
+/// An input that takes at least this long is logged on its own.
 const SLOW_INPUT_THRESHOLD: Duration = Duration::from_millis(250);
-/// At most one such line in this time.
+/// Minimum time between two log lines about slow inputs.
 const SLOW_INPUT_LOG_INTERVAL: Millis = Millis(1_000);
-/// Longest time that the histograms tell apart, in microseconds.
+/// Longest duration that the histograms record, in microseconds. Longer ones are clamped to it.
 const MAX_RECORDED_MICROS: u64 = 600_000_000;
 
-/// What the core was given to work on.
+/// The kind of an input that the core handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum InputKind {
     /// The scheduler's regular tick.
     Tick,
-    /// Heartbeats of workers that came together.
+    /// A batch of heartbeats of workers.
     Heartbeats,
-    /// A peer's plan for a round of this leader.
+    /// A plan that a peer has returned for a round of this leader.
     Plan,
-    /// Planning for another leader.
+    /// Planning a shard for a leader that is another controller.
     PlanForPeer,
-    /// Results of orders, writes and look-ups, and what the watches say.
+    /// Results of orders, writes and look-ups, and changes reported by watches.
     Result,
-    /// Reading the stored state on becoming leader.
+    /// Loading the stored cluster state on becoming leader.
     Load,
 }
 
@@ -47,18 +47,18 @@
     }
 }
 
-/// The longest input since the last line.
+/// The longest input since the last summary.
 struct LongestInput {
     input_kind: InputKind,
-    took: Duration,
+    duration: Duration,
     cost: CostCounters,
 }
 
-/// Times of inputs since the last line.
+/// Durations of inputs since the last summary.
 pub struct InputLatency {
     histograms: BTreeMap<InputKind, Histogram<u64>>,
     longest: Option<LongestInput>,
-    slow_inputs: RateLimitedLog,
+    slow_input_log: RateLimitedLog,
 }
 
 impl Default for InputLatency {
@@ -66,36 +66,37 @@
         InputLatency {
             histograms: BTreeMap::new(),
             longest: None,
-            slow_inputs: RateLimitedLog::new(SLOW_INPUT_LOG_INTERVAL),
+            slow_input_log: RateLimitedLog::new(SLOW_INPUT_LOG_INTERVAL),
         }
     }
 }
 
 impl InputLatency {
-    /// Takes in an input that began at `now` and has just been handled.
-    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, took: Duration, cost: CostCounters) {
-        let micros = (took.as_micros() as u64).clamp(1, MAX_RECORDED_MICROS);
+    /// Records an input that was received at `now` and has just been handled. Logs it if it was slow.
+    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, duration: Duration, cost: CostCounters) {
+        let micros = (duration.as_micros() as u64).clamp(1, MAX_RECORDED_MICROS);
         let histogram = self.histograms.entry(input_kind).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
-        if took >= SLOW_INPUT_THRESHOLD
-            && let Some(count) = self.slow_inputs.record(now)
+        if duration >= SLOW_INPUT_THRESHOLD
+            && let Some(count) = self.slow_input_log.record(now)
         {
             let unlogged = count - 1;
-            warn!("slow input: kind={input_kind} took_ms={} {cost} unlogged={unlogged}", took.as_millis());
+            warn!("slow input: kind={input_kind} took_ms={} {cost} unlogged={unlogged}", duration.as_millis());
         }
-        if self.longest.as_ref().is_none_or(|longest| took > longest.took) {
-            self.longest = Some(LongestInput { input_kind, took, cost });
+        if self.longest.as_ref().is_none_or(|longest| duration > longest.duration) {
+            self.longest = Some(LongestInput { input_kind, duration, cost });
         }
     }
 
-    /// The figures since the last call; none: there was no input.
-    pub(super) fn take_line(&mut self) -> Option<String> {
+    /// Returns a summary of the inputs since the last call, as the text of a log line, and resets it. Returns `None` if
+    /// there was no input.
+    pub(super) fn take_summary(&mut self) -> Option<String> {
         let longest = self.longest.take()?;
         let mut line = String::new();
         for (input_kind, histogram) in std::mem::take(&mut self.histograms) {
             let millis = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
             let count = histogram.len();
-            // Writing to a string can't fail.
+            // Writing to a `String` can't fail.
             let _ = write!(
                 line,
                 "{input_kind} n={count} p50={:.2} p99={:.2} max={:.2} ms; ",
@@ -110,7 +111,7 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 2).expect("the bounds are constants that fit")
+    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 2).expect("constant histogram bounds are valid")
 }
 
 #[cfg(test)]
--- a/src/net/input_latency/tests.rs
+++ b/src/net/input_latency/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 
 #[test]
-fn a_line_says_how_long_inputs_took_and_what_the_longest_looked_at() {
-    let mut times = InputLatency::default();
-    assert_eq!(times.take_line(), None);
+fn summary_has_durations_of_inputs_and_cost_of_the_longest() {
+    let mut latency = InputLatency::default();
+    assert_eq!(latency.take_summary(), None);
     let cost = CostCounters { machines: 4_000, tasks: 7, ..CostCounters::default() };
-    times.record(MonotonicTime(0), InputKind::Tick, Duration::from_millis(3), cost);
-    times.record(MonotonicTime(0), InputKind::Heartbeats, Duration::from_millis(1), CostCounters::default());
-    let line = times.take_line().expect("there were inputs");
-    assert!(line.contains("tick n=1") && line.contains("heartbeats n=1"), "{line}");
-    assert!(line.contains("longest: tick jobs=0 machines=4000 tasks=7"), "{line}");
-    assert_eq!(times.take_line(), None, "each input is in one line");
+    latency.record(MonotonicTime(0), InputKind::Tick, Duration::from_millis(3), cost);
+    latency.record(MonotonicTime(0), InputKind::Heartbeats, Duration::from_millis(1), CostCounters::default());
+    let summary = latency.take_summary().expect("there were inputs");
+    assert!(summary.contains("tick n=1") && summary.contains("heartbeats n=1"), "{summary}");
+    assert!(summary.contains("longest: tick jobs=0 machines=4000 tasks=7"), "{summary}");
+    assert_eq!(latency.take_summary(), None, "each input appears in only one summary");
 }
 
 #[test]
 fn slow_inputs_are_logged_at_a_bounded_rate() {
-    let mut times = InputLatency::default();
+    let mut latency = InputLatency::default();
     for _ in 0..100 {
-        times.record(MonotonicTime(0), InputKind::Tick, Duration::from_millis(300), CostCounters::default());
+        latency.record(MonotonicTime(0), InputKind::Tick, Duration::from_millis(300), CostCounters::default());
     }
-    assert_eq!(times.slow_inputs.unlogged(), 99);
+    assert_eq!(latency.slow_input_log.unlogged(), 99);
 }
--- a/src/net/load_log.rs
+++ b/src/net/load_log.rs
@@ -1,4 +1,4 @@
-//! Logs at regular intervals how long inputs held the core, and what this controller has to do.
+//! Logs at regular intervals how long inputs occupied the core, and the load of this controller.
 
 use super::node::Node;
 use crate::time::Millis;
@@ -7,20 +7,20 @@
 
 const LOG_INTERVAL: Millis = Millis(10_000);
 
-/// Logs the figures of this controller for as long as the process runs.
+/// Logs the load of this controller until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(LOG_INTERVAL.to_std()).await;
-        log_figures(&node);
+        log_load(&node);
     }
 }
 
-fn log_figures(node: &Node) {
+fn log_load(node: &Node) {
     let now = node.now();
     let mut state = node.lock();
-    // Without an input there is nothing new to say.
-    let Some(line) = state.input_latency.take_line() else { return };
-    info!("inputs: {line}");
+    // Without any input nothing has changed since the last lines.
+    let Some(summary) = state.input_latency.take_summary() else { return };
+    info!("inputs: {summary}");
     let (heartbeats, requests) = (state.heartbeat_relay.waiting(), state.user_requests);
     match (&state.scheduler, state.election.active_term(now)) {
         (Some(scheduler), Some(term)) => {
