--- a/src/net/dependency_check.rs
+++ b/src/net/dependency_check.rs
@@ -1,7 +1,8 @@
-//! Whether a dependency of a waiting job, direct or through others, was cancelled. The leader cancels the
-//! dependents of a cancelled job; until it has, or while there is none, no controller calls them live.
+//! Checks whether a direct or transitive dependency of a waiting job was cancelled. The leader cancels the dependents
+//! of a cancelled job. Until it has done so, or while there is no leader, no controller may report them to users as
+//! live.
 
-use super::linearizable_reads::{Found, ReadError, read, within_timeout};
+use super::linearizable_reads::{ReadError, StoredJob, read_job, with_read_timeout};
 use super::node::Node;
 use crate::core::records::{LiveRecord, has_dependencies};
 use crate::ids::JobId;
@@ -10,42 +11,44 @@
 use std::collections::HashMap;
 use std::pin::Pin;
 
-/// Most jobs whose checks are remembered; beyond it all are forgotten.
+/// Maximum number of cached checks. When it is reached, the cache is cleared.
 const MAX_CACHED_CHECKS: usize = 8_192;
-/// For which part of `cancel_s` a check may be relied on.
-const CHECK_VALIDITY_SHARE: f64 = 0.25;
-/// Longer chains of waiting jobs aren't followed to their end, as each step costs a read: further up it is the
-/// leader alone that cancels.
+/// Maximum age of a cached check, as a fraction of the setting `cancel_s`: the time after a confirmed cancellation in
+/// which the job's tasks must be gone.
+const MAX_CHECK_AGE_SHARE: f64 = 0.25;
+/// Maximum length of a chain of dependencies that is followed, as each step costs a read. Cancellations further away
+/// are propagated only by the leader.
 const MAX_DEPTH: u32 = 64;
 
-/// What a job means to the jobs that depend on it.
+/// The status of a job as a dependency of other jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DependencyStatus {
     /// It is done.
     Done,
-    /// It may still be done.
+    /// It may still become done.
     Live,
     /// It runs until it is cancelled, so it is never done.
     Service,
-    /// It, or a job that it depends on, is cancelled.
+    /// It was cancelled, or a job that it depends on was.
     Cancelled,
-    /// There is no such job.
+    /// It was never accepted.
     Absent,
 }
 
-/// Waiting jobs none of whose dependencies was cancelled, and when that was read.
+/// Cache of waiting jobs that were found to have no cancelled dependency, with the time of the oldest read that the
+/// check is based on.
 #[derive(Default)]
 pub struct DependencyCheckCache {
     checked_at: HashMap<JobId, MonotonicTime>,
 }
 
 impl DependencyCheckCache {
-    /// When the job was checked, if that isn't longer ago than `max_age`.
+    /// Returns the time of the job's check, or `None` if there is none or it is older than `max_age`.
     fn get(&self, id: &JobId, now: MonotonicTime, max_age: Millis) -> Option<MonotonicTime> {
         self.checked_at.get(id).copied().filter(|at| now - *at <= max_age)
     }
 
-    fn put(&mut self, id: JobId, at: MonotonicTime) {
+    fn insert(&mut self, id: JobId, at: MonotonicTime) {
         if self.checked_at.len() >= MAX_CACHED_CHECKS {
             self.checked_at.clear();
         }
@@ -53,71 +56,74 @@
     }
 }
 
-/// A job's status, and when the oldest read that it rests on began.
-struct Check {
+/// The result of checking a job.
+struct CheckResult {
     status: DependencyStatus,
-    at: MonotonicTime,
+    /// When the oldest read that `status` is based on began.
+    read_at: MonotonicTime,
 }
 
-/// What a job means to the jobs that depend on it, by reads that are recent enough to tell users.
+/// Determines the status of a job as a dependency, from reads that are recent enough to answer users.
 pub async fn dependency_status(node: &Node, id: &JobId) -> Result<DependencyStatus, ReadError> {
-    within_timeout(node, check(node, *id, MAX_DEPTH)).await.map(|check| check.status)
+    with_read_timeout(node, check_job(node, *id, MAX_DEPTH)).await.map(|result| result.status)
 }
 
-/// Whether a live job, by the entry just read, has to be cancelled, as one that it depends on is.
-pub async fn depends_on_cancelled(node: &Node, id: &JobId, row: &KeyValue) -> Result<bool, ReadError> {
-    // Most jobs that users ask about have no dependencies.
-    if !has_dependencies(&row.value) {
+/// Whether a live job must be cancelled because a direct or transitive dependency was. `entry` is its `live/` entry,
+/// which the caller has just read.
+pub async fn depends_on_cancelled(node: &Node, id: &JobId, entry: &KeyValue) -> Result<bool, ReadError> {
+    // Fast path: most jobs have no dependencies.
+    if !has_dependencies(&entry.value) {
         return Ok(false);
     }
-    let check = within_timeout(node, check_live(node, *id, row, MAX_DEPTH)).await?;
-    Ok(check.status == DependencyStatus::Cancelled)
+    let result = with_read_timeout(node, check_live_job(node, *id, entry, MAX_DEPTH)).await?;
+    Ok(result.status == DependencyStatus::Cancelled)
 }
 
-/// Checks a job and, up to a depth, what it depends on. Boxed, as it calls itself by way of `check_live`.
-fn check(
+/// Checks a job and its dependencies, at most `max_depth` levels deep. The future is boxed because the function and
+/// [`check_live_job`] call each other.
+fn check_job(
     node: &Node,
     id: JobId,
     max_depth: u32,
-) -> Pin<Box<dyn Future<Output = Result<Check, ReadError>> + Send + '_>> {
+) -> Pin<Box<dyn Future<Output = Result<CheckResult, ReadError>> + Send + '_>> {
     Box::pin(async move {
-        let at = node.now();
-        Ok(match read(node, &id).await? {
-            Found::Terminal(record) if record.is_done() => Check { status: DependencyStatus::Done, at },
-            Found::Terminal(_) => Check { status: DependencyStatus::Cancelled, at },
-            Found::Absent => Check { status: DependencyStatus::Absent, at },
-            Found::Live(row) => check_live(node, id, &row, max_depth).await?,
+        let read_at = node.now();
+        Ok(match read_job(node, &id).await? {
+            StoredJob::Terminal(record) if record.is_done() => CheckResult { status: DependencyStatus::Done, read_at },
+            StoredJob::Terminal(_) => CheckResult { status: DependencyStatus::Cancelled, read_at },
+            StoredJob::Absent => CheckResult { status: DependencyStatus::Absent, read_at },
+            StoredJob::Live(entry) => check_live_job(node, id, &entry, max_depth).await?,
         })
     })
 }
 
-/// Checks what a live job depends on.
-async fn check_live(node: &Node, id: JobId, row: &KeyValue, max_depth: u32) -> Result<Check, ReadError> {
+/// Checks the dependencies of a live job, at most `max_depth` levels deep.
+async fn check_live_job(node: &Node, id: JobId, entry: &KeyValue, max_depth: u32) -> Result<CheckResult, ReadError> {
     let now = node.now();
-    // A record that can't be read may be of a later version, whose controllers check it.
-    let Ok(record) = serde_json::from_value::<LiveRecord>(row.value.clone()) else {
-        return Ok(Check { status: DependencyStatus::Live, at: now });
+    // A record that can't be decoded may have been written by a later version, whose controllers check it.
+    let Ok(record) = serde_json::from_value::<LiveRecord>(entry.value.clone()) else {
+        return Ok(CheckResult { status: DependencyStatus::Live, read_at: now });
     };
     let status = match record.spec.kind {
         Kind::Service => DependencyStatus::Service,
         Kind::Array | Kind::Gang => DependencyStatus::Live,
     };
     if record.depends_on.is_empty() || max_depth == 0 {
-        return Ok(Check { status, at: now });
+        return Ok(CheckResult { status, read_at: now });
     }
-    let max_age = Millis::from_secs_f64(node.settings.cluster.workers.cancellation_limit_s * CHECK_VALIDITY_SHARE);
-    let cached_at = node.lock().dependency_check_cache.get(&id, now, max_age);
-    if let Some(at) = cached_at {
-        return Ok(Check { status, at });
+    let max_age = Millis::from_secs_f64(node.settings.cluster.workers.cancellation_limit_s * MAX_CHECK_AGE_SHARE);
+    let cached = node.lock().dependency_check_cache.get(&id, now, max_age);
+    if let Some(read_at) = cached {
+        return Ok(CheckResult { status, read_at });
     }
-    let mut at = now;
+    let mut read_at = now;
     for dependency in record.depends_on {
-        let check = check(node, dependency, max_depth - 1).await?;
-        if check.status == DependencyStatus::Cancelled {
-            return Ok(check);
+        let result = check_job(node, dependency, max_depth - 1).await?;
+        if result.status == DependencyStatus::Cancelled {
+            return Ok(result);
         }
-        at = at.min(check.at);
+        read_at = read_at.min(result.read_at);
     }
-    node.lock().dependency_check_cache.put(id, at);
-    Ok(Check { status, at })
+    node.lock().dependency_check_cache.insert(id, read_at);
+    Ok(CheckResult { status, read_at })
 }
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -1,5 +1,4 @@
-//! What the key-value store holds of jobs: linearizable reads for users, and the outcomes that this controller
-//! remembers of them.
+//! Linearizable reads of jobs from the key-value store, for users' requests, and recording of the outcomes found.
 
 use super::kv::KvError;
 use super::node::Node;
@@ -8,48 +7,49 @@
 use crate::time::Millis;
 use crate::wire::{JobPhase, KeyValue};
 
-/// What the key-value store holds of a job.
-pub enum Found {
-    /// Nothing: the job was never accepted.
+/// A job as the key-value store has it.
+pub enum StoredJob {
+    /// The store has no record of the job: it was never accepted.
     Absent,
-    /// The job hasn't ended; with its `live/` entry, whose record may be of another version.
+    /// The job hasn't ended. Contains its `live/` entry, which a different version of this program may have written.
     Live(KeyValue),
-    /// The job has ended.
+    /// The job has ended: it is done or cancelled.
     Terminal(TerminalRecord),
 }
 
 /// Why a job couldn't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The store hasn't answered for so long that it isn't asked for users.
+    /// The store hasn't responded for so long that users' requests fail without asking it.
     #[error("the key-value store is unreachable")]
     StoreUnreachable,
-    /// The read took longer than a user can wait.
-    #[error("not read within {} ms", READ_TIMEOUT.0)]
+    /// The read exceeded its time limit.
+    #[error("read of the key-value store exceeded {} ms", READ_TIMEOUT.0)]
     Timeout,
-    /// The store's answer to one call.
+    /// A request to the store failed.
     #[error(transparent)]
     Store(#[from] KvError),
-    /// The record of a job that has ended is of no known form.
-    #[error("terminal record of {id} can't be read: {source}")]
+    /// The terminal record of the job can't be decoded.
+    #[error("terminal record of {id} can't be decoded: {source}")]
     UnreadableRecord {
         /// The job.
         id: JobId,
-        /// What the parser says.
+        /// The decoding error.
         source: serde_json::Error,
     },
 }
 
-/// For how long a read may take. Users wait 2 s for the answer to a poll.
+/// Time limit of a read. Users wait 2 s for the response to a poll.
 const READ_TIMEOUT: Millis = Millis(1_400);
 
-/// What the key-value store holds of a job now, read while the user still waits.
-pub async fn look_up(node: &Node, id: &JobId) -> Result<Found, ReadError> {
-    within_timeout(node, read(node, id)).await
+/// Reads the current state of a job, within the time limit for users' requests.
+pub async fn look_up_job(node: &Node, id: &JobId) -> Result<StoredJob, ReadError> {
+    with_read_timeout(node, read_job(node, id)).await
 }
 
-/// Gives up reads that take longer than a user can wait; not begun while the store is unreachable.
-pub(super) async fn within_timeout<T>(
+/// Runs `reads`, and fails if they exceed the time limit for users' requests. Fails at once while the store is
+/// unreachable.
+pub(super) async fn with_read_timeout<T>(
     node: &Node,
     reads: impl Future<Output = Result<T, ReadError>>,
 ) -> Result<T, ReadError> {
@@ -59,45 +59,46 @@
     tokio::time::timeout(READ_TIMEOUT.to_std(), reads).await.unwrap_or(Err(ReadError::Timeout))
 }
 
-/// What the key-value store holds of a job, without a bound on the time. A job goes from live to terminal and
-/// never back, so reading in this order misses nothing.
-pub(super) async fn read(node: &Node, id: &JobId) -> Result<Found, ReadError> {
-    let known = node.lock().outcomes.get(id);
-    if let Some(record) = known {
-        return Ok(Found::Terminal(record));
+/// Reads the current state of a job, without a time limit. A job changes from live to terminal and never back, so
+/// reading the live key before the terminal key can't miss it.
+pub(super) async fn read_job(node: &Node, id: &JobId) -> Result<StoredJob, ReadError> {
+    let cached = node.lock().outcomes.get(id);
+    if let Some(record) = cached {
+        return Ok(StoredJob::Terminal(record));
     }
     let live = node.track_store(node.kv.get(&node.http, &live_key(id))).await?;
-    if let Some(row) = live {
-        return Ok(Found::Live(row));
+    if let Some(entry) = live {
+        return Ok(StoredJob::Live(entry));
     }
     let terminal = node.track_store(node.kv.get(&node.http, &terminal_key(id))).await?;
-    let Some(row) = terminal else { return Ok(Found::Absent) };
+    let Some(entry) = terminal else { return Ok(StoredJob::Absent) };
     let record: TerminalRecord =
-        serde_json::from_value(row.value).map_err(|source| ReadError::UnreadableRecord { id: *id, source })?;
-    record_outcome(node, id, record, Revision(row.revision));
-    Ok(Found::Terminal(record))
+        serde_json::from_value(entry.value).map_err(|source| ReadError::UnreadableRecord { id: *id, source })?;
+    record_outcome(node, id, record, Revision(entry.revision));
+    Ok(StoredJob::Terminal(record))
 }
 
-/// Remembers how a job has ended, before a user is told of it. A leader must act on what it tells, even where
-/// its watch is late, and a leader that can't read the store learns of cancellations by pledges.
+/// Records how a job has ended. Must be called before a user is told of it, for two reasons: if this controller leads,
+/// its scheduler must act on the outcome even while its watch of the live jobs lags, and a leader that can't read the
+/// store learns of cancellations only from the pledges of the controllers that have confirmed them.
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
-    let mut inner = node.lock();
-    inner.outcomes.insert(id, record);
+    let mut state = node.lock();
+    state.outcomes.insert(id, record);
     if record.phase == JobPhase::Aborted {
-        inner.cancellations.tell(*id, revision);
+        state.cancellations.tell(*id, revision);
     }
-    if let Some(scheduler) = &mut inner.scheduler {
+    if let Some(scheduler) = &mut state.scheduler {
         scheduler.on_job_terminated(id, record.outcome());
     }
 }
 
-/// Those of the jobs that have ended, and how. Ends early at a read that fails.
+/// Looks up jobs, and returns the outcomes of those that have ended. Stops at the first read that fails.
 pub async fn outcomes(node: &Node, ids: &[JobId]) -> Vec<(JobId, JobOutcome)> {
     let mut outcomes = Vec::new();
     for id in ids {
-        match look_up(node, id).await {
-            Ok(Found::Terminal(record)) => outcomes.push((*id, record.outcome())),
-            Ok(Found::Live(_) | Found::Absent) => {}
+        match look_up_job(node, id).await {
+            Ok(StoredJob::Terminal(record)) => outcomes.push((*id, record.outcome())),
+            Ok(StoredJob::Live(_) | StoredJob::Absent) => {}
             Err(_) => break,
         }
     }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -61,7 +61,7 @@
             }
             Route::Cancel => {
                 let id = request.param::<String>("id").unwrap_or_default();
-                send_reply(response, user_api::withdraw(node, &id).await);
+                send_reply(response, user_api::cancel(node, &id).await);
                 leader_loop::perform_pending(node);
             }
             Route::Heartbeat => {
--- a/src/net/user_api.rs
+++ b/src/net/user_api.rs
@@ -1,8 +1,8 @@
-//! The users' API: submissions, polls and cancellations, and the load balancer's health check.
+//! The API for users: submission, polling and cancellation of jobs, and the load balancer's health check.
 //!
-//! Any controller serves it. What it says of a job comes from a committed write or a linearizable read, so no
-//! controller gives an older answer than another. A job's counts of tasks are the leader's latest peer heartbeat
-//! and may be some seconds old.
+//! Every controller serves it. The phase of a job that a response reports comes from a committed transaction or a
+//! linearizable read, so a response is never older than an earlier one of any controller. The task counts of a job come
+//! from the leader's latest peer heartbeat and may be some seconds old.
 
 mod cancellation;
 mod commit;
@@ -11,7 +11,7 @@
 mod reply;
 mod submission;
 
-pub use cancellation::withdraw;
+pub use cancellation::cancel;
 pub use health::is_healthy;
 pub use polls::poll;
 pub use reply::Reply;
--- a/src/net/user_api/commit.rs
+++ b/src/net/user_api/commit.rs
@@ -1,4 +1,4 @@
-//! Transactions that a user waits for.
+//! Commits of transactions whose result a user waits for.
 
 use crate::ids::Revision;
 use crate::net::kv::{CommitError, KvError};
@@ -6,24 +6,24 @@
 use crate::time::Millis;
 use crate::wire::Transaction;
 
-/// How often a transaction is tried while the key-value store has too many requests.
+/// Maximum number of attempts while the key-value store responds that it has too many requests.
 const MAX_COMMIT_ATTEMPTS: usize = 3;
-/// The least time between two attempts.
+/// Minimum time between two attempts.
 const MIN_BUSY_BACKOFF: Millis = Millis(80);
-/// Up to this much is added at random, so that controllers don't try again at the same moment.
+/// Up to this much random time is added, so that controllers don't retry at the same moment.
 const BUSY_BACKOFF_JITTER: Millis = Millis(120);
 
-/// Why a transaction isn't known to be carried out.
+/// Why a transaction isn't known to be committed.
 pub(super) enum CommitFailure {
-    /// A precondition didn't hold: another transaction has changed the job.
-    Rejected,
-    /// The key-value store didn't answer, or refused. Without an answer it may be carried out all the same.
+    /// A precondition didn't hold, as another transaction has changed the job: not committed.
+    PreconditionFailed,
+    /// The key-value store didn't respond, or refused. Without a response, the transaction may have been committed.
     StoreUnreachable,
 }
 
-/// Commits, and returns the revision of the commit. Where the key-value store has too many requests, it is tried
-/// again for a short while only.
-pub(super) async fn commit(node: &Node, transaction: &Transaction) -> Result<Revision, CommitFailure> {
+/// Commits a transaction and returns the revision of the commit. Retries only while the key-value store responds that it
+/// has too many requests, and only a few times, as a user waits.
+pub(super) async fn commit_with_retries(node: &Node, transaction: &Transaction) -> Result<Revision, CommitFailure> {
     if node.store_unreachable() {
         return Err(CommitFailure::StoreUnreachable);
     }
@@ -33,7 +33,7 @@
         attempts += 1;
         match result {
             Ok(revision) => return Ok(revision),
-            Err(CommitError::Conflict(_)) => return Err(CommitFailure::Rejected),
+            Err(CommitError::Conflict(_)) => return Err(CommitFailure::PreconditionFailed),
             Err(CommitError::Store(KvError::Busy)) if attempts < MAX_COMMIT_ATTEMPTS => {}
             Err(CommitError::Store(_)) => return Err(CommitFailure::StoreUnreachable),
         }
--- a/src/net/user_api/health.rs
+++ b/src/net/user_api/health.rs
@@ -2,8 +2,8 @@
 
 use crate::net::node::Node;
 
-/// Whether the load balancer should send users here: the machine types are known, and no peer would serve users
-/// better.
+/// Whether the load balancer should route users to this controller: the machine types are known, and no other controller
+/// could serve users better (see [`StoreHealth::is_isolated`](crate::net::store_health::StoreHealth::is_isolated)).
 pub fn is_healthy(node: &Node) -> bool {
     let now = node.now();
     let state = node.lock();
--- a/src/net/user_api/polls.rs
+++ b/src/net/user_api/polls.rs
@@ -1,17 +1,17 @@
-//! What users are told of a job: `GET /api/jobs/{id}`, and the answer to a submission of a known job.
+//! Replies that describe a job: to `GET /api/jobs/{id}`, and to a submission of a job that exists already.
 
-use super::cancellation::cancel;
+use super::cancellation::cancel_live_job;
 use super::reply::Reply;
 use crate::ids::JobId;
 use crate::net::admission::Admission;
 use crate::net::dependency_check;
-use crate::net::linearizable_reads::{Found, look_up};
+use crate::net::linearizable_reads::{StoredJob, look_up_job};
 use crate::net::node::Node;
 use crate::wire::KeyValue;
 use std::sync::Arc;
 
-/// Admits a request about one job. Error: the reply, where there is no such id, the job's outcome is
-/// cached here, or too many requests are under way.
+/// Parses the id of a request about one job and admits the request. Returns the reply as the error if the id is invalid,
+/// the job's outcome is cached, or the limit on concurrent requests is reached.
 pub(super) fn admit_for_job<'a>(node: &'a Node, id: &str) -> Result<(JobId, Admission<'a>), Reply> {
     let id = JobId::parse(id).ok_or_else(Reply::no_such_job)?;
     let outcome = node.lock().outcomes.get(&id);
@@ -21,7 +21,7 @@
     Ok((id, Admission::try_acquire(node)?))
 }
 
-/// Answers a poll of a job.
+/// Handles a user's poll of a job.
 pub async fn poll(node: &Arc<Node>, id: &str) -> Reply {
     let (id, _admission) = match admit_for_job(node, id) {
         Ok(admitted) => admitted,
@@ -30,26 +30,26 @@
     describe(node, &id, Reply::no_such_job()).await
 }
 
-/// What the key-value store holds of a job now, or `absent` if there is no such job.
+/// Reads a job from the key-value store and describes it. Returns the reply `absent` if there is no such job.
 pub(super) async fn describe(node: &Arc<Node>, id: &JobId, absent: Reply) -> Reply {
-    match look_up(node, id).await {
-        Ok(Found::Terminal(record)) => Reply::terminal(id, record),
-        Ok(Found::Live(row)) => describe_live(node, id, row).await,
-        Ok(Found::Absent) => absent,
+    match look_up_job(node, id).await {
+        Ok(StoredJob::Terminal(record)) => Reply::terminal(id, record),
+        Ok(StoredJob::Live(entry)) => describe_live_job(node, id, entry).await,
+        Ok(StoredJob::Absent) => absent,
         Err(_) => Reply::store_unreachable(),
     }
 }
 
-/// Describes a job that is live by a read just made. Where a job that it depends on is cancelled, it is
-/// cancelled first, so that no controller calls it live.
-async fn describe_live(node: &Arc<Node>, id: &JobId, row: KeyValue) -> Reply {
-    match dependency_check::depends_on_cancelled(node, id, &row).await {
+/// Describes a job, given the `live/` entry that the caller has just read. If a job that it depends on was cancelled,
+/// cancels the job first, so that no controller reports it as live.
+async fn describe_live_job(node: &Arc<Node>, id: &JobId, entry: KeyValue) -> Reply {
+    match dependency_check::depends_on_cancelled(node, id, &entry).await {
         Ok(false) => {
-            let inner = node.lock();
-            let (done, running) = inner.counts.get(id).map_or((0, 0), |count| (count.done, count.running));
+            let state = node.lock();
+            let (done, running) = state.counts.get(id).map_or((0, 0), |count| (count.done, count.running));
             Reply::live(id, done, running)
         }
-        Ok(true) => cancel(node, id, row).await,
+        Ok(true) => cancel_live_job(node, id, entry).await,
         Err(_) => Reply::store_unreachable(),
     }
 }
--- a/src/net/user_api/reply.rs
+++ b/src/net/user_api/reply.rs
@@ -1,4 +1,4 @@
-//! What users are told: the status, and the JSON of a job or of an error.
+//! Replies to users: the HTTP status, and the JSON of a job's status or of an error.
 
 use crate::core::records::TerminalRecord;
 use crate::core::submissions::SubmissionError;
@@ -7,35 +7,35 @@
 use crate::wire::{JobPhase, JobStatus};
 use serde_json::json;
 
-/// An answer to a user.
+/// A reply to a user's request.
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// JSON: the job's status, or an object with the field `error`.
+    /// The JSON body: a job's status, or an object with the field `error`.
     pub body: String,
-    /// When the user should try again, in seconds, for the header `Retry-After`.
+    /// After how many seconds the user should retry: the value of the `Retry-After` header.
     pub retry_after: Option<u32>,
 }
 
 impl Reply {
-    /// A job's phase and, where they are given, its counts of tasks.
+    /// A job's phase, with its task counts if they are given.
     fn job(status: u16, id: &JobId, phase: JobPhase, done: Option<u32>, running: Option<u32>) -> Reply {
         let body = json!(JobStatus { id: &id.to_string(), phase, done, running }).to_string();
         Reply { status, body, retry_after: None }
     }
 
-    /// 201: a submitted job is stored.
+    /// Status 201: the submitted job is stored.
     pub(super) fn accepted(id: &JobId, phase: JobPhase) -> Reply {
         Reply::job(201, id, phase, None, None)
     }
 
-    /// A job that hasn't ended, with the leader's counts of its tasks.
+    /// Status 200: a job that hasn't ended, with the leader's counts of its tasks.
     pub(super) fn live(id: &JobId, done: u32, running: u32) -> Reply {
         let phase = if running > 0 { JobPhase::Running } else { JobPhase::Queued };
         Reply::job(200, id, phase, Some(done), Some(running))
     }
 
-    /// A job that has ended.
+    /// Status 200: a job that has ended.
     pub(super) fn terminal(id: &JobId, record: TerminalRecord) -> Reply {
         let done = (record.phase == JobPhase::Done).then_some(record.tasks);
         Reply::job(200, id, record.phase, done, Some(0))
@@ -46,27 +46,28 @@
         Reply { status, body: json!({ "error": message }).to_string(), retry_after: None }
     }
 
-    /// 503 without waiting: the user is told to try again, and why.
+    /// Status 503 with a `Retry-After` header: the user should retry, for the reason in the message.
     pub fn later(message: &str) -> Reply {
         Reply { retry_after: Some(1), ..Reply::error(503, message) }
     }
 
-    /// 404: there is no such job, or the id isn't the name of a job.
+    /// Status 404: there is no such job, or the id is not a valid job name.
     pub(super) fn no_such_job() -> Reply {
         Reply::error(404, "no such job")
     }
 
-    /// 503: the key-value store doesn't answer, refuses, or a transaction was rejected and the reason is gone.
+    /// Status 503: the key-value store doesn't respond or refuses, or a transaction conflicted with a concurrent change
+    /// that later reads don't explain.
     pub(super) fn store_unreachable() -> Reply {
         Reply::later("the state service is out of reach")
     }
 
-    /// 503: the cloud hasn't been asked yet since this controller started.
+    /// Status 503: this controller hasn't read the machine types since it started.
     pub(super) fn machine_types_unknown() -> Reply {
         Reply::later("machine types are not known yet")
     }
 
-    /// 503: the stored record of the job is of no version that this one knows.
+    /// Status 503: the stored record of the job can't be decoded; a later version may have written it.
     pub(super) fn unreadable_record() -> Reply {
         Reply::later("the job's record can't be read")
     }
--- a/src/net/user_api/reply/tests.rs
+++ b/src/net/user_api/reply/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::submissions::{MalformedSubmission, UnsatisfiableSubmission};
 
 #[test]
-fn refused_submissions_and_requests_have_their_status_and_message() {
+fn error_replies_have_the_expected_status_message_and_retry_after() {
     let replies = [
         (
             Reply::from(SubmissionError::from(MalformedSubmission::MissingId)),
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -1,6 +1,6 @@
-//! Submissions: `POST /api/jobs`.
+//! Submission of jobs: `POST /api/jobs`.
 
-use super::commit::{CommitFailure, commit};
+use super::commit::{CommitFailure, commit_with_retries};
 use super::polls::describe;
 use super::reply::Reply;
 use crate::core::records::{LiveRecord, TerminalRecord, absent_preconditions, live_key, terminal_key};
@@ -16,49 +16,50 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// Why a job isn't accepted. A job that is stored already is described to its user instead.
+/// Why a submission isn't accepted. It becomes the reply only if the job isn't stored already.
 #[derive(Debug, thiserror::Error)]
 enum NotAccepted {
-    /// The submission is refused for good.
+    /// The submission is invalid; retrying it is of no use.
     #[error(transparent)]
-    Refused(#[from] SubmissionError),
-    /// Which machine types there are isn't known yet.
+    Invalid(#[from] SubmissionError),
+    /// This controller hasn't read the machine types yet.
     #[error("machine types are not known yet")]
     MachineTypesUnknown,
-    /// What the job depends on can't be read.
-    #[error("a dependency can't be read: {0}")]
-    DependencyUnread(#[from] ReadError),
+    /// A dependency of the job couldn't be read.
+    #[error("could not read a dependency: {0}")]
+    DependencyReadFailed(#[from] ReadError),
 }
 
 impl From<UnsatisfiableSubmission> for NotAccepted {
     fn from(error: UnsatisfiableSubmission) -> NotAccepted {
-        NotAccepted::Refused(error.into())
+        NotAccepted::Invalid(error.into())
     }
 }
 
 impl From<NotAccepted> for Reply {
     fn from(reason: NotAccepted) -> Reply {
         match reason {
-            NotAccepted::Refused(error) => error.into(),
+            NotAccepted::Invalid(error) => error.into(),
             NotAccepted::MachineTypesUnknown => Reply::machine_types_unknown(),
-            NotAccepted::DependencyUnread(_) => Reply::store_unreachable(),
+            NotAccepted::DependencyReadFailed(_) => Reply::store_unreachable(),
         }
     }
 }
 
-/// What is to be stored of an accepted job.
+/// The record to store for an accepted job.
 enum Accepted {
-    /// The record of a job that is to run, as JSON.
+    /// The JSON of the live record of a job that is to run.
     Live(Value),
-    /// It depends on a job that is cancelled, and is cancelled with it.
+    /// The terminal record of a job that is cancelled at once, as it depends on a cancelled job.
     Cancelled(TerminalRecord),
 }
 
-/// Accepts a job and makes it durable. A job whose id is known is described instead, whatever the body says.
+/// Validates a submission and stores its job. If a job with this id exists already, the reply describes that job instead,
+/// whatever the rest of the body contains.
 pub async fn submit(node: &Arc<Node>, body: &[u8]) -> Reply {
     let _admission = match Admission::try_acquire(node) {
         Ok(admission) => admission,
-        Err(too_many) => return too_many.into(),
+        Err(error) => return error.into(),
     };
     let ParsedSubmission { id, submission } = match parse_submission(body) {
         Ok(parsed) => parsed,
@@ -69,22 +70,22 @@
         return Reply::terminal(&id, record);
     }
     let accepted = match submission {
-        Ok(submission) => accept(node, submission).await,
+        Ok(submission) => validate(node, submission).await,
         Err(error) => Err(error.into()),
     };
     match accepted {
-        Ok(accepted) => store(node, &id, accepted).await,
+        Ok(accepted) => store_job(node, &id, accepted).await,
         Err(reason) => describe(node, &id, reason.into()).await,
     }
 }
 
-/// Checks a submission whose job isn't known to have ended.
-async fn accept(node: &Node, submission: Submission) -> Result<Accepted, NotAccepted> {
+/// Validates a submission against the cluster and the stored jobs, and creates the record to store.
+async fn validate(node: &Node, submission: Submission) -> Result<Accepted, NotAccepted> {
     let Submission { spec, depends_on } = submission;
     let types = node.lock().types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
     check_satisfiable(&spec, &node.settings.cluster.teams, &types)?;
     let mut record = LiveRecord { at: node.wall_time(), spec, depends_on };
-    // Checked with all dependencies, also those that are done and won't be stored.
+    // The limit applies to the record with all dependencies, including those that are done and won't be stored.
     let value = json!(record);
     if value.to_string().len() > node.settings.cluster.store.value_bytes() {
         return Err(UnsatisfiableSubmission::RecordTooLarge.into());
@@ -99,44 +100,45 @@
     }
 }
 
-/// What a submitted job still depends on.
+/// The dependencies of a submitted job that are not done.
 enum Dependencies {
-    /// The jobs that have yet to be done.
+    /// None is cancelled; these jobs have yet to be done.
     Live(Vec<JobId>),
-    /// At least one is cancelled.
+    /// At least one dependency is cancelled.
     Cancelled,
 }
 
-/// Looks up all dependencies, as one that was never accepted outweighs one that is cancelled.
+/// Checks all dependencies. It doesn't stop at a cancelled one, as a later one that was never accepted or is a service
+/// makes the submission invalid, which takes precedence.
 async fn check_dependencies(node: &Node, depends_on: &[JobId]) -> Result<Dependencies, NotAccepted> {
     let mut live = Vec::new();
-    let mut is_cancelled = false;
+    let mut any_cancelled = false;
     for dependency in depends_on {
         match dependency_check::dependency_status(node, dependency).await? {
             DependencyStatus::Done => {}
             DependencyStatus::Live => live.push(*dependency),
-            DependencyStatus::Cancelled => is_cancelled = true,
+            DependencyStatus::Cancelled => any_cancelled = true,
             DependencyStatus::Absent => {
                 return Err(UnsatisfiableSubmission::DependencyNeverAccepted(dependency.to_string()).into());
             }
             DependencyStatus::Service => return Err(UnsatisfiableSubmission::DependsOnService(*dependency).into()),
         }
     }
-    Ok(if is_cancelled { Dependencies::Cancelled } else { Dependencies::Live(live) })
+    Ok(if any_cancelled { Dependencies::Cancelled } else { Dependencies::Live(live) })
 }
 
-/// Makes an accepted job durable, and only then tells its user.
-async fn store(node: &Arc<Node>, id: &JobId, accepted: Accepted) -> Reply {
+/// Stores an accepted job, and only then returns the reply that confirms it.
+async fn store_job(node: &Arc<Node>, id: &JobId, accepted: Accepted) -> Reply {
     let (key, value) = match &accepted {
         Accepted::Live(value) => (live_key(id), value.clone()),
         Accepted::Cancelled(record) => (terminal_key(id), json!(record)),
     };
     let transaction =
         Transaction { preconditions: absent_preconditions(id), mutations: vec![Mutation::put(key, value)] };
-    let revision = match commit(node, &transaction).await {
+    let revision = match commit_with_retries(node, &transaction).await {
         Ok(revision) => revision,
-        // Somebody has submitted the job before.
-        Err(CommitFailure::Rejected) => return describe(node, id, Reply::store_unreachable()).await,
+        // A job with this id exists already.
+        Err(CommitFailure::PreconditionFailed) => return describe(node, id, Reply::store_unreachable()).await,
         Err(CommitFailure::StoreUnreachable) => return Reply::store_unreachable(),
     };
     match accepted {
