--- a/src/net/admission/tests.rs
+++ b/src/net/admission/tests.rs
@@ -12,5 +12,5 @@
     drop(first);
     assert!(Admission::try_acquire(&node).is_ok(), "the slot of the first request is free again");
     // Neither the rejected request nor the admissions already dropped are counted.
-    assert_eq!(node.lock().user_requests, 1);
+    assert_eq!(node.lock().user_requests_in_progress, 1);
 }
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -53,7 +53,7 @@
     node: &Node,
     reads: impl Future<Output = Result<T, ReadError>>,
 ) -> Result<T, ReadError> {
-    if node.store_unreachable() {
+    if node.is_store_unreachable() {
         return Err(ReadError::StoreUnreachable);
     }
     tokio::time::timeout(READ_TIMEOUT.to_std(), reads).await.unwrap_or(Err(ReadError::Timeout))
@@ -62,7 +62,7 @@
 /// Reads the current state of a job, without a time limit. A job changes from live to terminal and never back, so
 /// reading the live key before the terminal key can't miss it.
 pub(super) async fn read_job(node: &Node, id: &JobId) -> Result<StoredJob, ReadError> {
-    let cached = node.lock().outcomes.get(id);
+    let cached = node.lock().outcome_cache.get(id);
     if let Some(record) = cached {
         return Ok(StoredJob::Terminal(record));
     }
@@ -83,7 +83,7 @@
 /// store learns of cancellations only from the pledges of the controllers that have confirmed them.
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut state = node.lock();
-    state.outcomes.insert(id, record);
+    state.outcome_cache.insert(id, record);
     if record.phase == JobPhase::Aborted {
         state.cancellations.tell(*id, revision);
     }
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -39,7 +39,7 @@
     let mut response = PeerHeartbeatResponse {
         version: VERSION,
         redirected,
-        store_ok: !state.election.is_refused_by_store(),
+        store_ok: !state.election.is_store_unavailable(),
         ..Default::default()
     };
     if heartbeat.asks_extension {
@@ -52,8 +52,8 @@
 
 /// Updates this controller's state from a leader's heartbeat.
 fn apply_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
-    state.suspected = heartbeat.suspected.iter().cloned().collect();
-    state.take_counts(&heartbeat.counts);
+    state.suspected_machines = heartbeat.suspected.iter().cloned().collect();
+    state.set_live_job_counts(&heartbeat.counts);
     state.heartbeat_relay.heard_leader(&heartbeat.from, Term(heartbeat.term), now);
     if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
         node.relay_wakeup.notify_one();
@@ -70,7 +70,7 @@
 ) {
     let (term, read_through) = (Term(heartbeat.term), Revision(heartbeat.read_through));
     if let Ok(pledge) = state.election.pledge_to(now, term, read_through, &state.cancellations) {
-        response.pledge_ms = pledge.span.0;
+        response.pledge_ms = pledge.duration.0;
         response.cancelled = pledge.cancelled.iter().map(JobId::to_string).collect();
     }
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -62,7 +62,7 @@
             Route::Cancel => {
                 let id = request.param::<String>("id").unwrap_or_default();
                 send_reply(response, user_api::cancel(node, &id).await);
-                leader_loop::perform_pending(node);
+                leader_loop::perform_pending_effects(node);
             }
             Route::Heartbeat => {
                 // An unreadable or oversized body is handled as an empty one, which is not a valid heartbeat.
--- a/src/net/user_api/commit.rs
+++ b/src/net/user_api/commit.rs
@@ -24,7 +24,7 @@
 /// Commits a transaction and returns the revision of the commit. Retries only while the key-value store responds that it
 /// has too many requests, and only a few times, as a user waits.
 pub(super) async fn commit_with_retries(node: &Node, transaction: &Transaction) -> Result<Revision, CommitFailure> {
-    if node.store_unreachable() {
+    if node.is_store_unreachable() {
         return Err(CommitFailure::StoreUnreachable);
     }
     let mut attempts = 0;
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -65,7 +65,7 @@
         Ok(parsed) => parsed,
         Err(error) => return SubmissionError::from(error).into(),
     };
-    let outcome = node.lock().outcomes.get(&id);
+    let outcome = node.lock().outcome_cache.get(&id);
     if let Some(record) = outcome {
         return Reply::terminal(&id, record);
     }
@@ -82,7 +82,7 @@
 /// Validates a submission against the cluster and the stored jobs, and creates the record to store.
 async fn validate(node: &Node, submission: Submission) -> Result<Accepted, NotAccepted> {
     let Submission { spec, depends_on } = submission;
-    let types = node.lock().types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
+    let types = node.lock().machine_types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
     check_satisfiable(&spec, &node.settings.cluster.teams, &types)?;
     let mut record = LiveRecord { at: node.wall_time(), spec, depends_on };
     // The limit applies to the record with all dependencies, including those that are done and won't be stored.
