--- a/benches/load.rs
+++ b/benches/load.rs
@@ -22,7 +22,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use wallstile::net::http::Http;
+use wallstile::net::http::HttpClient;
 use wallstile::time::Millis;
 use wallstile::wire::HeartbeatResponse;
 use worker::{HEARTBEAT_INTERVAL_MS, RUN_MS, Worker, fleet_cpus};
@@ -72,7 +72,7 @@
 
 /// Sends heartbeats as a worker does, with one connection of its own.
 async fn send_heartbeats(worker: Arc<Mutex<Worker>>, controller: SocketAddr, counts: Arc<Counts>) {
-    let http = Http::new(4);
+    let http = HttpClient::new(4);
     let started = tokio::time::Instant::now();
     let mut last = 0;
     loop {
@@ -99,7 +99,7 @@
 
 /// Submits slightly more work than the fleet can do, and polls each job.
 async fn submit_jobs(controller: SocketAddr, machines: usize, counts: Arc<Counts>) {
-    let http = Arc::new(Http::new(64));
+    let http = Arc::new(HttpClient::new(64));
     let interval_ms = f64::from(ARRAY_TASKS) * RUN_MS as f64 / fleet_cpus(machines) * 0.95;
     for number in 1.. {
         let spec = job(number);
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -1,7 +1,7 @@
 //! Client of the cloud's API. It keeps to the cloud's rate limit, and gives other calls priority over listing
 //! machines.
 
-use super::http::{Http, HttpError};
+use super::http::{HttpClient, HttpError};
 use crate::core::scheduler::ProvisionOutcome;
 use crate::time::{Millis, MonotonicTime};
 use crate::wire::{ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ProvisionRequest};
@@ -68,14 +68,19 @@
     }
 
     /// Reads the machine types that the cloud offers, with their prices.
-    pub async fn types(&self, http: &Http, now: MonotonicTime) -> Result<Vec<MachineType>, CloudError> {
+    pub async fn types(&self, http: &HttpClient, now: MonotonicTime) -> Result<Vec<MachineType>, CloudError> {
         self.wait_for_rate_limit(now, true).await?;
         let types: MachineTypes = self.get(http, "/machine_types").await?;
         Ok(types.builds)
     }
 
     /// Requests new machines.
-    pub async fn provision(&self, http: &Http, now: MonotonicTime, request: &ProvisionRequest) -> ProvisionOutcome {
+    pub async fn provision(
+        &self,
+        http: &HttpClient,
+        now: MonotonicTime,
+        request: &ProvisionRequest,
+    ) -> ProvisionOutcome {
         let Ok(body) = serde_json::to_vec(request) else { return ProvisionOutcome::Malformed };
         if self.wait_for_rate_limit(now, true).await.is_err() {
             return ProvisionOutcome::Unknown;
@@ -92,7 +97,7 @@
     }
 
     /// Terminates machines. After an error it is unknown which of them were terminated.
-    pub async fn terminate(&self, http: &Http, now: MonotonicTime, names: Vec<String>) -> Result<(), CloudError> {
+    pub async fn terminate(&self, http: &HttpClient, now: MonotonicTime, names: Vec<String>) -> Result<(), CloudError> {
         let body = serde_json::to_vec(&MachineNames { plinths: names })?;
         self.wait_for_rate_limit(now, true).await?;
         match http.call(Method::POST, &self.addr, "/machines/return", body, REQUEST_TIMEOUT).await? {
@@ -103,7 +108,7 @@
 
     /// Lists all machines, page by page. Fails if a page would have to wait for the rate limit, so that other calls go
     /// first.
-    pub async fn list(&self, http: &Http, now: MonotonicTime) -> Result<Vec<ListedMachine>, CloudError> {
+    pub async fn list(&self, http: &HttpClient, now: MonotonicTime) -> Result<Vec<ListedMachine>, CloudError> {
         let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             self.wait_for_rate_limit(now, false).await?;
@@ -117,7 +122,7 @@
         }
     }
 
-    async fn get<T: DeserializeOwned>(&self, http: &Http, path: &str) -> Result<T, CloudError> {
+    async fn get<T: DeserializeOwned>(&self, http: &HttpClient, path: &str) -> Result<T, CloudError> {
         match http.call(Method::GET, &self.addr, path, vec![], REQUEST_TIMEOUT).await? {
             (200, body) => Ok(serde_json::from_slice(&body)?),
             (status, _) => Err(CloudError::Status(status)),
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -112,7 +112,7 @@
 }
 
 /// An HTTP client for any number of hosts over a bounded number of connections.
-pub struct Http {
+pub struct HttpClient {
     client: Client<LimitedConnector, Full<Bytes>>,
     permits: Arc<Semaphore>,
     /// With fewer free permits than this, connections are closed after use instead of kept alive. Otherwise idle
@@ -130,10 +130,10 @@
 /// those in pages.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-impl Http {
+impl HttpClient {
     /// Creates a client that has at most `max_connections` connections open; the limit is raised to four if it is
     /// lower.
-    pub fn new(max_connections: usize) -> Http {
+    pub fn new(max_connections: usize) -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -145,7 +145,7 @@
             .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
             .retry_canceled_requests(false)
             .build(LimitedConnector { connector, permits: permits.clone() });
-        Http { client, permits, min_free_for_keep_alive: max_connections / 4 }
+        HttpClient { client, permits, min_free_for_keep_alive: max_connections / 4 }
     }
 
     /// Sends a request to `addr` (host and port), without retries. Returns the status and the body of the response.
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -45,7 +45,7 @@
         let _ = connection.write_all(head.as_bytes()).await;
         let _ = connection.write_all(&vec![b' '; MAX_RESPONSE_BYTES + 1]).await;
     });
-    let result = Http::new(4).call(Method::GET, &addr, "/follow", vec![], Millis(5_000)).await;
+    let result = HttpClient::new(4).call(Method::GET, &addr, "/follow", vec![], Millis(5_000)).await;
     assert!(matches!(result, Err(HttpError::ResponseTooLarge)));
 }
 
@@ -54,7 +54,7 @@
     // A leader of 2,000 machines kept a connection open to each worker that it had sent an order, until no connection
     // was left for heartbeats.
     let (addrs, open) = start_hosts(40).await;
-    let http = Http::new(12);
+    let http = HttpClient::new(12);
     let call = |addr: &str| {
         let addr = addr.to_string();
         let http = &http;
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -3,7 +3,7 @@
 //! It maps requests and responses only. Callers track whether the store serves this controller; see
 //! [`Node::track_store`](super::node::Node::track_store).
 
-use super::http::{Http, HttpError};
+use super::http::{HttpClient, HttpError};
 use crate::ids::{LeaseId, Revision};
 use crate::time::Millis;
 use crate::wire::{KeyValue, RangeResponse, Transaction, WatchResponse};
@@ -100,7 +100,7 @@
     /// Sends a request. Returns the status and body of the response, or an error if the status is 503 or 429.
     async fn call(
         &self,
-        http: &Http,
+        http: &HttpClient,
         method: Method,
         path: &str,
         body: Vec<u8>,
@@ -114,7 +114,7 @@
     }
 
     /// Reads a key linearizably. Returns `None` if the key is absent.
-    pub async fn get(&self, http: &Http, key: &str) -> Result<Option<KeyValue>, KvError> {
+    pub async fn get(&self, http: &HttpClient, key: &str) -> Result<Option<KeyValue>, KvError> {
         match self.call(http, Method::GET, &format!("/store/{key}"), vec![], REQUEST_TIMEOUT).await? {
             (200, body) => parse(&body).map(Some),
             (404, _) => Ok(None),
@@ -123,7 +123,7 @@
     }
 
     /// Lists all entries whose keys have the prefix, page by page.
-    pub async fn list(&self, http: &Http, prefix: &str) -> Result<Listing, KvError> {
+    pub async fn list(&self, http: &HttpClient, prefix: &str) -> Result<Listing, KvError> {
         let mut entries: Vec<KeyValue> = Vec::new();
         let mut revision = None;
         loop {
@@ -145,7 +145,7 @@
     }
 
     /// Reads the current revision of the store.
-    pub async fn revision(&self, http: &Http) -> Result<Revision, KvError> {
+    pub async fn revision(&self, http: &HttpClient) -> Result<Revision, KvError> {
         match self.call(http, Method::GET, "/store?prefix=ctl/&limit=1", vec![], REQUEST_TIMEOUT).await? {
             (200, body) => Ok(Revision(parse::<RangeResponse>(&body)?.revision)),
             (status, _) => Err(KvError::Status(status)),
@@ -153,7 +153,7 @@
     }
 
     /// Commits a transaction if all its preconditions hold, and returns the revision of the commit.
-    pub async fn commit(&self, http: &Http, transaction: &Transaction) -> Result<Revision, CommitError> {
+    pub async fn commit(&self, http: &HttpClient, transaction: &Transaction) -> Result<Revision, CommitError> {
         let body = serde_json::to_vec(transaction).map_err(|e| KvError::Unknown(e.to_string()))?;
         match self.call(http, Method::POST, "/commit", body, REQUEST_TIMEOUT).await? {
             (200, body) => Ok(Revision(parse::<CommitResponse>(&body)?.revision)),
@@ -163,7 +163,7 @@
     }
 
     /// Creates a lease that expires after `ttl` unless it is renewed.
-    pub async fn grant(&self, http: &Http, ttl: Millis) -> Result<LeaseId, KvError> {
+    pub async fn grant(&self, http: &HttpClient, ttl: Millis) -> Result<LeaseId, KvError> {
         let body = json!({ "life_ms": ttl.0 }).to_string().into_bytes();
         match self.call(http, Method::POST, "/holds", body, REQUEST_TIMEOUT).await? {
             (200 | 201, body) => Ok(parse::<GrantResponse>(&body)?.lease),
@@ -172,7 +172,7 @@
     }
 
     /// Renews a lease. Returns `false` if it has expired or was revoked.
-    pub async fn renew(&self, http: &Http, lease: LeaseId, timeout: Millis) -> Result<bool, KvError> {
+    pub async fn renew(&self, http: &HttpClient, lease: LeaseId, timeout: Millis) -> Result<bool, KvError> {
         match self.call(http, Method::POST, &format!("/holds/{lease}/extend"), b"{}".to_vec(), timeout).await? {
             (200, _) => Ok(true),
             (404, _) => Ok(false),
@@ -181,7 +181,7 @@
     }
 
     /// Revokes a lease, which deletes the keys attached to it. Succeeds if the lease no longer exists.
-    pub async fn revoke(&self, http: &Http, lease: LeaseId) -> Result<(), KvError> {
+    pub async fn revoke(&self, http: &HttpClient, lease: LeaseId) -> Result<(), KvError> {
         match self.call(http, Method::DELETE, &format!("/holds/{lease}"), vec![], REQUEST_TIMEOUT).await? {
             (200 | 204 | 404, _) => Ok(()),
             (status, _) => Err(KvError::Status(status)),
@@ -194,7 +194,7 @@
     /// then be listed again.
     pub async fn follow(
         &self,
-        http: &Http,
+        http: &HttpClient,
         prefix: &str,
         since: Revision,
         block: Millis,
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -8,7 +8,7 @@
 mod users;
 
 pub(super) use self::fakes::FakeCluster;
-use super::http::Http;
+use super::http::HttpClient;
 use super::node::Node;
 use super::{election, heartbeat_relay, leader_loop, peers, relay_routes, server};
 use crate::config::{Peer, Settings, Tuning, sample_settings};
@@ -44,7 +44,7 @@
 }
 
 pub(super) struct Client {
-    http: Http,
+    http: HttpClient,
     addr: String,
 }
 
@@ -127,7 +127,7 @@
     settings.services.store = cluster.serve_store(&settings.name);
     settings.services.cloud = cluster.serve_cloud();
     let worker = cluster.serve_worker();
-    let client = Client { http: Http::new(16), addr: settings.listen.to_string() };
+    let client = Client { http: HttpClient::new(16), addr: settings.listen.to_string() };
     let node = Node::new(settings, Tuning::default());
     tokio::spawn(heartbeat_relay::run(node.clone()));
     tokio::spawn(relay_routes::run(node.clone()));
--- a/src/net/loopback/relay.rs
+++ b/src/net/loopback/relay.rs
@@ -45,7 +45,7 @@
 async fn peer_routes_refuse_what_is_no_message_of_this_version() {
     let cluster = FakeCluster::default();
     let [_leader, (relay, _)] = leader_and_relay(&cluster, sample_settings()).await;
-    let peer = Client { http: Http::new(4), addr: relay.settings.peer_listen.to_string() };
+    let peer = Client { http: HttpClient::new(4), addr: relay.settings.peer_listen.to_string() };
     for path in [peers::HEARTBEAT_PATH, peers::PLAN_PATH, peers::HEARTBEAT_BATCH_PATH] {
         assert_eq!(peer.post(path, json!("no message")).await.0, 400, "{path}");
     }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -7,7 +7,7 @@
 use super::dependency_check::DependencyCheckCache;
 use super::heartbeat_balancing::HeartbeatBalancer;
 use super::heartbeat_relay::{HeartbeatRelay, RelayWakeup};
-use super::http::Http;
+use super::http::HttpClient;
 use super::input_latency::InputLatency;
 use super::kv::{CommitError, KvClient, KvError};
 use super::outcome_cache::OutcomeCache;
@@ -35,9 +35,9 @@
     /// The operators' scheduling settings, from the file given by `--tuning`.
     pub tuning: Tuning,
     /// HTTP client for the store, the cloud and the peers.
-    pub http: Http,
+    pub http: HttpClient,
     /// HTTP client for orders to workers. It has its own limit on sockets, as workers are by far the most hosts.
-    pub worker_http: Http,
+    pub worker_http: HttpClient,
     /// Client of the key-value store. Requests that the controller makes for its own work go through
     /// [`Node::track_store`] or [`Node::commit`], which record whether the store serves this controller.
     pub kv: KvClient,
@@ -133,8 +133,8 @@
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
         let sockets = settings.sockets();
         Arc::new(Node {
-            http: Http::new(sockets.own),
-            worker_http: Http::new(sockets.orders),
+            http: HttpClient::new(sockets.own),
+            worker_http: HttpClient::new(sockets.orders),
             kv: KvClient::new(settings.services.store.to_string()),
             cloud: CloudClient::new(settings.services.cloud.to_string(), settings.cluster.cloud.rps),
             incarnation: rand::random::<u64>() >> 1,
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -10,7 +10,7 @@
 use wallstile::core::scheduler::ProvisionOutcome;
 use wallstile::ids::{LeaseId, Revision};
 use wallstile::net::cloud::CloudClient;
-use wallstile::net::http::Http;
+use wallstile::net::http::HttpClient;
 use wallstile::net::kv::{CommitError, KvClient};
 use wallstile::time::{Millis, MonotonicTime};
 use wallstile::wire::{ProvisionRequest, Transaction};
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn leases_of_the_store_are_asked_for() {
     let service = StandIn::with(answers(&[(201, r#"{"tenure":12}"#), (200, "{}"), (404, "{}"), (204, "")])).await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let state = KvClient::new(service.address.clone());
     assert_eq!(state.grant(&http, Millis(3500)).await, Ok(LeaseId(12)));
     assert_eq!(state.renew(&http, LeaseId(12), Millis(1000)).await, Ok(true));
@@ -90,7 +90,7 @@
 async fn transactions_are_committed() {
     let service =
         StandIn::with(answers(&[(200, r#"{"epoch":9002}"#), (409, r#"{"failed":["ctl/leader"],"epoch":9003}"#)])).await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let state = KvClient::new(service.address.clone());
     let samples = Samples::wire();
     let transaction: Transaction = samples.read("transaction");
@@ -114,7 +114,7 @@
         (200, samples.text("log")),
     ]))
     .await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let state = KvClient::new(service.address.clone());
     let read = state.get(&http, "ctl/heir").await.expect("it answers").expect("the key is there");
     assert_eq!((read.key.as_str(), read.value, read.revision), ("ctl/heir", json!("plinth-1"), 9001));
@@ -148,7 +148,7 @@
         (200, samples.text("machine_list_of_the_least_members")),
     ]))
     .await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let cloud = CloudClient::new(service.address.clone(), 1000.0);
     // Far enough apart that each call has its turn at once.
     let now = |call: u64| MonotonicTime(10_000 * call);
