--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -192,7 +192,7 @@
     ///
     /// Returns `None` if `since` is too old for the store or the changes exceed the maximum response size: the keys must
     /// then be listed again.
-    pub async fn follow(
+    pub async fn watch(
         &self,
         http: &HttpClient,
         prefix: &str,
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -24,7 +24,7 @@
     let block = MAX_WATCH_BLOCK.min(node.settings.reading_validity().mul_f64(WATCH_BLOCK_SHARE));
     while still_leads(node, term) {
         let requested_at = node.now();
-        let changes = node.kv.follow(&node.http, LIVE_PREFIX, since, block).await;
+        let changes = node.kv.watch(&node.http, LIVE_PREFIX, since, block).await;
         // A watch request may stay open for long, so a missing answer doesn't show that the store is unavailable.
         if !matches!(changes, Err(KvError::Unknown(_))) {
             node.record_store_result(changes.as_ref().err());
