--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -81,7 +81,7 @@
         // can be revoked. If a candidacy of that process is committed late, its key is found here as well; answers of
         // it that arrive late have a lower term than those of the next leader.
         info!("revoking the leader lease of an earlier process of this controller");
-        let revoked = node.track_store(node.kv.revoke(&node.http, own.lease)).await;
+        let revoked = node.track_store(node.kv.revoke_lease(&node.http, own.lease)).await;
         self.predecessor_held_key = revoked.is_ok();
         tokio::time::sleep(REVOKE_DELAY.to_std()).await;
         Next::ReadAgain
@@ -137,7 +137,7 @@
 /// not committed.
 async fn stand_for_election(node: &Node) -> Option<(LeaderLease, LeaderRecord)> {
     let requested_at = node.now();
-    let lease = node.track_store(node.kv.grant(&node.http, node.settings.leader_lease_ttl())).await.ok()?;
+    let lease = node.track_store(node.kv.grant_lease(&node.http, node.settings.leader_lease_ttl())).await.ok()?;
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: node.incarnation, lease };
     {
         let now = node.now();
@@ -185,7 +185,7 @@
         {
             return Some(Term(row.revision));
         }
-        if row.is_ok() && node.kv.revoke(&node.http, lease).await.is_ok() {
+        if row.is_ok() && node.kv.revoke_lease(&node.http, lease).await.is_ok() {
             return None;
         }
         tokio::time::sleep(POLL_INTERVAL.to_std()).await;
@@ -215,7 +215,7 @@
     let mut extended = false;
     loop {
         let requested_at = node.now();
-        match node.track_store(node.kv.renew(&node.http, leader_lease.id, RENEW_TIMEOUT)).await {
+        match node.track_store(node.kv.renew_lease(&node.http, leader_lease.id, RENEW_TIMEOUT)).await {
             Ok(true) => {
                 let mut state = node.lock();
                 state.election.renewed(requested_at);
@@ -282,12 +282,12 @@
         node.track_store(write_successor_key(node, fence_revision, &heartbeat.successor))
     );
     // If this request fails, the lease ends after its time to live.
-    let _ = node.track_store(node.kv.revoke(&node.http, leader_lease.id)).await;
+    let _ = node.track_store(node.kv.revoke_lease(&node.http, leader_lease.id)).await;
 }
 
 /// Writes [`SUCCESSOR_KEY`] if this controller's leader key is still in place.
 async fn write_successor_key(node: &Node, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
-    let lease = node.kv.grant(&node.http, SUCCESSOR_BACKOFF).await?;
+    let lease = node.kv.grant_lease(&node.http, SUCCESSOR_BACKOFF).await?;
     let transaction = Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: fence_revision.0 }],
         mutations: vec![Mutation::Put { key: SUCCESSOR_KEY.into(), value: json!(successor), lease: Some(lease.0) }],
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -163,7 +163,7 @@
     }
 
     /// Creates a lease that expires after `ttl` unless it is renewed.
-    pub async fn grant(&self, http: &HttpClient, ttl: Millis) -> Result<LeaseId, KvError> {
+    pub async fn grant_lease(&self, http: &HttpClient, ttl: Millis) -> Result<LeaseId, KvError> {
         let body = json!({ "life_ms": ttl.0 }).to_string().into_bytes();
         match self.call(http, Method::POST, "/holds", body, REQUEST_TIMEOUT).await? {
             (200 | 201, body) => Ok(parse::<GrantResponse>(&body)?.lease),
@@ -172,7 +172,7 @@
     }
 
     /// Renews a lease. Returns `false` if it has expired or was revoked.
-    pub async fn renew(&self, http: &HttpClient, lease: LeaseId, timeout: Millis) -> Result<bool, KvError> {
+    pub async fn renew_lease(&self, http: &HttpClient, lease: LeaseId, timeout: Millis) -> Result<bool, KvError> {
         match self.call(http, Method::POST, &format!("/holds/{lease}/extend"), b"{}".to_vec(), timeout).await? {
             (200, _) => Ok(true),
             (404, _) => Ok(false),
@@ -181,7 +181,7 @@
     }
 
     /// Revokes a lease, which deletes the keys attached to it. Succeeds if the lease no longer exists.
-    pub async fn revoke(&self, http: &HttpClient, lease: LeaseId) -> Result<(), KvError> {
+    pub async fn revoke_lease(&self, http: &HttpClient, lease: LeaseId) -> Result<(), KvError> {
         match self.call(http, Method::DELETE, &format!("/holds/{lease}"), vec![], REQUEST_TIMEOUT).await? {
             (200 | 204 | 404, _) => Ok(()),
             (status, _) => Err(KvError::Status(status)),
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -74,10 +74,10 @@
     let service = StandIn::with(answers(&[(201, r#"{"tenure":12}"#), (200, "{}"), (404, "{}"), (204, "")])).await;
     let http = HttpClient::new(8);
     let state = KvClient::new(service.address.clone());
-    assert_eq!(state.grant(&http, Millis(3500)).await, Ok(LeaseId(12)));
-    assert_eq!(state.renew(&http, LeaseId(12), Millis(1000)).await, Ok(true));
-    assert_eq!(state.renew(&http, LeaseId(13), Millis(1000)).await, Ok(false));
-    assert_eq!(state.revoke(&http, LeaseId(12)).await, Ok(()));
+    assert_eq!(state.grant_lease(&http, Millis(3500)).await, Ok(LeaseId(12)));
+    assert_eq!(state.renew_lease(&http, LeaseId(12), Millis(1000)).await, Ok(true));
+    assert_eq!(state.renew_lease(&http, LeaseId(13), Millis(1000)).await, Ok(false));
+    assert_eq!(state.revoke_lease(&http, LeaseId(12)).await, Ok(()));
     service.assert_asked(&[
         r#"POST /holds {"life_ms":3500}"#,
         "POST /holds/12/extend {}",
