--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -115,7 +115,7 @@
 /// controller has confirmed to users.
 async fn record_first_revision(node: &Node) {
     if !node.lock().cancellations.is_known()
-        && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
+        && let Ok(revision) = node.track_store(node.kv.current_revision(&node.http)).await
     {
         node.lock().cancellations.at_revision(revision);
     }
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -145,7 +145,7 @@
     }
 
     /// Reads the current revision of the store.
-    pub async fn revision(&self, http: &HttpClient) -> Result<Revision, KvError> {
+    pub async fn current_revision(&self, http: &HttpClient) -> Result<Revision, KvError> {
         match self.call(http, Method::GET, "/store?prefix=ctl/&limit=1", vec![], REQUEST_TIMEOUT).await? {
             (200, body) => Ok(Revision(parse::<RangeResponse>(&body)?.revision)),
             (status, _) => Err(KvError::Status(status)),
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -121,7 +121,7 @@
     assert!(state.get(&http, "ctl/leader").await.expect("it answers").is_none());
     let listing = state.list(&http, "ctl/").await.expect("it answers");
     assert_eq!((listing.entries.len(), listing.revision), (1, Revision(9002)));
-    assert_eq!(state.revision(&http).await, Ok(Revision(9002)));
+    assert_eq!(state.current_revision(&http).await, Ok(Revision(9002)));
     let log = state.watch(&http, "live/", Revision(9001), Millis(700)).await.expect("it answers").expect("not too old");
     assert_eq!((log.revision, log.events.len()), (9003, 2));
     service.assert_asked(&[
