--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -37,9 +37,11 @@
     /// Converts the error of a request, or `None` if it succeeded.
     fn from(error: Option<&KvError>) -> StoreService {
         match error {
-            None | Some(KvError::Busy | KvError::TooLarge | KvError::Status(_)) => StoreService::Served,
+            None | Some(KvError::TooManyRequests | KvError::ResponseTooLarge | KvError::Status(_)) => {
+                StoreService::Served
+            }
             Some(KvError::Refused) => StoreService::Refused,
-            Some(KvError::Unknown(_)) => StoreService::Unreachable,
+            Some(KvError::NoValidResponse(_)) => StoreService::Unreachable,
         }
     }
 }
