--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -68,7 +68,7 @@
     }
 
     /// Reads the machine types that the cloud offers, with their prices.
-    pub async fn types(&self, http: &HttpClient, now: MonotonicTime) -> Result<Vec<MachineType>, CloudError> {
+    pub async fn machine_types(&self, http: &HttpClient, now: MonotonicTime) -> Result<Vec<MachineType>, CloudError> {
         self.wait_for_rate_limit(now, true).await?;
         let types: MachineTypes = self.get(http, "/machine_types").await?;
         Ok(types.builds)
@@ -108,7 +108,7 @@
 
     /// Lists all machines, page by page. Fails if a page would have to wait for the rate limit, so that other calls go
     /// first.
-    pub async fn list(&self, http: &HttpClient, now: MonotonicTime) -> Result<Vec<ListedMachine>, CloudError> {
+    pub async fn list_machines(&self, http: &HttpClient, now: MonotonicTime) -> Result<Vec<ListedMachine>, CloudError> {
         let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             self.wait_for_rate_limit(now, false).await?;
--- a/src/net/leader_loop/cloud_watch.rs
+++ b/src/net/leader_loop/cloud_watch.rs
@@ -20,12 +20,12 @@
     let interval = Millis(lag.0 / 2).clamp(MIN_LIST_INTERVAL, MAX_LIST_INTERVAL);
     let mut polls = 0u64;
     while still_leads(node, term) {
-        if let Ok(list) = node.cloud.list(&node.http, node.now()).await {
+        if let Ok(list) = node.cloud.list_machines(&node.http, node.now()).await {
             let now = node.now();
             step(node, InputKind::Result, |scheduler| scheduler.on_machine_list(now, &list));
         }
         if polls % POLLS_PER_PRICE_REQUEST == 1
-            && let Ok(types) = node.cloud.types(&node.http, node.now()).await
+            && let Ok(types) = node.cloud.machine_types(&node.http, node.now()).await
             && let Some(scheduler) = &mut node.lock().scheduler
         {
             scheduler.set_machine_types(types);
--- a/src/net/leader_loop/machine_types.rs
+++ b/src/net/leader_loop/machine_types.rs
@@ -39,7 +39,7 @@
         if let Some(types) = node.lock().machine_types.clone() {
             return types;
         }
-        if let Ok(types) = node.cloud.types(&node.http, node.now()).await
+        if let Ok(types) = node.cloud.machine_types(&node.http, node.now()).await
             && !types.is_empty()
         {
             let transaction = Transaction {
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -14,7 +14,7 @@
 
 /// A leader in the middle of a round that a peer plans for.
 async fn leader_in_a_round(node: &Arc<Node>) -> Scheduler {
-    let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud names its types");
+    let types = node.cloud.machine_types(&node.http, node.now()).await.expect("the fake cloud names its types");
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: 1, lease: LeaseId(7) };
     let mut leader = Scheduler::new(node.settings.clone(), Tuning::default(), types, Term(5), record, MonotonicTime(0));
     let ParsedSubmission { id, submission } =
--- a/src/net/loopback/dependencies.rs
+++ b/src/net/loopback/dependencies.rs
@@ -15,7 +15,7 @@
 async fn without_leader(cluster: &FakeCluster) -> [(Arc<Node>, Client); 2] {
     let pair = pair(cluster).await;
     for (node, _) in &pair {
-        let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud names its types");
+        let types = node.cloud.machine_types(&node.http, node.now()).await.expect("the fake cloud names its types");
         node.lock().machine_types = Some(types);
     }
     pair
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -151,13 +151,13 @@
     let cloud = CloudClient::new(service.address.clone(), 1000.0);
     // Far enough apart that each call has its turn at once.
     let now = |call: u64| MonotonicTime(10_000 * call);
-    assert_eq!(cloud.types(&http, now(1)).await.expect("it answers"), vec![machine_type()]);
+    assert_eq!(cloud.machine_types(&http, now(1)).await.expect("it answers"), vec![machine_type()]);
     let request: ProvisionRequest = samples.read("rent_request");
     let rented = vec!["m-000231".to_string(), "m-000232".to_string()];
     assert_eq!(cloud.provision(&http, now(2), &request).await, ProvisionOutcome::Provisioned(rented.clone()));
     assert_eq!(cloud.provision(&http, now(3), &request).await, ProvisionOutcome::NoCapacity);
     cloud.terminate(&http, now(4), rented).await.expect("it is confirmed");
-    assert_eq!(cloud.list(&http, now(5)).await.expect("it answers").len(), 2);
+    assert_eq!(cloud.list_machines(&http, now(5)).await.expect("it answers").len(), 2);
     let rent = format!("POST /machines {}", samples.text("rent_request"));
     let terminate = format!("POST /machines/return {names}");
     service.assert_asked(&[
