--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -123,7 +123,7 @@
 
 /// Asks the peers whether the store serves them and who leads, as the store doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
-    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), PROBE_TIMEOUT).await;
+    let answers = peers::broadcast_heartbeat(node, &peers::peer_heartbeat(node), PROBE_TIMEOUT).await;
     node.lock().store_health.record_peer_answers(&answers);
 }
 
@@ -279,7 +279,7 @@
     let heartbeat = PeerHeartbeat { successor, ..peers::peer_heartbeat(node) };
     // A peer that can't be reached from here reads the successor's name from the store.
     let _ = tokio::join!(
-        peers::ask_all(node, &heartbeat, HAND_OVER_TIMEOUT),
+        peers::broadcast_heartbeat(node, &heartbeat, HAND_OVER_TIMEOUT),
         node.track_store(write_successor_key(node, fence_revision, &heartbeat.successor))
     );
     // If this request fails, the lease ends after its time to live.
@@ -313,7 +313,7 @@
         read_through,
         ..peers::peer_heartbeat(node)
     };
-    let answers = peers::ask_all(node, &heartbeat, EXTENSION_TIMEOUT).await;
+    let answers = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
     let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| parse_pledge(answer.as_ref()?)).collect();
     let mut state = node.lock();
     state.store_health.record_peer_answers(&answers);
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -23,7 +23,7 @@
     let mut detections = 0;
     while still_leads(node, term) {
         let (heartbeat, machines) = leader_heartbeat(node, term);
-        let answers = peers::ask_all(node, &heartbeat, HEARTBEAT_TIMEOUT).await;
+        let answers = peers::broadcast_heartbeat(node, &heartbeat, HEARTBEAT_TIMEOUT).await;
         record_relay_peers(node, &answers);
         detections = detect_unreachable_leader(node, &answers, heartbeat.suspected.len(), machines, detections);
         hand_over_if_overloaded(node, &answers);
@@ -54,7 +54,8 @@
     let mut state = node.lock();
     let Some(scheduler) = state.scheduler.as_ref().filter(|scheduler| scheduler.has_led_for_lease(now)) else { return };
     let lag = scheduler.lag();
-    let candidates = peers::answered(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
+    let candidates =
+        peers::responding_peers(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
     let candidates: Vec<&Peer> = candidates.map(|(peer, _)| peer).collect();
     let Some(peer) = candidates.choose(&mut rand::rng()) else { return };
     if state.overload.observe(now, lag) {
@@ -65,7 +66,7 @@
 
 /// Records which peers can relay workers' heartbeats.
 fn record_relay_peers(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
-    let relaying = peers::answered(node, answers).filter(|(_, answer)| answer.relays_heartbeats);
+    let relaying = peers::responding_peers(node, answers).filter(|(_, answer)| answer.relays_heartbeats);
     let peers = relaying.map(|(peer, _)| peer.clone()).collect();
     node.lock().heartbeat_balancer.set_peers(peers);
 }
@@ -89,7 +90,7 @@
     // Workers try the controllers in turn, so each peer has heard from only some of them.
     let mut redirected: BTreeSet<&str> = BTreeSet::new();
     let mut successor: Option<(usize, &str)> = None;
-    for (peer, answer) in peers::answered(node, answers) {
+    for (peer, answer) in peers::responding_peers(node, answers) {
         scheduler.mark_peer_responsive(now, &peer.name);
         redirected.extend(answer.redirected.iter().map(String::as_str));
         if answer.store_ok {
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -39,7 +39,7 @@
 
 /// Sends a heartbeat to all peers concurrently. Returns one element for each peer, in the order of the settings:
 /// `None` if the peer sent no valid response in time.
-pub async fn ask_all(
+pub async fn broadcast_heartbeat(
     node: &Arc<Node>,
     heartbeat: &PeerHeartbeat,
     timeout: Millis,
@@ -56,8 +56,8 @@
     responses
 }
 
-/// The peers that have responded to [`ask_all`], each with its response.
-pub fn answered<'a>(
+/// The peers that have responded to [`broadcast_heartbeat`], each with its response.
+pub fn responding_peers<'a>(
     node: &'a Node,
     responses: &'a [Option<PeerHeartbeatResponse>],
 ) -> impl Iterator<Item = (&'a Peer, &'a PeerHeartbeatResponse)> {
