--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -123,7 +123,7 @@
 
 /// Asks the peers whether the store serves them and who leads, as the store doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
-    let answers = peers::broadcast_heartbeat(node, &peers::peer_heartbeat(node), PROBE_TIMEOUT).await;
+    let answers = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), PROBE_TIMEOUT).await;
     node.lock().store_health.record_peer_answers(&answers);
 }
 
@@ -276,7 +276,7 @@
         state.leader_name = None;
         state.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
     };
-    let heartbeat = PeerHeartbeat { successor, ..peers::peer_heartbeat(node) };
+    let heartbeat = PeerHeartbeat { successor, ..peers::new_heartbeat(node) };
     // A peer that can't be reached from here reads the successor's name from the store.
     let _ = tokio::join!(
         peers::broadcast_heartbeat(node, &heartbeat, HAND_OVER_TIMEOUT),
@@ -306,13 +306,8 @@
 async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
     let requested_at = node.now();
     let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
-    let heartbeat = PeerHeartbeat {
-        asks_extension: true,
-        leading: true,
-        term: term.0,
-        read_through,
-        ..peers::peer_heartbeat(node)
-    };
+    let heartbeat =
+        PeerHeartbeat { asks_extension: true, leading: true, term: term.0, read_through, ..peers::new_heartbeat(node) };
     let answers = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
     let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| parse_pledge(answer.as_ref()?)).collect();
     let mut state = node.lock();
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -47,7 +47,7 @@
             perform_pending_effects(&node);
         }
         Effect::Plan { node: peer, input } => {
-            let plan = peers::ask_plan(&node, &peer, &input).await;
+            let plan = peers::request_plan(&node, &peer, &input).await;
             let now = node.now();
             step(&node, InputKind::Plan, |scheduler| scheduler.on_plan(now, &peer, plan));
         }
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -36,7 +36,7 @@
 /// The leader's heartbeat, with the task counts of live jobs, which the peers show to users that poll a job, and the
 /// suspected machines. Returns with it the number of machines that should send heartbeats.
 fn leader_heartbeat(node: &Node, term: Term) -> (PeerHeartbeat, usize) {
-    let mut heartbeat = PeerHeartbeat { leading: true, term: term.0, ..peers::peer_heartbeat(node) };
+    let mut heartbeat = PeerHeartbeat { leading: true, term: term.0, ..peers::new_heartbeat(node) };
     let mut machines = 0;
     let mut state = node.lock();
     let now = node.now();
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -21,7 +21,7 @@
 const PLAN_TIMEOUT: Millis = Millis(400);
 
 /// Creates a heartbeat with this controller's name and version, and all other fields empty.
-pub fn peer_heartbeat(node: &Node) -> PeerHeartbeat {
+pub fn new_heartbeat(node: &Node) -> PeerHeartbeat {
     PeerHeartbeat { version: VERSION, from: node.settings.name.clone(), ..Default::default() }
 }
 
@@ -74,14 +74,14 @@
 pub fn tell_leader(node: &Arc<Node>, id: &JobId) {
     let leader = node.lock().leader_name.clone();
     let Some(peer) = node.settings.peers.iter().find(|peer| Some(&peer.name) == leader.as_ref()) else { return };
-    let heartbeat = PeerHeartbeat { cancelled: vec![id.to_string()], ..peer_heartbeat(node) };
+    let heartbeat = PeerHeartbeat { cancelled: vec![id.to_string()], ..new_heartbeat(node) };
     let (node, addr) = (node.clone(), peer.addr.to_string());
     tokio::spawn(async move { send_heartbeat(&node, &addr, &heartbeat, CANCELLATION_HINT_TIMEOUT).await });
 }
 
 /// Requests a plan for a shard from the peer with this name. Returns `None` if there is no such peer, or it returns no
 /// valid plan in time.
-pub async fn ask_plan(node: &Node, name: &str, input: &PlanInput) -> Option<PlanOutput> {
+pub async fn request_plan(node: &Node, name: &str, input: &PlanInput) -> Option<PlanOutput> {
     let addr = node.settings.peers.iter().find(|peer| peer.name == name)?.addr.to_string();
     let result = node.http.call(Method::POST, &addr, PLAN_PATH, input.encode_to_vec(), PLAN_TIMEOUT).await;
     let Ok((200, body)) = result else { return None };
--- a/src/net/relay_routes.rs
+++ b/src/net/relay_routes.rs
@@ -59,7 +59,7 @@
 
 /// Asks all peers, and returns the names of those that relay heartbeats.
 async fn relaying_peers(node: &Arc<Node>) -> Vec<String> {
-    let answers = peers::broadcast_heartbeat(node, &peers::peer_heartbeat(node), REFRESH_TIMEOUT).await;
+    let answers = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), REFRESH_TIMEOUT).await;
     let relaying = peers::responding_peers(node, &answers).filter(|(_, answer)| answer.relays_heartbeats);
     relaying.map(|(peer, _)| peer.name.clone()).collect()
 }
