--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -71,7 +71,7 @@
 
 /// Notifies the leader of a confirmed cancellation, without waiting for a response. This only saves the leader from
 /// starting tasks of the job: a lost notification does no harm, as the leader also watches the live jobs.
-pub fn tell_leader(node: &Arc<Node>, id: &JobId) {
+pub fn notify_leader_of_cancellation(node: &Arc<Node>, id: &JobId) {
     let leader = node.lock().leader_name.clone();
     let Some(peer) = node.settings.peers.iter().find(|peer| Some(&peer.name) == leader.as_ref()) else { return };
     let heartbeat = PeerHeartbeat { cancelled: vec![id.to_string()], ..new_heartbeat(node) };
--- a/src/net/user_api/cancellation.rs
+++ b/src/net/user_api/cancellation.rs
@@ -44,7 +44,7 @@
         match commit_with_retries(node, &transaction).await {
             Ok(revision) => {
                 record_outcome(node, id, record, revision);
-                peers::tell_leader(node, id);
+                peers::notify_leader_of_cancellation(node, id);
                 return Reply::terminal(id, record);
             }
             // The job is done, was cancelled concurrently, or its record was rewritten: read it again.
