--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -52,7 +52,7 @@
             step(&node, InputKind::Plan, |scheduler| scheduler.on_plan(now, &peer, plan));
         }
         Effect::LookUpOutcomes(ids) => {
-            let outcomes = linearizable_reads::outcomes(&node, &ids).await;
+            let outcomes = linearizable_reads::look_up_outcomes(&node, &ids).await;
             notify_scheduler(&node, |scheduler, now| scheduler.on_outcomes_looked_up(now, &outcomes));
             perform_pending_effects(&node);
         }
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -93,7 +93,7 @@
 }
 
 /// Looks up jobs, and returns the outcomes of those that have ended. Stops at the first read that fails.
-pub async fn outcomes(node: &Node, ids: &[JobId]) -> Vec<(JobId, JobOutcome)> {
+pub async fn look_up_outcomes(node: &Node, ids: &[JobId]) -> Vec<(JobId, JobOutcome)> {
     let mut outcomes = Vec::new();
     for id in ids {
         match look_up_job(node, id).await {
