--- a/src/main.rs
+++ b/src/main.rs
@@ -82,8 +82,8 @@
         tokio::spawn(net::relay_routes::run(node.clone()));
         tokio::spawn(net::load_log::run(node.clone()));
         let sockets = node.settings.sockets();
-        let users = net::server::serve(node.settings.listen, net::server::public(&node), sockets.public);
-        let peers = net::server::serve(node.settings.peer_listen, net::server::internal(&node), sockets.peers);
+        let users = net::server::serve(node.settings.listen, net::server::public_router(&node), sockets.public);
+        let peers = net::server::serve(node.settings.peer_listen, net::server::internal_router(&node), sockets.peers);
         // Neither listener ever ends in good order.
         let ended = tokio::select! { result = users => result, result = peers => result };
         Ok(ended?)
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -78,7 +78,7 @@
     // for two, and the workers then went round controllers beyond the cut until their leases ran out.
     let cluster = FakeCluster::default();
     let [(relaying, _), (other, _)] = pair(&cluster).await;
-    tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal(&relaying), 64));
+    tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal_router(&relaying), 64));
     // The leader's machine hangs: it takes connections, and answers nothing.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = other.settings.clone();
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -131,7 +131,7 @@
     let node = Node::new(settings, Tuning::default());
     tokio::spawn(heartbeat_relay::run(node.clone()));
     tokio::spawn(relay_routes::run(node.clone()));
-    tokio::spawn(server::serve(node.settings.listen, server::public(&node), 64));
+    tokio::spawn(server::serve(node.settings.listen, server::public_router(&node), 64));
     for addr in [node.settings.services.store, node.settings.services.cloud, worker, node.settings.listen] {
         listens(addr).await;
     }
@@ -140,7 +140,7 @@
 
 /// Lets a controller hear its peers.
 async fn serve_peers(node: &Arc<Node>) {
-    tokio::spawn(server::serve(node.settings.peer_listen, server::internal(node), 64));
+    tokio::spawn(server::serve(node.settings.peer_listen, server::internal_router(node), 64));
     listens(node.settings.peer_listen).await;
 }
 
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -131,7 +131,7 @@
 }
 
 /// The routes for users, workers and the load balancer.
-pub fn public(node: &Arc<Node>) -> Router {
+pub fn public_router(node: &Arc<Node>) -> Router {
     Router::new()
         .push(Router::with_path("healthz").get(route_handler(node, Route::Health)))
         .push(
@@ -144,7 +144,7 @@
 }
 
 /// The routes for peer controllers.
-pub fn internal(node: &Arc<Node>) -> Router {
+pub fn internal_router(node: &Arc<Node>) -> Router {
     Router::new()
         .push(Router::with_path(&peers::HEARTBEAT_PATH[1..]).post(route_handler(node, Route::PeerHeartbeat)))
         .push(Router::with_path(&peers::PLAN_PATH[1..]).post(route_handler(node, Route::Plan)))
