--- a/src/net/user_api/reply.rs
+++ b/src/net/user_api/reply.rs
@@ -47,7 +47,7 @@
     }
 
     /// Status 503 with a `Retry-After` header: the user should retry, for the reason in the message.
-    pub fn later(message: &str) -> Reply {
+    pub fn unavailable(message: &str) -> Reply {
         Reply { retry_after: Some(1), ..Reply::error(503, message) }
     }
 
@@ -59,23 +59,23 @@
     /// Status 503: the key-value store doesn't respond or refuses, or a transaction conflicted with a concurrent change
     /// that later reads don't explain.
     pub(super) fn store_unreachable() -> Reply {
-        Reply::later("the state service is out of reach")
+        Reply::unavailable("the state service is out of reach")
     }
 
     /// Status 503: this controller hasn't read the machine types since it started.
     pub(super) fn machine_types_unknown() -> Reply {
-        Reply::later("machine types are not known yet")
+        Reply::unavailable("machine types are not known yet")
     }
 
     /// Status 503: the stored record of the job can't be decoded; a later version may have written it.
     pub(super) fn unreadable_record() -> Reply {
-        Reply::later("the job's record can't be read")
+        Reply::unavailable("the job's record can't be read")
     }
 }
 
 impl From<TooManyRequests> for Reply {
     fn from(_: TooManyRequests) -> Reply {
-        Reply::later("too many requests under way")
+        Reply::unavailable("too many requests under way")
     }
 }
 
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -75,7 +75,7 @@
     let refusal = Reply::error(404, "no such job");
     assert_eq!((refusal.status, refusal.retry_after), (404, None));
     samples.assert_text("error_answer", &refusal.body);
-    let later = Reply::later("come back");
+    let later = Reply::unavailable("come back");
     assert_eq!((later.status, later.retry_after), (503, Some(1)));
     samples.assert_text("later_answer", &later.body);
 }
