--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -77,7 +77,7 @@
 
 /// Plans a shard for a leader, which checks every placement before it applies it. Returns `None` if the message can't
 /// be decoded or is of another version.
-pub fn plan(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
+pub fn respond_to_plan_request(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
     let (now, started, meter) = (node.now(), Instant::now(), CostMeter::default());
     let output = placement::plan_metered(&input, &meter);
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -76,7 +76,8 @@
                 send_to_peer(node, response, response_body);
             }
             Route::Plan => {
-                let response_body = read_peer_body(request).await.and_then(|body| peer_service::plan(node, &body));
+                let response_body =
+                    read_peer_body(request).await.and_then(|body| peer_service::respond_to_plan_request(node, &body));
                 send_to_peer(node, response, response_body);
             }
             Route::HeartbeatBatch => {
