--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -14,7 +14,7 @@
 use super::rate_limited_log::RateLimitedLog;
 use super::redirected_workers::RedirectedWorkers;
 use super::relay_routes::RelayRoutes;
-use super::store_health::{StoreHealth, StoreService};
+use super::store_health::{StoreAvailability, StoreHealth};
 use crate::config::{Settings, Tuning};
 use crate::core::cancellations::Cancellations;
 use crate::core::election::Election;
@@ -182,12 +182,12 @@
     /// succeeded. Any answer but a refusal counts as served.
     pub fn record_store_result(&self, error: Option<&KvError>) {
         let now = self.now();
-        let service = StoreService::from(error);
+        let availability = StoreAvailability::from(error);
         let mut state = self.lock();
-        state.store_health.record(now, service);
-        match service {
-            StoreService::Served => state.election.store_served(),
-            StoreService::Refused | StoreService::Unreachable => state.election.store_failed(),
+        state.store_health.record(now, availability);
+        match availability {
+            StoreAvailability::Available => state.election.store_served(),
+            StoreAvailability::Refused | StoreAvailability::Unreachable => state.election.store_failed(),
         }
     }
 
--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -24,41 +24,41 @@
 
 /// What the result of a request shows about the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StoreService {
+pub enum StoreAvailability {
     /// The store serves this controller: it responded, though perhaps with an error other than a refusal.
-    Served,
+    Available,
     /// The store responded that it doesn't serve this controller (status 503).
     Refused,
     /// The store didn't respond, or its response can't be decoded.
     Unreachable,
 }
 
-impl From<Option<&KvError>> for StoreService {
+impl From<Option<&KvError>> for StoreAvailability {
     /// Converts the error of a request, or `None` if it succeeded.
-    fn from(error: Option<&KvError>) -> StoreService {
+    fn from(error: Option<&KvError>) -> StoreAvailability {
         match error {
             None | Some(KvError::TooManyRequests | KvError::ResponseTooLarge | KvError::Status(_)) => {
-                StoreService::Served
+                StoreAvailability::Available
             }
-            Some(KvError::Refused) => StoreService::Refused,
-            Some(KvError::NoValidResponse(_)) => StoreService::Unreachable,
+            Some(KvError::Refused) => StoreAvailability::Refused,
+            Some(KvError::NoValidResponse(_)) => StoreAvailability::Unreachable,
         }
     }
 }
 
 impl StoreHealth {
     /// Records the result of a request to the store.
-    pub fn record(&mut self, now: MonotonicTime, service: StoreService) {
-        match service {
-            StoreService::Served => {
+    pub fn record(&mut self, now: MonotonicTime, availability: StoreAvailability) {
+        match availability {
+            StoreAvailability::Available => {
                 self.not_served_since = None;
                 self.unreachable_since = None;
             }
-            StoreService::Refused => {
+            StoreAvailability::Refused => {
                 self.not_served_since.get_or_insert(now);
                 self.unreachable_since = None;
             }
-            StoreService::Unreachable => {
+            StoreAvailability::Unreachable => {
                 self.not_served_since.get_or_insert(now);
                 self.unreachable_since.get_or_insert(now);
             }
--- a/src/net/store_health/tests.rs
+++ b/src/net/store_health/tests.rs
@@ -11,11 +11,11 @@
 fn refused_store_is_reachable_and_first_served_request_clears_any_failure() {
     for (error, unreachable) in [(KvError::Refused, false), (KvError::NoValidResponse("timeout".into()), true)] {
         let mut health = StoreHealth::default();
-        health.record(START, StoreService::from(Some(&error)));
+        health.record(START, StoreAvailability::from(Some(&error)));
         assert!(health.is_refused());
         assert!(!health.is_unreachable(MonotonicTime(LATER.0 - 1)), "has not lasted long enough: {error}");
         assert_eq!(health.is_unreachable(LATER), unreachable, "{error}");
-        health.record(LATER, StoreService::from(None));
+        health.record(LATER, StoreAvailability::from(None));
         assert!(!health.is_refused() && !health.is_unreachable(LATER + Millis(9_000)), "{error}");
     }
 }
@@ -23,16 +23,16 @@
 #[test]
 fn error_responses_other_than_refusals_count_as_served() {
     for error in [KvError::TooManyRequests, KvError::ResponseTooLarge, KvError::Status(400)] {
-        assert_eq!(StoreService::from(Some(&error)), StoreService::Served, "{error}");
+        assert_eq!(StoreAvailability::from(Some(&error)), StoreAvailability::Available, "{error}");
     }
 }
 
 #[test]
 fn refusal_restarts_the_time_without_response() {
     let mut health = StoreHealth::default();
-    health.record(START, StoreService::Unreachable);
-    health.record(START + Millis(1_000), StoreService::Refused);
-    health.record(START + Millis(1_100), StoreService::Unreachable);
+    health.record(START, StoreAvailability::Unreachable);
+    health.record(START + Millis(1_000), StoreAvailability::Refused);
+    health.record(START + Millis(1_100), StoreAvailability::Unreachable);
     assert!(!health.is_unreachable(LATER));
     assert!(health.is_unreachable(START + Millis(2_601)));
 }
@@ -40,7 +40,7 @@
 #[test]
 fn controller_is_isolated_if_the_store_serves_only_its_peers() {
     let mut health = StoreHealth::default();
-    health.record(START, StoreService::Refused);
+    health.record(START, StoreAvailability::Refused);
     health.record_peer_answers(&[response(false, ""), None]);
     assert!(!health.is_isolated(LATER), "the store serves no peer either");
     health.record_peer_answers(&[response(true, "plinth-1"), None]);
@@ -52,7 +52,7 @@
 #[test]
 fn controller_is_isolated_if_neither_store_nor_peers_respond() {
     let mut health = StoreHealth::default();
-    health.record(START, StoreService::Unreachable);
+    health.record(START, StoreAvailability::Unreachable);
     health.record_peer_answers(&[]);
     assert!(!health.is_isolated(LATER), "no peers are configured");
     health.record_peer_answers(&[None, response(false, "")]);
