--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether the last request was not served: the store refused it or didn't respond.
-    pub fn is_refused(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.not_served_since.is_some()
     }
 
--- a/src/net/store_health/tests.rs
+++ b/src/net/store_health/tests.rs
@@ -12,11 +12,11 @@
     for (error, unreachable) in [(KvError::Refused, false), (KvError::NoValidResponse("timeout".into()), true)] {
         let mut health = StoreHealth::default();
         health.record(START, StoreAvailability::from(Some(&error)));
-        assert!(health.is_refused());
+        assert!(health.is_unavailable());
         assert!(!health.is_unreachable(MonotonicTime(LATER.0 - 1)), "has not lasted long enough: {error}");
         assert_eq!(health.is_unreachable(LATER), unreachable, "{error}");
         health.record(LATER, StoreAvailability::from(None));
-        assert!(!health.is_refused() && !health.is_unreachable(LATER + Millis(9_000)), "{error}");
+        assert!(!health.is_unavailable() && !health.is_unreachable(LATER + Millis(9_000)), "{error}");
     }
 }
 
