--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -124,7 +124,7 @@
 /// Asks the peers whether the store serves them and who leads, as the store doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
     let answers = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), PROBE_TIMEOUT).await;
-    node.lock().store_health.record_peer_answers(&answers);
+    node.lock().store_health.record_peer_responses(&answers);
 }
 
 /// Whether a leader has just handed over and named another controller as its successor.
@@ -311,7 +311,7 @@
     let answers = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
     let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| parse_pledge(answer.as_ref()?)).collect();
     let mut state = node.lock();
-    state.store_health.record_peer_answers(&answers);
+    state.store_health.record_peer_responses(&answers);
     let Some(scheduler) = &mut state.scheduler else { return false };
     for pledge in pledges.iter().flatten() {
         pledge.cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -143,7 +143,7 @@
     // A name that was read before the key-value store failed may send workers round in circles; peers may know
     // a newer one.
     let health = &inner.store_health;
-    let leader = if health.is_unavailable() { health.leader_per_peers() } else { inner.leader_name.as_ref() };
+    let leader = if health.is_unavailable() { health.leader_reported_by_peers() } else { inner.leader_name.as_ref() };
     // A worker that the leader doesn't hear would wait there in vain.
     let leader = if inner.suspected_machines.contains(&heartbeat.machine) { None } else { leader.cloned() };
     inner.redirected_workers.record(&heartbeat.machine, now, leader).filter(|name| *name != node.settings.name)
--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -19,7 +19,7 @@
     /// There are peers, and none of them responded when last asked.
     no_peer_responds: bool,
     /// The leader's name, as reported by a peer that the store serves.
-    leader_per_peers: Option<String>,
+    leader_reported_by_peers: Option<String>,
 }
 
 /// What the result of a request shows about the store.
@@ -66,11 +66,11 @@
     }
 
     /// Records the responses of all peers to one heartbeat; `None` for a peer that didn't respond.
-    pub fn record_peer_answers(&mut self, responses: &[Option<PeerHeartbeatResponse>]) {
+    pub fn record_peer_responses(&mut self, responses: &[Option<PeerHeartbeatResponse>]) {
         let leader = |response: &PeerHeartbeatResponse| Some(response.leader.clone()).filter(|name| !name.is_empty());
         self.is_peer_served = responses.iter().flatten().any(|response| response.store_ok);
         self.no_peer_responds = !responses.is_empty() && responses.iter().all(Option::is_none);
-        self.leader_per_peers = responses.iter().flatten().find_map(leader);
+        self.leader_reported_by_peers = responses.iter().flatten().find_map(leader);
     }
 
     /// Whether the last request was not served: the store refused it or didn't respond.
@@ -79,8 +79,8 @@
     }
 
     /// The leader's name, as reported by a peer that the store serves.
-    pub fn leader_per_peers(&self) -> Option<&String> {
-        self.leader_per_peers.as_ref()
+    pub fn leader_reported_by_peers(&self) -> Option<&String> {
+        self.leader_reported_by_peers.as_ref()
     }
 
     /// Whether the store hasn't responded for so long that a user's request should fail at once instead of waiting for
--- a/src/net/store_health/tests.rs
+++ b/src/net/store_health/tests.rs
@@ -41,23 +41,23 @@
 fn controller_is_isolated_if_the_store_serves_only_its_peers() {
     let mut health = StoreHealth::default();
     health.record(START, StoreAvailability::Refused);
-    health.record_peer_answers(&[response(false, ""), None]);
+    health.record_peer_responses(&[response(false, ""), None]);
     assert!(!health.is_isolated(LATER), "the store serves no peer either");
-    health.record_peer_answers(&[response(true, "plinth-1"), None]);
+    health.record_peer_responses(&[response(true, "plinth-1"), None]);
     assert!(health.is_isolated(LATER));
     assert!(!health.is_isolated(START + FAILURE_GRACE_PERIOD), "has not lasted long enough");
-    assert_eq!(health.leader_per_peers().map(String::as_str), Some("plinth-1"));
+    assert_eq!(health.leader_reported_by_peers().map(String::as_str), Some("plinth-1"));
 }
 
 #[test]
 fn controller_is_isolated_if_neither_store_nor_peers_respond() {
     let mut health = StoreHealth::default();
     health.record(START, StoreAvailability::Unreachable);
-    health.record_peer_answers(&[]);
+    health.record_peer_responses(&[]);
     assert!(!health.is_isolated(LATER), "no peers are configured");
-    health.record_peer_answers(&[None, response(false, "")]);
+    health.record_peer_responses(&[None, response(false, "")]);
     assert!(!health.is_isolated(LATER), "a peer responds");
-    health.record_peer_answers(&[None, None]);
+    health.record_peer_responses(&[None, None]);
     assert!(health.is_isolated(LATER));
-    assert_eq!(health.leader_per_peers(), None);
+    assert_eq!(health.leader_reported_by_peers(), None);
 }
