--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -42,11 +42,11 @@
         let next = match node.track_store(node.kv.get(&node.http, LEADER_KEY)).await {
             Ok(Some(row)) => follower.on_leader_key_present(&node, row).await,
             Ok(None) => follower.on_leader_key_absent(&node).await,
-            Err(KvError::Refused | KvError::NoValidResponse(_)) => {
+            Err(KvError::Refused | KvError::NoResponse(_)) => {
                 probe_peers(&node).await;
                 Next::Wait
             }
-            Err(KvError::TooManyRequests | KvError::ResponseTooLarge | KvError::Status(_)) => Next::Wait,
+            Err(KvError::Busy | KvError::TooLarge | KvError::Status(_)) => Next::Wait,
         };
         match next {
             Next::Wait => tokio::time::sleep(POLL_INTERVAL.to_std()).await,
@@ -150,11 +150,10 @@
     }
     let term = match node.commit(&candidacy(&record)).await {
         Ok(revision) => Some(Term(revision.0)),
-        Err(
-            CommitError::Conflict(_)
-            | CommitError::Store(KvError::Refused | KvError::TooManyRequests | KvError::Status(_)),
-        ) => None,
-        Err(CommitError::Store(KvError::NoValidResponse(_) | KvError::ResponseTooLarge)) => {
+        Err(CommitError::Conflict(_) | CommitError::Store(KvError::Refused | KvError::Busy | KvError::Status(_))) => {
+            None
+        }
+        Err(CommitError::Store(KvError::NoResponse(_) | KvError::TooLarge)) => {
             settle_unknown_candidacy(node, lease, &record).await
         }
     };
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -20,13 +20,13 @@
     Refused,
     /// Status 429: the store limits the request rate; the request was not carried out.
     #[error("too many requests (status 429)")]
-    TooManyRequests,
+    Busy,
     /// No response, or one that can't be decoded; the request may have been carried out.
     #[error("no valid response: {0}")]
-    NoValidResponse(String),
+    NoResponse(String),
     /// The response exceeds the HTTP client's size limit; the request may have been carried out.
     #[error("response is too large")]
-    ResponseTooLarge,
+    TooLarge,
     /// A status that the protocol doesn't define for the request, which was not carried out.
     #[error("unexpected status {0}")]
     Status(u16),
@@ -35,9 +35,9 @@
 impl From<HttpError> for KvError {
     fn from(error: HttpError) -> KvError {
         match error {
-            HttpError::ResponseTooLarge => KvError::ResponseTooLarge,
+            HttpError::ResponseTooLarge => KvError::TooLarge,
             HttpError::Request(_) | HttpError::Timeout | HttpError::Transport(_) => {
-                KvError::NoValidResponse(error.to_string())
+                KvError::NoResponse(error.to_string())
             }
         }
     }
@@ -110,7 +110,7 @@
     ) -> Result<(u16, bytes::Bytes), KvError> {
         match http.call(method, &self.addr, path, body, timeout).await? {
             (503, _) => Err(KvError::Refused),
-            (429, _) => Err(KvError::TooManyRequests),
+            (429, _) => Err(KvError::Busy),
             response => Ok(response),
         }
     }
@@ -156,7 +156,7 @@
 
     /// Commits a transaction if all its preconditions hold, and returns the revision of the commit.
     pub async fn commit(&self, http: &HttpClient, transaction: &Transaction) -> Result<Revision, CommitError> {
-        let body = serde_json::to_vec(transaction).map_err(|e| KvError::NoValidResponse(e.to_string()))?;
+        let body = serde_json::to_vec(transaction).map_err(|e| KvError::NoResponse(e.to_string()))?;
         match self.call(http, Method::POST, "/commit", body, REQUEST_TIMEOUT).await? {
             (200, body) => Ok(Revision(parse::<CommitResponse>(&body)?.revision)),
             (409, body) => Err(CommitError::Conflict(parse::<ConflictResponse>(&body)?.failed)),
@@ -204,7 +204,7 @@
         let path = format!("/follow?prefix={prefix}&since={since}&block_ms={}", block.0);
         match self.call(http, Method::GET, &path, vec![], block + WATCH_TIMEOUT_MARGIN).await {
             Ok((200, body)) => parse(&body).map(Some),
-            Ok((410, _)) | Err(KvError::ResponseTooLarge) => Ok(None),
+            Ok((410, _)) | Err(KvError::TooLarge) => Ok(None),
             Ok((status, _)) => Err(KvError::Status(status)),
             Err(e) => Err(e),
         }
@@ -212,5 +212,5 @@
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, KvError> {
-    serde_json::from_slice(body).map_err(|e| KvError::NoValidResponse(format!("response can't be decoded: {e}")))
+    serde_json::from_slice(body).map_err(|e| KvError::NoResponse(format!("response can't be decoded: {e}")))
 }
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -76,10 +76,8 @@
         match result {
             Ok(_) => CommitOutcome::Committed,
             Err(CommitError::Conflict(keys)) => CommitOutcome::Conflict(keys),
-            Err(CommitError::Store(KvError::NoValidResponse(_) | KvError::ResponseTooLarge)) => CommitOutcome::Unknown,
-            Err(CommitError::Store(KvError::Refused | KvError::TooManyRequests | KvError::Status(_))) => {
-                CommitOutcome::Rejected
-            }
+            Err(CommitError::Store(KvError::NoResponse(_) | KvError::TooLarge)) => CommitOutcome::Unknown,
+            Err(CommitError::Store(KvError::Refused | KvError::Busy | KvError::Status(_))) => CommitOutcome::Rejected,
         }
     }
 }
--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -37,11 +37,9 @@
     /// Converts the error of a request, or `None` if it succeeded.
     fn from(error: Option<&KvError>) -> StoreAvailability {
         match error {
-            None | Some(KvError::TooManyRequests | KvError::ResponseTooLarge | KvError::Status(_)) => {
-                StoreAvailability::Available
-            }
+            None | Some(KvError::Busy | KvError::TooLarge | KvError::Status(_)) => StoreAvailability::Available,
             Some(KvError::Refused) => StoreAvailability::Refused,
-            Some(KvError::NoValidResponse(_)) => StoreAvailability::Unreachable,
+            Some(KvError::NoResponse(_)) => StoreAvailability::Unreachable,
         }
     }
 }
--- a/src/net/store_health/tests.rs
+++ b/src/net/store_health/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn refused_store_is_reachable_and_first_served_request_clears_any_failure() {
-    for (error, unreachable) in [(KvError::Refused, false), (KvError::NoValidResponse("timeout".into()), true)] {
+    for (error, unreachable) in [(KvError::Refused, false), (KvError::NoResponse("timeout".into()), true)] {
         let mut health = StoreHealth::default();
         health.record(START, StoreAvailability::from(Some(&error)));
         assert!(health.is_unavailable());
@@ -22,7 +22,7 @@
 
 #[test]
 fn error_responses_other_than_refusals_count_as_served() {
-    for error in [KvError::TooManyRequests, KvError::ResponseTooLarge, KvError::Status(400)] {
+    for error in [KvError::Busy, KvError::TooLarge, KvError::Status(400)] {
         assert_eq!(StoreAvailability::from(Some(&error)), StoreAvailability::Available, "{error}");
     }
 }
--- a/src/net/user_api/commit.rs
+++ b/src/net/user_api/commit.rs
@@ -34,7 +34,7 @@
         match result {
             Ok(revision) => return Ok(revision),
             Err(CommitError::Conflict(_)) => return Err(CommitFailure::PreconditionFailed),
-            Err(CommitError::Store(KvError::TooManyRequests)) if attempts < MAX_COMMIT_ATTEMPTS => {}
+            Err(CommitError::Store(KvError::Busy)) if attempts < MAX_COMMIT_ATTEMPTS => {}
             Err(CommitError::Store(_)) => return Err(CommitFailure::StoreUnreachable),
         }
         let backoff = MIN_BUSY_BACKOFF + Millis(rand::random::<u64>() % BUSY_BACKOFF_JITTER.0);
