--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -165,7 +165,7 @@
             request = request.header("connection", "close");
         }
         let request = request.body(Full::new(Bytes::from(body)))?;
-        let exchange = async {
+        let request_and_response = async {
             let response = self.client.request(request).await?;
             let status = response.status().as_u16();
             let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
@@ -175,7 +175,7 @@
             })?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(timeout.to_std(), exchange).await.map_err(|_| HttpError::Timeout)?
+        tokio::time::timeout(timeout.to_std(), request_and_response).await.map_err(|_| HttpError::Timeout)?
     }
 }
 
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -1,6 +1,6 @@
 //! Client of the key-value store.
 //!
-//! It maps requests and responses only. Callers track whether the store serves this controller; see
+//! It only encodes requests and decodes responses. Callers track whether the store serves this controller; see
 //! [`Node::track_store`](super::node::Node::track_store).
 
 use super::http::{HttpClient, HttpError};
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -160,8 +160,8 @@
     reason: String,
 }
 
-/// Serves at most `max_connections` connections at once. Further connections are not accepted, so that the load
-/// balancer and the workers time out and use another controller.
+/// Serves at most `max_connections` connections at once. Further connections are not accepted until one closes, so that
+/// the load balancer and the workers turn to another controller.
 pub async fn serve(addr: SocketAddr, router: Router, max_connections: usize) -> Result<(), ServeError> {
     let error = |reason: String| ServeError { addr, reason };
     let listener = TcpListener::new(addr).try_bind().await.map_err(|e| error(e.to_string()))?;
