--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -76,7 +76,7 @@
         let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
         // The subtraction saturates, as the machine may be older than this process's monotonic clock.
-        machine.since = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
+        machine.created_at = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
         if listed.phase == ListPhase::Running {
             // The list lags, so the machine may already be terminated; or its first heartbeat is on its way.
             let since = self.machines.awaiting_first_heartbeat_since(&id, now);
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -82,7 +82,7 @@
     /// Searches for a replica to move, starting with the machine whose unused capacity costs the most.
     fn find_move(&self, now: MonotonicTime) -> MoveSearch {
         let heartbeat_timeout = self.heartbeat_timeout();
-        let usable = |machine: &Machine| machine.usable(now, heartbeat_timeout) && machine.busy();
+        let usable = |machine: &Machine| machine.is_schedulable(now, heartbeat_timeout) && machine.has_active_tasks();
         let machines = self.machines.known.iter().filter(|(_, machine)| usable(machine));
         let mut loaded: Vec<LoadedMachine> = machines.map(|(id, machine)| self.loaded_machine(id, machine)).collect();
         // Highest utilization first.
@@ -125,10 +125,10 @@
         let is_service =
             |key: &TaskAttempt| self.jobs.live.get(&key.0.job).is_some_and(|job| job.spec.kind == Kind::Service);
         let is_settled_replica = |(key, allocation): (&TaskAttempt, &Allocation)| {
-            !allocation.has_exited() && allocation.stop.is_none() && is_service(key)
+            !allocation.has_exited() && allocation.stop_leeway_s.is_none() && is_service(key)
         };
         source.utilization < MAX_SOURCE_UTILIZATION
-            && source.machine.in_flight.is_none()
+            && source.machine.orders_in_flight.is_none()
             && source.machine.allocations.iter().all(is_settled_replica)
     }
 
--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -110,19 +110,21 @@
     fn retirement_reason(&self, machine: &Machine, machine_type: &MachineType) -> Option<RetirementReason> {
         let boot_s = (machine_type.boot_s * BOOT_TIMEOUT_FACTOR).max(MIN_BOOT_TIMEOUT_S);
         let boot_timeout = Millis::from_secs_f64(boot_s) + self.list_lag;
-        let late = self.now - machine.last_heartbeat.max(self.loaded_at);
-        if !machine.up && machine.registration == Registration::Unregistered && self.now - machine.since > boot_timeout
+        let late = self.now - machine.last_heartbeat_at.max(self.loaded_at);
+        if !machine.up
+            && machine.registration == Registration::Unregistered
+            && self.now - machine.created_at > boot_timeout
         {
             Some(RetirementReason::BootTimeout)
         } else if machine.registration == Registration::Registered && late > self.suspicion_timeout(machine) {
             Some(RetirementReason::Suspected(late))
         } else if is_unacknowledged(machine, self.now, self.lease) && !self.many_unacknowledged {
             Some(RetirementReason::Unacknowledged)
-        } else if !machine.up || machine.busy() || !machine.reconciled {
+        } else if !machine.up || machine.has_active_tasks() || !machine.reconciled {
             None
         } else if machine.spot_notice {
             Some(RetirementReason::Reclaimed)
-        } else if machine.errors >= QUARANTINE_ERROR_THRESHOLD && machine.quarantined_until > self.now {
+        } else if machine.consecutive_failures >= QUARANTINE_ERROR_THRESHOLD && machine.quarantined_until > self.now {
             Some(RetirementReason::Quarantined)
         } else {
             None
@@ -143,7 +145,7 @@
         let mut expired = Vec::new();
         for (id, machine) in &mut self.machines.known {
             // Other leaders or the loading leader itself may have answered until the cluster state was loaded.
-            let answered_at = machine.last_heartbeat.max(self.loaded_at);
+            let answered_at = machine.last_heartbeat_at.max(self.loaded_at);
             if now - answered_at.max(machine.agent_epoch_first_heard) <= lease {
                 continue;
             }
@@ -165,7 +167,7 @@
             if machine.agent_epoch.0 > 0 {
                 machine.agent_epoch.0 += 1;
                 machine.sequence.0 = 0;
-                machine.latest_heartbeat = (machine.agent_epoch, machine.sequence);
+                machine.latest_heartbeat_position = (machine.agent_epoch, machine.sequence);
             }
             machine.outbox.clear();
             let is_spot = machine.spot;
@@ -222,7 +224,7 @@
         for machine in machines.filter(|machine| machine.registration == Registration::Registered) {
             let (up, late) = counts.entry(machine.route).or_default();
             *up += usize::from(machine.up);
-            *late += usize::from(now - machine.last_heartbeat > heartbeat_timeout);
+            *late += usize::from(now - machine.last_heartbeat_at > heartbeat_timeout);
         }
         let up = counts.values().map(|(up, _)| up).sum();
         let late = counts.values().map(|(_, late)| late).sum();
@@ -252,7 +254,7 @@
         let has_led_for_lease = self.has_led_for_lease(now);
         let suspected = expected().filter(|(_, machine)| {
             (has_led_for_lease || machine.token_acknowledged)
-                && now - machine.last_heartbeat.max(self.loaded_at) > timeout
+                && now - machine.last_heartbeat_at.max(self.loaded_at) > timeout
         });
         (suspected.map(|(id, _)| id.to_string()).collect(), expected().count())
     }
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -25,8 +25,8 @@
     pub fn on_orders_result(&mut self, now: MonotonicTime, request: RequestId, result: OrdersResult) {
         let Some(SentOrders { machine: id, runs }) = self.orders.take(request) else { return };
         let Some(machine) = self.machines.known.get_mut(&id) else { return };
-        if machine.in_flight == Some(request) {
-            machine.in_flight = None;
+        if machine.orders_in_flight == Some(request) {
+            machine.orders_in_flight = None;
         }
         match result {
             OrdersResult::Executed(heartbeat) => {
@@ -50,7 +50,7 @@
                 } else {
                     machine.fence += 1;
                 }
-                machine.fencing = true;
+                machine.awaits_fence_ack = true;
                 debug!("machine {id}: orders unanswered, fence={}", machine.fence);
             }
         }
@@ -60,7 +60,7 @@
     /// Stops a task, or its whole gang, with a grace period for saving a checkpoint if the job makes any.
     pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
         let Some(job) = self.jobs.live.get(&key.0.job) else { return };
-        let leeway_s = if job.saves() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
+        let leeway_s = if job.writes_checkpoints() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
         let mut stopped = vec![(id.clone(), *key)];
         if job.spec.kind == Kind::Gang {
             stopped = job
@@ -82,7 +82,7 @@
         let evicted: Vec<TaskAttempt> = machine
             .allocations
             .iter()
-            .filter(|(_, allocation)| !allocation.has_exited() && allocation.stop.is_none())
+            .filter(|(_, allocation)| !allocation.has_exited() && allocation.stop_leeway_s.is_none())
             .filter(|((task, _), allocation)| {
                 let ran_s = allocation.running_since.map(|since| (now - since).as_secs_f64());
                 let remaining_s = ran_s.map_or(f64::INFINITY, |ran_s| allocation.run_s - ran_s);
@@ -99,7 +99,7 @@
     /// Sends the outboxes of all machines that have no orders in flight.
     pub(super) fn flush_orders(&mut self) {
         self.cost.add_machines(self.machines.known.len());
-        let has_unsent = |machine: &Machine| !machine.outbox.is_empty() && machine.in_flight.is_none();
+        let has_unsent = |machine: &Machine| !machine.outbox.is_empty() && machine.orders_in_flight.is_none();
         let ids: Vec<MachineId> =
             self.machines.known.iter().filter(|(_, machine)| has_unsent(machine)).map(|(id, _)| id.clone()).collect();
         for id in ids {
@@ -111,7 +111,7 @@
     /// [`Scheduler::flush_orders`], as they are too frequent to iterate over all machines for each.
     pub(super) fn flush_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        if machine.outbox.is_empty() || machine.in_flight.is_some() || machine.fencing || !machine.up {
+        if machine.outbox.is_empty() || machine.orders_in_flight.is_some() || machine.awaits_fence_ack || !machine.up {
             return;
         }
         if machine.retiring {
@@ -134,7 +134,7 @@
         }
         self.last_request.0 += 1;
         let request = self.last_request;
-        machine.in_flight = Some(request);
+        machine.orders_in_flight = Some(request);
         self.orders.insert(request, SentOrders { machine: id.clone(), runs });
         let body = DirectOrders { token, agent_epoch: machine.agent_epoch, orders };
         self.effects.push(Effect::Orders { request, endpoint: machine.endpoint.clone(), body });
@@ -170,7 +170,7 @@
     if allocation.has_exited() {
         return;
     }
-    allocation.stop = Some(allocation.stop.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
+    allocation.stop_leeway_s = Some(allocation.stop_leeway_s.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
     let run = Order::Run { task: key.0, attempt: key.1 };
     if let Some(position) = machine.outbox.iter().position(|order| *order == run) {
         // The run order hasn't been sent, so it is dropped. Marked as answered, the allocation is removed when
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -96,7 +96,7 @@
             false => self.jobs.expected_run_s(spec).max(MIN_RUN_S),
         };
         let JobDeadlines { due_s, slo_deadline_s, missed } = self.job_deadlines(job, ages, run_s, guaranteed);
-        let at_fault = job.at_fault(context.now);
+        let at_fault = job.is_at_fault(context.now);
         JobView {
             team: job.team,
             priority: priority_number(job.priority()),
@@ -119,7 +119,7 @@
             missed_slos: if service { 0 } else { missed },
             service,
             age_s: ages.startable_s,
-            overspent: job.overspent,
+            overspent: job.excess_cost,
             placed: zone_counts(job, &self.machines.known),
             avoid: if at_fault { Vec::new() } else { avoided_machines(job, context) },
             guaranteed,
@@ -165,10 +165,10 @@
 
 /// Keys of the machines that a job avoids because its tasks failed there recently.
 fn avoided_machines(job: &Job, context: &JobContext) -> Vec<u32> {
-    if job.error_machines.is_empty() {
+    if job.last_failure_by_machine.is_empty() {
         return Vec::new();
     }
-    let failed = job.error_machines.keys().filter(|id| job.avoids(id, context.now));
+    let failed = job.last_failure_by_machine.keys().filter(|id| job.avoids(id, context.now));
     let mut keys: Vec<u32> = failed.filter_map(|id| context.keys.get(id).copied()).collect();
     keys.sort_unstable();
     keys
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -216,7 +216,7 @@
 
     /// `None` if the machine is not usable.
     fn index_machine(&self, now: MonotonicTime, id: &MachineId, machine: &Machine) -> Option<IndexedMachine> {
-        if !machine.usable(now, self.heartbeat_timeout()) {
+        if !machine.is_schedulable(now, self.heartbeat_timeout()) {
             return None;
         }
         self.cost.add_tasks(machine.allocations.len());
@@ -226,9 +226,9 @@
         for (key, allocation) in machine.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
             let priority = priority_number(allocation.priority) as usize;
             // Resources of tasks that are being stopped will soon be free for work of any priority.
-            let available_below = if allocation.stop.is_some() { PRIORITIES } else { priority };
+            let available_below = if allocation.stop_leeway_s.is_some() { PRIORITIES } else { priority };
             reclaimable[..available_below].iter_mut().for_each(|reclaimable| reclaimable.add(&allocation.need));
-            if allocation.stop.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
+            if allocation.stop_leeway_s.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
                 over_guarantee[priority].add(&allocation.need);
             }
         }
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -32,11 +32,11 @@
         priority: Priority::Normal,
         phase: Some(phase),
         pending_run: None,
-        last_listed: 0,
+        last_task_list: 0,
         placed_at: MonotonicTime(0),
         running_since: None,
         fully_observed: true,
-        stop: None,
+        stop_leeway_s: None,
         image: 0,
         fetch_s: 0.0,
         run_s: 1.0,
@@ -76,7 +76,7 @@
         save_s: 0.0,
         deadline_s: None,
     };
-    Job::new(LiveRecord { at: WallTime(submitted), spec, depends_on: Vec::new() }, Revision(1), team)
+    Job::new(LiveRecord { submitted_at: WallTime(submitted), spec, depends_on: Vec::new() }, Revision(1), team)
 }
 
 #[test]
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -83,8 +83,9 @@
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.set_done(task.index);
         let ratio = ran_s.and_then(|ran_s| {
-            job.ran = (job.ran.0 + 1, job.ran.1 + ran_s);
-            (job.ran.0 > 4).then(|| ran_s / (job.ran.1 / f64::from(job.ran.0)).max(0.1))
+            job.run_time_totals = (job.run_time_totals.0 + 1, job.run_time_totals.1 + ran_s);
+            (job.run_time_totals.0 > 4)
+                .then(|| ran_s / (job.run_time_totals.1 / f64::from(job.run_time_totals.0)).max(0.1))
         });
         self.update_machine_after_success(now, id, ratio);
     }
@@ -101,9 +102,9 @@
             // The same as for repeated failures, so the machine is retired once it is empty.
             info!("machine {id} quarantined: its tasks run slowly, slowness={:.1}", machine.slowness);
             machine.quarantined_until = now + QUARANTINE_PERIOD;
-            machine.errors = QUARANTINE_ERROR_THRESHOLD;
+            machine.consecutive_failures = QUARANTINE_ERROR_THRESHOLD;
         } else {
-            machine.errors = 0;
+            machine.consecutive_failures = 0;
         }
     }
 
@@ -112,22 +113,22 @@
     fn on_task_failed(&mut self, now: MonotonicTime, id: &MachineId, task: &TaskId) {
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.requeue(task.index, false);
-        job.errors += 1;
-        job.error_machines.insert(id.clone(), now);
-        debug!("task {task} failed on machine {id}, errors={}", job.errors);
-        if job.at_fault(now) {
-            let backoff_s = f64::from(1u32 << job.errors.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
+        job.failure_count += 1;
+        job.last_failure_by_machine.insert(id.clone(), now);
+        debug!("task {task} failed on machine {id}, errors={}", job.failure_count);
+        if job.is_at_fault(now) {
+            let backoff_s = f64::from(1u32 << job.failure_count.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
             job.pause_until = now + Millis::from_secs_f64(backoff_s);
             return;
         }
         let Some(machine) = self.machines.known.get_mut(id) else { return };
-        machine.errors += 1;
+        machine.consecutive_failures += 1;
         if machine.quarantined_until > now {
             return;
         }
-        if machine.errors >= QUARANTINE_ERROR_THRESHOLD {
+        if machine.consecutive_failures >= QUARANTINE_ERROR_THRESHOLD {
             machine.quarantined_until = now + QUARANTINE_PERIOD;
-            info!("machine {id} quarantined: consecutive task failures, errors={}", machine.errors);
+            info!("machine {id} quarantined: consecutive task failures, errors={}", machine.consecutive_failures);
         } else {
             machine.quarantined_until = now + FIRST_ERROR_QUARANTINE_PERIOD;
         }
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -27,7 +27,7 @@
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = machine.allocations.get_mut(key) else { return };
         let previous_phase = allocation.phase;
-        allocation.last_listed = machine.heartbeats_applied;
+        allocation.last_task_list = machine.task_lists_applied;
         allocation.phase = Some(listed.phase);
         allocation.pending_run = None;
         if listed.phase == TaskPhase::Running && previous_phase != Some(TaskPhase::Running) {
@@ -46,7 +46,7 @@
             let exit = TaskExit {
                 cause: listed.cause,
                 ran_s: observed_since.map(|since| (now - since).as_secs_f64()),
-                was_stopped: allocation.stop.is_some(),
+                was_stopped: allocation.stop_leeway_s.is_some(),
             };
             self.on_task_exited(now, id, key, exit);
         }
@@ -70,11 +70,11 @@
             stop_allocation(machine, key, 0.0);
             return;
         };
-        if let Some(leeway_s) = allocation.stop {
+        if let Some(leeway_s) = allocation.stop_leeway_s {
             if phase != TaskPhase::Flushing || leeway_s == 0.0 {
                 stop_allocation(machine, key, leeway_s);
             }
-        } else if !job.goes_on(key) {
+        } else if !job.may_continue(key) {
             stop_allocation(machine, key, 0.0);
         }
     }
@@ -125,11 +125,11 @@
         priority: Priority::Low,
         phase: None,
         pending_run: None,
-        last_listed: 0,
+        last_task_list: 0,
         placed_at: now,
         running_since: None,
         fully_observed: false,
-        stop: None,
+        stop_leeway_s: None,
         image: u32::MAX,
         fetch_s: 0.0,
         run_s: 0.0,
--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -2,7 +2,7 @@
 //! renewals, heartbeats and users' requests wait while the core handles an input.
 
 use super::rate_limited_log::RateLimitedLog;
-use crate::core::cost::CostCounters;
+use crate::core::cost::OperationCounts;
 use crate::time::{Millis, MonotonicTime};
 use hdrhistogram::Histogram;
 use log::warn;
@@ -51,7 +51,7 @@
 struct LongestInput {
     input_kind: InputKind,
     duration: Duration,
-    cost: CostCounters,
+    cost: OperationCounts,
 }
 
 /// Durations of inputs since the last summary.
@@ -73,7 +73,7 @@
 
 impl InputLatency {
     /// Records an input that was received at `now` and has just been handled. Logs it if it was slow.
-    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, duration: Duration, cost: CostCounters) {
+    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, duration: Duration, cost: OperationCounts) {
         let micros = (duration.as_micros() as u64).clamp(1, MAX_RECORDED_MICROS);
         let histogram = self.histograms.entry(input_kind).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -85,7 +85,7 @@
     let mut state = node.lock();
     state.outcome_cache.insert(id, record);
     if record.phase == JobPhase::Aborted {
-        state.cancellations.tell(*id, revision);
+        state.cancellations.record(*id, revision);
     }
     if let Some(scheduler) = &mut state.scheduler {
         scheduler.on_job_terminated(id, record.outcome());
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -84,7 +84,7 @@
     let Submission { spec, depends_on } = submission;
     let types = node.lock().machine_types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
     check_satisfiable(&spec, &node.settings.cluster.teams, &types)?;
-    let mut record = LiveRecord { at: node.wall_time(), spec, depends_on };
+    let mut record = LiveRecord { submitted_at: node.wall_time(), spec, depends_on };
     // The limit applies to the record with all dependencies, including those that are done and won't be stored.
     let value = json!(record);
     if value.to_string().len() > node.settings.cluster.store.value_bytes() {
