--- a/src/net/load_log.rs
+++ b/src/net/load_log.rs
@@ -21,7 +21,7 @@
     // Without any input nothing has changed since the last lines.
     let Some(summary) = state.input_latency.take_summary() else { return };
     info!("inputs: {summary}");
-    let (heartbeats, requests) = (state.heartbeat_relay.waiting(), state.user_requests_in_progress);
+    let (heartbeats, requests) = (state.heartbeat_relay.waiting_count(), state.user_requests_in_progress);
     match (&state.scheduler, state.election.active_term(now)) {
         (Some(scheduler), Some(term)) => {
             let load = scheduler.load_summary();
