--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -47,12 +47,12 @@
             perform_pending_effects(&node);
         }
         Effect::Plan { node: peer, input } => {
-            let plan = peers::ask_plan(&node, &peer, &input).await;
+            let plan = peers::request_plan(&node, &peer, &input).await;
             let now = node.now();
             step(&node, InputKind::Plan, |scheduler| scheduler.on_plan(now, &peer, plan));
         }
         Effect::LookUpOutcomes(ids) => {
-            let outcomes = linearizable_reads::outcomes(&node, &ids).await;
+            let outcomes = linearizable_reads::look_up_outcomes(&node, &ids).await;
             notify_scheduler(&node, |scheduler, now| scheduler.on_outcomes_looked_up(now, &outcomes));
             perform_pending_effects(&node);
         }
@@ -76,7 +76,7 @@
         match result {
             Ok(_) => CommitOutcome::Committed,
             Err(CommitError::Conflict(keys)) => CommitOutcome::Conflict(keys),
-            Err(CommitError::Store(KvError::Unknown(_) | KvError::TooLarge)) => CommitOutcome::Unknown,
+            Err(CommitError::Store(KvError::NoResponse(_) | KvError::TooLarge)) => CommitOutcome::Unknown,
             Err(CommitError::Store(KvError::Refused | KvError::Busy | KvError::Status(_))) => CommitOutcome::Rejected,
         }
     }
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -8,7 +8,7 @@
 mod users;
 
 pub(super) use self::fakes::FakeCluster;
-use super::http::Http;
+use super::http::HttpClient;
 use super::node::Node;
 use super::{election, heartbeat_relay, leader_loop, peers, relay_routes, server};
 use crate::config::{Peer, Settings, Tuning, sample_settings};
@@ -45,7 +45,7 @@
 
 /// An HTTP client of one controller's public API, for users and workers.
 pub(super) struct Client {
-    http: Http,
+    http: HttpClient,
     addr: String,
 }
 
@@ -130,11 +130,11 @@
     settings.services.store = cluster.serve_store(&settings.name);
     settings.services.cloud = cluster.serve_cloud();
     let worker = cluster.serve_worker();
-    let client = Client { http: Http::new(16), addr: settings.listen.to_string() };
+    let client = Client { http: HttpClient::new(16), addr: settings.listen.to_string() };
     let node = Node::new(settings, Tuning::default());
     tokio::spawn(heartbeat_relay::run(node.clone()));
     tokio::spawn(relay_routes::run(node.clone()));
-    tokio::spawn(server::serve(node.settings.listen, server::public(&node), 64));
+    tokio::spawn(server::serve(node.settings.listen, server::public_router(&node), 64));
     for addr in [node.settings.services.store, node.settings.services.cloud, worker, node.settings.listen] {
         wait_for_listener(addr).await;
     }
@@ -143,7 +143,7 @@
 
 /// Starts a controller's server for its peers, so that it receives their messages.
 async fn serve_peers(node: &Arc<Node>) {
-    tokio::spawn(server::serve(node.settings.peer_listen, server::internal(node), 64));
+    tokio::spawn(server::serve(node.settings.peer_listen, server::internal_router(node), 64));
     wait_for_listener(node.settings.peer_listen).await;
 }
 
--- a/src/net/loopback/dependencies.rs
+++ b/src/net/loopback/dependencies.rs
@@ -15,7 +15,8 @@
 async fn start_pair_without_leader(cluster: &FakeCluster) -> [(Arc<Node>, Client); 2] {
     let pair = start_pair(cluster).await;
     for (node, _) in &pair {
-        let types = node.cloud.types(&node.http, node.now()).await.expect("the fake cloud lists its machine types");
+        let types =
+            node.cloud.machine_types(&node.http, node.now()).await.expect("the fake cloud lists its machine types");
         node.lock().machine_types = Some(types);
     }
     pair
