--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -42,7 +42,7 @@
         let next = match node.track_store(node.kv.get(&node.http, LEADER_KEY)).await {
             Ok(Some(row)) => follower.on_leader_key_present(&node, row).await,
             Ok(None) => follower.on_leader_key_absent(&node).await,
-            Err(KvError::Refused | KvError::Unknown(_)) => {
+            Err(KvError::Refused | KvError::NoResponse(_)) => {
                 probe_peers(&node).await;
                 Next::Wait
             }
@@ -81,7 +81,7 @@
         // can be revoked. If a candidacy of that process is committed late, its key is found here as well; answers of
         // it that arrive late have a lower term than those of the next leader.
         info!("revoking the leader lease of an earlier process of this controller");
-        let revoked = node.track_store(node.kv.revoke(&node.http, own.lease)).await;
+        let revoked = node.track_store(node.kv.revoke_lease(&node.http, own.lease)).await;
         self.predecessor_held_key = revoked.is_ok();
         tokio::time::sleep(REVOKE_DELAY.to_std()).await;
         Next::ReadAgain
@@ -115,7 +115,7 @@
 /// controller has confirmed to users.
 async fn record_first_revision(node: &Node) {
     if !node.lock().cancellations.is_first_revision_known()
-        && let Ok(revision) = node.track_store(node.kv.revision(&node.http)).await
+        && let Ok(revision) = node.track_store(node.kv.current_revision(&node.http)).await
     {
         node.lock().cancellations.set_first_revision(revision);
     }
@@ -123,8 +123,8 @@
 
 /// Asks the peers whether the store serves them and who leads, as the store doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
-    let answers = peers::ask_all(node, &peers::peer_heartbeat(node), PROBE_TIMEOUT).await;
-    node.lock().store_health.record_peer_answers(&answers);
+    let answers = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), PROBE_TIMEOUT).await;
+    node.lock().store_health.record_peer_responses(&answers);
 }
 
 /// Whether a leader has just handed over and named another controller as its successor.
@@ -137,7 +137,7 @@
 /// not committed.
 async fn stand_for_election(node: &Node) -> Option<(LeaderLease, LeaderRecord)> {
     let requested_at = node.now();
-    let lease = node.track_store(node.kv.grant(&node.http, node.settings.leader_lease_ttl())).await.ok()?;
+    let lease = node.track_store(node.kv.grant_lease(&node.http, node.settings.leader_lease_ttl())).await.ok()?;
     let record = LeaderRecord { node: node.settings.name.clone(), incarnation: node.incarnation, lease };
     {
         let now = node.now();
@@ -153,7 +153,7 @@
         Err(CommitError::Conflict(_) | CommitError::Store(KvError::Refused | KvError::Busy | KvError::Status(_))) => {
             None
         }
-        Err(CommitError::Store(KvError::Unknown(_) | KvError::TooLarge)) => {
+        Err(CommitError::Store(KvError::NoResponse(_) | KvError::TooLarge)) => {
             settle_unknown_candidacy(node, lease, &record).await
         }
     };
@@ -185,7 +185,7 @@
         {
             return Some(Term(row.revision));
         }
-        if row.is_ok() && node.kv.revoke(&node.http, lease).await.is_ok() {
+        if row.is_ok() && node.kv.revoke_lease(&node.http, lease).await.is_ok() {
             return None;
         }
         tokio::time::sleep(POLL_INTERVAL.to_std()).await;
@@ -215,7 +215,7 @@
     let mut extended = false;
     loop {
         let requested_at = node.now();
-        match node.track_store(node.kv.renew(&node.http, leader_lease.id, RENEW_TIMEOUT)).await {
+        match node.track_store(node.kv.renew_lease(&node.http, leader_lease.id, RENEW_TIMEOUT)).await {
             Ok(true) => {
                 let mut state = node.lock();
                 state.election.renewed(requested_at);
@@ -275,19 +275,19 @@
         state.leader_name = None;
         state.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
     };
-    let heartbeat = PeerHeartbeat { successor, ..peers::peer_heartbeat(node) };
+    let heartbeat = PeerHeartbeat { successor, ..peers::new_heartbeat(node) };
     // A peer that can't be reached from here reads the successor's name from the store.
     let _ = tokio::join!(
-        peers::ask_all(node, &heartbeat, HAND_OVER_TIMEOUT),
+        peers::broadcast_heartbeat(node, &heartbeat, HAND_OVER_TIMEOUT),
         node.track_store(write_successor_key(node, fence_revision, &heartbeat.successor))
     );
     // If this request fails, the lease ends after its time to live.
-    let _ = node.track_store(node.kv.revoke(&node.http, leader_lease.id)).await;
+    let _ = node.track_store(node.kv.revoke_lease(&node.http, leader_lease.id)).await;
 }
 
 /// Writes [`SUCCESSOR_KEY`] if this controller's leader key is still in place.
 async fn write_successor_key(node: &Node, fence_revision: Revision, successor: &str) -> Result<(), KvError> {
-    let lease = node.kv.grant(&node.http, SUCCESSOR_BACKOFF).await?;
+    let lease = node.kv.grant_lease(&node.http, SUCCESSOR_BACKOFF).await?;
     let transaction = Transaction {
         preconditions: vec![Precondition { key: LEADER_KEY.into(), revision: fence_revision.0 }],
         mutations: vec![Mutation::Put { key: SUCCESSOR_KEY.into(), value: json!(successor), lease: Some(lease.0) }],
@@ -305,17 +305,12 @@
 async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
     let requested_at = node.now();
     let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
-    let heartbeat = PeerHeartbeat {
-        asks_extension: true,
-        leading: true,
-        term: term.0,
-        read_through,
-        ..peers::peer_heartbeat(node)
-    };
-    let answers = peers::ask_all(node, &heartbeat, EXTENSION_TIMEOUT).await;
+    let heartbeat =
+        PeerHeartbeat { asks_extension: true, leading: true, term: term.0, read_through, ..peers::new_heartbeat(node) };
+    let answers = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
     let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| parse_pledge(answer.as_ref()?)).collect();
     let mut state = node.lock();
-    state.store_health.record_peer_answers(&answers);
+    state.store_health.record_peer_responses(&answers);
     let Some(scheduler) = &mut state.scheduler else { return false };
     for pledge in pledges.iter().flatten() {
         pledge.cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -10,7 +10,7 @@
 use wallstile::core::scheduler::ProvisionOutcome;
 use wallstile::ids::{LeaseId, Revision};
 use wallstile::net::cloud::CloudClient;
-use wallstile::net::http::Http;
+use wallstile::net::http::HttpClient;
 use wallstile::net::kv::{CommitError, KvClient};
 use wallstile::time::{Millis, MonotonicTime};
 use wallstile::wire::{ProvisionRequest, Transaction};
@@ -72,12 +72,12 @@
 #[tokio::test]
 async fn leases_of_the_store_are_asked_for() {
     let service = StandIn::with(answers(&[(201, r#"{"tenure":12}"#), (200, "{}"), (404, "{}"), (204, "")])).await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let state = KvClient::new(service.address.clone());
-    assert_eq!(state.grant(&http, Millis(3500)).await, Ok(LeaseId(12)));
-    assert_eq!(state.renew(&http, LeaseId(12), Millis(1000)).await, Ok(true));
-    assert_eq!(state.renew(&http, LeaseId(13), Millis(1000)).await, Ok(false));
-    assert_eq!(state.revoke(&http, LeaseId(12)).await, Ok(()));
+    assert_eq!(state.grant_lease(&http, Millis(3500)).await, Ok(LeaseId(12)));
+    assert_eq!(state.renew_lease(&http, LeaseId(12), Millis(1000)).await, Ok(true));
+    assert_eq!(state.renew_lease(&http, LeaseId(13), Millis(1000)).await, Ok(false));
+    assert_eq!(state.revoke_lease(&http, LeaseId(12)).await, Ok(()));
     service.assert_asked(&[
         r#"POST /holds {"life_ms":3500}"#,
         "POST /holds/12/extend {}",
@@ -90,7 +90,7 @@
 async fn transactions_are_committed() {
     let service =
         StandIn::with(answers(&[(200, r#"{"epoch":9002}"#), (409, r#"{"failed":["ctl/leader"],"epoch":9003}"#)])).await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let state = KvClient::new(service.address.clone());
     let samples = Samples::wire();
     let transaction: Transaction = samples.read("transaction");
@@ -114,16 +114,15 @@
         (200, samples.text("log")),
     ]))
     .await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let state = KvClient::new(service.address.clone());
     let read = state.get(&http, "ctl/heir").await.expect("it answers").expect("the key is there");
     assert_eq!((read.key.as_str(), read.value, read.revision), ("ctl/heir", json!("plinth-1"), 9001));
     assert!(state.get(&http, "ctl/leader").await.expect("it answers").is_none());
     let listing = state.list(&http, "ctl/").await.expect("it answers");
     assert_eq!((listing.entries.len(), listing.revision), (1, Revision(9002)));
-    assert_eq!(state.revision(&http).await, Ok(Revision(9002)));
-    let log =
-        state.follow(&http, "live/", Revision(9001), Millis(700)).await.expect("it answers").expect("not too old");
+    assert_eq!(state.current_revision(&http).await, Ok(Revision(9002)));
+    let log = state.watch(&http, "live/", Revision(9001), Millis(700)).await.expect("it answers").expect("not too old");
     assert_eq!((log.revision, log.events.len()), (9003, 2));
     service.assert_asked(&[
         "GET /store/ctl/heir",
@@ -148,17 +147,17 @@
         (200, samples.text("machine_list_of_the_least_members")),
     ]))
     .await;
-    let http = Http::new(8);
+    let http = HttpClient::new(8);
     let cloud = CloudClient::new(service.address.clone(), 1000.0);
     // Far enough apart that each call has its turn at once.
     let now = |call: u64| MonotonicTime(10_000 * call);
-    assert_eq!(cloud.types(&http, now(1)).await.expect("it answers"), vec![machine_type()]);
+    assert_eq!(cloud.machine_types(&http, now(1)).await.expect("it answers"), vec![machine_type()]);
     let request: ProvisionRequest = samples.read("rent_request");
     let rented = vec!["m-000231".to_string(), "m-000232".to_string()];
     assert_eq!(cloud.provision(&http, now(2), &request).await, ProvisionOutcome::Provisioned(rented.clone()));
     assert_eq!(cloud.provision(&http, now(3), &request).await, ProvisionOutcome::NoCapacity);
     cloud.terminate(&http, now(4), rented).await.expect("it is confirmed");
-    assert_eq!(cloud.list(&http, now(5)).await.expect("it answers").len(), 2);
+    assert_eq!(cloud.list_machines(&http, now(5)).await.expect("it answers").len(), 2);
     let rent = format!("POST /machines {}", samples.text("rent_request"));
     let terminate = format!("POST /machines/return {names}");
     service.assert_asked(&[
