--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -16,7 +16,7 @@
 use fleet::{Fleet, Input, Observation};
 use std::time::Duration;
 use wallstile::core::cost::OperationCounts;
-use wallstile::wire::{JobSpec, Kind, Priority};
+use wallstile::wire::{JobKind, JobSpec, Priority};
 use worker::fleet_cpus;
 use workload::job;
 
@@ -89,7 +89,7 @@
 fn arrays(machines: usize, demand: f64, first: u64, priority: Priority) -> impl Iterator<Item = JobSpec> {
     let count = (fleet_cpus(machines) * demand / (f64::from(TASKS) * TASK_CPUS)).ceil() as u64;
     (first..first + count).map(move |number| JobSpec {
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority,
         tasks: TASKS,
         cpus: TASK_CPUS,
--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber, TaskId};
-use wallstile::wire::{Cause, Heartbeat, Order, TaskPhase, TaskStatus};
+use wallstile::wire::{ExitCause, Heartbeat, Order, TaskPhase, TaskStatus};
 
 /// How long each task runs.
 pub(crate) const RUN_MS: u64 = 20_000;
@@ -68,7 +68,7 @@
                 Order::Stop { task, attempt, .. } => {
                     let same = |listed: &&mut TaskStatus| listed.task == Some(*task) && listed.attempt == *attempt;
                     for listed in self.heartbeat.tasks.iter_mut().filter(same) {
-                        (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Halted));
+                        (listed.phase, listed.cause) = (TaskPhase::Exited, Some(ExitCause::Halted));
                     }
                 }
                 Order::Clear { task, attempt } => {
@@ -91,7 +91,7 @@
             let Some(task) = listed.task else { continue };
             let key = (task, listed.attempt);
             if self.ends.get(&key).is_some_and(|at| *at <= now) {
-                (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Done));
+                (listed.phase, listed.cause) = (TaskPhase::Exited, Some(ExitCause::Done));
                 self.ends.remove(&key);
                 changed = true;
             }
--- a/benches/support/workload.rs
+++ b/benches/support/workload.rs
@@ -1,6 +1,6 @@
 //! The jobs and machine types of the benchmarks.
 
-use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
+use wallstile::wire::{JobKind, JobSpec, MachineType, Priority};
 
 /// Tasks of each array.
 pub(crate) const ARRAY_TASKS: u32 = 200;
@@ -30,7 +30,7 @@
         id: format!("req-{number:06}"),
         class: if service { "feed" } else { "batch" }.into(),
         team: "team-b".into(),
-        kind: if service { Kind::Service } else { Kind::Array },
+        kind: if service { JobKind::Service } else { JobKind::Array },
         priority: if service { Priority::Prod } else { Priority::Normal },
         tasks: if service { 4 } else { ARRAY_TASKS },
         cpus: if service { 4.0 } else { 1.0 },
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -4,7 +4,7 @@
 use crate::core::machine::{Machine, Registration};
 use crate::ids::MachineId;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{ListPhase, ListedMachine};
+use crate::wire::{ListedMachine, MachinePhase};
 use log::info;
 
 /// Delay before a termination that the cloud refused or didn't answer is retried.
@@ -48,7 +48,7 @@
             if self.machines.is_terminated(&id) {
                 continue;
             }
-            if listed.phase == ListPhase::Failed {
+            if listed.phase == MachinePhase::Failed {
                 self.retire_failed_machine(now, id, listed);
             } else if self.machines.known.contains_key(&id) {
                 self.machines.stop_awaiting_first_heartbeat(&id);
@@ -77,7 +77,7 @@
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
         // The subtraction saturates, as the machine may be older than this process's monotonic clock.
         machine.created_at = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
-        if listed.phase == ListPhase::Running {
+        if listed.phase == MachinePhase::Running {
             // The list lags, so the machine may already be terminated; or its first heartbeat is on its way.
             let since = self.machines.awaiting_first_heartbeat_since(&id, now);
             if now - since < FIRST_HEARTBEAT_TIMEOUT + self.limits.list_lag {
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -6,7 +6,7 @@
 use crate::core::placement;
 use crate::ids::MachineId;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 use log::info;
 
 /// Minimum time between two searches for a replica to move. Each search moves at most one.
@@ -123,7 +123,7 @@
     /// Whether a machine runs only service replicas that are not being stopped, and has low utilization.
     fn is_consolidation_source(&self, source: &LoadedMachine) -> bool {
         let is_service =
-            |key: &TaskAttempt| self.jobs.live.get(&key.0.job).is_some_and(|job| job.spec.kind == Kind::Service);
+            |key: &TaskAttempt| self.jobs.live.get(&key.0.job).is_some_and(|job| job.spec.kind == JobKind::Service);
         let is_settled_replica = |(key, allocation): (&TaskAttempt, &Allocation)| {
             !allocation.has_exited() && allocation.stop_leeway_s.is_none() && is_service(key)
         };
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -7,7 +7,7 @@
 use crate::ids::{JobId, MachineId};
 use crate::peer::ZoneCount;
 use crate::time::MonotonicTime;
-use crate::wire::Kind;
+use crate::wire::JobKind;
 use log::debug;
 use std::cmp::Reverse;
 
@@ -80,7 +80,7 @@
         let spec = &preemptor.job.spec;
         let machine_type = &self.catalog.types[machine.kind];
         let need = Resources::of_task(spec);
-        let service = spec.kind == Kind::Service;
+        let service = spec.kind == JobKind::Service;
         let image_ready_s = machine.image_ready_in_s(self.image_number(spec), now);
         if preemptor.target == PlacementTarget::ImageHolders && image_ready_s != Some(0.0) {
             return None;
@@ -159,7 +159,7 @@
 
     /// How many tasks are lost when one task of the job is stopped: all of a gang's.
     fn tasks_lost_by_stop(&self, id: &JobId) -> f64 {
-        self.jobs.live.get(id).filter(|job| job.spec.kind == Kind::Gang).map_or(1.0, |job| f64::from(job.spec.tasks))
+        self.jobs.live.get(id).filter(|job| job.spec.kind == JobKind::Gang).map_or(1.0, |job| f64::from(job.spec.tasks))
     }
 
     /// Stops tasks on a machine and reserves capacity there for one task of a job.
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -9,7 +9,7 @@
 use crate::core::provisioning::InstancePool;
 use crate::ids::{JobId, MachineId};
 use crate::time::{MonotonicTime, WallTime};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 use log::debug;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -72,7 +72,7 @@
     pub(super) fn reserve_for_large_gangs(&mut self, now: MonotonicTime, wall: WallTime) {
         // Of each class only gangs of at least half the size of the largest: smaller ones find capacity anyway.
         let mut largest: BTreeMap<&str, u32> = BTreeMap::new();
-        for job in self.jobs.live.values().filter(|job| job.spec.kind == Kind::Gang) {
+        for job in self.jobs.live.values().filter(|job| job.spec.kind == JobKind::Gang) {
             let tasks = largest.entry(&job.spec.class).or_default();
             *tasks = job.spec.tasks.max(*tasks);
         }
@@ -98,7 +98,7 @@
 
     /// Whether a job is a gang that has been startable for at least the configured wait, and still is.
     fn gang_has_waited_long(&self, now: MonotonicTime, wall: WallTime, job: &Job) -> bool {
-        job.spec.kind == Kind::Gang
+        job.spec.kind == JobKind::Gang
             && job.spec.tasks as usize == job.startable_tasks()
             && job.placed.is_empty()
             && job.gang.is_none()
--- a/src/core/scheduler/gpu_lending.rs
+++ b/src/core/scheduler/gpu_lending.rs
@@ -7,7 +7,7 @@
 use crate::core::machine::{Allocation, Machine, Resources};
 use crate::ids::{JobId, MachineId};
 use crate::time::MonotonicTime;
-use crate::wire::{Kind, MachineType, Priority};
+use crate::wire::{JobKind, MachineType, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tolerance for rounding errors in sums of fractional resources.
@@ -116,7 +116,7 @@
         machine_type: &MachineType,
     ) -> bool {
         let spec = &job.spec;
-        if machine_type.gpus <= 0.0 || spec.gpus > 0.0 || spec.kind == Kind::Service {
+        if machine_type.gpus <= 0.0 || spec.gpus > 0.0 || spec.kind == JobKind::Service {
             return true;
         }
         let headroom = if job.priority() <= Priority::High {
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -7,7 +7,7 @@
 use crate::core::machine::{Machine, PendingRun, TaskAttempt};
 use crate::ids::{FencingToken, MAX_FENCE, MachineId, RequestId, TaskId};
 use crate::time::MonotonicTime;
-use crate::wire::{DirectOrders, Kind, Order};
+use crate::wire::{DirectOrders, JobKind, Order};
 use log::debug;
 
 /// Maximum number of orders in one message, which may be 64 KiB at most.
@@ -62,7 +62,7 @@
         let Some(job) = self.jobs.live.get(&key.0.job) else { return };
         let leeway_s = if job.writes_checkpoints() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
         let mut stopped = vec![(id.clone(), *key)];
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             stopped = job
                 .places()
                 .map(|(index, machine, attempt)| (machine.clone(), (TaskId { job: key.0.job, index }, attempt)))
@@ -86,7 +86,7 @@
             .filter(|((task, _), allocation)| {
                 let ran_s = allocation.running_since.map(|since| (now - since).as_secs_f64());
                 let remaining_s = ran_s.map_or(f64::INFINITY, |ran_s| allocation.run_s - ran_s);
-                let is_service = self.jobs.live.get(&task.job).is_some_and(|job| job.spec.kind == Kind::Service);
+                let is_service = self.jobs.live.get(&task.job).is_some_and(|job| job.spec.kind == JobKind::Service);
                 is_service || remaining_s > notice_s * DRAIN_FRACTION
             })
             .map(|(key, _)| *key)
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -8,7 +8,7 @@
 use crate::ids::{JobId, MachineId};
 use crate::peer::{JobView, Placement, PlanOutput};
 use crate::time::MonotonicTime;
-use crate::wire::{Kind, Priority};
+use crate::wire::{JobKind, Priority};
 use std::collections::BTreeMap;
 
 /// A placement with its keys resolved in the view that it was planned on.
@@ -43,7 +43,7 @@
             let Some(planned) = PlannedPlacement::resolve(view, placement) else { continue };
             let Some(job) = self.jobs.live.get_mut(&planned.job.id) else { continue };
             job.excess_cost += placement.extra;
-            if job.spec.kind == Kind::Gang {
+            if job.spec.kind == JobKind::Gang {
                 gangs.entry(placement.job).or_default().push((planned.machine.clone(), planned.tasks));
                 continue;
             }
@@ -125,7 +125,7 @@
         let fetch_s = self.image_fetch_s(now, &job.spec, machine);
         let slo_s = self.settings.start_slo_s(&job.spec.class, view.guaranteed);
         // For services the job's age doesn't count: the objective also applies to replicas that replace lost ones.
-        let age_s = if job.spec.kind == Kind::Service { 0.0 } else { view.age_s };
+        let age_s = if job.spec.kind == JobKind::Service { 0.0 } else { view.age_s };
         job.priority() <= Priority::High && slo_s.is_some_and(|slo_s| age_s < slo_s && age_s + fetch_s > slo_s)
     }
 }
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -7,7 +7,7 @@
 use crate::ids::{JobId, MachineId};
 use crate::peer::JobView;
 use crate::time::{MonotonicTime, WallTime};
-use crate::wire::{JobSpec, Kind, Priority};
+use crate::wire::{JobKind, JobSpec, Priority};
 use std::collections::{BTreeSet, HashMap};
 
 /// Jobs of normal and low priority cause scaling out only if the backlog would take longer than this.
@@ -73,7 +73,7 @@
 
     /// The tasks of a job that may be placed now; `None` if there are none.
     fn ready_tasks(&self, id: &JobId, job: &Job) -> Option<ReadyTasks> {
-        let gang = job.spec.kind == Kind::Gang;
+        let gang = job.spec.kind == JobKind::Gang;
         if gang && (job.gang.is_some() || !job.placed.is_empty()) {
             return None;
         }
@@ -88,7 +88,7 @@
 
     fn job_view(&self, context: &JobContext, id: &JobId, job: &Job) -> JobView {
         let spec = &job.spec;
-        let service = spec.kind == Kind::Service;
+        let service = spec.kind == JobKind::Service;
         let guaranteed = self.quota.is_within_guarantee(id);
         let ages = job.ages(context.wall);
         let run_s = match service {
@@ -100,7 +100,7 @@
         JobView {
             team: job.team,
             priority: priority_number(job.priority()),
-            gang: spec.kind == Kind::Gang,
+            gang: spec.kind == JobKind::Gang,
             tasks: spec.tasks,
             cpus: spec.cpus,
             gpus: spec.gpus,
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -12,7 +12,7 @@
 use crate::ids::JobId;
 use crate::peer::{JobView, PlanOutput, Waiting, ZoneCount};
 use crate::time::MonotonicTime;
-use crate::wire::{Kind, Priority};
+use crate::wire::{JobKind, Priority};
 use log::debug;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -134,7 +134,7 @@
     fn preempt_for(&mut self, now: MonotonicTime, preemptor: &QueuedPreemptor, search: &mut PreemptionSearch) {
         let Some(job) = self.jobs.live.get_mut(&preemptor.id) else { return };
         job.last_preemption_search_round = self.rounds.count();
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             // A gang cannot start in part, so work is preempted only if that frees capacity for all its tasks.
             self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
         } else {
@@ -227,7 +227,7 @@
         let count = index.machines.len();
         let first = (self.rounds.count() as usize).wrapping_mul(MAX_EXAMINED_MACHINES) % count.max(1);
         // The capacity found for a gang may be spread over all machines.
-        let most = if job.spec.kind == Kind::Gang { count } else { MAX_EXAMINED_MACHINES };
+        let most = if job.spec.kind == JobKind::Gang { count } else { MAX_EXAMINED_MACHINES };
         for position in (first..count).chain(0..first).filter(may_fit).take(most) {
             let machine = &index.machines[position];
             if let Some(eviction) = self.eviction_for(now, preemptor, &machine.id, zones) {
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::scheduler::tests::machine_types;
 use crate::ids::{Attempt, Revision, TaskId, Term};
 use crate::time::{MonotonicTime, WallTime};
-use crate::wire::{JobSpec, Kind, Priority, TaskPhase};
+use crate::wire::{JobKind, JobSpec, Priority, TaskPhase};
 
 const LIMITED: u32 = 0;
 const UNBOUNDED: u32 = 1;
@@ -58,7 +58,7 @@
         id: "req-000001".into(),
         class: "any".into(),
         team: "limited".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
         cpus: 1.0,
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -6,7 +6,7 @@
 use crate::core::machine::{Machine, Resources};
 use crate::ids::{JobId, MachineId};
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::Kind;
+use crate::wire::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
@@ -174,8 +174,8 @@
                 self.reservations.for_job(&id).map(|reservation| reservation.machine.clone()).collect();
             let used = match self.jobs.live.get(&id).map(|job| job.spec.kind) {
                 None => ReservationUse::Done,
-                Some(Kind::Gang) => self.start_reserved_gang(now, &id, machines),
-                Some(Kind::Array | Kind::Service) => self.start_reserved_tasks(now, &id, machines),
+                Some(JobKind::Gang) => self.start_reserved_gang(now, &id, machines),
+                Some(JobKind::Array | JobKind::Service) => self.start_reserved_tasks(now, &id, machines),
             };
             if used == ReservationUse::Done {
                 done.insert(id);
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -5,7 +5,7 @@
 use crate::core::machine::{QUARANTINE_PERIOD, TaskAttempt};
 use crate::ids::{Attempt, JobId, MachineId, TaskId};
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{Cause, Kind, Order};
+use crate::wire::{ExitCause, JobKind, Order};
 use log::{debug, info};
 
 /// A machine is quarantined for [`QUARANTINE_PERIOD`] after this many consecutive task failures that weren't
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct TaskExit {
     /// `None` if the worker stated no cause.
-    pub(super) cause: Option<Cause>,
+    pub(super) cause: Option<ExitCause>,
     /// Run time in seconds. `None` if the run wasn't observed as a whole, so that its length is uncertain.
     pub(super) ran_s: Option<f64>,
     /// Whether a stop had been ordered.
@@ -36,31 +36,31 @@
     /// Processes the end of a task attempt that its worker reported.
     pub(super) fn on_task_exited(&mut self, now: MonotonicTime, id: &MachineId, key: &TaskAttempt, exit: TaskExit) {
         let (task, attempt) = key;
-        let cause = exit.cause.unwrap_or(Cause::Other);
+        let cause = exit.cause.unwrap_or(ExitCause::Other);
         let is_reclaimed = self.machines.known.get(id).is_some_and(|machine| machine.spot_notice);
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.unplace(task.index, id, *attempt);
-        let is_gang = job.spec.kind == Kind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         match cause {
-            Cause::Done => self.on_task_done(now, id, task, exit.ran_s),
-            Cause::Error => self.on_task_failed(now, id, task),
-            Cause::Halted
-            | Cause::MatesGone
-            | Cause::Alone
-            | Cause::NoRoom
-            | Cause::InUse
-            | Cause::Unknown
-            | Cause::Other => {
-                if !exit.was_stopped && cause != Cause::MatesGone {
+            ExitCause::Done => self.on_task_done(now, id, task, exit.ran_s),
+            ExitCause::Error => self.on_task_failed(now, id, task),
+            ExitCause::Halted
+            | ExitCause::MatesGone
+            | ExitCause::Alone
+            | ExitCause::NoRoom
+            | ExitCause::InUse
+            | ExitCause::Unknown
+            | ExitCause::Other => {
+                if !exit.was_stopped && cause != ExitCause::MatesGone {
                     debug!("task {task} on machine {id} ended without success: cause={cause:?}");
                 }
                 job.requeue(task.index, is_reclaimed);
-                if cause == Cause::NoRoom {
+                if cause == ExitCause::NoRoom {
                     job.pause_until = job.pause_until.max(now + NO_ROOM_BACKOFF);
                 }
             }
         }
-        if is_gang && cause != Cause::Done {
+        if is_gang && cause != ExitCause::Done {
             self.break_gang(&task.job, *attempt);
         }
     }
@@ -69,7 +69,7 @@
     /// times of gang tasks are not used, as these tasks wait for each other.
     fn on_task_done(&mut self, now: MonotonicTime, id: &MachineId, task: &TaskId, ran_s: Option<f64>) {
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             // A gang is done as a whole as soon as one of its tasks reports success.
             for index in 0..job.spec.tasks {
                 job.set_done(index);
@@ -163,7 +163,7 @@
         let Some(job) = self.jobs.live.get_mut(&task.job) else { return };
         job.unplace(task.index, id, *attempt);
         job.requeue(task.index, reclaimed);
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             self.break_gang(&task.job, *attempt);
         }
     }
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -7,7 +7,7 @@
 use crate::core::machine::{Allocation, Resources, TaskAttempt};
 use crate::ids::MachineId;
 use crate::time::MonotonicTime;
-use crate::wire::{Kind, Order, Priority, TaskPhase, TaskStatus};
+use crate::wire::{JobKind, Order, Priority, TaskPhase, TaskStatus};
 use log::info;
 
 impl Scheduler {
@@ -104,7 +104,7 @@
                 && let Some(job) = self.jobs.live.get_mut(&task.job)
             {
                 job.place(task.index, id, *attempt);
-                if job.spec.kind == Kind::Gang {
+                if job.spec.kind == JobKind::Gang {
                     match &mut job.gang {
                         None => job.gang = Some(GangRun { attempt: *attempt, broken: false }),
                         Some(run) if run.attempt != *attempt => run.broken = true,
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -17,8 +17,8 @@
 use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, SequenceNumber, TaskId};
 use crate::time::WallTime;
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, Mutation,
-    Order, Priority, ProvisionRequest, TaskStatus, Transaction,
+    DirectOrders, ExitCause, Heartbeat, HeartbeatResponse, JobKind, JobSpec, KeyValue, ListedMachine, MachinePhase,
+    Mutation, Order, Priority, ProvisionRequest, TaskStatus, Transaction,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -75,7 +75,7 @@
     vec![machine_type("plain", 0.0), machine_type("gpu", 2.0)]
 }
 
-fn spec(id: &str, kind: Kind, tasks: u32, cpus: f64) -> JobSpec {
+fn spec(id: &str, kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         id: id.into(),
         class: "any".into(),
@@ -90,7 +90,7 @@
         image_gb: 1.0,
         types: None,
         zone: None,
-        one_zone: kind == Kind::Gang,
+        one_zone: kind == JobKind::Gang,
         spread: false,
         spot: false,
         estimate_s: 20.0,
@@ -231,7 +231,7 @@
                     kept: None,
                 }),
                 Order::Stop { task, attempt, .. } => {
-                    SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, Cause::Halted);
+                    SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, ExitCause::Halted);
                 }
                 Order::Clear { task, attempt } => {
                     heartbeat.tasks.retain(|status| status.task != Some(*task) || status.attempt != *attempt);
@@ -240,7 +240,7 @@
         }
     }
 
-    fn exit_task(heartbeat: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
+    fn exit_task(heartbeat: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: ExitCause) {
         let is_attempt = |status: &&mut TaskStatus| status.task == task && status.attempt == attempt;
         for status in heartbeat.tasks.iter_mut().filter(is_attempt) {
             (status.phase, status.cause) = (TaskPhase::Exited, Some(cause));
@@ -345,7 +345,7 @@
     fn finish_first_task(&mut self, name: &str) {
         let heartbeat = self.workers.get_mut(name).expect("a worker of the harness");
         let first = heartbeat.tasks[0].clone();
-        SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, Cause::Done);
+        SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, ExitCause::Done);
     }
 
     /// The first worker that lists a task.
--- a/src/core/scheduler/tests/dependencies.rs
+++ b/src/core/scheduler/tests/dependencies.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn array(number: u64, tasks: u32) -> JobSpec {
-    spec(&format!("req-{number:06}"), Kind::Array, tasks, 1.0)
+    spec(&format!("req-{number:06}"), JobKind::Array, tasks, 1.0)
 }
 
 /// Submits two jobs, and a third that depends on both, after all machines have sent heartbeats.
@@ -20,7 +20,9 @@
 fn finish_all_tasks(harness: &mut SchedulerHarness) {
     for heartbeat in harness.workers.values_mut() {
         let running: Vec<TaskStatus> = heartbeat.tasks.clone();
-        running.iter().for_each(|task| SchedulerHarness::exit_task(heartbeat, task.task, task.attempt, Cause::Done));
+        running
+            .iter()
+            .for_each(|task| SchedulerHarness::exit_task(heartbeat, task.task, task.attempt, ExitCause::Done));
     }
     harness.run(3_000);
 }
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -70,26 +70,29 @@
     /// The spec of a job. The specs repeat after ten jobs, except for the image.
     fn job(number: u64) -> JobSpec {
         let id = format!("req-{number:06}");
-        let basic = |kind: Kind, tasks: u32, cpus: f64| JobSpec {
+        let basic = |kind: JobKind, tasks: u32, cpus: f64| JobSpec {
             priority: Priority::Normal,
             image: format!("img-{}", number % 7),
-            spot: kind != Kind::Service,
+            spot: kind != JobKind::Service,
             ..spec(&id, kind, tasks, cpus)
         };
         let of_team_a = |spec: JobSpec| JobSpec { team: "team-a".into(), ..spec };
         match number % 10 {
-            0 => {
-                JobSpec { class: "feed".into(), priority: Priority::Prod, spread: true, ..basic(Kind::Service, 4, 2.0) }
-            }
-            1 => basic(Kind::Array, 60, 1.0),
-            2 => JobSpec { checkpoint_s: 2.0, save_s: 0.5, ..basic(Kind::Gang, 6, 8.0) },
-            3 => JobSpec { gpus: 1.0, deadline_s: Some(60.0), ..basic(Kind::Array, 12, 2.0) },
-            4 => JobSpec { priority: Priority::Low, ..basic(Kind::Array, 150, 2.0) },
-            5 => of_team_a(basic(Kind::Array, 10, 1.0)),
-            6 => JobSpec { gpus: 2.0, priority: Priority::High, ..basic(Kind::Gang, 5, 4.0) },
-            7 => JobSpec { types: Some(vec!["large".into()]), ..basic(Kind::Array, 8, 16.0) },
-            8 => JobSpec { zone: Some("b".into()), ..basic(Kind::Array, 30, 4.0) },
-            _ => JobSpec { priority: Priority::High, spot: false, ..basic(Kind::Gang, 3, 32.0) },
+            0 => JobSpec {
+                class: "feed".into(),
+                priority: Priority::Prod,
+                spread: true,
+                ..basic(JobKind::Service, 4, 2.0)
+            },
+            1 => basic(JobKind::Array, 60, 1.0),
+            2 => JobSpec { checkpoint_s: 2.0, save_s: 0.5, ..basic(JobKind::Gang, 6, 8.0) },
+            3 => JobSpec { gpus: 1.0, deadline_s: Some(60.0), ..basic(JobKind::Array, 12, 2.0) },
+            4 => JobSpec { priority: Priority::Low, ..basic(JobKind::Array, 150, 2.0) },
+            5 => of_team_a(basic(JobKind::Array, 10, 1.0)),
+            6 => JobSpec { gpus: 2.0, priority: Priority::High, ..basic(JobKind::Gang, 5, 4.0) },
+            7 => JobSpec { types: Some(vec!["large".into()]), ..basic(JobKind::Array, 8, 16.0) },
+            8 => JobSpec { zone: Some("b".into()), ..basic(JobKind::Array, 30, 4.0) },
+            _ => JobSpec { priority: Priority::High, spot: false, ..basic(JobKind::Gang, 3, 32.0) },
         }
     }
 
@@ -107,7 +110,7 @@
     fn submit(&mut self, number: u64) {
         let spec = FixedFleet::job(number);
         let id = JobId::parse(&spec.id).unwrap();
-        if spec.kind == Kind::Service {
+        if spec.kind == JobKind::Service {
             self.services.insert(id);
         }
         self.revision += 1;
@@ -187,7 +190,7 @@
             kind: heartbeat.kind.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
-            phase: ListPhase::Running,
+            phase: MachinePhase::Running,
             age_s: 60.0,
         };
         let silent = SimulatedWorker::new(900_000, "plain", "a", false, 0);
--- a/src/core/scheduler/tests/digest/worker.rs
+++ b/src/core/scheduler/tests/digest/worker.rs
@@ -83,7 +83,7 @@
                 status.phase = TaskPhase::Running;
                 self.next_phase_at.insert(key, now + run_time * slowness);
             } else if !services.contains(&key.0.job) {
-                let cause = if faulty || key.1.0.is_multiple_of(17) { Cause::Error } else { Cause::Done };
+                let cause = if faulty || key.1.0.is_multiple_of(17) { ExitCause::Error } else { ExitCause::Done };
                 (status.phase, status.cause) = (TaskPhase::Exited, Some(cause));
             }
         }
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -21,7 +21,7 @@
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
     harness.unanswered_transactions = Some(Vec::new());
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 1.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 1.0));
     harness.run(1_000);
     harness.finish_first_task("w0");
     harness.run(4_000);
@@ -49,7 +49,7 @@
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
     harness.scheduler.set_in_doubt(true);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 1.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 1.0));
     harness.run(2_000);
     assert_eq!(harness.running_count(&id), 0);
     harness.scheduler.set_in_doubt(false);
@@ -63,7 +63,7 @@
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
     let of_team_a = |spec: JobSpec| JobSpec { team: "team-a".into(), ..spec };
-    let full = harness.submit(200, of_team_a(spec("req-000001", Kind::Array, 4, 8.0)));
+    let full = harness.submit(200, of_team_a(spec("req-000001", JobKind::Array, 4, 8.0)));
     harness.run(3_000);
     assert_eq!(harness.running_count(&full), 4);
     let silent = harness.first_busy_worker();
@@ -73,7 +73,7 @@
     harness.cancel(&full);
     harness.scheduler.on_job_terminated(&full, JobOutcome::Cancelled);
     let term = harness.term.0;
-    let next = harness.submit(term + 1, of_team_a(spec("req-000002", Kind::Array, 5, 8.0)));
+    let next = harness.submit(term + 1, of_team_a(spec("req-000002", JobKind::Array, 5, 8.0)));
     harness.run(8_000);
     assert_eq!(harness.running_count(&full), 1, "only the task on the silent machine still runs");
     assert!(
@@ -91,7 +91,7 @@
 fn delayed_heartbeat_to_a_new_leader_proves_nothing() {
     let mut harness = SchedulerHarness::new(3);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     // Heartbeats that were sent before the machines got their tasks.
     let earlier: BTreeMap<String, Heartbeat> = harness.workers.clone();
     harness.run(3_000);
@@ -129,7 +129,7 @@
     harness.change_leader();
     harness.run(2_000);
     let term = harness.term.0;
-    let array = JobSpec { one_zone: true, ..spec("req-000001", Kind::Array, 8, 4.0) };
+    let array = JobSpec { one_zone: true, ..spec("req-000001", JobKind::Array, 8, 4.0) };
     let id = harness.submit(term + 1, array);
     harness.run(4_000);
     let zones = |harness: &SchedulerHarness| -> BTreeSet<String> {
@@ -155,7 +155,7 @@
     // The leader changes between the ends of two tasks.
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     harness.run(3_000);
     harness.finish_first_task("w0");
     harness.run(4_000);
@@ -177,7 +177,7 @@
 fn job_is_not_recorded_as_done_after_its_cancellation() {
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 1, 1.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 1, 1.0));
     harness.run(2_000);
     harness.unanswered_transactions = Some(Vec::new());
     harness.finish_first_task("w0");
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -7,7 +7,7 @@
     let mut harness = SchedulerHarness::new(4);
     harness.cloud_refuses_terminations = true;
     harness.inbound_partitioned.insert("w0".into());
-    let old = harness.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
+    let old = harness.submit(50, spec("req-000001", JobKind::Array, 2, 1.0));
     harness.run(9_000);
     assert_eq!(harness.running_count(&old), 0, "its tasks may still run on w0");
     assert!(harness.send_heartbeat("w0"), "the machine may be slow to acknowledge the token");
@@ -23,7 +23,7 @@
 fn new_agent_epoch_proves_that_earlier_tasks_have_ended() {
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     harness.run(3_000);
     assert_eq!(harness.running_count(&id), 2);
     harness.inbound_partitioned.insert("w0".into());
@@ -106,7 +106,7 @@
         let worker = harness.workers.get_mut(name).unwrap();
         (worker.agent_epoch, worker.sequence, worker.token) = (AgentEpoch(2), SequenceNumber(0), FencingToken::NONE);
     }
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 1, 8.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 1, 8.0));
     harness.run(1_000);
     assert_eq!(harness.running_count(&id), 1, "ordered in the agent epoch that the first response has stated");
     let busy = harness.first_busy_worker();
@@ -121,7 +121,7 @@
 fn duplicate_heartbeat_does_not_renew_lease() {
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     harness.run(3_000);
     let duplicate = harness.workers.remove("w0").unwrap();
     harness.cloud_refuses_terminations = true;
@@ -147,7 +147,7 @@
 #[test]
 fn duplicate_heartbeat_of_a_terminated_machine_places_no_task() {
     let mut harness = SchedulerHarness::new(2);
-    let old = harness.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
+    let old = harness.submit(50, spec("req-000001", JobKind::Array, 2, 1.0));
     // The machine was terminated by an earlier leader, so its record has been deleted.
     let mut duplicate = SchedulerHarness::idle_heartbeat(7);
     duplicate.sequence = SequenceNumber(9);
@@ -165,7 +165,7 @@
 #[test]
 fn duplicate_heartbeat_does_not_reconcile_a_machine() {
     let mut harness = SchedulerHarness::new(2);
-    let old = harness.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
+    let old = harness.submit(50, spec("req-000001", JobKind::Array, 2, 1.0));
     // The duplicate reaches a new leader before any current heartbeat of the machine. Its task list is outdated.
     let mut duplicate = SchedulerHarness::idle_heartbeat(0);
     (duplicate.sequence, duplicate.token) = (SequenceNumber(3), FencingToken::new(Term(40), 0));
@@ -195,7 +195,7 @@
     let mut harness = SchedulerHarness::new(2);
     harness.cloud_refuses_terminations = true;
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     harness.run(2_000);
     assert_eq!(harness.running_count(&id), 2);
     harness.outbound_partitioned.insert("w0".into());
@@ -212,11 +212,11 @@
 fn every_heartbeat_response_contains_all_stop_orders() {
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 1.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 1.0));
     harness.run(2_000);
     assert_eq!(harness.running_count(&id), 2);
     // Another order to the machine is in flight.
-    harness.submit(201, spec("req-000002", Kind::Array, 1, 1.0));
+    harness.submit(201, spec("req-000002", JobKind::Array, 1, 1.0));
     let mut ordered = false;
     for _ in 0..40 {
         harness.now += TICK_INTERVAL.0;
@@ -251,7 +251,7 @@
 fn tasks_of_a_suspected_machine_are_not_restarted_before_its_lease_expires() {
     let mut harness = SchedulerHarness::new(3);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     harness.run(3_000);
     harness.cloud_refuses_terminations = true;
     let silent = harness.first_busy_worker();
@@ -273,14 +273,14 @@
     // presumed to be at fault, and an array could never again use the only machines that fit it.
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
-    let id = harness.submit(200, spec("req-000001", Kind::Array, 4, 4.0));
+    let id = harness.submit(200, spec("req-000001", JobKind::Array, 4, 4.0));
     harness.run(2_000);
     assert_eq!(harness.running_count(&id), 4);
     for worker in harness.workers.values_mut() {
         let first = worker.tasks[0].clone();
-        SchedulerHarness::exit_task(worker, first.task, first.attempt, Cause::Done);
+        SchedulerHarness::exit_task(worker, first.task, first.attempt, ExitCause::Done);
         for status in worker.tasks.iter_mut().skip(1) {
-            (status.phase, status.cause) = (TaskPhase::Exited, Some(Cause::Error));
+            (status.phase, status.cause) = (TaskPhase::Exited, Some(ExitCause::Error));
         }
     }
     harness.run(5_000);
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -15,11 +15,11 @@
 fn longest_tick_under_urgent_overload(machines: usize) -> u64 {
     let mut harness = SchedulerHarness::new(machines);
     harness.run(2_000);
-    let low = JobSpec { priority: Priority::Low, ..spec("req-000001", Kind::Array, 8 * machines as u32, 1.0) };
+    let low = JobSpec { priority: Priority::Low, ..spec("req-000001", JobKind::Array, 8 * machines as u32, 1.0) };
     harness.submit(200, low);
     harness.run(4_000);
     for number in 0..machines as u32 {
-        harness.submit(300, spec(&format!("req-{:06}", 100 + number), Kind::Array, 16, 2.0));
+        harness.submit(300, spec(&format!("req-{:06}", 100 + number), JobKind::Array, 16, 2.0));
     }
     harness.longest_tick = OperationCounts::default();
     harness.run(3_000);
@@ -46,7 +46,7 @@
     harness.run(2_000);
     harness.longest_tick = OperationCounts::default();
     for number in 0..jobs {
-        harness.submit(300, spec(&format!("req-{:06}", 100 + number), Kind::Array, 4, 1.0));
+        harness.submit(300, spec(&format!("req-{:06}", 100 + number), JobKind::Array, 4, 1.0));
     }
     harness.run(1_000);
     let (cost, bound) = (harness.longest_tick.total(), operation_bound(machines, jobs as usize, 8 * machines));
@@ -69,16 +69,16 @@
 fn failing_preemption_searches_starve_no_job() {
     let mut harness = SchedulerHarness::new(100);
     harness.run(2_000);
-    harness.submit(200, JobSpec { priority: Priority::Low, ..spec("req-000001", Kind::Array, 800, 1.0) });
+    harness.submit(200, JobSpec { priority: Priority::Low, ..spec("req-000001", JobKind::Array, 800, 1.0) });
     harness.run(4_000);
     // All machines are in one zone, so half of the tasks of each spread service can never run. The failing searches for
     // them exceed the budget of a round.
     for number in 0..300 {
-        let service = spec(&format!("req-{:06}", 100 + number), Kind::Service, 2, 1.0);
+        let service = spec(&format!("req-{:06}", 100 + number), JobKind::Service, 2, 1.0);
         harness.submit(300, JobSpec { priority: Priority::Prod, spread: true, ..service });
     }
     harness.run(8_000);
-    let urgent = harness.submit(300, spec("req-000900", Kind::Array, 4, 2.0));
+    let urgent = harness.submit(300, spec("req-000900", JobKind::Array, 4, 2.0));
     harness.run(6_000);
     assert_eq!(harness.running_count(&urgent), 4);
 }
@@ -87,8 +87,8 @@
 fn more_reservations_than_a_tick_can_process_are_all_used() {
     let mut harness = SchedulerHarness::new(300);
     harness.run(2_000);
-    let job = harness.submit(300, spec("req-000001", Kind::Array, 2_400, 1.0));
-    let other = harness.submit(300, spec("req-000002", Kind::Array, 1, 1.0));
+    let job = harness.submit(300, spec("req-000001", JobKind::Array, 2_400, 1.0));
+    let other = harness.submit(300, spec("req-000002", JobKind::Array, 1, 1.0));
     for (number, machine) in
         harness.scheduler.machines.known.keys().cloned().collect::<Vec<_>>().iter().cycle().take(2_400).enumerate()
     {
@@ -108,7 +108,7 @@
 fn abandoned_round_starts_and_stops_nothing() {
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
-    let job = harness.submit(300, spec("req-000001", Kind::Array, 2, 1.0));
+    let job = harness.submit(300, spec("req-000001", JobKind::Array, 2, 1.0));
     for peer in ["plinth-1", "plinth-2"] {
         harness.scheduler.mark_peer_responsive(MonotonicTime(harness.now), peer);
     }
@@ -134,7 +134,7 @@
 fn cluster_state_loaded_in_parts_equals_one_loaded_at_once() {
     let rows = |count: usize| (0..count).map(machine_row).collect::<Vec<KeyValue>>();
     let job = |number: u32| {
-        let spec = spec(&format!("req-{number:06}"), Kind::Array, 2, 1.0);
+        let spec = spec(&format!("req-{number:06}"), JobKind::Array, 2, 1.0);
         KeyValue {
             key: format!("live/{}", spec.id),
             value: json!(LiveRecord { submitted_at: WallTime(0), spec, depends_on: vec![] }),
@@ -180,7 +180,7 @@
     harness.scheduler.load(MonotonicTime(0), StoredState { machines: rows.collect(), ..StoredState::default() });
     harness.run(2_000);
     let low = |number: u32, zone: &str| {
-        let spec = spec(&format!("req-{number:06}"), Kind::Array, 4, 8.0);
+        let spec = spec(&format!("req-{number:06}"), JobKind::Array, 4, 8.0);
         JobSpec { priority: Priority::Low, zone: Some(zone.into()), ..spec }
     };
     let older = harness.submit(200, low(1, "a"));
@@ -188,7 +188,7 @@
     let younger = harness.submit(200, low(2, "b"));
     harness.run(2_000);
     assert_eq!((harness.running_count(&older), harness.running_count(&younger)), (4, 2));
-    let gang = harness.submit(200, spec("req-000003", Kind::Gang, 3, 8.0));
+    let gang = harness.submit(200, spec("req-000003", JobKind::Gang, 3, 8.0));
     harness.run(6_000);
     assert_eq!((harness.running_count(&gang), harness.running_count(&younger)), (3, 2), "no task is stopped in zone b");
 }
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -7,7 +7,7 @@
 fn largest_gang_starts_while_smaller_gangs_keep_arriving() {
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
-    let gang = |number: u32, tasks: u32| spec(&format!("req-{number:06}"), Kind::Gang, tasks, 8.0);
+    let gang = |number: u32, tasks: u32| spec(&format!("req-{number:06}"), JobKind::Gang, tasks, 8.0);
     for number in 1..=8 {
         harness.submit(200, gang(number, 1));
     }
@@ -28,7 +28,7 @@
             harness
                 .workers
                 .values_mut()
-                .for_each(|worker| SchedulerHarness::exit_task(worker, task, attempt, Cause::Done));
+                .for_each(|worker| SchedulerHarness::exit_task(worker, task, attempt, ExitCause::Done));
         }
         harness.run(2_000);
         if harness.running_count(&large) == 6 {
@@ -43,12 +43,13 @@
 fn work_within_a_guarantee_preempts_work_beyond_guarantees() {
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
-    let beyond = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let beyond = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     harness.run(2_000);
     assert_eq!(harness.running_count(&beyond), 2);
     // team-a's guarantee of 8 CPUs covers exactly one machine.
-    let within = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000002", Kind::Array, 1, 8.0) });
-    let exceeding = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000003", Kind::Array, 1, 8.0) });
+    let within = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000002", JobKind::Array, 1, 8.0) });
+    let exceeding =
+        harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000003", JobKind::Array, 1, 8.0) });
     harness.run(2_000);
     assert_eq!(
         (harness.running_count(&within), harness.running_count(&exceeding), harness.running_count(&beyond)),
@@ -60,14 +61,14 @@
 fn image_fetch_counts_as_late_start_of_a_lost_replica_however_old_its_service_is() {
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
-    let feed = |id: &str, kind: Kind| JobSpec {
+    let feed = |id: &str, kind: JobKind| JobSpec {
         class: "feed".into(),
         priority: Priority::Prod,
         image_gb: 20.0,
         ..spec(id, kind, 1, 9.0)
     };
-    let service = harness.submit(200, feed("req-000001", Kind::Service));
-    let array = harness.submit(200, feed("req-000002", Kind::Array));
+    let service = harness.submit(200, feed("req-000001", JobKind::Service));
+    let array = harness.submit(200, feed("req-000002", JobKind::Array));
     let machine = MachineId::parse("m-000000").unwrap();
     // Fetching the image takes 20 s and the class's start-time objective is 3 s. Both jobs are older than that.
     let old = JobView { age_s: 100.0, ..JobView::default() };
@@ -145,7 +146,7 @@
         scheduler.gpus.lendable.len()
     };
     assert_eq!(lendable_count(&mut scheduler, MonotonicTime(0), &BTreeSet::new()), 4, "no job needs GPUs");
-    let mut gang = spec("req-000001", Kind::Gang, 3, 1.0);
+    let mut gang = spec("req-000001", JobKind::Gang, 3, 1.0);
     gang.gpus = scheduler.catalog.types[gpu].gpus;
     let id = JobId::parse(&gang.id).unwrap();
     scheduler.on_job_accepted(
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -140,6 +140,6 @@
     /// Live jobs other than services, which never end by themselves.
     pub(super) fn unfinished_jobs(&self) -> Vec<String> {
         let live = self.store.keys().filter_map(|key| key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse));
-        live.filter(|id| self.specs[id].kind != Kind::Service).map(|id| id.to_string()).collect()
+        live.filter(|id| self.specs[id].kind != JobKind::Service).map(|id| id.to_string()).collect()
     }
 }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -35,8 +35,8 @@
 use crate::peer::{PlanInput, PlanOutput};
 use crate::time::{Millis, MonotonicTime, WallTime};
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobPhase, JobSpec, KeyValue, Kind, MachineType, Mutation, Order,
-    Precondition, Priority, ProvisionRequest, TaskPhase, TaskStatus, Transaction,
+    DirectOrders, ExitCause, Heartbeat, HeartbeatResponse, JobKind, JobPhase, JobSpec, KeyValue, MachineType, Mutation,
+    Order, Precondition, Priority, ProvisionRequest, TaskPhase, TaskStatus, Transaction,
 };
 use fixedbitset::FixedBitSet;
 use rand::rngs::StdRng;
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -40,7 +40,7 @@
 
     /// Draws the spec of a new job. The order of the fields in the literal is the order of the draws.
     fn random_spec(&mut self, id: &JobId) -> JobSpec {
-        let kind = [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
+        let kind = [JobKind::Array, JobKind::Array, JobKind::Gang, JobKind::Service][self.rng.random_range(0..4)];
         let gpu = self.chance(0.2);
         JobSpec {
             id: id.to_string(),
@@ -48,11 +48,11 @@
             team: if self.chance(0.6) { "team-a".into() } else { "team-b".into() },
             kind,
             priority: match kind {
-                Kind::Service => Priority::Prod,
-                Kind::Gang => Priority::High,
-                Kind::Array => [Priority::Normal, Priority::Low][self.rng.random_range(0..2)],
+                JobKind::Service => Priority::Prod,
+                JobKind::Gang => Priority::High,
+                JobKind::Array => [Priority::Normal, Priority::Low][self.rng.random_range(0..2)],
             },
-            tasks: if kind == Kind::Array { self.rng.random_range(1..20) } else { self.rng.random_range(1..4) },
+            tasks: if kind == JobKind::Array { self.rng.random_range(1..20) } else { self.rng.random_range(1..4) },
             cpus: self.rng.random_range(1..5) as f64,
             gpus: if gpu { 1.0 } else { 0.0 },
             memory_gb: 2.0,
@@ -60,11 +60,11 @@
             image_gb: 1.0,
             types: if self.chance(0.1) { Some(vec!["large".into()]) } else { None },
             zone: if self.chance(0.1) { Some("a".into()) } else { None },
-            one_zone: kind == Kind::Gang && self.chance(0.5),
-            spread: kind == Kind::Service,
-            spot: kind != Kind::Service && self.chance(0.6),
+            one_zone: kind == JobKind::Gang && self.chance(0.5),
+            spread: kind == JobKind::Service,
+            spot: kind != JobKind::Service && self.chance(0.6),
             estimate_s: 5.0,
-            checkpoint_s: if kind == Kind::Gang { 2.0 } else { 0.0 },
+            checkpoint_s: if kind == JobKind::Gang { 2.0 } else { 0.0 },
             save_s: 0.5,
             deadline_s: None,
         }
@@ -72,7 +72,7 @@
 
     /// Draws up to two dependencies from the five latest jobs that are not services. Services never end.
     fn random_dependencies(&mut self, new: JobId) -> Vec<JobId> {
-        let earlier = self.specs.iter().rev().filter(|(id, spec)| **id != new && spec.kind != Kind::Service);
+        let earlier = self.specs.iter().rev().filter(|(id, spec)| **id != new && spec.kind != JobKind::Service);
         let earlier: Vec<JobId> = earlier.map(|(id, _)| *id).take(5).collect();
         let count = self.rng.random_range(1..3);
         earlier.into_iter().filter(|_| self.rng.random_bool(0.4)).take(count).collect()
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -15,7 +15,7 @@
 pub(super) struct AttemptState {
     phase: TaskPhase,
     /// Why the attempt exited, or `None` while it is active.
-    cause: Option<Cause>,
+    cause: Option<ExitCause>,
     /// When the current phase ends.
     next_phase_at: u64,
     /// Whether the progress of a stopped attempt was saved.
@@ -70,7 +70,7 @@
         self.phase == TaskPhase::Exited
     }
 
-    fn exit(&mut self, cause: Cause) {
+    fn exit(&mut self, cause: ExitCause) {
         self.phase = TaskPhase::Exited;
         self.cause = Some(cause);
     }
@@ -86,17 +86,17 @@
             TaskPhase::Exited => {}
             TaskPhase::Flushing if has_leeway => {}
             TaskPhase::Pulling | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Flushing => {
-                self.exit(Cause::Halted);
+                self.exit(ExitCause::Halted);
             }
         }
     }
 
     /// Ends the pulling phase. Members of a gang then wait for the others; other tasks run.
-    fn finish_pulling(&mut self, kind: Kind, fails: bool, run_time: u64, now: u64) {
-        self.phase = if kind == Kind::Gang { TaskPhase::Waiting } else { TaskPhase::Running };
+    fn finish_pulling(&mut self, kind: JobKind, fails: bool, run_time: u64, now: u64) {
+        self.phase = if kind == JobKind::Gang { TaskPhase::Waiting } else { TaskPhase::Running };
         self.next_phase_at = now + run_time;
         if fails {
-            self.exit(Cause::Error);
+            self.exit(ExitCause::Error);
         }
     }
 }
@@ -205,7 +205,7 @@
             return;
         }
         let cleared = tasks.remove(&(task, attempt));
-        if cleared.is_some_and(|cleared| cleared.cause == Some(Cause::Done)) {
+        if cleared.is_some_and(|cleared| cleared.cause == Some(ExitCause::Done)) {
             self.cleared_tasks.insert(task);
             self.check_cleared_tasks_are_done();
         }
@@ -260,12 +260,12 @@
                     let run_time = 2_000 + (attempt.0 * 7919 + u64::from(task.index) * 104_729) % 6_000;
                     state.finish_pulling(kind, worker.fails_tasks, run_time, now);
                 }
-                TaskPhase::Running if kind == Kind::Array => {
-                    state.exit(Cause::Done);
+                TaskPhase::Running if kind == JobKind::Array => {
+                    state.exit(ExitCause::Done);
                     self.completed_tasks.insert(*task);
                 }
                 TaskPhase::Flushing => {
-                    state.exit(Cause::Halted);
+                    state.exit(ExitCause::Halted);
                     state.progress_saved = true;
                 }
                 TaskPhase::Running | TaskPhase::Waiting | TaskPhase::Exited => {}
@@ -358,10 +358,10 @@
                     member.phase = TaskPhase::Running;
                     member.next_phase_at = now + 4_000;
                 } else if done {
-                    member.exit(Cause::Done);
+                    member.exit(ExitCause::Done);
                     self.completed_tasks.insert(*task);
                 } else if broken && member.phase == TaskPhase::Running {
-                    member.exit(Cause::MatesGone);
+                    member.exit(ExitCause::MatesGone);
                 }
             }
         }
@@ -372,7 +372,7 @@
         let mut members: BTreeMap<(JobId, Attempt), Vec<(usize, TaskId)>> = BTreeMap::new();
         for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_gone) {
             for ((task, attempt), state) in &worker.tasks {
-                if self.specs[&task.job].kind == Kind::Gang && !state.has_exited() {
+                if self.specs[&task.job].kind == JobKind::Gang && !state.has_exited() {
                     members.entry((task.job, *attempt)).or_default().push((index, *task));
                 }
             }
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Team;
 use crate::ids::JobId;
-use crate::wire::{JobSpec, Kind, MachineType};
+use crate::wire::{JobKind, JobSpec, MachineType};
 use serde_json::Value;
 use std::collections::BTreeSet;
 
@@ -174,14 +174,14 @@
     }
     // All tasks of a gang run at the same time, so a gang that must be spread over zones needs at least two; a job
     // that must stay in one zone has only one.
-    if spec.kind == Kind::Gang
+    if spec.kind == JobKind::Gang
         && spec.spread
         && spec.tasks > 1
         && (spec.one_zone || allowed_zones(spec, types).len() < 2)
     {
         return Err(UnsatisfiableSubmission::SpreadOverOneZone);
     }
-    let tasks_at_once = if spec.kind == Kind::Array { 1.0 } else { spec.tasks as f64 };
+    let tasks_at_once = if spec.kind == JobKind::Array { 1.0 } else { spec.tasks as f64 };
     let exceeds = |per_task: f64, limit: f64| limit > 0.0 && per_task * tasks_at_once > limit + ROUNDING_TOLERANCE;
     if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
         return Err(UnsatisfiableSubmission::BeyondTeamLimit);
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -75,11 +75,11 @@
     assert!(!is_satisfiable(&|spec| spec.types = Some(vec!["h1".into()])));
     // Team-a is limited to 40 CPUs. All tasks of a gang count at once, those of an array one by one.
     assert!(!is_satisfiable(&|spec| spec.tasks = 6));
-    assert!(is_satisfiable(&|spec| (spec.tasks, spec.kind) = (6, Kind::Array)));
+    assert!(is_satisfiable(&|spec| (spec.tasks, spec.kind) = (6, JobKind::Array)));
     // A spread gang allows half of its tasks in a zone, so it cannot run in the only zone there is.
     assert!(!is_satisfiable(&|spec| spec.spread = true));
     assert!(is_satisfiable(&|spec| (spec.spread, spec.tasks) = (true, 1)));
-    assert!(is_satisfiable(&|spec| (spec.spread, spec.kind) = (true, Kind::Array)));
+    assert!(is_satisfiable(&|spec| (spec.spread, spec.kind) = (true, JobKind::Array)));
     assert!(!is_satisfiable(&|spec| (spec.spread, spec.one_zone) = (true, false)), "only one zone exists");
     // A limit of 0 means that the team has no limit.
     assert!(is_satisfiable(&|spec| (spec.tasks, spec.team) = (6, "team-b".into())));
@@ -122,7 +122,7 @@
     assert_eq!(malformed("cores", json!(-1.0)), "cores is out of range");
     assert_eq!(malformed("lots", json!(0)), "lots must be 1 to 100000");
     assert_eq!(malformed("cast", json!("")), "cast must have 1 to 200 bytes");
-    assert_eq!(malformed("shape", json!(1)), serde_json::from_value::<Kind>(json!(1)).unwrap_err().to_string());
+    assert_eq!(malformed("shape", json!(1)), serde_json::from_value::<JobKind>(json!(1)).unwrap_err().to_string());
     assert_eq!(malformed("awaits", json!([1])), "awaits: invalid type: integer `1`, expected a string");
     assert_eq!(malformed("awaits", json!(["job-1"])), "awaits job-1, which was never accepted");
 
--- a/src/net/dependency_check.rs
+++ b/src/net/dependency_check.rs
@@ -7,7 +7,7 @@
 use crate::core::records::{LiveRecord, has_dependencies};
 use crate::ids::JobId;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{KeyValue, Kind};
+use crate::wire::{JobKind, KeyValue};
 use std::collections::HashMap;
 use std::pin::Pin;
 
@@ -105,8 +105,8 @@
         return Ok(CheckResult { status: DependencyStatus::Live, read_at: now });
     };
     let status = match record.spec.kind {
-        Kind::Service => DependencyStatus::Service,
-        Kind::Array | Kind::Gang => DependencyStatus::Live,
+        JobKind::Service => DependencyStatus::Service,
+        JobKind::Array | JobKind::Gang => DependencyStatus::Live,
     };
     if record.depends_on.is_empty() || max_depth == 0 {
         return Ok(CheckResult { status, read_at: now });
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,7 +6,7 @@
 mod user;
 mod worker;
 
-pub use cloud::{ListPhase, ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, ProvisionRequest};
+pub use cloud::{ListedMachine, MachineList, MachineNames, MachinePhase, MachineType, MachineTypes, ProvisionRequest};
 pub use store::{KeyValue, Mutation, Precondition, RangeResponse, Transaction, WatchEvent, WatchResponse};
-pub use user::{JobPhase, JobSpec, JobStatus, Kind, Priority};
-pub use worker::{Cause, DirectOrders, Heartbeat, HeartbeatResponse, Order, TaskPhase, TaskStatus};
+pub use user::{JobKind, JobPhase, JobSpec, JobStatus, Priority};
+pub use worker::{DirectOrders, ExitCause, Heartbeat, HeartbeatResponse, Order, TaskPhase, TaskStatus};
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -64,6 +64,7 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// Maximum number of machines to provision, 50 or less.
+    #[serde(rename = "number")]
     pub number: u32,
 }
 
@@ -77,7 +78,7 @@
 /// Phase of a machine in the cloud's list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListPhase {
+pub enum MachinePhase {
     /// Not up yet. Some machines never come up.
     Starting,
     /// Up, or failed only recently.
@@ -104,7 +105,7 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// Its phase.
-    pub phase: ListPhase,
+    pub phase: MachinePhase,
     /// Seconds between the request that provisioned it and the time that the list describes.
     #[serde(default)]
     pub age_s: f64,
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -4,7 +4,7 @@
 
 /// Kind of a job, which determines how its tasks run together (`shape` in PROTOCOL).
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Array,
@@ -43,7 +43,7 @@
     pub team: String,
     /// Kind of the job.
     #[serde(rename = "shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority of the job (PROTOCOL, "Preemption").
     #[serde(rename = "rank")]
     pub priority: Priority,
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -24,7 +24,7 @@
 /// Why a task has exited, or was refused by the worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// The task completed successfully.
     Done,
     /// The task was stopped by an order.
@@ -59,16 +59,16 @@
     pub phase: TaskPhase,
     /// Why the task has exited; `None` if it hasn't.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether a stopped task saved its progress; `None` if the worker doesn't report it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
 
 impl TaskStatus {
     /// Whether the task has completed successfully.
     pub fn is_done(&self) -> bool {
-        self.phase == TaskPhase::Exited && self.cause == Some(Cause::Done)
+        self.phase == TaskPhase::Exited && self.cause == Some(ExitCause::Done)
     }
 }
 
--- a/tests/golden/values.rs
+++ b/tests/golden/values.rs
@@ -2,7 +2,7 @@
 //! that two swapped fields show.
 
 use wallstile::ids::{JobId, TaskId};
-use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
+use wallstile::wire::{JobKind, JobSpec, MachineType, Priority};
 
 pub(crate) fn job_id() -> JobId {
     job_named("req-000412")
@@ -22,7 +22,7 @@
         id: "req-000412".into(),
         class: "train".into(),
         team: "team-a".into(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::High,
         tasks: 17,
         cpus: 2.5,
@@ -44,7 +44,7 @@
 
 pub(crate) fn sparse_job() -> JobSpec {
     JobSpec {
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Low,
         types: None,
         zone: None,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -7,39 +7,39 @@
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber};
 use wallstile::net::user_api::Reply;
 use wallstile::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobPhase, JobStatus, KeyValue, Kind, ListPhase, ListedMachine,
-    MachineList, MachineNames, MachineType, MachineTypes, Mutation, Order, Precondition, Priority, ProvisionRequest,
-    RangeResponse, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
+    DirectOrders, ExitCause, Heartbeat, HeartbeatResponse, JobKind, JobPhase, JobStatus, KeyValue, ListedMachine,
+    MachineList, MachineNames, MachinePhase, MachineType, MachineTypes, Mutation, Order, Precondition, Priority,
+    ProvisionRequest, RangeResponse, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
 };
 
 #[test]
 fn enum_names_are_the_samples() {
     let samples = Samples::wire();
-    samples.assert_both_ways("kinds", &[Kind::Array, Kind::Gang, Kind::Service]);
+    samples.assert_both_ways("kinds", &[JobKind::Array, JobKind::Gang, JobKind::Service]);
     samples.assert_both_ways("priorities", &[Priority::Prod, Priority::High, Priority::Normal, Priority::Low]);
     let phases = [JobPhase::Queued, JobPhase::Running, JobPhase::Done, JobPhase::Aborted];
     samples.assert_both_ways("job_phases", &phases);
     let phases = [TaskPhase::Pulling, TaskPhase::Waiting, TaskPhase::Running, TaskPhase::Flushing, TaskPhase::Exited];
     samples.assert_both_ways("task_phases", &phases);
-    samples.assert_both_ways("list_phases", &[ListPhase::Starting, ListPhase::Running, ListPhase::Failed]);
+    samples.assert_both_ways("list_phases", &[MachinePhase::Starting, MachinePhase::Running, MachinePhase::Failed]);
     let causes = [
-        Cause::Done,
-        Cause::Halted,
-        Cause::MatesGone,
-        Cause::Alone,
-        Cause::Error,
-        Cause::NoRoom,
-        Cause::InUse,
-        Cause::Unknown,
-        Cause::Other,
+        ExitCause::Done,
+        ExitCause::Halted,
+        ExitCause::MatesGone,
+        ExitCause::Alone,
+        ExitCause::Error,
+        ExitCause::NoRoom,
+        ExitCause::InUse,
+        ExitCause::Unknown,
+        ExitCause::Other,
     ];
     samples.assert_both_ways("causes", &causes);
 }
 
 #[test]
 fn cause_of_a_later_version_is_read() {
-    let causes: Vec<Cause> = Samples::wire().read("causes_of_a_later_version");
-    assert_eq!(causes, [Cause::Other]);
+    let causes: Vec<ExitCause> = Samples::wire().read("causes_of_a_later_version");
+    assert_eq!(causes, [ExitCause::Other]);
 }
 
 // ---- users
@@ -87,7 +87,7 @@
         task: Some(task(3)),
         attempt: Attempt(70_000_000_001),
         phase: TaskPhase::Exited,
-        cause: Some(Cause::MatesGone),
+        cause: Some(ExitCause::MatesGone),
         kept: Some(true),
     }
 }
@@ -175,13 +175,13 @@
         kind: "g8".into(),
         zone: "a".into(),
         spot: true,
-        phase: ListPhase::Running,
+        phase: MachinePhase::Running,
         age_s: 62.5,
     };
     let samples = Samples::wire();
     samples.assert_both_ways("listed_machine", &machine);
     let id = "m-000232".into();
-    let starting = ListedMachine { id, endpoint: None, phase: ListPhase::Starting, age_s: 0.0, ..machine.clone() };
+    let starting = ListedMachine { id, endpoint: None, phase: MachinePhase::Starting, age_s: 0.0, ..machine.clone() };
     samples.assert_both_ways("listed_machine_starting", &starting);
     let page: MachineList = samples.read("machine_list");
     assert!(page.has_next);
