--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -63,7 +63,8 @@
     fn load(&mut self, machines: usize) {
         let row = |worker: &Worker| {
             let heartbeat = &worker.heartbeat;
-            let (endpoint, kind, zone) = (heartbeat.endpoint.clone(), heartbeat.kind.clone(), heartbeat.zone.clone());
+            let (endpoint, kind, zone) =
+                (heartbeat.endpoint.clone(), heartbeat.machine_type.clone(), heartbeat.zone.clone());
             let record = MachineRecord { endpoint, kind, zone, spot: heartbeat.spot };
             KeyValue {
                 key: format!("{MACHINE_PREFIX}{}", heartbeat.machine),
--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -33,7 +33,7 @@
         let heartbeat = Heartbeat {
             machine: format!("m-{index:06}"),
             endpoint,
-            kind: if index.is_multiple_of(LARGE_EVERY) { "large" } else { "small" }.into(),
+            machine_type: if index.is_multiple_of(LARGE_EVERY) { "large" } else { "small" }.into(),
             zone: if index.is_multiple_of(2) { "a" } else { "b" }.into(),
             spot: false,
             agent_epoch: AgentEpoch(1),
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -62,7 +62,9 @@
     /// on it.
     fn retire_failed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         if !self.machines.known.contains_key(&id) {
-            let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
+            let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.machine_type, &listed.zone) else {
+                return;
+            };
             let machine = Machine::new(String::new(), kind, zone, listed.spot, now);
             self.machines.known.insert(id.clone(), machine);
         }
@@ -73,7 +75,7 @@
 
     /// Adds a machine that is unknown except for the cloud's list.
     fn add_listed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
-        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
+        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.machine_type, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
         // The subtraction saturates, as the machine may be older than this process's monotonic clock.
         machine.created_at = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
@@ -86,7 +88,7 @@
             machine.retiring = true;
             self.machines.stop_awaiting_first_heartbeat(&id);
         }
-        info!("machine {id} added from the cloud's list: kind={} zone={}", listed.kind, listed.zone);
+        info!("machine {id} added from the cloud's list: kind={} zone={}", listed.machine_type, listed.zone);
         self.machines.known.insert(id, machine);
         self.rounds.request();
     }
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -129,8 +129,8 @@
         if !heartbeat.tasks.is_empty() {
             return Err(HeartbeatRejection::NoRecord { tasks: heartbeat.tasks.len() });
         }
-        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&heartbeat.kind, &heartbeat.zone) else {
-            let (kind, zone) = (heartbeat.kind.clone(), heartbeat.zone.clone());
+        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&heartbeat.machine_type, &heartbeat.zone) else {
+            let (kind, zone) = (heartbeat.machine_type.clone(), heartbeat.zone.clone());
             return Err(HeartbeatRejection::UnknownPool { kind, zone });
         };
         // No leader has sent it orders, as a machine's record is stored before its first order. So it counts
--- a/src/core/scheduler/heartbeats/tests.rs
+++ b/src/core/scheduler/heartbeats/tests.rs
@@ -21,7 +21,7 @@
     Heartbeat {
         machine: "m-000001".into(),
         endpoint: "worker".into(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: AgentEpoch(1),
@@ -50,7 +50,7 @@
     let unknown = HeartbeatRejection::UnknownPool { kind: "other".into(), zone: "a".into() };
     let cases = [
         (Heartbeat { machine: "m/1".into(), ..first_heartbeat() }, HeartbeatRejection::MalformedName),
-        (Heartbeat { kind: "other".into(), ..first_heartbeat() }, unknown),
+        (Heartbeat { machine_type: "other".into(), ..first_heartbeat() }, unknown),
         (Heartbeat { tasks: vec![listed], ..first_heartbeat() }, HeartbeatRejection::NoRecord { tasks: 1 }),
     ];
     for (heartbeat, expected) in cases {
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -87,7 +87,7 @@
         for (name, request) in self.provisioner.start_due(now) {
             self.effects.push(Effect::Provision(ProvisionRequest {
                 name,
-                kind: self.catalog.types[request.pool.kind].name.clone(),
+                machine_type: self.catalog.types[request.pool.kind].name.clone(),
                 zone: self.catalog.zones[request.pool.zone as usize].clone(),
                 spot: request.pool.spot,
                 number: request.count,
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -140,7 +140,7 @@
         Heartbeat {
             machine: format!("m-{index:06}"),
             endpoint: format!("w{index}"),
-            kind: "plain".into(),
+            machine_type: "plain".into(),
             zone: "a".into(),
             spot: false,
             agent_epoch: AgentEpoch(1),
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -187,7 +187,7 @@
         let listed = |heartbeat: &Heartbeat| ListedMachine {
             id: heartbeat.machine.clone(),
             endpoint: Some(heartbeat.endpoint.clone()),
-            kind: heartbeat.kind.clone(),
+            machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
             phase: MachinePhase::Running,
@@ -308,7 +308,7 @@
 
     fn add_worker(&mut self, request: &ProvisionRequest) -> String {
         let (index, boots_at) = (self.workers.len(), self.now + BOOT_TIME_MS);
-        let worker = SimulatedWorker::new(index, &request.kind, &request.zone, request.spot, boots_at);
+        let worker = SimulatedWorker::new(index, &request.machine_type, &request.zone, request.spot, boots_at);
         let name = worker.heartbeat.machine.clone();
         self.workers.push(Some(worker));
         name
--- a/src/core/scheduler/tests/digest/worker.rs
+++ b/src/core/scheduler/tests/digest/worker.rs
@@ -18,7 +18,7 @@
         let kind = kind.into();
         let heartbeat = Heartbeat {
             endpoint: index.to_string(),
-            kind,
+            machine_type: kind,
             zone: zone.into(),
             spot,
             ..SchedulerHarness::idle_heartbeat(index)
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn machine_row(&self) -> KeyValue {
-        let Heartbeat { endpoint, kind, zone, spot, .. } = self.heartbeat.clone();
+        let Heartbeat { endpoint, machine_type: kind, zone, spot, .. } = self.heartbeat.clone();
         let value = json!(MachineRecord { endpoint, kind, zone, spot });
         KeyValue { key: format!("{MACHINE_PREFIX}{}", self.heartbeat.machine), value, revision: 1 }
     }
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -16,7 +16,7 @@
         if self.workers.iter().filter(|worker| !worker.is_gone).count() >= MAX_MACHINES {
             return ProvisionOutcome::NoCapacity;
         }
-        let type_index = self.types.iter().position(|machine_type| machine_type.name == request.kind).unwrap();
+        let type_index = self.types.iter().position(|machine_type| machine_type.name == request.machine_type).unwrap();
         let zone_index = self.types[type_index].zones.iter().position(|zone| *zone == request.zone).unwrap();
         let names: Vec<String> = (0..request.number.min(MAX_MACHINES_PER_REQUEST))
             .map(|_| {
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -161,7 +161,7 @@
         Heartbeat {
             machine: format!("m-{index:06}"),
             endpoint: index.to_string(),
-            kind: machine_type.name.clone(),
+            machine_type: machine_type.name.clone(),
             zone: machine_type.zones[worker.zone_index].clone(),
             spot: worker.spot,
             agent_epoch: AgentEpoch(worker.agent_epoch),
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -56,7 +56,7 @@
     pub name: String,
     /// Name of the machine type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone to provision in.
     #[serde(rename = "quay")]
     pub zone: String,
@@ -97,7 +97,7 @@
     pub endpoint: Option<String>,
     /// Name of its machine type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     #[serde(rename = "quay")]
     pub zone: String,
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -89,7 +89,7 @@
     pub endpoint: String,
     /// Name of the machine type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "quay")]
     pub zone: String,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -100,7 +100,7 @@
     Heartbeat {
         machine: "m-000231".into(),
         endpoint: "10.1.0.7:9000".into(),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: AgentEpoch(31),
@@ -161,7 +161,8 @@
 
 #[test]
 fn provision_requests_are_the_samples() {
-    let request = ProvisionRequest { name: "w31-2".into(), kind: "g8".into(), zone: "a".into(), spot: true, number: 6 };
+    let request =
+        ProvisionRequest { name: "w31-2".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, number: 6 };
     Samples::wire().assert_both_ways("rent_request", &request);
     let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
     Samples::wire().assert_both_ways("machine_names", &names);
@@ -172,7 +173,7 @@
     let machine = ListedMachine {
         id: "m-000231".into(),
         endpoint: Some("10.1.0.7:9000".into()),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         phase: MachinePhase::Running,
