--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -60,7 +60,7 @@
                         attempt: *attempt,
                         phase: TaskPhase::Running,
                         cause: None,
-                        kept: None,
+                        progress_saved: None,
                     };
                     self.heartbeat.tasks.push(listed);
                     self.ends.insert((*task, *attempt), now + RUN_MS);
--- a/src/core/scheduler/heartbeats/tests.rs
+++ b/src/core/scheduler/heartbeats/tests.rs
@@ -45,7 +45,7 @@
         attempt: Attempt(1),
         phase: TaskPhase::Running,
         cause: None,
-        kept: None,
+        progress_saved: None,
     };
     let unknown = HeartbeatRejection::UnknownPool { kind: "other".into(), zone: "a".into() };
     let cases = [
@@ -96,7 +96,7 @@
         attempt: Attempt(1),
         phase: TaskPhase::Running,
         cause: None,
-        kept: None,
+        progress_saved: None,
     };
     let excess = MAX_ORDERS_PER_MESSAGE + 1;
     for tasks in [MAX_ORDERS_PER_MESSAGE, excess] {
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -90,7 +90,7 @@
                 machine_type: self.catalog.types[request.pool.kind].name.clone(),
                 zone: self.catalog.zones[request.pool.zone as usize].clone(),
                 spot: request.pool.spot,
-                number: request.count,
+                count: request.count,
             }));
         }
     }
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -228,7 +228,7 @@
                     attempt: *attempt,
                     phase: TaskPhase::Running,
                     cause: None,
-                    kept: None,
+                    progress_saved: None,
                 }),
                 Order::Stop { task, attempt, .. } => {
                     SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, ExitCause::Halted);
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -302,7 +302,7 @@
         match self.effect_counts.provisions % 4 {
             1 => ProvisionOutcome::NoCapacity,
             3 => ProvisionOutcome::Unknown,
-            _ => ProvisionOutcome::Provisioned((0..request.number.min(3)).map(|_| self.add_worker(request)).collect()),
+            _ => ProvisionOutcome::Provisioned((0..request.count.min(3)).map(|_| self.add_worker(request)).collect()),
         }
     }
 
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -152,8 +152,13 @@
     let mut duplicate = SchedulerHarness::idle_heartbeat(7);
     duplicate.sequence = SequenceNumber(9);
     let attempt = Attempt::new(Term(40), 1);
-    let status =
-        TaskStatus { task: TaskId::parse("req-000001/0"), attempt, phase: TaskPhase::Running, cause: None, kept: None };
+    let status = TaskStatus {
+        task: TaskId::parse("req-000001/0"),
+        attempt,
+        phase: TaskPhase::Running,
+        cause: None,
+        progress_saved: None,
+    };
     duplicate.tasks.push(status);
     assert_eq!(
         harness.scheduler.on_heartbeat(MonotonicTime(10), &duplicate),
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -18,7 +18,7 @@
         }
         let type_index = self.types.iter().position(|machine_type| machine_type.name == request.machine_type).unwrap();
         let zone_index = self.types[type_index].zones.iter().position(|zone| *zone == request.zone).unwrap();
-        let names: Vec<String> = (0..request.number.min(MAX_MACHINES_PER_REQUEST))
+        let names: Vec<String> = (0..request.count.min(MAX_MACHINES_PER_REQUEST))
             .map(|_| {
                 let boots_at = self.now + self.rng.random_range(100..12_000);
                 self.add_worker(type_index, zone_index, request.spot, boots_at)
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -140,7 +140,7 @@
             attempt: *attempt,
             phase: state.phase,
             cause: state.cause,
-            kept: state.progress_saved.then_some(true),
+            progress_saved: state.progress_saved.then_some(true),
         };
         self.tasks.iter().map(status).collect()
     }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -65,7 +65,7 @@
     pub spot: bool,
     /// Maximum number of machines to provision, 50 or less.
     #[serde(rename = "number")]
-    pub number: u32,
+    pub count: u32,
 }
 
 /// Names of machines: the response to a [`ProvisionRequest`], and the body of a termination request (at most 100).
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -62,7 +62,7 @@
     pub cause: Option<ExitCause>,
     /// Whether a stopped task saved its progress; `None` if the worker doesn't report it.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
-    pub kept: Option<bool>,
+    pub progress_saved: Option<bool>,
 }
 
 impl TaskStatus {
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -88,12 +88,12 @@
         attempt: Attempt(70_000_000_001),
         phase: TaskPhase::Exited,
         cause: Some(ExitCause::MatesGone),
-        kept: Some(true),
+        progress_saved: Some(true),
     }
 }
 
 fn sparse_task() -> TaskStatus {
-    TaskStatus { phase: TaskPhase::Pulling, cause: None, kept: None, ..full_task() }
+    TaskStatus { phase: TaskPhase::Pulling, cause: None, progress_saved: None, ..full_task() }
 }
 
 fn full_report() -> Heartbeat {
@@ -162,7 +162,7 @@
 #[test]
 fn provision_requests_are_the_samples() {
     let request =
-        ProvisionRequest { name: "w31-2".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, number: 6 };
+        ProvisionRequest { name: "w31-2".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 6 };
     Samples::wire().assert_both_ways("rent_request", &request);
     let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
     Samples::wire().assert_both_ways("machine_names", &names);
