--- a/src/core/scheduler/placement_checks.rs
+++ b/src/core/scheduler/placement_checks.rs
@@ -56,7 +56,7 @@
     fn permits_pool(&self, spec: &JobSpec, pool: InstancePool) -> bool {
         submissions::is_eligible_type(spec, &self.catalog.types[pool.kind])
             && spec.zone.as_ref().is_none_or(|zone| *zone == self.catalog.zones[pool.zone as usize])
-            && (spec.spot || !pool.spot)
+            && (spec.allows_spot || !pool.spot)
     }
 
     /// The instance pools on whose machines the job may run.
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -110,8 +110,8 @@
             zone: spec.zone.as_ref().map(|zone| self.zone_index(zone)),
             one_zone: spec.one_zone,
             spread: spec.spread,
-            spot: spec.spot,
-            new_spot: spec.spot && !job.no_new_spot,
+            spot: spec.allows_spot,
+            new_spot: spec.allows_spot && !job.no_new_spot,
             run_s,
             due_s,
             slo_deadline_s,
@@ -150,7 +150,7 @@
     /// Indices of the machine types that a job is restricted to; empty if it may use any. If none of them is
     /// known, the result is [`UNKNOWN_INDEX`], which matches no machine.
     fn allowed_types(&self, spec: &JobSpec) -> Vec<u32> {
-        let Some(names) = &spec.types else { return Vec::new() };
+        let Some(names) = &spec.allowed_types else { return Vec::new() };
         let index_of =
             |name: &String| self.catalog.types.iter().position(|known| known.name == *name).map(|index| index as u32);
         let known: Vec<u32> = names.iter().filter_map(index_of).collect();
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -73,7 +73,7 @@
         let basic = |kind: JobKind, tasks: u32, cpus: f64| JobSpec {
             priority: Priority::Normal,
             image: format!("img-{}", number % 7),
-            spot: kind != JobKind::Service,
+            allows_spot: kind != JobKind::Service,
             ..spec(&id, kind, tasks, cpus)
         };
         let of_team_a = |spec: JobSpec| JobSpec { team: "team-a".into(), ..spec };
@@ -90,9 +90,9 @@
             4 => JobSpec { priority: Priority::Low, ..basic(JobKind::Array, 150, 2.0) },
             5 => of_team_a(basic(JobKind::Array, 10, 1.0)),
             6 => JobSpec { gpus: 2.0, priority: Priority::High, ..basic(JobKind::Gang, 5, 4.0) },
-            7 => JobSpec { types: Some(vec!["large".into()]), ..basic(JobKind::Array, 8, 16.0) },
+            7 => JobSpec { allowed_types: Some(vec!["large".into()]), ..basic(JobKind::Array, 8, 16.0) },
             8 => JobSpec { zone: Some("b".into()), ..basic(JobKind::Array, 30, 4.0) },
-            _ => JobSpec { priority: Priority::High, spot: false, ..basic(JobKind::Gang, 3, 32.0) },
+            _ => JobSpec { priority: Priority::High, allows_spot: false, ..basic(JobKind::Gang, 3, 32.0) },
         }
     }
 
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -61,12 +61,12 @@
         let (now, worker) = (self.now, &self.workers[index]);
         let machine_type = &self.types[worker.type_index];
         let zone = &machine_type.zones[worker.zone_index];
-        assert!(!worker.spot || spec.spot, "{task} starts on a spot machine, which its job doesn't permit");
+        assert!(!worker.spot || spec.allows_spot, "{task} starts on a spot machine, which its job doesn't permit");
         assert!(
             spec.zone.as_ref().is_none_or(|wanted| wanted == zone),
             "{task} starts in a zone that its job doesn't permit"
         );
-        let types = spec.types.as_ref();
+        let types = spec.allowed_types.as_ref();
         assert!(
             types.is_none_or(|types| types.contains(&machine_type.name)),
             "{task} starts on a machine type that its job doesn't permit"
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -199,7 +199,7 @@
 
 /// Whether a job allows a machine type, and an empty machine of that type is large enough for one of its tasks.
 pub fn is_eligible_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
-    spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
+    spec.allowed_types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
         && spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
         && spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
         && spec.memory_gb <= machine_type.memory_gb + ROUNDING_TOLERANCE
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -72,7 +72,7 @@
     assert!(!is_satisfiable(&|spec| spec.team = "nobody".into()));
     assert!(!is_satisfiable(&|spec| spec.cpus = 17.0));
     assert!(!is_satisfiable(&|spec| spec.zone = Some("b".into())));
-    assert!(!is_satisfiable(&|spec| spec.types = Some(vec!["h1".into()])));
+    assert!(!is_satisfiable(&|spec| spec.allowed_types = Some(vec!["h1".into()])));
     // Team-a is limited to 40 CPUs. All tasks of a gang count at once, those of an array one by one.
     assert!(!is_satisfiable(&|spec| spec.tasks = 6));
     assert!(is_satisfiable(&|spec| (spec.tasks, spec.kind) = (6, JobKind::Array)));
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -66,7 +66,7 @@
     pub image_gb: f64,
     /// Names of the allowed machine types; `None` if all are allowed.
     #[serde(rename = "builds", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub allowed_types: Option<Vec<String>>,
     /// The only allowed zone; `None` if all are allowed.
     #[serde(rename = "quay", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -78,7 +78,7 @@
     pub spread: bool,
     /// Whether its tasks may run on spot machines.
     #[serde(rename = "loaner")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// The user's estimate of a task's run time, not including the image fetch, in seconds; 0 for services.
     #[serde(rename = "expect_s")]
     pub estimate_s: f64,
--- a/tests/golden/values.rs
+++ b/tests/golden/values.rs
@@ -30,11 +30,11 @@
         memory_gb: 24.25,
         image: "image-7".into(),
         image_gb: 6.5,
-        types: Some(vec!["g8".into(), "h16".into()]),
+        allowed_types: Some(vec!["g8".into(), "h16".into()]),
         zone: Some("a".into()),
         one_zone: true,
         spread: false,
-        spot: true,
+        allows_spot: true,
         estimate_s: 321.5,
         checkpoint_s: 45.0,
         save_s: 8.75,
@@ -46,11 +46,11 @@
     JobSpec {
         kind: JobKind::Array,
         priority: Priority::Low,
-        types: None,
+        allowed_types: None,
         zone: None,
         one_zone: false,
         spread: true,
-        spot: true,
+        allows_spot: true,
         deadline_s: None,
         ..full_job()
     }
