--- a/benches/support/workload.rs
+++ b/benches/support/workload.rs
@@ -43,9 +43,9 @@
         one_zone: false,
         spread: service,
         allows_spot: true,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: Some(60.0),
     }
 }
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -270,7 +270,7 @@
 
     /// Whether the job's tasks write checkpoints, from which they resume after a stop.
     pub fn writes_checkpoints(&self) -> bool {
-        self.spec.checkpoint_s > 0.0
+        self.spec.checkpoint_interval_s > 0.0
     }
 }
 
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -58,13 +58,13 @@
 
     /// The expected run time of a job's task in seconds.
     pub(super) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
-        self.class_times.expected_run_s(&spec.class, spec.estimate_s)
+        self.class_times.expected_run_s(&spec.class, spec.estimated_run_s)
     }
 
     /// Records that a task of a live job has run for `ran_s` seconds.
     pub(super) fn record_run_time(&mut self, id: &JobId, ran_s: f64) {
         if let Some(job) = self.live.get(id) {
-            self.class_times.record(&job.spec.class, job.spec.estimate_s, ran_s);
+            self.class_times.record(&job.spec.class, job.spec.estimated_run_s, ran_s);
         }
     }
 
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -60,7 +60,7 @@
     /// Stops a task, or its whole gang, with a grace period for saving a checkpoint if the job makes any.
     pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
         let Some(job) = self.jobs.live.get(&key.0.job) else { return };
-        let leeway_s = if job.writes_checkpoints() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
+        let leeway_s = if job.writes_checkpoints() { job.spec.checkpoint_save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
         let mut stopped = vec![(id.clone(), *key)];
         if job.spec.kind == JobKind::Gang {
             stopped = job
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -71,9 +71,9 @@
         one_zone: false,
         spread: false,
         allows_spot: false,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     };
     Job::new(LiveRecord { submitted_at: WallTime(submitted), spec, depends_on: Vec::new() }, Revision(1), team)
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -93,9 +93,9 @@
         one_zone: kind == JobKind::Gang,
         spread: false,
         allows_spot: false,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     }
 }
--- a/src/core/scheduler/tests/dependencies.rs
+++ b/src/core/scheduler/tests/dependencies.rs
@@ -137,7 +137,7 @@
 fn pipeline_inherits_priority_and_deadline_of_its_last_job() {
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
-    let low = |spec: JobSpec| JobSpec { priority: Priority::Low, estimate_s: 10.0, ..spec };
+    let low = |spec: JobSpec| JobSpec { priority: Priority::Low, estimated_run_s: 10.0, ..spec };
     // Tasks of normal priority occupy the whole machine.
     let normal = harness.submit(200, JobSpec { priority: Priority::Normal, ..array(1, 8) });
     harness.run(2_000);
@@ -146,7 +146,7 @@
     let middle = harness.submit_with_dependencies(202, low(array(3, 1)), &[first]);
     harness.run(1_000);
     assert_eq!(harness.running_count(&first), 0);
-    let last = JobSpec { priority: Priority::High, deadline_s: Some(60.0), estimate_s: 5.0, ..array(4, 1) };
+    let last = JobSpec { priority: Priority::High, deadline_s: Some(60.0), estimated_run_s: 5.0, ..array(4, 1) };
     harness.submit_with_dependencies(203, last, &[middle]);
     harness.scheduler.update_inherited_constraints(WallTime(harness.now));
     let inherited = harness.scheduler.jobs.live[&first].inherited.clone().unwrap();
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -85,7 +85,7 @@
                 ..basic(JobKind::Service, 4, 2.0)
             },
             1 => basic(JobKind::Array, 60, 1.0),
-            2 => JobSpec { checkpoint_s: 2.0, save_s: 0.5, ..basic(JobKind::Gang, 6, 8.0) },
+            2 => JobSpec { checkpoint_interval_s: 2.0, checkpoint_save_s: 0.5, ..basic(JobKind::Gang, 6, 8.0) },
             3 => JobSpec { gpus: 1.0, deadline_s: Some(60.0), ..basic(JobKind::Array, 12, 2.0) },
             4 => JobSpec { priority: Priority::Low, ..basic(JobKind::Array, 150, 2.0) },
             5 => of_team_a(basic(JobKind::Array, 10, 1.0)),
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -63,9 +63,9 @@
             one_zone: kind == JobKind::Gang && self.chance(0.5),
             spread: kind == JobKind::Service,
             allows_spot: kind != JobKind::Service && self.chance(0.6),
-            estimate_s: 5.0,
-            checkpoint_s: if kind == JobKind::Gang { 2.0 } else { 0.0 },
-            save_s: 0.5,
+            estimated_run_s: 5.0,
+            checkpoint_interval_s: if kind == JobKind::Gang { 2.0 } else { 0.0 },
+            checkpoint_save_s: 0.5,
             deadline_s: None,
         }
     }
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -177,7 +177,7 @@
             match order {
                 Order::Run { task, attempt } => self.start_task(index, *task, *attempt),
                 Order::Stop { task, attempt, leeway_s } => {
-                    let writes_checkpoints = self.specs[&task.job].checkpoint_s > 0.0;
+                    let writes_checkpoints = self.specs[&task.job].checkpoint_interval_s > 0.0;
                     let now = self.now;
                     if let Some(state) = self.workers[index].tasks.get_mut(&(*task, *attempt)) {
                         state.stop(writes_checkpoints, *leeway_s, now);
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -140,9 +140,9 @@
         ("gpus", spec.gpus),
         ("ram_gb", spec.memory_gb),
         ("pull_gb", spec.image_gb),
-        ("expect_s", spec.estimate_s),
-        ("mark_s", spec.checkpoint_s),
-        ("stow_s", spec.save_s),
+        ("expect_s", spec.estimated_run_s),
+        ("mark_s", spec.checkpoint_interval_s),
+        ("stow_s", spec.checkpoint_save_s),
         ("due_s", spec.deadline_s.unwrap_or(0.0)),
     ];
     for (field, quantity) in quantities {
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -81,13 +81,13 @@
     pub allows_spot: bool,
     /// The user's estimate of a task's run time, not including the image fetch, in seconds; 0 for services.
     #[serde(rename = "expect_s")]
-    pub estimate_s: f64,
+    pub estimated_run_s: f64,
     /// Run time between two checkpoints of a task, in seconds. 0 means that tasks write no checkpoints.
     #[serde(rename = "mark_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// Deadline in seconds after the submission; `None` if the job has none.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
--- a/tests/golden/values.rs
+++ b/tests/golden/values.rs
@@ -35,9 +35,9 @@
         one_zone: true,
         spread: false,
         allows_spot: true,
-        estimate_s: 321.5,
-        checkpoint_s: 45.0,
-        save_s: 8.75,
+        estimated_run_s: 321.5,
+        checkpoint_interval_s: 45.0,
+        checkpoint_save_s: 8.75,
         deadline_s: Some(900.0),
     }
 }
