--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -119,8 +119,8 @@
 /// Inputs from peers aren't trusted.
 fn is_consistent(input: &PlanInput) -> bool {
     let types = input.types.len() as u32;
-    input.machines.iter().all(|machine| machine.kind < types)
-        && input.offers.iter().all(|offer| offer.kind < types && offer.most <= MAX_MACHINES_PER_OFFER)
+    input.machines.iter().all(|machine| machine.type_index < types)
+        && input.offers.iter().all(|offer| offer.type_index < types && offer.most <= MAX_MACHINES_PER_OFFER)
         && input.jobs.iter().all(|job| job.tasks <= crate::core::submissions::MAX_TASKS && job.ready <= job.tasks)
 }
 
--- a/src/core/placement/candidates.rs
+++ b/src/core/placement/candidates.rs
@@ -64,11 +64,11 @@
         let free = Resources { cpus: machine.free_cpus, gpus: machine.free_gpus, memory_gb: machine.free_memory_gb };
         Candidate {
             source: CandidateSource::Machine { index, key: machine.key },
-            type_index: machine.kind as usize,
+            type_index: machine.type_index as usize,
             zone: machine.zone,
             spot: machine.spot,
             up: machine.up,
-            headroom_applies: input.types[machine.kind as usize].gpus > TOLERANCE,
+            headroom_applies: input.types[machine.type_index as usize].gpus > TOLERANCE,
             urgent_headroom: headroom(machine.urgent_cpus, machine.urgent_memory_gb),
             preemptible_headroom: headroom(machine.preemptible_cpus, machine.preemptible_memory_gb),
             capacity: free,
@@ -82,14 +82,14 @@
     pub(super) fn from_offer(input: &PlanInput, index: usize, offer: &ProvisionOffer) -> Candidate {
         Candidate {
             source: CandidateSource::Offer(index),
-            type_index: offer.kind as usize,
+            type_index: offer.type_index as usize,
             zone: offer.zone,
             spot: offer.spot,
             up: false,
             headroom_applies: false,
             urgent_headroom: Resources::default(),
             preemptible_headroom: Resources::default(),
-            capacity: Resources::from(&input.types[offer.kind as usize]),
+            capacity: Resources::from(&input.types[offer.type_index as usize]),
             requested: false,
             load: 0.0,
             priority: LOWEST_PRIORITY,
--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -85,9 +85,9 @@
 }
 
 fn is_suitable_offer_without_gpus(input: &PlanInput, job: &JobView, offer: &ProvisionOffer) -> bool {
-    let machine_type = &input.types[offer.kind as usize];
+    let machine_type = &input.types[offer.type_index as usize];
     machine_type.gpus <= TOLERANCE
-        && allows_type(job, offer.kind)
+        && allows_type(job, offer.type_index)
         && Resources::from(machine_type).covers(&Resources::from(job))
         && (job.new_spot || !offer.spot)
 }
--- a/src/core/placement/planner.rs
+++ b/src/core/placement/planner.rs
@@ -88,7 +88,7 @@
         let requested = self.candidates.iter().filter(|candidate| candidate.requested);
         requested
             .map(|candidate| ScaleOutRequest {
-                kind: candidate.type_index as u32,
+                type_index: candidate.type_index as u32,
                 zone: candidate.zone,
                 spot: candidate.spot,
                 load: candidate.load,
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -61,7 +61,7 @@
     let mut booting = machine(1, 8.0);
     (booting.up, booting.ready_s, booting.spot) = (false, 12.0, true);
     let mut view = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
-    view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 1 }];
+    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, most: 1 }];
     let meter = OperationMeter::default();
     let planner = Planner::new(&view, &meter);
     // Up: fetches 1 GB at 0.5 GB/s, then runs for 36 s, on a quarter of a machine at 1.0 per hour.
@@ -99,7 +99,7 @@
 fn cost_filter_holds_until_the_budget_is_spent() {
     // Two machine types, one at five times the price. The expensive machine already has the image.
     let mut expensive = machine(1, 8.0);
-    expensive.kind = 1;
+    expensive.type_index = 1;
     expensive.images = vec![ImageView { image: 0, ready_s: 0.0 }];
     let mut view = input(vec![machine(0, 8.0), expensive], vec![job(0, 4)]);
     view.types.push(machine_type(8.0, 0.0, 5.0));
@@ -151,7 +151,7 @@
     // One machine is up and four of the 40 tasks fit on a machine: a batch of 4 starts.
     let mut view = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
     view.batch = 4;
-    view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 50 }];
+    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, most: 50 }];
     let out = plan(&view);
     assert_eq!(placements(&out), [(0, 0, 4)]);
     // The tasks that wait request machines, for up to eight batches of them.
@@ -163,7 +163,7 @@
 #[test]
 fn search_scope_of_a_service_includes_gpu_machines_last() {
     let mut gpu = machine(1, 8.0);
-    (gpu.kind, gpu.urgent_cpus, gpu.urgent_memory_gb) = (1, 2.0, 8.0);
+    (gpu.type_index, gpu.urgent_cpus, gpu.urgent_memory_gb) = (1, 2.0, 8.0);
     let mut view = input(vec![machine(0, 4.0), gpu], vec![job(0, 4)]);
     view.types.push(machine_type(8.0, 2.0, 9.0));
     (view.jobs[0].service, view.jobs[0].priority) = (true, 0);
@@ -210,7 +210,7 @@
 #[test]
 fn plan_for_an_inconsistent_input_is_empty() {
     let mut view = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
-    view.machines[0].kind = 7;
+    view.machines[0].type_index = 7;
     assert_eq!(plan(&view), PlanOutput::default());
 }
 
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -120,7 +120,7 @@
                     let requested = self.provisioner.requests().any(|request| request.pool == pool);
                     if self.provisioner.may_request(pool, now) && !requested && self.provisioner.has_request_slot() {
                         offers.push(ProvisionOffer {
-                            kind: kind as u32,
+                            type_index: kind as u32,
                             zone: zone as u32,
                             spot,
                             most: MAX_INSTANCES_PER_OFFER,
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -99,7 +99,7 @@
             ready_s: machine.image_ready_in_s(*image, now).unwrap_or(0.0),
         };
         MachineView {
-            kind: machine.kind as u32,
+            type_index: machine.kind as u32,
             zone: machine.zone,
             spot: machine.spot,
             up: readiness == Readiness::Usable,
@@ -128,7 +128,7 @@
         for request in self.provisioner.requests() {
             let machine_type = &self.catalog.types[request.pool.kind];
             let view = MachineView {
-                kind: request.pool.kind as u32,
+                type_index: request.pool.kind as u32,
                 zone: request.pool.zone,
                 spot: request.pool.spot,
                 ready_s: machine_type.boot_s,
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -68,7 +68,7 @@
         partition.machines.extend(up[first..].iter().chain(&up[..first]).map(|machine| (*machine).clone()));
     }
     for machine in not_up {
-        let has_gpus = input.types.get(machine.kind as usize).is_some_and(|machine_type| machine_type.gpus > 0.0);
+        let has_gpus = input.types.get(machine.type_index as usize).is_some_and(|machine_type| machine_type.gpus > 0.0);
         if let Some(index) = assigner.next_partition(assigner.work_for(has_gpus)) {
             partitions[index].machines.push(machine.clone());
         }
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -68,7 +68,7 @@
     pub(super) fn scale_out(&mut self, now: MonotonicTime, requests: &[ScaleOutRequest]) {
         let mut loads: BTreeMap<InstancePool, f64> = BTreeMap::new();
         for request in requests {
-            let pool = InstancePool { kind: request.kind as usize, zone: request.zone, spot: request.spot };
+            let pool = InstancePool { kind: request.type_index as usize, zone: request.zone, spot: request.spot };
             if self.catalog.has_pool(pool) {
                 *loads.entry(pool).or_default() += request.load.clamp(0.0, 1.0);
             }
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -87,7 +87,7 @@
     // Guards against several planners that count on the same booting machines, so that too few are provisioned. With
     // five planners, a fleet of 1,300 machines took 100 s to start instead of 30 s.
     let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| TypeView { cpus, gpus, ..Default::default() });
-    let machine = |key: u32| MachineView { key, kind: key % 2, up: key < 10, ..Default::default() };
+    let machine = |key: u32| MachineView { key, type_index: key % 2, up: key < 10, ..Default::default() };
     let job = |key: u32, gpus: f64| JobView { key, ready: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
     let input = PlanInput {
         version: VERSION,
@@ -102,7 +102,7 @@
     assert_eq!(booting.iter().collect::<BTreeSet<_>>().len(), 30, "each booting machine is in one part");
     assert_eq!(booting.len(), 30);
     let booting_count = |part: usize, kind: u32| {
-        parts[part].machines.iter().filter(|machine| !machine.up && machine.kind == kind).count()
+        parts[part].machines.iter().filter(|machine| !machine.up && machine.type_index == kind).count()
     };
     assert!(
         booting_count(0, 0).abs_diff(booting_count(2, 0)) <= 1 && booting_count(1, 0) == 0,
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -51,7 +51,7 @@
     pub key: u32,
     /// Index of its machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "2")]
-    pub kind: u32,
+    pub type_index: u32,
     /// Index of its zone.
     #[prost(uint32, tag = "3")]
     pub zone: u32,
@@ -223,7 +223,7 @@
 pub struct ProvisionOffer {
     /// Index of the pool's machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "1")]
-    pub kind: u32,
+    pub type_index: u32,
     /// Index of the pool's zone.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
@@ -300,7 +300,7 @@
 pub struct ScaleOutRequest {
     /// Index of the machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "1")]
-    pub kind: u32,
+    pub type_index: u32,
     /// Index of the zone.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -95,7 +95,7 @@
 fn machine_view() -> MachineView {
     MachineView {
         key: 21,
-        kind: 22,
+        type_index: 22,
         zone: 23,
         spot: true,
         up: true,
@@ -189,7 +189,7 @@
 }
 
 fn offer() -> ProvisionOffer {
-    ProvisionOffer { kind: 52, zone: 53, spot: true, most: 54 }
+    ProvisionOffer { type_index: 52, zone: 53, spot: true, most: 54 }
 }
 
 #[test]
@@ -216,7 +216,7 @@
 #[test]
 fn plans_are_the_samples() {
     let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
-    let scale_out_request = ScaleOutRequest { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
+    let scale_out_request = ScaleOutRequest { type_index: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
     let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, ready_s: 3.5 };
     let output = PlanOutput {
         version: 3,
