--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -43,7 +43,7 @@
     if !is_eligible(input, job, candidate, machine) {
         return None;
     }
-    let boot_s = machine.map_or(machine_type.boot_s, |machine| machine.ready_s);
+    let boot_s = machine.map_or(machine_type.boot_s, |machine| machine.ready_in_s);
     let fetch_s = fetch_s(job, machine_type, machine);
     let run_s = job.run_s * machine.map_or(1.0, |machine| machine.slowness.max(MIN_SLOWNESS));
     let start_s = boot_s + fetch_s;
@@ -96,10 +96,10 @@
 fn fetch_s(job: &JobView, machine_type: &TypeView, machine: Option<&MachineView>) -> f64 {
     let images = machine.map_or(&[][..], |machine| &machine.images);
     match images.iter().find(|image| image.image == job.image) {
-        Some(cached) => cached.ready_s,
+        Some(cached) => cached.ready_in_s,
         None => {
             // Fetches share the machine's bandwidth, so this one ends after those under way.
-            let others_s = images.iter().map(|image| image.ready_s).fold(0.0, f64::max);
+            let others_s = images.iter().map(|image| image.ready_in_s).fold(0.0, f64::max);
             others_s + job.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
         }
     }
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -279,7 +279,7 @@
             self.waiting.count += 1;
             self.waiting.on_spot |= candidate.spot && !candidate.up;
             self.waiting.finish_s = self.waiting.finish_s.max(estimate.finish_s);
-            self.waiting.ready_s = self.waiting.ready_s.max(estimate.start_s);
+            self.waiting.start_s = self.waiting.start_s.max(estimate.start_s);
         }
     }
 
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -59,7 +59,7 @@
 #[test]
 fn estimate_covers_machines_that_are_up_booting_or_offered() {
     let mut booting = machine(1, 8.0);
-    (booting.up, booting.ready_s, booting.spot) = (false, 12.0, true);
+    (booting.up, booting.ready_in_s, booting.spot) = (false, 12.0, true);
     let mut view = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
     view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, most: 1 }];
     let meter = OperationMeter::default();
@@ -100,7 +100,7 @@
     // Two machine types, one at five times the price. The expensive machine already has the image.
     let mut expensive = machine(1, 8.0);
     expensive.type_index = 1;
-    expensive.images = vec![ImageView { image: 0, ready_s: 0.0 }];
+    expensive.images = vec![ImageView { image: 0, ready_in_s: 0.0 }];
     let mut view = input(vec![machine(0, 8.0), expensive], vec![job(0, 4)]);
     view.types.push(machine_type(8.0, 0.0, 5.0));
     view.budget_share = 0.0;
@@ -179,7 +179,7 @@
     // The best candidate for a single task is in zone 0, which lacks capacity for all three.
     let (mut a, mut b) = (machine(0, 4.0), machine(1, 8.0));
     (a.zone, b.zone) = (0, 1);
-    a.images = vec![ImageView { image: 0, ready_s: 0.0 }];
+    a.images = vec![ImageView { image: 0, ready_in_s: 0.0 }];
     b.free_memory_gb = 8.0;
     let mut view = input(vec![a, b], vec![job(0, 3)]);
     (view.jobs[0].gang, view.jobs[0].one_zone) = (true, true);
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -96,14 +96,14 @@
         let age_s = (now - machine.created_at).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
-            ready_s: machine.image_ready_in_s(*image, now).unwrap_or(0.0),
+            ready_in_s: machine.image_ready_in_s(*image, now).unwrap_or(0.0),
         };
         MachineView {
             type_index: machine.kind as u32,
             zone: machine.zone,
             spot: machine.spot,
             up: readiness == Readiness::Usable,
-            ready_s: match readiness {
+            ready_in_s: match readiness {
                 Readiness::Usable => 0.0,
                 Readiness::Registering => REGISTRATION_DELAY_S,
                 Readiness::Booting => (machine_type.boot_s - age_s).max(MIN_REMAINING_BOOT_S),
@@ -131,7 +131,7 @@
                 type_index: request.pool.kind as u32,
                 zone: request.pool.zone,
                 spot: request.pool.spot,
-                ready_s: machine_type.boot_s,
+                ready_in_s: machine_type.boot_s,
                 free_cpus: machine_type.cpus,
                 free_gpus: machine_type.gpus,
                 free_memory_gb: machine_type.memory_gb,
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -128,7 +128,7 @@
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
         // A job that is expected to start within its objective without preemption does not preempt.
         let slo_s = self.jobs.live.get(id).and_then(|job| self.settings.start_slo_s(&job.spec.class, view.guaranteed));
-        urgent && !slo_s.is_some_and(|slo_s| waiting.ready_s > 0.0 && view.age_s + waiting.ready_s <= slo_s)
+        urgent && !slo_s.is_some_and(|slo_s| waiting.start_s > 0.0 && view.age_s + waiting.start_s <= slo_s)
     }
 
     fn preempt_for(&mut self, now: MonotonicTime, preemptor: &QueuedPreemptor, search: &mut PreemptionSearch) {
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -40,7 +40,7 @@
     pub image: u32,
     /// Seconds until it is fetched; 0 if it is in the cache.
     #[prost(double, tag = "2")]
-    pub ready_s: f64,
+    pub ready_in_s: f64,
 }
 
 /// A machine that tasks may be placed on: an existing one, or one that has been requested from the cloud.
@@ -63,7 +63,7 @@
     pub up: bool,
     /// Expected time until tasks can start on it, in seconds; 0 if they can now.
     #[prost(double, tag = "6")]
-    pub ready_s: f64,
+    pub ready_in_s: f64,
     /// Seconds since it was provisioned, rounded down to a multiple of 30 s.
     #[prost(double, tag = "7")]
     pub age_s: f64,
@@ -333,7 +333,7 @@
     pub finish_s: f64,
     /// The latest expected start of those that wait for a machine to come up, in seconds from now; 0 if there are none.
     #[prost(double, tag = "5")]
-    pub ready_s: f64,
+    pub start_s: f64,
 }
 
 /// The plan that a controller returns for a [`PlanInput`].
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -99,12 +99,12 @@
         zone: 23,
         spot: true,
         up: true,
-        ready_s: 2.5,
+        ready_in_s: 2.5,
         age_s: 3.5,
         free_cpus: 4.5,
         free_gpus: 5.5,
         free_memory_gb: 6.5,
-        images: vec![ImageView { image: 24, ready_s: 7.5 }],
+        images: vec![ImageView { image: 24, ready_in_s: 7.5 }],
         slowness: 8.5,
         urgent_cpus: 9.5,
         urgent_memory_gb: 10.5,
@@ -116,7 +116,7 @@
 #[test]
 fn views_of_machines_are_the_samples() {
     assert_samples(&[("type_view", type_view())]);
-    assert_samples(&[("image_view", ImageView { image: 24, ready_s: 7.5 })]);
+    assert_samples(&[("image_view", ImageView { image: 24, ready_in_s: 7.5 })]);
     assert_samples(&[
         ("machine_view", machine_view()),
         ("machine_view_spot", MachineView { spot: true, ..MachineView::default() }),
@@ -217,7 +217,7 @@
 fn plans_are_the_samples() {
     let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
     let scale_out_request = ScaleOutRequest { type_index: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
-    let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, ready_s: 3.5 };
+    let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, start_s: 3.5 };
     let output = PlanOutput {
         version: 3,
         term: 9001,
