--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -163,7 +163,7 @@
 #[test]
 fn search_scope_of_a_service_includes_gpu_machines_last() {
     let mut gpu = machine(1, 8.0);
-    (gpu.type_index, gpu.urgent_cpus, gpu.urgent_memory_gb) = (1, 2.0, 8.0);
+    (gpu.type_index, gpu.urgent_headroom_cpus, gpu.urgent_headroom_memory_gb) = (1, 2.0, 8.0);
     let mut view = input(vec![machine(0, 4.0), gpu], vec![job(0, 4)]);
     view.types.push(machine_type(8.0, 2.0, 9.0));
     (view.jobs[0].service, view.jobs[0].priority) = (true, 0);
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -115,10 +115,10 @@
             images: machine.images.iter().map(image).collect(),
             // Rounded, so that machines with a small difference compare as equal.
             slowness: (machine.slowness * SLOWNESS_STEPS).round().max(1.0) / SLOWNESS_STEPS,
-            urgent_cpus: urgent.cpus,
-            urgent_memory_gb: urgent.memory_gb,
-            preemptible_cpus: preemptible.cpus,
-            preemptible_memory_gb: preemptible.memory_gb,
+            urgent_headroom_cpus: urgent.cpus,
+            urgent_headroom_memory_gb: urgent.memory_gb,
+            preemptible_headroom_cpus: preemptible.cpus,
+            preemptible_headroom_memory_gb: preemptible.memory_gb,
             ..Default::default()
         }
     }
@@ -135,8 +135,8 @@
                 free_cpus: machine_type.cpus,
                 free_gpus: machine_type.gpus,
                 free_memory_gb: machine_type.memory_gb,
-                preemptible_cpus: machine_type.cpus,
-                preemptible_memory_gb: machine_type.memory_gb,
+                preemptible_headroom_cpus: machine_type.cpus,
+                preemptible_headroom_memory_gb: machine_type.memory_gb,
                 slowness: 1.0,
                 ..Default::default()
             };
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -85,16 +85,16 @@
     /// Only for a GPU machine: how many CPUs urgent jobs without GPUs may use. Such jobs aren't preempted for GPU jobs,
     /// so they are limited in order to leave enough capacity for those.
     #[prost(double, tag = "13")]
-    pub urgent_cpus: f64,
-    /// See [`MachineView::urgent_cpus`]; in GB.
+    pub urgent_headroom_cpus: f64,
+    /// See [`MachineView::urgent_headroom_cpus`]; in GB.
     #[prost(double, tag = "14")]
-    pub urgent_memory_gb: f64,
+    pub urgent_headroom_memory_gb: f64,
     /// Only for a GPU machine: how many CPUs other jobs without GPUs may use. They can be preempted for GPU jobs.
     #[prost(double, tag = "15")]
-    pub preemptible_cpus: f64,
-    /// See [`MachineView::preemptible_cpus`]; in GB.
+    pub preemptible_headroom_cpus: f64,
+    /// See [`MachineView::preemptible_headroom_cpus`]; in GB.
     #[prost(double, tag = "16")]
-    pub preemptible_memory_gb: f64,
+    pub preemptible_headroom_memory_gb: f64,
 }
 
 /// The number of a job's tasks in a zone.
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -106,10 +106,10 @@
         free_memory_gb: 6.5,
         images: vec![ImageView { image: 24, ready_in_s: 7.5 }],
         slowness: 8.5,
-        urgent_cpus: 9.5,
-        urgent_memory_gb: 10.5,
-        preemptible_cpus: 11.5,
-        preemptible_memory_gb: 12.5,
+        urgent_headroom_cpus: 9.5,
+        urgent_headroom_memory_gb: 10.5,
+        preemptible_headroom_cpus: 11.5,
+        preemptible_headroom_memory_gb: 12.5,
     }
 }
 
