--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -25,7 +25,7 @@
     if has_gpus
         && job.service
         && job.gpus <= TOLERANCE
-        && job.types.is_empty()
+        && job.allowed_types.is_empty()
         && (scope == SearchScope::WithoutGpus || !candidate.up)
     {
         return None;
@@ -66,8 +66,8 @@
     if !Resources::from(machine_type).covers(&Resources::from(job))
         || !allows_type(job, candidate.type_index as u32)
         || job.zone.is_some_and(|zone| zone != candidate.zone)
-        || (candidate.spot && !job.spot)
-        || (is_offer && (!job.may_scale_out || (candidate.spot && !job.new_spot)))
+        || (candidate.spot && !job.allows_spot)
+        || (is_offer && (!job.may_scale_out || (candidate.spot && !job.may_provision_spot)))
         || machine.is_some_and(|machine| job.avoid.contains(&machine.key))
     {
         return false;
@@ -81,7 +81,7 @@
 }
 
 fn allows_type(job: &JobView, type_index: u32) -> bool {
-    job.types.is_empty() || job.types.contains(&type_index)
+    job.allowed_types.is_empty() || job.allowed_types.contains(&type_index)
 }
 
 fn is_suitable_offer_without_gpus(input: &PlanInput, job: &JobView, offer: &ProvisionOffer) -> bool {
@@ -89,7 +89,7 @@
     machine_type.gpus <= TOLERANCE
         && allows_type(job, offer.type_index)
         && Resources::from(machine_type).covers(&Resources::from(job))
-        && (job.new_spot || !offer.spot)
+        && (job.may_provision_spot || !offer.spot)
 }
 
 /// Seconds that the machine needs, once it is up, to have the job's image.
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -21,8 +21,8 @@
         memory_gb: 1.0,
         image_gb: 1.0,
         run_s: 36.0,
-        spot: true,
-        new_spot: true,
+        allows_spot: true,
+        may_provision_spot: true,
         may_scale_out: true,
         priority: 2,
         ..Default::default()
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -61,11 +61,11 @@
             let image = self.catalog.assign_image_number(&job.spec.image);
             let base = JobView { image, ..self.job_view(context, id, job) };
             if base.gang || ready.reclaimed == 0 || ready.reclaimed == ready.all {
-                let new_spot = base.new_spot && ready.reclaimed == 0;
-                push(*id, JobView { ready: ready.all, new_spot, ..base }, ready.reclaimed > 0);
+                let may_provision_spot = base.may_provision_spot && ready.reclaimed == 0;
+                push(*id, JobView { ready: ready.all, may_provision_spot, ..base }, ready.reclaimed > 0);
             } else {
                 push(*id, JobView { ready: ready.all - ready.reclaimed, ..base.clone() }, false);
-                push(*id, JobView { ready: ready.reclaimed, new_spot: false, ..base }, true);
+                push(*id, JobView { ready: ready.reclaimed, may_provision_spot: false, ..base }, true);
             }
         }
         (views, planned)
@@ -106,12 +106,12 @@
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
             image_gb: spec.image_gb,
-            types: self.allowed_types(spec),
+            allowed_types: self.allowed_types(spec),
             zone: spec.zone.as_ref().map(|zone| self.zone_index(zone)),
             one_zone: spec.one_zone,
             spread: spec.spread,
-            spot: spec.allows_spot,
-            new_spot: spec.allows_spot && !job.no_new_spot,
+            allows_spot: spec.allows_spot,
+            may_provision_spot: spec.allows_spot && !job.no_new_spot,
             run_s,
             due_s,
             slo_deadline_s,
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -147,7 +147,7 @@
     pub image_gb: f64,
     /// Indices of the allowed machine types in [`PlanInput::types`]; empty if all are allowed.
     #[prost(uint32, repeated, tag = "12")]
-    pub types: Vec<u32>,
+    pub allowed_types: Vec<u32>,
     /// Index of the only allowed zone; `None` if all are allowed.
     #[prost(uint32, optional, tag = "13")]
     pub zone: Option<u32>,
@@ -159,12 +159,12 @@
     pub spread: bool,
     /// Whether its tasks may be placed on spot machines.
     #[prost(bool, tag = "16")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Whether spot machines may be provisioned for it. It is false in the two cases in which the paper falls back to
     /// on-demand machines: for tasks whose spot machines were reclaimed, and once the job has waited too long for spot
     /// machines.
     #[prost(bool, tag = "17")]
-    pub new_spot: bool,
+    pub may_provision_spot: bool,
     /// Expected run time of a task, in seconds. For a service it is the configured horizon.
     #[prost(double, tag = "18")]
     pub run_s: f64,
