--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -121,7 +121,7 @@
     let types = input.types.len() as u32;
     input.machines.iter().all(|machine| machine.type_index < types)
         && input.offers.iter().all(|offer| offer.type_index < types && offer.most <= MAX_MACHINES_PER_OFFER)
-        && input.jobs.iter().all(|job| job.tasks <= crate::core::submissions::MAX_TASKS && job.ready <= job.tasks)
+        && input.jobs.iter().all(|job| job.tasks <= crate::core::submissions::MAX_TASKS && job.ready_tasks <= job.tasks)
 }
 
 #[cfg(test)]
--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -68,7 +68,7 @@
         || job.zone.is_some_and(|zone| zone != candidate.zone)
         || (candidate.spot && !job.allows_spot)
         || (is_offer && (!job.may_scale_out || (candidate.spot && !job.may_provision_spot)))
-        || machine.is_some_and(|machine| job.avoid.contains(&machine.key))
+        || machine.is_some_and(|machine| job.avoided_machines.contains(&machine.key))
     {
         return false;
     }
@@ -114,7 +114,7 @@
     // The tasks that share a new machine also share its boot time, or the rest of the minimum billing period if that is
     // longer.
     let boot_share_s = if candidate.offer().is_some() {
-        let tasks_per_machine = (1.0 / fraction.max(TOLERANCE)).floor().clamp(1.0, job.ready.max(1) as f64);
+        let tasks_per_machine = (1.0 / fraction.max(TOLERANCE)).floor().clamp(1.0, job.ready_tasks.max(1) as f64);
         machine_type.boot_s.max(MIN_BILLED_S - fetch_s - run_s) / tasks_per_machine
     } else {
         0.0
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -71,7 +71,7 @@
             .fold(f64::INFINITY, f64::min);
         // The average execution time in eq. 1 is the average finish time over the candidates.
         let known_count = known().count().max(1) as f64;
-        let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_s;
+        let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_rank_s;
         // The budget beyond the cheapest candidate is B x (highest cost - cheapest cost) for each of the job's tasks, less
         // what earlier placements have spent of it. This formula for several tasks is not from the paper.
         let spare_budget = if cheapest_cost.is_finite() {
@@ -85,7 +85,7 @@
         JobProgress {
             job,
             estimates,
-            tasks_left: job.ready,
+            tasks_left: job.ready_tasks,
             cheapest_cost,
             spare_budget,
             due_s,
--- a/src/core/placement/job_selection.rs
+++ b/src/core/placement/job_selection.rs
@@ -35,7 +35,7 @@
 pub(super) fn jobs_in_round(input: &PlanInput) -> Vec<&JobView> {
     let candidates = (input.machines.len() + input.offers.len()).max(1);
     let max_jobs = (MAX_ESTIMATES / candidates).clamp(MIN_JOBS_PER_ROUND, MAX_JOBS_PER_ROUND);
-    let mut jobs: Vec<&JobView> = input.jobs.iter().filter(|job| job.ready > 0).collect();
+    let mut jobs: Vec<&JobView> = input.jobs.iter().filter(|job| job.ready_tasks > 0).collect();
     if jobs.len() <= max_jobs {
         return jobs;
     }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -15,7 +15,7 @@
 fn job(key: u32, ready: u32) -> JobView {
     JobView {
         key,
-        ready,
+        ready_tasks: ready,
         tasks: ready,
         cpus: 2.0,
         memory_gb: 1.0,
@@ -132,8 +132,11 @@
 fn turn_order_prefers_the_higher_rank_among_jobs_with_the_same_time_left() {
     // Capacity for one task. Both jobs are due at the same time, but the dependents of one take longer, which gives it
     // the higher rank (eq. 1).
-    let job_followed_by =
-        |key: u32, dependents_s: f64| JobView { slo_deadline_s: Some(80.0), dependents_s, ..job(key, 1) };
+    let job_followed_by = |key: u32, dependents_s: f64| JobView {
+        slo_deadline_s: Some(80.0),
+        dependents_rank_s: dependents_s,
+        ..job(key, 1)
+    };
     let placed = |jobs: Vec<JobView>| placements(&plan(&input(vec![machine(0, 2.0)], jobs)));
     assert_eq!(placed(vec![job_followed_by(0, 5.0), job_followed_by(1, 30.0)]), [(1, 0, 1)]);
     assert_eq!(placed(vec![job_followed_by(0, 30.0), job_followed_by(1, 5.0)]), [(0, 0, 1)]);
@@ -155,7 +158,7 @@
     let out = plan(&view);
     assert_eq!(placements(&out), [(0, 0, 4)]);
     // The tasks that wait request machines, for up to eight batches of them.
-    view.jobs[0].ready = 36;
+    view.jobs[0].ready_tasks = 36;
     view.machines.clear();
     assert_eq!(plan(&view).scale_out.len(), 8, "32 tasks at 8 CPUs a machine");
 }
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -58,7 +58,7 @@
             JobContext { now, wall, waiting: &waiting, keys: &keys, backlog_s: self.backlog_s(machines.cpus_up) };
         let (job_views, jobs) = self.job_views(&context);
         // The batch grows with the load.
-        let ready: u32 = job_views.iter().map(|job| job.ready).sum();
+        let ready: u32 = job_views.iter().map(|job| job.ready_tasks).sum();
         let batch = (ready / BATCHES_PER_BACKLOG).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
         let input = PlanInput {
             version: VERSION,
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -62,10 +62,10 @@
             let base = JobView { image, ..self.job_view(context, id, job) };
             if base.gang || ready.reclaimed == 0 || ready.reclaimed == ready.all {
                 let may_provision_spot = base.may_provision_spot && ready.reclaimed == 0;
-                push(*id, JobView { ready: ready.all, may_provision_spot, ..base }, ready.reclaimed > 0);
+                push(*id, JobView { ready_tasks: ready.all, may_provision_spot, ..base }, ready.reclaimed > 0);
             } else {
-                push(*id, JobView { ready: ready.all - ready.reclaimed, ..base.clone() }, false);
-                push(*id, JobView { ready: ready.reclaimed, may_provision_spot: false, ..base }, true);
+                push(*id, JobView { ready_tasks: ready.all - ready.reclaimed, ..base.clone() }, false);
+                push(*id, JobView { ready_tasks: ready.reclaimed, may_provision_spot: false, ..base }, true);
             }
         }
         (views, planned)
@@ -115,13 +115,13 @@
             run_s,
             due_s,
             slo_deadline_s,
-            dependents_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
+            dependents_rank_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
             missed_slos: if service { 0 } else { missed },
             service,
             age_s: ages.startable_s,
             overspent: job.excess_cost,
             placed: zone_counts(job, &self.machines.known),
-            avoid: if at_fault { Vec::new() } else { avoided_machines(job, context) },
+            avoided_machines: if at_fault { Vec::new() } else { avoided_machines(job, context) },
             guaranteed,
             may_scale_out: !at_fault && (job.priority() <= Priority::High || context.backlog_s > SCALE_OUT_BACKLOG_S),
             ..Default::default()
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -29,8 +29,8 @@
             partitions.iter().map(total).collect()
         };
         MachineAssigner {
-            cpu_demand: demand(|job| f64::from(job.ready) * job.cpus, false),
-            gpu_demand: demand(|job| f64::from(job.ready) * job.gpus, true),
+            cpu_demand: demand(|job| f64::from(job.ready_tasks) * job.cpus, false),
+            gpu_demand: demand(|job| f64::from(job.ready_tasks) * job.gpus, true),
             machines_without_gpu_work: vec![1.0; partitions.len()],
             machines_with_gpu_work: vec![1.0; partitions.len()],
         }
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -134,7 +134,7 @@
     fn jobs_by_planner(&mut self, now: MonotonicTime, view: &PlannerView) -> BTreeMap<Option<String>, Vec<u32>> {
         let mut jobs_by_planner: BTreeMap<Option<String>, Vec<u32>> = BTreeMap::from([(None, Vec::new())]);
         for job in &view.input.jobs {
-            self.shards.record_load(job.team, job.ready);
+            self.shards.record_load(job.team, job.ready_tasks);
             let planner = self.shards.planner_for(job.team, now).map(str::to_string);
             jobs_by_planner.entry(planner).or_default().push(job.key);
         }
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -88,7 +88,7 @@
     // five planners, a fleet of 1,300 machines took 100 s to start instead of 30 s.
     let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| TypeView { cpus, gpus, ..Default::default() });
     let machine = |key: u32| MachineView { key, type_index: key % 2, up: key < 10, ..Default::default() };
-    let job = |key: u32, gpus: f64| JobView { key, ready: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
+    let job = |key: u32, gpus: f64| JobView { key, ready_tasks: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
     let input = PlanInput {
         version: VERSION,
         types: kinds.to_vec(),
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -126,7 +126,7 @@
     pub gang: bool,
     /// Number of tasks to place.
     #[prost(uint32, tag = "5")]
-    pub ready: u32,
+    pub ready_tasks: u32,
     /// Number of all tasks of the job.
     #[prost(uint32, tag = "6")]
     pub tasks: u32,
@@ -183,7 +183,7 @@
     pub placed: Vec<ZoneCount>,
     /// Keys of machines that its tasks must not be placed on.
     #[prost(uint32, repeated, tag = "23")]
-    pub avoid: Vec<u32>,
+    pub avoided_machines: Vec<u32>,
     /// Whether it fits into its team's guarantee, together with those of the team's jobs that come before it.
     #[prost(bool, tag = "24")]
     pub guaranteed: bool,
@@ -201,7 +201,7 @@
     pub missed_slos: u32,
     /// The part of its rank that is due to the jobs that depend on it (paper, eq. 1), in seconds.
     #[prost(double, tag = "29")]
-    pub dependents_s: f64,
+    pub dependents_rank_s: f64,
 }
 
 /// The part of a team's quota that is not in use.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -16,11 +16,11 @@
 
 #[test]
 fn job_view_with_dependents_is_readable_by_an_earlier_version_and_the_other_way_round() {
-    let job = JobView { priority: 1, due_s: Some(30.0), missed_slos: 2, dependents_s: 12.0, ..Default::default() };
+    let job = JobView { priority: 1, due_s: Some(30.0), missed_slos: 2, dependents_rank_s: 12.0, ..Default::default() };
     let earlier = EarlierJobView { priority: 1, due_s: Some(30.0), missed_slos: 2 };
     assert_eq!(EarlierJobView::decode(&*job.encode_to_vec()).unwrap(), earlier);
     let read = JobView::decode(&*earlier.encode_to_vec()).unwrap();
-    assert_eq!(read, JobView { dependents_s: 0.0, ..job });
+    assert_eq!(read, JobView { dependents_rank_s: 0.0, ..job });
     // With a higher version number, each of the two would reject the other's messages.
     assert_eq!(VERSION, 3);
 }
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -130,7 +130,7 @@
         team: 32,
         priority: 33,
         gang: true,
-        ready: 34,
+        ready_tasks: 34,
         tasks: 35,
         cpus: 1.5,
         gpus: 2.5,
@@ -148,13 +148,13 @@
         age_s: 7.5,
         overspent: 8.5,
         placed: vec![ZoneCount { zone: 40, count: 41 }],
-        avoid: vec![42, 43],
+        avoided_machines: vec![42, 43],
         guaranteed: true,
         service: true,
         slo_deadline_s: Some(9.5),
         may_scale_out: true,
         missed_slos: 44,
-        dependents_s: 10.5,
+        dependents_rank_s: 10.5,
     }
 }
 
