--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -75,7 +75,7 @@
         // The budget beyond the cheapest candidate is B x (highest cost - cheapest cost) for each of the job's tasks, less
         // what earlier placements have spent of it. This formula for several tasks is not from the paper.
         let spare_budget = if cheapest_cost.is_finite() {
-            (input.budget_share * (highest_cost - cheapest_cost) * job.tasks as f64 - job.overspent).max(0.0)
+            (input.budget_share * (highest_cost - cheapest_cost) * job.tasks as f64 - job.excess_cost).max(0.0)
         } else {
             0.0
         };
@@ -287,7 +287,7 @@
     pub(super) fn append_to(self, output: &mut PlanOutput) {
         for (machine, placed) in self.placed {
             let PlacedTasks { count, excess_cost } = placed;
-            output.placements.push(Placement { job: self.job.key, machine, count, extra: excess_cost });
+            output.placements.push(Placement { job: self.job.key, machine, count, excess_cost: excess_cost });
         }
         let count = self.waiting.count + self.tasks_left;
         if count > 0 {
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -42,7 +42,7 @@
         for placement in &plan.placements {
             let Some(planned) = PlannedPlacement::resolve(view, placement) else { continue };
             let Some(job) = self.jobs.live.get_mut(&planned.job.id) else { continue };
-            job.excess_cost += placement.extra;
+            job.excess_cost += placement.excess_cost;
             if job.spec.kind == JobKind::Gang {
                 gangs.entry(placement.job).or_default().push((planned.machine.clone(), planned.tasks));
                 continue;
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -119,7 +119,7 @@
             missed_slos: if service { 0 } else { missed },
             service,
             age_s: ages.startable_s,
-            overspent: job.excess_cost,
+            excess_cost: job.excess_cost,
             placed: zone_counts(job, &self.machines.known),
             avoided_machines: if at_fault { Vec::new() } else { avoided_machines(job, context) },
             guaranteed,
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -177,7 +177,7 @@
     pub age_s: f64,
     /// Total cost of its earlier placements beyond that of the cheapest candidate.
     #[prost(double, tag = "21")]
-    pub overspent: f64,
+    pub excess_cost: f64,
     /// Number of its tasks that are already placed, by zone.
     #[prost(message, repeated, tag = "22")]
     pub placed: Vec<ZoneCount>,
@@ -291,7 +291,7 @@
     pub count: u32,
     /// Total cost of these tasks beyond that of the cheapest candidate.
     #[prost(double, tag = "4")]
-    pub extra: f64,
+    pub excess_cost: f64,
 }
 
 /// A request for capacity on new machines. The leader adds up the loads for each instance pool; one machine serves a
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -146,7 +146,7 @@
         run_s: 5.5,
         due_s: Some(6.5),
         age_s: 7.5,
-        overspent: 8.5,
+        excess_cost: 8.5,
         placed: vec![ZoneCount { zone: 40, count: 41 }],
         avoided_machines: vec![42, 43],
         guaranteed: true,
@@ -215,7 +215,7 @@
 
 #[test]
 fn plans_are_the_samples() {
-    let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
+    let placement = Placement { job: 61, machine: 62, count: 63, excess_cost: 1.5 };
     let scale_out_request = ScaleOutRequest { type_index: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
     let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, start_s: 3.5 };
     let output = PlanOutput {
