--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -72,7 +72,7 @@
     let jobs = jobs_in_round(input);
     let mut planner = Planner::new(input, meter);
     let mut output = PlanOutput { version: VERSION, term: input.term, round: input.round, ..Default::default() };
-    let mut budget = RoundBudget::new(input.batch);
+    let mut budget = RoundBudget::new(input.batch_size);
     let mut classes: Vec<UrgencyClass> = jobs.iter().map(|job| UrgencyClass::of(job)).collect();
     classes.sort_unstable();
     classes.dedup();
@@ -120,7 +120,7 @@
 fn is_consistent(input: &PlanInput) -> bool {
     let types = input.types.len() as u32;
     input.machines.iter().all(|machine| machine.type_index < types)
-        && input.offers.iter().all(|offer| offer.type_index < types && offer.most <= MAX_MACHINES_PER_OFFER)
+        && input.offers.iter().all(|offer| offer.type_index < types && offer.max_count <= MAX_MACHINES_PER_OFFER)
         && input.jobs.iter().all(|job| job.tasks <= crate::core::submissions::MAX_TASKS && job.ready_tasks <= job.tasks)
 }
 
--- a/src/core/placement/planner.rs
+++ b/src/core/placement/planner.rs
@@ -54,7 +54,7 @@
             input,
             meter,
             candidates: machines.map(|(index, machine)| Candidate::from_machine(input, index, machine)).collect(),
-            offered_machines_left: input.offers.iter().map(|offer| offer.most).collect(),
+            offered_machines_left: input.offers.iter().map(|offer| offer.max_count).collect(),
             team_quotas: teams.map(|team| (team.team, RemainingQuota { cpus: team.cpus, gpus: team.gpus })).collect(),
         };
         for offer in 0..input.offers.len() {
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -35,7 +35,7 @@
         types: vec![machine_type(8.0, 0.0, 1.0)],
         machines,
         jobs,
-        batch: 100,
+        batch_size: 100,
         budget_share: 0.25,
         spot_mu: 5400f64.ln(),
         spot_sigma: 1.0,
@@ -61,7 +61,7 @@
     let mut booting = machine(1, 8.0);
     (booting.up, booting.ready_in_s, booting.spot) = (false, 12.0, true);
     let mut view = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
-    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, most: 1 }];
+    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, max_count: 1 }];
     let meter = OperationMeter::default();
     let planner = Planner::new(&view, &meter);
     // Up: fetches 1 GB at 0.5 GB/s, then runs for 36 s, on a quarter of a machine at 1.0 per hour.
@@ -153,8 +153,8 @@
 fn scale_out_requests_for_a_long_queue_exceed_the_batch() {
     // One machine is up and four of the 40 tasks fit on a machine: a batch of 4 starts.
     let mut view = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
-    view.batch = 4;
-    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, most: 50 }];
+    view.batch_size = 4;
+    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, max_count: 50 }];
     let out = plan(&view);
     assert_eq!(placements(&out), [(0, 0, 4)]);
     // The tasks that wait request machines, for up to eight batches of them.
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -59,7 +59,8 @@
         let (job_views, jobs) = self.job_views(&context);
         // The batch grows with the load.
         let ready: u32 = job_views.iter().map(|job| job.ready_tasks).sum();
-        let batch = (ready / BATCHES_PER_BACKLOG).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
+        let batch_size =
+            (ready / BATCHES_PER_BACKLOG).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
         let input = PlanInput {
             version: VERSION,
             term: self.term.0,
@@ -69,7 +70,7 @@
             jobs: job_views,
             teams,
             offers,
-            batch,
+            batch_size,
             budget_share: self.tuning.budget_share,
             spot_mu: self.spot_lifetimes.mu(),
             spot_sigma: self.spot_lifetimes.sigma(),
@@ -123,7 +124,7 @@
                             type_index: kind as u32,
                             zone: zone as u32,
                             spot,
-                            most: MAX_INSTANCES_PER_OFFER,
+                            max_count: MAX_INSTANCES_PER_OFFER,
                         });
                     }
                 }
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -89,7 +89,7 @@
         jobs,
         teams,
         offers: input.offers.clone(),
-        batch: input.batch,
+        batch_size: input.batch_size,
         budget_share: input.budget_share,
         spot_mu: input.spot_mu,
         spot_sigma: input.spot_sigma,
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -232,7 +232,7 @@
     pub spot: bool,
     /// Maximum number of machines to provision.
     #[prost(uint32, tag = "4")]
-    pub most: u32,
+    pub max_count: u32,
 }
 
 /// The leader's request to a controller to plan a shard's jobs in a round.
@@ -264,7 +264,7 @@
     pub offers: Vec<ProvisionOffer>,
     /// Batch size: the maximum number of tasks to place on machines that are up.
     #[prost(uint32, tag = "9")]
-    pub batch: u32,
+    pub batch_size: u32,
     /// How much more than the cheapest candidate a task may cost on average, as a fraction, 0 to 1, of the difference
     /// in cost between the most expensive and the cheapest one (B in the paper).
     #[prost(double, tag = "10")]
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -189,7 +189,7 @@
 }
 
 fn offer() -> ProvisionOffer {
-    ProvisionOffer { type_index: 52, zone: 53, spot: true, most: 54 }
+    ProvisionOffer { type_index: 52, zone: 53, spot: true, max_count: 54 }
 }
 
 #[test]
@@ -203,7 +203,7 @@
         jobs: vec![job_view()],
         teams: vec![team_left()],
         offers: vec![offer()],
-        batch: 55,
+        batch_size: 55,
         budget_share: 0.25,
         spot_mu: 8.5,
         spot_sigma: 1.25,
