--- a/src/core/placement/candidates.rs
+++ b/src/core/placement/candidates.rs
@@ -2,7 +2,7 @@
 
 use super::TOLERANCE;
 use crate::core::machine::Resources;
-use crate::peer::{JobView, MachineView, PlanInput, ProvisionOffer, TypeView};
+use crate::peer::{JobView, MachineTypeView, MachineView, PlanInput, ProvisionOffer};
 
 /// Jobs of this priority number or a lower one (prod and high) are urgent: they are not preempted for GPU jobs.
 const MAX_URGENT_PRIORITY: u32 = 1;
@@ -16,9 +16,9 @@
     }
 }
 
-impl From<&TypeView> for Resources {
+impl From<&MachineTypeView> for Resources {
     /// The capacity of an empty machine of the type.
-    fn from(machine_type: &TypeView) -> Resources {
+    fn from(machine_type: &MachineTypeView) -> Resources {
         Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
 }
--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -4,7 +4,7 @@
 use super::candidates::{Candidate, CandidateSource, SearchScope};
 use super::{Estimate, TOLERANCE, log_normal_cdf};
 use crate::core::machine::Resources;
-use crate::peer::{JobView, MachineView, PlanInput, ProvisionOffer, TypeView};
+use crate::peer::{JobView, MachineTypeView, MachineView, PlanInput, ProvisionOffer};
 
 /// The cloud charges for at least this many seconds of a new machine.
 const MIN_BILLED_S: f64 = 60.0;
@@ -93,7 +93,7 @@
 }
 
 /// Seconds that the machine needs, once it is up, to have the job's image.
-fn fetch_s(job: &JobView, machine_type: &TypeView, machine: Option<&MachineView>) -> f64 {
+fn fetch_s(job: &JobView, machine_type: &MachineTypeView, machine: Option<&MachineView>) -> f64 {
     let images = machine.map_or(&[][..], |machine| &machine.images);
     match images.iter().find(|image| image.image == job.image) {
         Some(cached) => cached.ready_in_s,
@@ -108,7 +108,7 @@
 /// Cost of the task: the price of the fraction of the machine that it uses while its image is fetched and while it
 /// runs, plus its share of the boot time of a machine that is yet to be provisioned. In the paper each task has a
 /// machine of its own.
-fn cost(job: &JobView, candidate: &Candidate, machine_type: &TypeView, fetch_s: f64, run_s: f64) -> f64 {
+fn cost(job: &JobView, candidate: &Candidate, machine_type: &MachineTypeView, fetch_s: f64, run_s: f64) -> f64 {
     let fraction = machine_fraction(machine_type, job);
     let hourly_price = if candidate.spot { machine_type.spot_price } else { machine_type.price };
     // The tasks that share a new machine also share its boot time, or the rest of the minimum billing period if that is
@@ -123,7 +123,7 @@
 }
 
 /// The fraction, 0 to 1, of an empty machine of the type that one task of the job uses: the largest over its resources.
-pub(super) fn machine_fraction(machine_type: &TypeView, job: &JobView) -> f64 {
+pub(super) fn machine_fraction(machine_type: &MachineTypeView, job: &JobView) -> f64 {
     let fraction = |capacity: f64, need: f64| if capacity > TOLERANCE { need / capacity } else { 0.0 };
     fraction(machine_type.cpus, job.cpus)
         .max(fraction(machine_type.gpus, job.gpus))
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -8,7 +8,7 @@
 use super::ranking::CandidateRanking;
 use super::{Estimate, TOLERANCE, sub_deadline, zone_allowed};
 use crate::core::cost::OperationMeter;
-use crate::peer::{JobView, Placement, PlanInput, PlanOutput, Waiting, ZoneCount};
+use crate::peer::{JobView, Placement, PlanInput, PlanOutput, WaitingTasks, ZoneCount};
 use std::collections::BTreeMap;
 
 /// Sort key for the order in which jobs take turns, lowest first.
@@ -48,7 +48,7 @@
     /// By machine key: the tasks that start now.
     placed: BTreeMap<u32, PlacedTasks>,
     /// The tasks that can't start now.
-    waiting: Waiting,
+    waiting: WaitingTasks,
     /// The job's rank in seconds (paper, eq. 1).
     rank_s: f64,
     ranking: CandidateRanking,
@@ -91,7 +91,7 @@
             due_s,
             zone_counts: job.placed.clone(),
             placed: BTreeMap::new(),
-            waiting: Waiting { job: job.key, ..Default::default() },
+            waiting: WaitingTasks { job: job.key, ..Default::default() },
             rank_s,
             ranking: CandidateRanking::default(),
             scope,
@@ -277,7 +277,7 @@
             placed.excess_cost += excess_cost;
         } else {
             self.waiting.count += 1;
-            self.waiting.on_spot |= candidate.spot && !candidate.up;
+            self.waiting.waits_for_spot |= candidate.spot && !candidate.up;
             self.waiting.finish_s = self.waiting.finish_s.max(estimate.finish_s);
             self.waiting.start_s = self.waiting.start_s.max(estimate.start_s);
         }
@@ -291,7 +291,7 @@
         }
         let count = self.waiting.count + self.tasks_left;
         if count > 0 {
-            output.waiting.push(Waiting { count, ..self.waiting });
+            output.waiting.push(WaitingTasks { count, ..self.waiting });
         }
     }
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,11 +1,11 @@
 use super::estimates::estimate;
 use super::job_selection::{MAX_ESTIMATES, MIN_JOBS_PER_ROUND};
 use super::*;
-use crate::peer::{ImageView, JobView, MachineView, ProvisionOffer, TeamHeadroom, TypeView};
+use crate::peer::{ImageView, JobView, MachineTypeView, MachineView, ProvisionOffer, TeamHeadroom};
 
-fn machine_type(cpus: f64, gpus: f64, price: f64) -> TypeView {
+fn machine_type(cpus: f64, gpus: f64, price: f64) -> MachineTypeView {
     let spot_price = price / 3.0;
-    TypeView { cpus, gpus, memory_gb: 32.0, fetch_gb_per_s: 0.5, price, spot_price, boot_s: 30.0 }
+    MachineTypeView { cpus, gpus, memory_gb: 32.0, fetch_gb_per_s: 0.5, price, spot_price, boot_s: 30.0 }
 }
 
 fn machine(key: u32, free_cpus: f64) -> MachineView {
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -12,7 +12,7 @@
 use crate::core::machine::{Machine, Resources};
 use crate::core::provisioning::InstancePool;
 use crate::ids::{JobId, MachineId};
-use crate::peer::{PlanInput, ProvisionOffer, TypeView, VERSION, ZoneCount};
+use crate::peer::{MachineTypeView, PlanInput, ProvisionOffer, VERSION, ZoneCount};
 use crate::time::{MonotonicTime, WallTime};
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -134,8 +134,8 @@
     }
 }
 
-fn type_view(machine_type: &MachineType) -> TypeView {
-    TypeView {
+fn type_view(machine_type: &MachineType) -> MachineTypeView {
+    MachineTypeView {
         cpus: machine_type.cpus,
         gpus: machine_type.gpus,
         memory_gb: machine_type.memory_gb,
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -10,7 +10,7 @@
 use crate::core::placement;
 use crate::core::provisioning::InstancePool;
 use crate::ids::JobId;
-use crate::peer::{JobView, PlanOutput, Waiting, ZoneCount};
+use crate::peer::{JobView, PlanOutput, WaitingTasks, ZoneCount};
 use crate::time::MonotonicTime;
 use crate::wire::{JobKind, Priority};
 use log::debug;
@@ -106,10 +106,10 @@
 
     /// Stops provisioning spot machines for a job once its slack is less than its wait for one so far plus the
     /// configured window (eq. 8 of the paper that [`crate::core::placement`] follows).
-    fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, waiting: &Waiting) {
+    fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, waiting: &WaitingTasks) {
         let window_s = self.tuning.spot_window_s;
         let Some(job) = self.jobs.live.get_mut(id) else { return };
-        if !waiting.on_spot {
+        if !waiting.waits_for_spot {
             job.spot_wait_since = None;
             return;
         }
@@ -124,7 +124,7 @@
     }
 
     /// Whether a waiting job may preempt other work.
-    fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &Waiting) -> bool {
+    fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &WaitingTasks) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
         // A job that is expected to start within its objective without preemption does not preempt.
         let slo_s = self.jobs.live.get(id).and_then(|job| self.settings.start_slo_s(&job.spec.class, view.guaranteed));
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -1,7 +1,7 @@
 //! Tests of planning: the jobs that get capacity, and the machines that are considered.
 
 use super::*;
-use crate::peer::{JobView, MachineView, PlanInput, TypeView, VERSION};
+use crate::peer::{JobView, MachineTypeView, MachineView, PlanInput, VERSION};
 
 #[test]
 fn largest_gang_starts_while_smaller_gangs_keep_arriving() {
@@ -86,7 +86,7 @@
 fn partitioned_view_gives_each_booting_machine_to_one_planner() {
     // Guards against several planners that count on the same booting machines, so that too few are provisioned. With
     // five planners, a fleet of 1,300 machines took 100 s to start instead of 30 s.
-    let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| TypeView { cpus, gpus, ..Default::default() });
+    let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| MachineTypeView { cpus, gpus, ..Default::default() });
     let machine = |key: u32| MachineView { key, type_index: key % 2, up: key < 10, ..Default::default() };
     let job = |key: u32, gpus: f64| JobView { key, ready_tasks: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
     let input = PlanInput {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -12,8 +12,8 @@
     HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, JobCount, PeerHeartbeat, PeerHeartbeatResponse,
 };
 pub use plan::{
-    ImageView, JobView, MachineView, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom,
-    TypeView, Waiting, ZoneCount,
+    ImageView, JobView, MachineTypeView, MachineView, Placement, PlanInput, PlanOutput, ProvisionOffer,
+    ScaleOutRequest, TeamHeadroom, WaitingTasks, ZoneCount,
 };
 
 /// Version of the messages. It is raised when the meaning of a message changes; messages of other versions are
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -8,7 +8,7 @@
 
 /// A machine type.
 #[derive(Clone, PartialEq, Message)]
-pub struct TypeView {
+pub struct MachineTypeView {
     /// Number of CPUs.
     #[prost(double, tag = "1")]
     pub cpus: f64,
@@ -249,7 +249,7 @@
     pub round: u64,
     /// All machine types, to which other fields refer by index.
     #[prost(message, repeated, tag = "4")]
-    pub types: Vec<TypeView>,
+    pub types: Vec<MachineTypeView>,
     /// Machines that tasks may be placed on.
     #[prost(message, repeated, tag = "5")]
     pub machines: Vec<MachineView>,
@@ -317,7 +317,7 @@
 
 /// Tasks of a job that have to wait.
 #[derive(Clone, PartialEq, Message)]
-pub struct Waiting {
+pub struct WaitingTasks {
     /// Key of the job in the view.
     #[prost(uint32, tag = "1")]
     pub job: u32,
@@ -326,7 +326,7 @@
     pub count: u32,
     /// Whether some of them wait for a spot machine that is not up yet.
     #[prost(bool, tag = "3")]
-    pub on_spot: bool,
+    pub waits_for_spot: bool,
     /// The latest expected finish of those that wait for a machine to come up, in seconds from now; 0 if there are
     /// none.
     #[prost(double, tag = "4")]
@@ -356,5 +356,5 @@
     pub scale_out: Vec<ScaleOutRequest>,
     /// Tasks that have to wait.
     #[prost(message, repeated, tag = "6")]
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<WaitingTasks>,
 }
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -5,9 +5,9 @@
 use prost::Message;
 use std::fmt::Debug;
 use wallstile::peer::{
-    HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineView, PeerHeartbeat,
-    PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom, TypeView,
-    VERSION, Waiting, ZoneCount,
+    HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineTypeView, MachineView,
+    PeerHeartbeat, PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest,
+    TeamHeadroom, VERSION, WaitingTasks, ZoneCount,
 };
 
 /// Each message has its sample.
@@ -80,8 +80,8 @@
     assert_samples(&[("report_decision", decision)]);
 }
 
-fn type_view() -> TypeView {
-    TypeView {
+fn type_view() -> MachineTypeView {
+    MachineTypeView {
         cpus: 16.0,
         gpus: 8.0,
         memory_gb: 64.5,
@@ -217,7 +217,7 @@
 fn plans_are_the_samples() {
     let placement = Placement { job: 61, machine: 62, count: 63, excess_cost: 1.5 };
     let scale_out_request = ScaleOutRequest { type_index: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
-    let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, start_s: 3.5 };
+    let waiting = WaitingTasks { job: 67, count: 68, waits_for_spot: true, finish_s: 2.5, start_s: 3.5 };
     let output = PlanOutput {
         version: 3,
         term: 9001,
