--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -305,8 +305,13 @@
 async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
     let requested_at = node.now();
     let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
-    let heartbeat =
-        PeerHeartbeat { asks_extension: true, leading: true, term: term.0, read_through, ..peers::new_heartbeat(node) };
+    let heartbeat = PeerHeartbeat {
+        requests_lease_extension: true,
+        leading: true,
+        term: term.0,
+        read_through,
+        ..peers::new_heartbeat(node)
+    };
     let answers = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
     let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| parse_pledge(answer.as_ref()?)).collect();
     let mut state = node.lock();
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -41,10 +41,10 @@
     let mut state = node.lock();
     let now = node.now();
     if let Some(scheduler) = &state.scheduler {
-        heartbeat.counts = scheduler.live_job_counts();
+        heartbeat.live_job_counts = scheduler.live_job_counts();
         (heartbeat.suspected, machines) = scheduler.suspected_machines(now);
     }
-    state.set_live_job_counts(&heartbeat.counts);
+    state.set_live_job_counts(&heartbeat.live_job_counts);
     (heartbeat, machines)
 }
 
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -30,7 +30,7 @@
     let mut guard = node.lock();
     let state = &mut *guard;
     let redirected = state.redirected_workers.filter_recent(&heartbeat.suspected, now);
-    if heartbeat.leading && !heartbeat.asks_extension {
+    if heartbeat.leading && !heartbeat.requests_lease_extension {
         apply_leader_heartbeat(node, state, now, &heartbeat);
     }
     if !heartbeat.successor.is_empty() && heartbeat.successor != node.settings.name {
@@ -42,7 +42,7 @@
         store_ok: !state.election.is_store_unavailable(),
         ..Default::default()
     };
-    if heartbeat.asks_extension {
+    if heartbeat.requests_lease_extension {
         grant_pledge(state, now, &heartbeat, &mut response);
     }
     response.relays_heartbeats = state.heartbeat_relay.has_capacity(now);
@@ -53,7 +53,7 @@
 /// Updates this controller's state from a leader's heartbeat.
 fn apply_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
     state.suspected_machines = heartbeat.suspected.iter().cloned().collect();
-    state.set_live_job_counts(&heartbeat.counts);
+    state.set_live_job_counts(&heartbeat.live_job_counts);
     state.heartbeat_relay.record_leader_heartbeat(&heartbeat.from, Term(heartbeat.term), now);
     if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
         node.relay_wakeup.notify_one();
--- a/src/peer/heartbeat.rs
+++ b/src/peer/heartbeat.rs
@@ -4,7 +4,7 @@
 use prost::Message;
 
 /// A heartbeat from one controller to another. A leader sends one to each peer about once a second. With
-/// `asks_extension` it is also a request for a pledge (see [`crate::core::election`]).
+/// `requests_lease_extension` it is also a request for a pledge (see [`crate::core::election`]).
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHeartbeat {
     /// [`super::VERSION`] of the sender.
@@ -16,13 +16,13 @@
     /// Whether the sender is a leader to which the key-value store is unavailable, and which asks for a pledge so that
     /// it can extend its lease.
     #[prost(bool, tag = "3")]
-    pub asks_extension: bool,
+    pub requests_lease_extension: bool,
     /// Term of the sender if it is the leader, otherwise 0.
     #[prost(uint64, tag = "4")]
     pub term: u64,
     /// The leader's task counts of its live jobs, which its peers show to users that poll a job.
     #[prost(message, repeated, tag = "5")]
-    pub counts: Vec<JobCount>,
+    pub live_job_counts: Vec<JobCount>,
     /// Whether the sender is the leader.
     #[prost(bool, tag = "6")]
     pub leading: bool,
@@ -34,7 +34,8 @@
     /// probably can't reach the leader, so the peer doesn't redirect them to it.
     #[prost(string, repeated, tag = "8")]
     pub suspected: Vec<String>,
-    /// Only with `asks_extension`: the store revision up to which the sender has read all changes of live jobs.
+    /// Only with `requests_lease_extension`: the store revision up to which the sender has read all changes of live
+    /// jobs.
     #[prost(uint64, tag = "9")]
     pub read_through: u64,
     /// Names of jobs whose cancellation the sender has just confirmed to users. They let the leader stop starting tasks
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -32,9 +32,9 @@
     let full = PeerHeartbeat {
         version: 3,
         from: "plinth-0".into(),
-        asks_extension: true,
+        requests_lease_extension: true,
         term: 9001,
-        counts: vec![job_count()],
+        live_job_counts: vec![job_count()],
         leading: true,
         successor: "plinth-1".into(),
         suspected: vec!["m-000231".into(), "m-000232".into()],
@@ -43,7 +43,7 @@
     };
     assert_samples(&[
         ("hello", full),
-        ("hello_hold_on", PeerHeartbeat { asks_extension: true, ..PeerHeartbeat::default() }),
+        ("hello_hold_on", PeerHeartbeat { requests_lease_extension: true, ..PeerHeartbeat::default() }),
         ("hello_leading", PeerHeartbeat { leading: true, ..PeerHeartbeat::default() }),
     ]);
     assert_samples(&[("job_count", job_count())]);
