--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -335,5 +335,5 @@
 /// A peer's pledge. `None` if the peer doesn't pledge or the names of its cancelled jobs can't be parsed.
 fn parse_pledge(answer: &PeerHeartbeatResponse) -> Option<Pledge> {
     let duration = Some(Millis(answer.pledge_ms)).filter(|duration| *duration > Millis(0))?;
-    Some(Pledge { duration, cancelled: peers::parse_job_ids(&answer.cancelled)? })
+    Some(Pledge { duration, cancelled: peers::parse_job_ids(&answer.cancelled_jobs)? })
 }
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -25,7 +25,8 @@
         let (heartbeat, machines) = leader_heartbeat(node, term);
         let answers = peers::broadcast_heartbeat(node, &heartbeat, HEARTBEAT_TIMEOUT).await;
         record_relay_peers(node, &answers);
-        detections = detect_unreachable_leader(node, &answers, heartbeat.suspected.len(), machines, detections);
+        detections =
+            detect_unreachable_leader(node, &answers, heartbeat.suspected_machines.len(), machines, detections);
         hand_over_if_overloaded(node, &answers);
         let delay = if detections > 0 { RECHECK_INTERVAL } else { HEARTBEAT_INTERVAL };
         tokio::time::sleep(delay.to_std()).await;
@@ -42,7 +43,7 @@
     let now = node.now();
     if let Some(scheduler) = &state.scheduler {
         heartbeat.live_job_counts = scheduler.live_job_counts();
-        (heartbeat.suspected, machines) = scheduler.suspected_machines(now);
+        (heartbeat.suspected_machines, machines) = scheduler.suspected_machines(now);
     }
     state.set_live_job_counts(&heartbeat.live_job_counts);
     (heartbeat, machines)
@@ -55,7 +56,7 @@
     let Some(scheduler) = state.scheduler.as_ref().filter(|scheduler| scheduler.has_led_for_lease(now)) else { return };
     let lag = scheduler.lag();
     let candidates =
-        peers::responding_peers(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
+        peers::responding_peers(node, answers).filter(|(_, answer)| answer.store_available && answer.relays_heartbeats);
     let candidates: Vec<&Peer> = candidates.map(|(peer, _)| peer).collect();
     let Some(peer) = candidates.choose(&mut rand::rng()) else { return };
     if state.overload.record_lag(now, lag) {
@@ -92,9 +93,9 @@
     let mut successor: Option<(usize, &str)> = None;
     for (peer, answer) in peers::responding_peers(node, answers) {
         scheduler.mark_peer_responsive(now, &peer.name);
-        redirected.extend(answer.redirected.iter().map(String::as_str));
-        if answer.store_ok {
-            successor = successor.max(Some((answer.redirected.len(), &peer.name)));
+        redirected.extend(answer.redirected_machines.iter().map(String::as_str));
+        if answer.store_available {
+            successor = successor.max(Some((answer.redirected_machines.len(), &peer.name)));
         }
     }
     let Some((1.., name)) = successor else { return 0 };
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -20,7 +20,7 @@
 /// version.
 pub fn respond_to_heartbeat(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
     let heartbeat = PeerHeartbeat::decode(body).ok().filter(|heartbeat| heartbeat.version == VERSION)?;
-    let cancelled = peers::parse_job_ids(&heartbeat.cancelled)?;
+    let cancelled = peers::parse_job_ids(&heartbeat.cancelled_jobs)?;
     if !cancelled.is_empty() {
         leader_loop::step(node, InputKind::Result, |scheduler| {
             cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled))
@@ -29,7 +29,7 @@
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
-    let redirected = state.redirected_workers.filter_recent(&heartbeat.suspected, now);
+    let redirected_machines = state.redirected_workers.filter_recent(&heartbeat.suspected_machines, now);
     if heartbeat.leading && !heartbeat.requests_lease_extension {
         apply_leader_heartbeat(node, state, now, &heartbeat);
     }
@@ -38,21 +38,21 @@
     }
     let mut response = PeerHeartbeatResponse {
         version: VERSION,
-        redirected,
-        store_ok: !state.election.is_store_unavailable(),
+        redirected_machines,
+        store_available: !state.election.is_store_unavailable(),
         ..Default::default()
     };
     if heartbeat.requests_lease_extension {
         grant_pledge(state, now, &heartbeat, &mut response);
     }
     response.relays_heartbeats = state.heartbeat_relay.has_capacity(now);
-    response.leader = state.leader_name.clone().filter(|_| response.store_ok).unwrap_or_default();
+    response.leader = state.leader_name.clone().filter(|_| response.store_available).unwrap_or_default();
     Some(response.encode_to_vec())
 }
 
 /// Updates this controller's state from a leader's heartbeat.
 fn apply_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
-    state.suspected_machines = heartbeat.suspected.iter().cloned().collect();
+    state.suspected_machines = heartbeat.suspected_machines.iter().cloned().collect();
     state.set_live_job_counts(&heartbeat.live_job_counts);
     state.heartbeat_relay.record_leader_heartbeat(&heartbeat.from, Term(heartbeat.term), now);
     if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
@@ -71,7 +71,7 @@
     let (term, read_through) = (Term(heartbeat.term), Revision(heartbeat.read_through));
     if let Ok(pledge) = state.election.pledge_to(now, term, read_through, &state.cancellations) {
         response.pledge_ms = pledge.duration.0;
-        response.cancelled = pledge.cancelled.iter().map(JobId::to_string).collect();
+        response.cancelled_jobs = pledge.cancelled.iter().map(JobId::to_string).collect();
     }
 }
 
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -74,7 +74,7 @@
 pub fn notify_leader_of_cancellation(node: &Arc<Node>, id: &JobId) {
     let leader = node.lock().leader_name.clone();
     let Some(peer) = node.settings.peers.iter().find(|peer| Some(&peer.name) == leader.as_ref()) else { return };
-    let heartbeat = PeerHeartbeat { cancelled: vec![id.to_string()], ..new_heartbeat(node) };
+    let heartbeat = PeerHeartbeat { cancelled_jobs: vec![id.to_string()], ..new_heartbeat(node) };
     let (node, addr) = (node.clone(), peer.addr.to_string());
     tokio::spawn(async move { send_heartbeat(&node, &addr, &heartbeat, CANCELLATION_HINT_TIMEOUT).await });
 }
--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -66,7 +66,7 @@
     /// Records the responses of all peers to one heartbeat; `None` for a peer that didn't respond.
     pub fn record_peer_responses(&mut self, responses: &[Option<PeerHeartbeatResponse>]) {
         let leader = |response: &PeerHeartbeatResponse| Some(response.leader.clone()).filter(|name| !name.is_empty());
-        self.is_peer_served = responses.iter().flatten().any(|response| response.store_ok);
+        self.is_peer_served = responses.iter().flatten().any(|response| response.store_available);
         self.no_peer_responds = !responses.is_empty() && responses.iter().all(Option::is_none);
         self.leader_reported_by_peers = responses.iter().flatten().find_map(leader);
     }
--- a/src/net/store_health/tests.rs
+++ b/src/net/store_health/tests.rs
@@ -3,8 +3,8 @@
 const START: MonotonicTime = MonotonicTime(10_000);
 const LATER: MonotonicTime = MonotonicTime(11_501);
 
-fn response(store_ok: bool, leader: &str) -> Option<PeerHeartbeatResponse> {
-    Some(PeerHeartbeatResponse { store_ok, leader: leader.into(), ..Default::default() })
+fn response(store_available: bool, leader: &str) -> Option<PeerHeartbeatResponse> {
+    Some(PeerHeartbeatResponse { store_available, leader: leader.into(), ..Default::default() })
 }
 
 #[test]
--- a/src/peer/heartbeat.rs
+++ b/src/peer/heartbeat.rs
@@ -33,7 +33,7 @@
     /// Names of machines that the leader suspects of having failed. If their workers send heartbeats to a peer, they
     /// probably can't reach the leader, so the peer doesn't redirect them to it.
     #[prost(string, repeated, tag = "8")]
-    pub suspected: Vec<String>,
+    pub suspected_machines: Vec<String>,
     /// Only with `requests_lease_extension`: the store revision up to which the sender has read all changes of live
     /// jobs.
     #[prost(uint64, tag = "9")]
@@ -41,7 +41,7 @@
     /// Names of jobs whose cancellation the sender has just confirmed to users. They let the leader stop starting tasks
     /// of these jobs sooner; correctness doesn't depend on them.
     #[prost(string, repeated, tag = "10")]
-    pub cancelled: Vec<String>,
+    pub cancelled_jobs: Vec<String>,
 }
 
 /// Task counts of a job, for display only.
@@ -66,14 +66,14 @@
     pub version: u32,
     /// Whether the key-value store is available to the responder.
     #[prost(bool, tag = "2")]
-    pub store_ok: bool,
+    pub store_available: bool,
     /// A pledge: the responder will not stand for election for this many milliseconds. 0 means that it gives no pledge.
     #[prost(uint64, tag = "3")]
     pub pledge_ms: u64,
     /// Names of those machines suspected by the sender of the heartbeat whose workers have recently sent heartbeats to
     /// the responder.
     #[prost(string, repeated, tag = "4")]
-    pub redirected: Vec<String>,
+    pub redirected_machines: Vec<String>,
     /// Name of the leader, as the responder last read it from the key-value store; empty if it knows none or the store
     /// is unavailable to it.
     #[prost(string, tag = "5")]
@@ -81,7 +81,7 @@
     /// Only with a pledge: names of all jobs whose cancellation the responder has confirmed to users and that the
     /// leader can't have read from the store.
     #[prost(string, repeated, tag = "6")]
-    pub cancelled: Vec<String>,
+    pub cancelled_jobs: Vec<String>,
     /// Whether the responder can relay workers' heartbeats to the leader.
     #[prost(bool, tag = "7")]
     pub relays_heartbeats: bool,
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -37,9 +37,9 @@
         live_job_counts: vec![job_count()],
         leading: true,
         successor: "plinth-1".into(),
-        suspected: vec!["m-000231".into(), "m-000232".into()],
+        suspected_machines: vec!["m-000231".into(), "m-000232".into()],
         read_through: 9002,
-        cancelled: vec!["req-000007".into()],
+        cancelled_jobs: vec!["req-000007".into()],
     };
     assert_samples(&[
         ("hello", full),
@@ -53,16 +53,16 @@
 fn answers_to_peer_heartbeats_are_the_samples() {
     let full = PeerHeartbeatResponse {
         version: 3,
-        store_ok: true,
+        store_available: true,
         pledge_ms: 3500,
-        redirected: vec!["m-000231".into()],
+        redirected_machines: vec!["m-000231".into()],
         leader: "plinth-2".into(),
-        cancelled: vec!["req-000007".into(), "req-000008".into()],
+        cancelled_jobs: vec!["req-000007".into(), "req-000008".into()],
         relays_heartbeats: true,
     };
     assert_samples(&[
         ("hello_answer", full),
-        ("hello_answer_state_ok", PeerHeartbeatResponse { store_ok: true, ..PeerHeartbeatResponse::default() }),
+        ("hello_answer_state_ok", PeerHeartbeatResponse { store_available: true, ..PeerHeartbeatResponse::default() }),
         (
             "hello_answer_forwards",
             PeerHeartbeatResponse { relays_heartbeats: true, ..PeerHeartbeatResponse::default() },
