--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -12,11 +12,11 @@
     MachineView { key, up: true, free_cpus, free_memory_gb: 32.0, slowness: 1.0, ..Default::default() }
 }
 
-fn job(key: u32, ready: u32) -> JobView {
+fn job(key: u32, ready_tasks: u32) -> JobView {
     JobView {
         key,
-        ready_tasks: ready,
-        tasks: ready,
+        ready_tasks,
+        tasks: ready_tasks,
         cpus: 2.0,
         memory_gb: 1.0,
         image_gb: 1.0,
@@ -132,11 +132,8 @@
 fn turn_order_prefers_the_higher_rank_among_jobs_with_the_same_time_left() {
     // Capacity for one task. Both jobs are due at the same time, but the dependents of one take longer, which gives it
     // the higher rank (eq. 1).
-    let job_followed_by = |key: u32, dependents_s: f64| JobView {
-        slo_deadline_s: Some(80.0),
-        dependents_rank_s: dependents_s,
-        ..job(key, 1)
-    };
+    let job_followed_by =
+        |key: u32, dependents_rank_s: f64| JobView { slo_deadline_s: Some(80.0), dependents_rank_s, ..job(key, 1) };
     let placed = |jobs: Vec<JobView>| placements(&plan(&input(vec![machine(0, 2.0)], jobs)));
     assert_eq!(placed(vec![job_followed_by(0, 5.0), job_followed_by(1, 30.0)]), [(1, 0, 1)]);
     assert_eq!(placed(vec![job_followed_by(0, 30.0), job_followed_by(1, 5.0)]), [(0, 0, 1)]);
