--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden samples of everything that outlives a process or goes to another one: stored records, messages
-//! between controllers, the JSON of users, workers, cloud and key-value store, and the two settings files.
+//! Golden tests of all data that outlives a process or is sent to another one: stored records, messages between
+//! controllers, the JSON exchanged with users, workers, the cloud and the key-value store, and the two settings files.
 //!
-//! The samples under `golden/` are what this program writes. A change of names in the source must leave
-//! them as they are. `stored.json` and `wire.json` hold one sample a line, so that the order of a
-//! sample's members is compared as well.
+//! The samples under `golden/` are the exact text that this program writes, or text of other versions and services
+//! that it must be able to read. Renaming items in the source must not change them. Samples in `stored.json` and
+//! `wire.json` are on one line each and are compared as text, so the order of their fields is checked as well.
 
 #[path = "golden/calls.rs"]
 mod calls;
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers, as bytes.
+//! The encoded bytes of messages between controllers.
 
 use crate::samples::Samples;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
     VERSION, Waiting, ZoneCount,
 };
 
-/// Each message has its sample.
+/// Asserts that each message is encoded as the sample of the given name, and decoded from it.
 fn assert_samples<M: Message + Default + PartialEq + Debug>(messages: &[(&str, M)]) {
     let samples = Samples::peer();
     for (name, message) in messages {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn version_is_the_sample() {
+fn protocol_version_matches_sample() {
     Samples::peer().assert_text("version", &VERSION.to_string());
 }
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn peer_heartbeats_are_the_samples() {
+fn peer_heartbeats_match_samples() {
     let full = PeerHeartbeat {
         version: 3,
         from: "plinth-0".into(),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn answers_to_peer_heartbeats_are_the_samples() {
+fn peer_heartbeat_responses_match_samples() {
     let full = PeerHeartbeatResponse {
         version: 3,
         store_ok: true,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn relayed_heartbeats_are_the_samples() {
+fn relayed_heartbeats_match_samples() {
     let decision = HeartbeatDecision { status: 421, body: Bytes::from_static(b"{}") };
     let heartbeats = vec![Bytes::from_static(b"{\"a\":1}"), Bytes::from_static(b"\x00\xff")];
     assert_samples(&[("report_batch", HeartbeatBatch { version: 3, heartbeats, from: "plinth-1".into() })]);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn views_of_machines_are_the_samples() {
+fn machine_views_match_samples() {
     assert_samples(&[("type_view", type_view())]);
     assert_samples(&[("image_view", ImageView { image: 24, ready_s: 7.5 })]);
     assert_samples(&[
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn views_of_jobs_are_the_samples() {
+fn job_views_match_samples() {
     assert_samples(&[
         ("job_view", job_view()),
         ("job_view_sparse", JobView { zone: None, due_s: None, slo_deadline_s: None, ..job_view() }),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn each_flag_of_a_job_is_its_sample() {
+fn job_view_flags_match_samples() {
     assert_samples(&[
         ("job_view_gang", JobView { gang: true, ..JobView::default() }),
         ("job_view_one_zone", JobView { one_zone: true, ..JobView::default() }),
@@ -184,16 +184,16 @@
     ]);
 }
 
-fn team_left() -> TeamHeadroom {
+fn team_headroom() -> TeamHeadroom {
     TeamHeadroom { team: 51, cpus: 1.5, gpus: 2.5 }
 }
 
-fn offer() -> ProvisionOffer {
+fn provision_offer() -> ProvisionOffer {
     ProvisionOffer { kind: 52, zone: 53, spot: true, most: 54 }
 }
 
 #[test]
-fn plan_input_is_the_sample() {
+fn plan_input_matches_sample() {
     let input = PlanInput {
         version: 3,
         term: 9001,
@@ -201,20 +201,20 @@
         types: vec![type_view()],
         machines: vec![machine_view()],
         jobs: vec![job_view()],
-        teams: vec![team_left()],
-        offers: vec![offer()],
+        teams: vec![team_headroom()],
+        offers: vec![provision_offer()],
         batch: 55,
         budget_share: 0.25,
         spot_mu: 8.5,
         spot_sigma: 1.25,
     };
     assert_samples(&[("plan_input", input)]);
-    assert_samples(&[("team_left", team_left())]);
-    assert_samples(&[("offer", offer())]);
+    assert_samples(&[("team_left", team_headroom())]);
+    assert_samples(&[("offer", provision_offer())]);
 }
 
 #[test]
-fn plans_are_the_samples() {
+fn plan_output_matches_sample() {
     let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
     let scale_out_request = ScaleOutRequest { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
     let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, ready_s: 3.5 };
--- a/tests/golden/samples.rs
+++ b/tests/golden/samples.rs
@@ -1,4 +1,4 @@
-//! Reading the sample files and comparing values with their samples.
+//! Reads the sample files and compares values with their samples.
 
 use prost::Message;
 use serde::Serialize;
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// A sample file: the exact text of each sample by its name.
+/// The samples of a file: the exact text of each, by name.
 pub(crate) struct Samples(BTreeMap<String, String>);
 
 impl Samples {
-    /// Splits a JSON object that has each of its members on a line of its own.
+    /// Parses a JSON object with one member per line, keeping the text of each value as it is written.
     fn parse(text: &str) -> Samples {
         let whole: BTreeMap<String, Value> = serde_json::from_str(text).expect("the file is a JSON object");
         let member = |line: &str| {
@@ -19,7 +19,10 @@
             Some((name.trim_matches('"').to_string(), sample.to_string()))
         };
         let samples: BTreeMap<String, String> = text.lines().filter_map(member).collect();
-        assert!(samples.keys().eq(whole.keys()), "one sample a line, and no name twice");
+        assert!(
+            samples.keys().eq(whole.keys()),
+            "each sample must be on a line of its own, and no name may occur twice"
+        );
         Samples(samples)
     }
 
@@ -39,50 +42,51 @@
         self.0.get(name).unwrap_or_else(|| panic!("there is no sample {name}"))
     }
 
-    /// Reads the sample as it is read off the wire.
+    /// Decodes the sample from its JSON text.
     pub(crate) fn read<T: DeserializeOwned>(&self, name: &str) -> T {
         serde_json::from_str(self.text(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
     }
 
-    /// The text that this program has written is the sample.
+    /// Asserts that the text written by this program is the sample.
     pub(crate) fn assert_text(&self, name: &str, written: &str) {
         assert_eq!(written, self.text(name), "sample {name}");
     }
 
-    /// The value is written as the sample, in the order of its fields; the sample is read as the value, and
-    /// written again as it was.
-    pub(crate) fn assert_both_ways<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
-        let write = |value: &T| serde_json::to_string(value).expect("it can be written");
-        self.assert_text(name, &write(value));
-        let read: T = self.read(name);
-        assert_eq!(format!("{read:?}"), format!("{value:?}"), "sample {name}, read");
-        self.assert_text(name, &write(&read));
+    /// Asserts that the value is encoded as the sample, with its fields in the same order, and that the sample is
+    /// decoded as the value and encoded again without a difference.
+    pub(crate) fn assert_round_trip<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
+        let encode = |value: &T| serde_json::to_string(value).expect("the value can be encoded");
+        self.assert_text(name, &encode(value));
+        let decoded: T = self.read(name);
+        assert_eq!(format!("{decoded:?}"), format!("{value:?}"), "sample {name}, decoded");
+        self.assert_text(name, &encode(&decoded));
     }
 
-    /// The same for what is kept in the key-value store, which passes through a [`Value`] both ways.
-    pub(crate) fn assert_kept<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
+    /// Like [`Samples::assert_round_trip`], for records of the key-value store, which are converted to and from a
+    /// [`Value`].
+    pub(crate) fn assert_stored<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
         self.assert_text(name, &json!(value).to_string());
-        let kept: Value = self.read(name);
-        let read: T = serde_json::from_value(kept).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!(format!("{read:?}"), format!("{value:?}"), "sample {name}, read");
-        self.assert_text(name, &json!(read).to_string());
+        let stored: Value = self.read(name);
+        let decoded: T = serde_json::from_value(stored).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!(format!("{decoded:?}"), format!("{value:?}"), "sample {name}, decoded");
+        self.assert_text(name, &json!(decoded).to_string());
     }
 
-    /// The same for the bytes of a message between controllers.
+    /// Like [`Samples::assert_round_trip`], for the encoded bytes of a message between controllers.
     pub(crate) fn assert_message<M: Message + Default + PartialEq + Debug>(&self, name: &str, message: &M) {
         let sample: String = self.read(name);
-        assert_eq!(hexadecimal(&message.encode_to_vec()), sample, "sample {name}");
-        let read = M::decode(bytes_of(&sample).as_slice()).unwrap_or_else(|e| panic!("{name}: {e}"));
-        assert_eq!(read, *message, "sample {name}, read");
-        assert_eq!(hexadecimal(&read.encode_to_vec()), sample, "sample {name}, written again");
+        assert_eq!(to_hex(&message.encode_to_vec()), sample, "sample {name}");
+        let decoded = M::decode(from_hex(&sample).as_slice()).unwrap_or_else(|e| panic!("{name}: {e}"));
+        assert_eq!(decoded, *message, "sample {name}, decoded");
+        assert_eq!(to_hex(&decoded.encode_to_vec()), sample, "sample {name}, encoded again");
     }
 }
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(text: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hexadecimal digits");
+fn from_hex(text: &str) -> Vec<u8> {
+    let byte = |start: usize| u8::from_str_radix(&text[start..start + 2], 16).expect("pairs of hexadecimal digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! Every name of the platform's settings and of the operators' is read.
+//! Every field of the platform's settings file and of the operators' tuning file is read.
 
 use wallstile::config::{Objective, ObjectiveKind, Peer, Settings, Team, Tuning};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_controllers_own_settings_are_read() {
+fn controller_settings_are_read() {
     let Settings { name, listen, peer_listen, peers, services, cluster: _ } = settings();
     assert_eq!(name, "plinth-0");
     let addresses = [listen, peer_listen, services.cloud, services.store].map(|address| address.to_string());
@@ -21,36 +21,36 @@
 }
 
 #[test]
-fn settings_of_teams_and_objectives_are_read() {
+fn team_and_objective_settings_are_read() {
     let cluster = settings().cluster;
     assert_eq!(cluster.zones, ["a", "b"]);
     let team = |team: &Team| (team.name.clone(), [team.cpus, team.cpus_max, team.gpus, team.gpus_max]);
     let teams: Vec<_> = cluster.teams.iter().map(team).collect();
     assert_eq!(teams, [("team-a".to_string(), [8.0, 40.0, 2.0, 6.0]), ("team-b".to_string(), [0.0; 4])]);
-    let aim = |aim: &Objective| (aim.kind, aim.class.clone(), aim.within_s, aim.times);
-    let aims: Vec<_> = cluster.objectives.iter().map(aim).collect();
+    let fields = |objective: &Objective| (objective.kind, objective.class.clone(), objective.within_s, objective.times);
+    let objectives: Vec<_> = cluster.objectives.iter().map(fields).collect();
     let expected =
         [(ObjectiveKind::Deadline, "feed".to_string(), 3.5, 1.5), (ObjectiveKind::Guarantee, String::new(), 0.0, 1.0)];
-    assert_eq!(aims, expected);
+    assert_eq!(objectives, expected);
 }
 
 #[test]
-fn settings_of_limits_are_read() {
+fn limit_settings_are_read() {
     let cluster = settings().cluster;
     let workers = cluster.workers;
     assert_eq!([workers.heartbeat_interval_s, workers.lease_s, workers.cancellation_limit_s], [1.5, 10.0, 30.0]);
-    let state = cluster.store;
-    assert_eq!([state.rps, state.write_rps, state.max_value_kb], [100.0, 20.0, 8.0]);
-    assert_eq!(state.max_transaction_ops, 12);
-    let next = state.next;
-    assert_eq!([next.rps, next.write_rps, next.max_value_kb], [Some(90.0), Some(15.0), Some(4.0)]);
-    assert_eq!(next.max_transaction_ops, Some(6));
+    let store = cluster.store;
+    assert_eq!([store.rps, store.write_rps, store.max_value_kb], [100.0, 20.0, 8.0]);
+    assert_eq!(store.max_transaction_ops, 12);
+    let upcoming = store.next;
+    assert_eq!([upcoming.rps, upcoming.write_rps, upcoming.max_value_kb], [Some(90.0), Some(15.0), Some(4.0)]);
+    assert_eq!(upcoming.max_transaction_ops, Some(6));
     assert_eq!([cluster.cloud.rps, cluster.cloud.list_lag_s], [4.0, 11.0]);
     assert_eq!(cluster.limits.max_sockets, 1000);
 }
 
 #[test]
-fn operators_settings_are_read() {
+fn tuning_settings_are_read() {
     let expected = Tuning {
         budget_share: 0.5,
         spot_median_s: 5401.0,
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,7 +1,7 @@
-//! What the key-value store keeps: keys, and the records under them.
+//! The keys of the key-value store and the records stored under them.
 
 use crate::samples::Samples;
-use crate::values::{full_job, job_id, job_named, machine_type, sparse_job};
+use crate::values::{full_job, job_id, machine_type, parse_job_id, sparse_job};
 use fixedbitset::FixedBitSet;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -19,15 +19,15 @@
 use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobPhase, Transaction};
 
-const AT: WallTime = WallTime(1_700_000_000_123);
+const TIMESTAMP: WallTime = WallTime(1_700_000_000_123);
 
-fn live(depends_on: &[&str]) -> LiveRecord {
-    LiveRecord { at: AT, spec: full_job(), depends_on: depends_on.iter().map(|name| job_named(name)).collect() }
+fn live_record(depends_on: &[&str]) -> LiveRecord {
+    LiveRecord { at: TIMESTAMP, spec: full_job(), depends_on: depends_on.iter().map(|id| parse_job_id(id)).collect() }
 }
 
 #[test]
-fn keys_are_the_samples() {
-    let machine = MachineId::parse("m-000231").expect("it is the name of a machine");
+fn keys_match_samples() {
+    let machine = MachineId::parse("m-000231").expect("a valid machine id");
     let keys = json!({
         "live": live_key(&job_id()),
         "over": terminal_key(&job_id()),
@@ -43,110 +43,112 @@
 }
 
 #[test]
-fn live_records_are_kept_as_the_samples() {
-    let sparse = LiveRecord { spec: sparse_job(), ..live(&[]) };
+fn live_records_match_samples() {
+    let sparse = LiveRecord { spec: sparse_job(), ..live_record(&[]) };
     let samples = Samples::stored();
     for (name, record, depends_on) in [
-        ("live_plain", live(&[]), false),
+        ("live_plain", live_record(&[]), false),
         ("live_plain_sparse", sparse, false),
-        ("live_waiting", live(&["req-000007", "req-0000000008"]), true),
+        ("live_waiting", live_record(&["req-000007", "req-0000000008"]), true),
     ] {
-        samples.assert_kept(name, &record);
+        samples.assert_stored(name, &record);
         assert_eq!(has_dependencies(&samples.read(name)), depends_on, "{name}");
     }
 }
 
 #[test]
-fn terminal_records_are_kept_as_the_samples() {
+fn terminal_records_match_samples() {
     let samples = Samples::stored();
     for (name, record) in [
-        ("over_done", TerminalRecord::done(17, AT)),
+        ("over_done", TerminalRecord::done(17, TIMESTAMP)),
         ("over_cancelled", TerminalRecord::cancelled(17)),
         ("over_done_by_an_earlier_version", TerminalRecord { phase: JobPhase::Done, tasks: 17, at: None }),
     ] {
-        samples.assert_kept(name, &record);
+        samples.assert_stored(name, &record);
     }
 }
 
 #[test]
-fn job_mutations_are_the_samples() {
+fn job_transactions_match_samples() {
     let samples = Samples::stored();
-    let begun = Transaction { preconditions: absent_preconditions(&job_id()), mutations: Vec::new() };
-    samples.assert_both_ways("guards_of_a_new_job", &begun);
-    let record = TerminalRecord::done(17, AT);
-    let ended = Transaction {
+    let submission = Transaction { preconditions: absent_preconditions(&job_id()), mutations: Vec::new() };
+    samples.assert_round_trip("guards_of_a_new_job", &submission);
+    let record = TerminalRecord::done(17, TIMESTAMP);
+    let termination = Transaction {
         preconditions: vec![live_precondition(&job_id(), Revision(9001))],
         mutations: termination_mutations(&job_id(), &record).into(),
     };
-    samples.assert_both_ways("ending_of_a_job", &ended);
+    samples.assert_round_trip("ending_of_a_job", &termination);
 }
 
 #[test]
-fn machine_records_are_kept_as_the_samples() {
+fn machine_records_match_samples() {
     let record = MachineRecord { endpoint: "10.1.0.7:9000".into(), kind: "g8".into(), zone: "a".into(), spot: true };
-    Samples::stored().assert_kept("machine", &record);
-    Samples::stored().assert_kept("machine_types", &vec![machine_type()]);
+    Samples::stored().assert_stored("machine", &record);
+    Samples::stored().assert_stored("machine_types", &vec![machine_type()]);
 }
 
 #[test]
-fn leader_record_is_kept_as_the_sample() {
+fn leader_record_matches_sample() {
     let samples = Samples::stored();
     let record = LeaderRecord { node: "plinth-0".into(), incarnation: 77, lease: LeaseId(12) };
-    samples.assert_kept("leader", &record);
-    let earlier: LeaderRecord = samples.read("leader_by_an_earlier_version");
-    assert_eq!(earlier, record);
+    samples.assert_stored("leader", &record);
+    let earlier_version: LeaderRecord = samples.read("leader_by_an_earlier_version");
+    assert_eq!(earlier_version, record);
 }
 
 #[test]
-fn shards_are_kept_as_the_sample() {
+fn shard_assignment_matches_sample() {
     let teams = ["team-a".to_string(), "team-b".to_string()];
-    let mut shares = ShardAssignment::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, MonotonicTime(0));
+    let mut assignment = ShardAssignment::new("plinth-0", ["plinth-1".to_string()].into_iter(), 2, MonotonicTime(0));
     let samples = Samples::stored();
-    let kept: BTreeMap<String, String> = samples.read("shares");
-    assert_ne!(shares.to_record(&teams), kept);
-    shares.restore(&kept, &teams);
-    samples.assert_text("shares", &json!(shares.to_record(&teams)).to_string());
+    let stored: BTreeMap<String, String> = samples.read("shares");
+    assert_ne!(assignment.to_record(&teams), stored);
+    assignment.restore(&stored, &teams);
+    samples.assert_text("shares", &json!(assignment.to_record(&teams)).to_string());
 }
 
-/// Chunks of 150 tasks, which become the limit later; today's chunks hold 306.
+/// A layout with 150 tasks per chunk, as the upcoming limit on value sizes requires. Earlier versions used the current
+/// limit, under which chunks have 306 tasks.
 fn layout() -> BitmapLayout {
     let next = UpcomingStoreLimits { max_value_kb: Some(0.05), ..UpcomingStoreLimits::default() };
     BitmapLayout::new(&StoreLimits { rps: 100.0, write_rps: 20.0, max_value_kb: 0.1, max_transaction_ops: 12, next })
 }
 
-fn set_of(tasks: usize, done: &[usize]) -> FixedBitSet {
-    let mut set = FixedBitSet::with_capacity(tasks);
-    set.extend(done.iter().copied());
-    set
+fn new_bitmap(tasks: usize, done: &[usize]) -> FixedBitSet {
+    let mut bitmap = FixedBitSet::with_capacity(tasks);
+    bitmap.extend(done.iter().copied());
+    bitmap
 }
 
 #[test]
-fn completion_bitmaps_are_kept_as_the_samples() {
+fn completion_bitmaps_match_samples() {
     let samples = Samples::stored();
     for (name, tasks, done) in
         [("done_set_small", 20, vec![0, 3, 19]), ("done_set_large", 200, vec![1, 8, 149, 150, 153, 199])]
     {
-        let set = set_of(tasks as usize, &done);
-        let rows = layout().chunks(tasks);
-        let written: BTreeMap<String, Value> = rows.iter().map(|row| (row.key(&job_id()), row.encode(&set))).collect();
+        let bitmap = new_bitmap(tasks as usize, &done);
+        let chunks = layout().chunks(tasks);
+        let written: BTreeMap<String, Value> =
+            chunks.iter().map(|chunk| (chunk.key(&job_id()), chunk.encode(&bitmap))).collect();
         samples.assert_text(name, &json!(written).to_string());
-        assert_eq!(read_set(name, tasks as usize), set, "{name}");
+        assert_eq!(read_bitmap(name, tasks as usize), bitmap, "{name}");
     }
 }
 
 #[test]
 fn completion_bitmaps_of_an_earlier_version_are_read() {
-    assert_eq!(read_set("done_set_by_an_earlier_version", 400), set_of(400, &[2, 305, 306, 315]));
+    assert_eq!(read_bitmap("done_set_by_an_earlier_version", 400), new_bitmap(400, &[2, 305, 306, 315]));
 }
 
-/// The bitmap that the chunks of a sample make up.
-fn read_set(name: &str, tasks: usize) -> FixedBitSet {
-    let rows: BTreeMap<String, Value> = Samples::stored().read(name);
-    let mut set = FixedBitSet::with_capacity(tasks);
-    for (key, value) in &rows {
-        let (job, number) = parse_key(key).expect("it is the key of a row");
+/// Decodes the bitmap whose chunks are stored in a sample.
+fn read_bitmap(name: &str, tasks: usize) -> FixedBitSet {
+    let chunks: BTreeMap<String, Value> = Samples::stored().read(name);
+    let mut bitmap = FixedBitSet::with_capacity(tasks);
+    for (key, value) in &chunks {
+        let (job, chunk_number) = parse_key(key).expect("the key of a bitmap chunk");
         assert_eq!(job, job_id(), "{key}");
-        assert!(layout().read(&mut set, number, value), "{key}");
+        assert!(layout().read(&mut bitmap, chunk_number, value), "{key}");
     }
-    set
+    bitmap
 }
--- a/tests/golden/values.rs
+++ b/tests/golden/values.rs
@@ -1,22 +1,23 @@
-//! Values that stored records and wire messages share. The numbers of a value differ from each other, so
-//! that two swapped fields show.
+//! Values used in samples of both stored records and messages. The numbers in a value differ from each other, so
+//! that a test fails if two fields are swapped.
 
 use wallstile::ids::{JobId, TaskId};
 use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
 
 pub(crate) fn job_id() -> JobId {
-    job_named("req-000412")
+    parse_job_id("req-000412")
 }
 
-pub(crate) fn job_named(name: &str) -> JobId {
-    JobId::parse(name).expect("it is the name of a job")
+pub(crate) fn parse_job_id(text: &str) -> JobId {
+    JobId::parse(text).expect("a valid job id")
 }
 
 pub(crate) fn task(index: u32) -> TaskId {
     TaskId { job: job_id(), index }
 }
 
-/// Every optional field is there. Of the three flags no two agree both here and in [`sparse_job`].
+/// A job with all optional fields. No two of its three flags are equal both here and in [`sparse_job`], so that a test
+/// fails if two flags are swapped.
 pub(crate) fn full_job() -> JobSpec {
     JobSpec {
         id: "req-000412".into(),
@@ -42,6 +43,7 @@
     }
 }
 
+/// A job without its optional fields.
 pub(crate) fn sparse_job() -> JobSpec {
     JobSpec {
         kind: Kind::Array,
