--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -34,9 +34,9 @@
 }
 
 /// The cancellations of a process that has run since the store was empty and has confirmed none.
-fn no_cancellations() -> Cancellations {
-    let mut cancellations = Cancellations::default();
-    cancellations.at_revision(Revision(0));
+fn no_cancellations() -> ConfirmedCancellations {
+    let mut cancellations = ConfirmedCancellations::default();
+    cancellations.set_first_revision(Revision(0));
     cancellations
 }
 
@@ -76,21 +76,21 @@
 fn pledge_lists_the_cancellations_that_the_leader_cannot_have_read() {
     let mut follower = election();
     follower.store_failed();
-    let mut confirmed = Cancellations::default();
-    let request_pledge = |follower: &mut Election, confirmed: &Cancellations, read_through| {
+    let mut confirmed = ConfirmedCancellations::default();
+    let request_pledge = |follower: &mut Election, confirmed: &ConfirmedCancellations, read_through| {
         follower
             .pledge_to(MonotonicTime(20_000), Term(7), Revision(read_through), confirmed)
             .map(|pledge| pledge.cancelled)
     };
-    confirmed.tell(job(1), Revision(11));
+    confirmed.record(job(1), Revision(11));
     assert_eq!(
         request_pledge(&mut follower, &confirmed, 90),
         Err(PledgeRefusal::CancellationsUnknown),
         "an earlier process of this controller may have confirmed others"
     );
-    confirmed.at_revision(Revision(12));
-    confirmed.tell(job(2), Revision(13));
-    confirmed.tell(job(3), Revision(15));
+    confirmed.set_first_revision(Revision(12));
+    confirmed.record(job(2), Revision(13));
+    confirmed.record(job(3), Revision(15));
     assert_eq!(
         request_pledge(&mut follower, &confirmed, 11),
         Err(PledgeRefusal::CancellationsUnknown),
@@ -100,7 +100,7 @@
     assert_eq!(request_pledge(&mut follower, &confirmed, 13), Ok(vec![job(3)]));
     // Beyond MAX_CANCELLATIONS the oldest are dropped, so the list is complete only from a later revision on.
     for n in 0..MAX_CANCELLATIONS as u64 {
-        confirmed.tell(job(100 + n), Revision(100 + n));
+        confirmed.record(job(100 + n), Revision(100 + n));
     }
     assert_eq!(request_pledge(&mut follower, &confirmed, 13), Err(PledgeRefusal::CancellationsUnknown));
     assert_eq!(request_pledge(&mut follower, &confirmed, 15).map(|cancelled| cancelled.len()), Ok(MAX_CANCELLATIONS));
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -278,7 +278,7 @@
             match machine.allocations.get_mut(&key) {
                 // The common case: nothing has changed since the last list.
                 Some(allocation)
-                    if allocation.is_unchanged(listed.phase) && job.is_some_and(|job| job.goes_on(&key)) =>
+                    if allocation.is_unchanged(listed.phase) && job.is_some_and(|job| job.may_continue(&key)) =>
                 {
                     allocation.last_task_list = machine.task_lists_applied;
                 }
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use wallstile::config::{StoreLimits, UpcomingStoreLimits};
-use wallstile::core::completion_bitmap::{BitmapLayout, parse_key};
+use wallstile::core::completion_bitmap::{BitmapLayout, parse_chunk_key};
 use wallstile::core::election::{INITIALIZED_KEY, LEADER_KEY, LeaderRecord, SUCCESSOR_KEY};
 use wallstile::core::machine::{MACHINE_PREFIX, MachineRecord, machine_key};
 use wallstile::core::records::{
@@ -22,7 +22,11 @@
 const TIMESTAMP: WallTime = WallTime(1_700_000_000_123);
 
 fn live_record(depends_on: &[&str]) -> LiveRecord {
-    LiveRecord { at: TIMESTAMP, spec: full_job(), depends_on: depends_on.iter().map(|id| parse_job_id(id)).collect() }
+    LiveRecord {
+        submitted_at: TIMESTAMP,
+        spec: full_job(),
+        depends_on: depends_on.iter().map(|id| parse_job_id(id)).collect(),
+    }
 }
 
 #[test]
@@ -146,9 +150,9 @@
     let chunks: BTreeMap<String, Value> = Samples::stored().read(name);
     let mut bitmap = FixedBitSet::with_capacity(tasks);
     for (key, value) in &chunks {
-        let (job, chunk_number) = parse_key(key).expect("the key of a bitmap chunk");
+        let (job, chunk_number) = parse_chunk_key(key).expect("the key of a bitmap chunk");
         assert_eq!(job, job_id(), "{key}");
-        assert!(layout().read(&mut bitmap, chunk_number, value), "{key}");
+        assert!(layout().read_chunk(&mut bitmap, chunk_number, value), "{key}");
     }
     bitmap
 }
