--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -1,10 +1,11 @@
-//! How the work for one input grows with the fleet, counted in operations rather than time:
+//! Measures how the scheduler's work for a single input grows with the number of machines, in operations rather than
+//! time:
 //!
 //!     cargo bench --bench growth -- [MACHINES...]
 //!
-//! Demand is three times the capacity. In `urgent` the machines are full of work that can be stopped; in `waiting`
-//! they are empty, as after all leases have run out. The exponent compares the first size with the last: 1 is
-//! growth in proportion to machines. Times are of this machine.
+//! Jobs ask for three times the capacity. In the scenario `urgent` the machines are full of work that these jobs may
+//! preempt; in `waiting` the machines are empty, as after all worker leases have expired. The exponent of the growth is
+//! computed from the first and the last number of machines; 1 is linear growth. Printed durations depend on the host.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -20,109 +21,117 @@
 use worker::fleet_cpus;
 use workload::job;
 
-const SIZES: [usize; 5] = [500, 1_000, 2_000, 4_000, 6_000];
-/// Tasks of each array, and processors of each task.
-const TASKS: u32 = 32;
-const TASK_CPUS: f64 = 2.0;
-/// How many times the capacity is asked for.
-const DEMAND: f64 = 3.0;
-/// What is played of each scenario, and before it to fill the machines, in milliseconds.
-const PLAYED_MS: u64 = 4_000;
-const FILLING_MS: u64 = 12_000;
+/// Numbers of machines to run if none are given on the command line.
+const DEFAULT_SIZES: [usize; 5] = [500, 1_000, 2_000, 4_000, 6_000];
+/// Number of tasks in each array.
+const TASKS_PER_ARRAY: u32 = 32;
+/// Processors of each task.
+const CPUS_PER_TASK: f64 = 2.0;
+/// Processors that the jobs ask for, as a multiple of the capacity.
+const DEMAND_FACTOR: f64 = 3.0;
+/// Simulated time for which a scenario is measured.
+const MEASURED_MS: u64 = 4_000;
+/// Simulated time before the measurement, in which the machines register and, in `urgent`, are filled with tasks.
+const FILL_MS: u64 = 12_000;
 
-/// The most that inputs of one kind took.
+/// The maximum of operations and of processing time over inputs of one kind.
 #[derive(Default)]
 struct Peak {
-    cost: OperationCounts,
-    took: Duration,
+    operations: OperationCounts,
+    duration: Duration,
 }
 
 impl Peak {
-    fn note(&mut self, observed: &Observation) {
-        if observed.cost.total() > self.cost.total() {
-            self.cost = observed.cost;
+    fn record(&mut self, observation: &Observation) {
+        if observation.operations.total() > self.operations.total() {
+            self.operations = observation.operations;
         }
-        self.took = self.took.max(observed.took);
+        self.duration = self.duration.max(observation.duration);
     }
 }
 
-/// Plays a fleet of so many machines.
-type Scenario = fn(usize) -> Measured;
+/// Runs a scenario with the given number of machines and returns the peaks of the measured time.
+type Scenario = fn(usize) -> Peaks;
 
-struct Measured {
+/// The peaks over the ticks and over the heartbeats.
+struct Peaks {
     tick: Peak,
     heartbeat: Peak,
 }
 
 fn main() {
     let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
-    let sizes = if sizes.is_empty() { SIZES.to_vec() } else { sizes };
-    for (name, play) in [("urgent", urgent as Scenario), ("waiting", waiting)] {
+    let sizes = if sizes.is_empty() { DEFAULT_SIZES.to_vec() } else { sizes };
+    for (name, run) in [("urgent", urgent as Scenario), ("waiting", waiting)] {
         let mut totals = Vec::new();
         for &machines in &sizes {
-            let Measured { tick, heartbeat } = play(machines);
+            let Peaks { tick, heartbeat } = run(machines);
             println!(
-                "{name} machines={machines} tick: looks={} {} longest={:.1?}",
-                tick.cost.total(),
-                tick.cost,
-                tick.took
+                "{name} machines={machines} tick: operations={} {} longest={:.1?}",
+                tick.operations.total(),
+                tick.operations,
+                tick.duration
             );
             println!(
-                "{name} machines={machines} report: looks={} longest={:.1?}",
-                heartbeat.cost.total(),
-                heartbeat.took
+                "{name} machines={machines} heartbeat: operations={} longest={:.1?}",
+                heartbeat.operations.total(),
+                heartbeat.duration
             );
-            totals.push((machines, tick.cost.total(), heartbeat.cost.total()));
+            totals.push((machines, tick.operations.total(), heartbeat.operations.total()));
         }
-        if let [(small, ticks, heartbeats), .., (large, more_ticks, more_heartbeats)] = totals[..] {
-            let exponent = |few: u64, many: u64| (many as f64 / few as f64).ln() / (large as f64 / small as f64).ln();
+        if let [(small, small_tick, small_heartbeat), .., (large, large_tick, large_heartbeat)] = totals[..] {
+            let exponent =
+                |before: u64, after: u64| (after as f64 / before as f64).ln() / (large as f64 / small as f64).ln();
             println!(
-                "{name} growth from {small} to {large} machines: tick {:.2}, report {:.2}",
-                exponent(ticks, more_ticks),
-                exponent(heartbeats.max(1), more_heartbeats.max(1))
+                "{name} growth from {small} to {large} machines: tick {:.2}, heartbeat {:.2}",
+                exponent(small_tick, large_tick),
+                exponent(small_heartbeat.max(1), large_heartbeat.max(1))
             );
         }
     }
 }
 
-/// Arrays for so many times the capacity.
+/// Returns arrays that ask for `demand` times the processors of all machines, with job numbers from `first` on.
 fn arrays(machines: usize, demand: f64, first: u64, priority: Priority) -> impl Iterator<Item = JobSpec> {
-    let count = (fleet_cpus(machines) * demand / (f64::from(TASKS) * TASK_CPUS)).ceil() as u64;
+    let count = (fleet_cpus(machines) * demand / (f64::from(TASKS_PER_ARRAY) * CPUS_PER_TASK)).ceil() as u64;
     (first..first + count).map(move |number| JobSpec {
         kind: Kind::Array,
         priority,
-        tasks: TASKS,
-        cpus: TASK_CPUS,
+        tasks: TASKS_PER_ARRAY,
+        cpus: CPUS_PER_TASK,
         spread: false,
         ..job(number)
     })
 }
 
-fn play(fleet: &mut Fleet, until_ms: u64) -> Measured {
-    let mut measured = Measured { tick: Peak::default(), heartbeat: Peak::default() };
-    while fleet.now < until_ms {
-        for observed in fleet.step() {
-            match observed.input {
-                Input::Tick => measured.tick.note(&observed),
-                Input::Heartbeat => measured.heartbeat.note(&observed),
+/// Runs the simulation until the given time and returns the peaks of its inputs.
+fn run_until(fleet: &mut Fleet, until_ms: u64) -> Peaks {
+    let mut peaks = Peaks { tick: Peak::default(), heartbeat: Peak::default() };
+    while fleet.now_ms < until_ms {
+        for observation in fleet.step() {
+            match observation.input {
+                Input::Tick => peaks.tick.record(&observation),
+                Input::Heartbeat => peaks.heartbeat.record(&observation),
                 Input::EffectResult => {}
             }
         }
     }
-    measured
+    peaks
 }
 
-fn urgent(machines: usize) -> Measured {
+/// Full machines get jobs of a higher priority, so the scheduler searches for tasks to preempt.
+fn urgent(machines: usize) -> Peaks {
     let mut fleet = Fleet::new(machines, machines);
     arrays(machines, 1.0, 1, Priority::Low).for_each(|spec| fleet.submit(spec));
-    play(&mut fleet, FILLING_MS);
-    arrays(machines, DEMAND, 500_000, Priority::High).for_each(|spec| fleet.submit(spec));
-    play(&mut fleet, FILLING_MS + PLAYED_MS)
+    run_until(&mut fleet, FILL_MS);
+    arrays(machines, DEMAND_FACTOR, 500_000, Priority::High).for_each(|spec| fleet.submit(spec));
+    run_until(&mut fleet, FILL_MS + MEASURED_MS)
 }
 
-fn waiting(machines: usize) -> Measured {
+/// Empty machines get all jobs at once.
+fn waiting(machines: usize) -> Peaks {
     let mut fleet = Fleet::new(machines, machines);
-    play(&mut fleet, FILLING_MS);
-    arrays(machines, DEMAND, 1, Priority::High).for_each(|spec| fleet.submit(spec));
-    play(&mut fleet, FILLING_MS + PLAYED_MS)
+    run_until(&mut fleet, FILL_MS);
+    arrays(machines, DEMAND_FACTOR, 1, Priority::High).for_each(|spec| fleet.submit(spec));
+    run_until(&mut fleet, FILL_MS + MEASURED_MS)
 }
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A scheduler with simulated workers: everything else answers at once, and the cloud has no machines.
+//! A scheduler with simulated workers. Commits succeed immediately, and the cloud has no capacity for new machines.
 
 use crate::worker::{HEARTBEAT_INTERVAL_MS, Worker};
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 use wallstile::time::{MonotonicTime, WallTime};
 use wallstile::wire::{JobSpec, KeyValue};
 
-/// What the scheduler was given.
+/// The kind of an input to the scheduler.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Input {
     Tick,
@@ -23,26 +23,30 @@
     EffectResult,
 }
 
-/// One input, with the time that it took and its operation counts.
+/// An input to the scheduler, with the time and the operations that processing it took.
 pub(crate) struct Observation {
     pub(crate) input: Input,
-    pub(crate) took: Duration,
-    pub(crate) cost: OperationCounts,
+    pub(crate) duration: Duration,
+    pub(crate) operations: OperationCounts,
 }
 
+/// A scheduler and its simulated workers.
 pub(crate) struct Fleet {
     pub(crate) scheduler: Scheduler,
     pub(crate) workers: Vec<Worker>,
     /// Milliseconds since the leader was elected.
-    pub(crate) now: u64,
+    pub(crate) now_ms: u64,
+    /// Number of commits that the scheduler has requested.
     pub(crate) commits: u64,
+    /// Revision of the key-value store at the last submission.
     revision: u64,
-    observed: Vec<Observation>,
+    /// Observations of the current step.
+    observations: Vec<Observation>,
 }
 
 impl Fleet {
-    /// Of the machines, the first so many are recorded by an earlier leader: those may get tasks once they
-    /// have sent a heartbeat, the others after their records are written, at the rate of the key-value store.
+    /// Creates a fleet of which an earlier leader has recorded the first `recorded` machines. These may get tasks once
+    /// they have sent a heartbeat, the others only after their records are written, at the rate of the key-value store.
     pub(crate) fn new(machines: usize, recorded: usize) -> Fleet {
         let settings = Settings::parse(include_str!("../../tests/settings.json")).expect("the sample is valid");
         let record = LeaderRecord { node: settings.name.clone(), incarnation: 1, lease: LeaseId(1) };
@@ -50,18 +54,18 @@
         let mut fleet = Fleet {
             scheduler: Scheduler::new(settings, Tuning::default(), types, Term(1), record, MonotonicTime(0)),
             workers: (0..machines).map(|index| Worker::new(index, machines, index.to_string())).collect(),
-            now: 0,
+            now_ms: 0,
             commits: 0,
             revision: 1,
-            observed: Vec::new(),
+            observations: Vec::new(),
         };
         fleet.load(recorded);
         fleet
     }
 
-    /// Loads what an earlier one has recorded.
-    fn load(&mut self, machines: usize) {
-        let row = |worker: &Worker| {
+    /// Loads the state that an earlier leader has stored, with records of the first `recorded` machines.
+    fn load(&mut self, recorded: usize) {
+        let record_of = |worker: &Worker| {
             let heartbeat = &worker.heartbeat;
             let (endpoint, kind, zone) = (heartbeat.endpoint.clone(), heartbeat.kind.clone(), heartbeat.zone.clone());
             let record = MachineRecord { endpoint, kind, zone, spot: heartbeat.spot };
@@ -71,48 +75,53 @@
                 revision: 1,
             }
         };
-        let fleet = self.workers.iter().take(machines).map(row).collect();
-        self.scheduler.load(MonotonicTime(0), StoredState { machines: fleet, ..StoredState::default() });
+        let records = self.workers.iter().take(recorded).map(record_of).collect();
+        self.scheduler.load(MonotonicTime(0), StoredState { machines: records, ..StoredState::default() });
     }
 
     pub(crate) fn submit(&mut self, spec: JobSpec) {
         self.revision += 1;
-        let id = JobId::parse(&spec.id).expect("a legal id");
-        let record = serde_json::json!(LiveRecord { submitted_at: WallTime(self.now), spec, depends_on: Vec::new() });
+        let id = JobId::parse(&spec.id).expect("a valid id");
+        let record =
+            serde_json::json!(LiveRecord { submitted_at: WallTime(self.now_ms), spec, depends_on: Vec::new() });
         self.scheduler.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
-    /// Plays one tick, the heartbeats that are due and all that follows. Returns what it took.
+    /// Advances the time by one tick, delivers the tick and the heartbeats that are due, and performs the resulting
+    /// effects. Returns an observation of each input.
     pub(crate) fn step(&mut self) -> Vec<Observation> {
-        self.now += TICK_INTERVAL.0;
-        let (now, wall) = (MonotonicTime(self.now), WallTime(self.now));
+        self.now_ms += TICK_INTERVAL.0;
+        let (now, wall) = (MonotonicTime(self.now_ms), WallTime(self.now_ms));
         self.observe(Input::Tick, |scheduler| scheduler.tick(now, wall));
         for index in 0..self.workers.len() {
             let worker = &mut self.workers[index];
-            let changed = worker.step(self.now);
-            if changed || worker.next_heartbeat_at <= self.now {
-                worker.next_heartbeat_at = self.now + HEARTBEAT_INTERVAL_MS;
+            let changed = worker.end_due_tasks(self.now_ms);
+            if changed || worker.next_heartbeat_at_ms <= self.now_ms {
+                worker.next_heartbeat_at_ms = self.now_ms + HEARTBEAT_INTERVAL_MS;
                 let heartbeat = worker.next_heartbeat();
-                let answer = self.observe(Input::Heartbeat, |scheduler| scheduler.on_heartbeat(now, &heartbeat));
-                if let Ok(answer) = answer {
-                    self.workers[index].execute(self.now, answer.token, &answer.orders);
+                let response = self.observe(Input::Heartbeat, |scheduler| scheduler.on_heartbeat(now, &heartbeat));
+                if let Ok(response) = response {
+                    self.workers[index].execute(self.now_ms, response.token, &response.orders);
                 }
             }
         }
         let mut effects = self.scheduler.take_effects();
         while !effects.is_empty() {
-            effects.into_iter().for_each(|effect| self.perform(effect));
+            effects.into_iter().for_each(|effect| self.perform_effect(effect));
             effects = self.scheduler.take_effects();
         }
-        std::mem::take(&mut self.observed)
+        std::mem::take(&mut self.observations)
     }
 
-    fn perform(&mut self, effect: Effect) {
-        let now = MonotonicTime(self.now);
+    /// Performs an effect and passes its result to the scheduler. Effects other than orders, commits and provisioning
+    /// requests are dropped.
+    fn perform_effect(&mut self, effect: Effect) {
+        let now = MonotonicTime(self.now_ms);
         match effect {
             Effect::Orders { request, endpoint, body } => {
-                let worker = &mut self.workers[endpoint.parse::<usize>().expect("a worker's number")];
-                worker.execute(self.now, body.token, &body.orders);
+                let worker =
+                    &mut self.workers[endpoint.parse::<usize>().expect("the endpoint is the index of a worker")];
+                worker.execute(self.now_ms, body.token, &body.orders);
                 let result = OrdersResult::Executed(worker.next_heartbeat());
                 self.observe(Input::EffectResult, |scheduler| scheduler.on_orders_result(now, request, result));
             }
@@ -131,11 +140,12 @@
         }
     }
 
-    fn observe<T>(&mut self, input: Input, give: impl FnOnce(&mut Scheduler) -> T) -> T {
-        let (before, started) = (self.scheduler.operation_counts(), Instant::now());
-        let answer = give(&mut self.scheduler);
-        let (took, cost) = (started.elapsed(), self.scheduler.operation_counts().since(&before));
-        self.observed.push(Observation { input, took, cost });
-        answer
+    /// Passes an input to the scheduler and records its processing time and operations.
+    fn observe<T>(&mut self, input: Input, process: impl FnOnce(&mut Scheduler) -> T) -> T {
+        let (counts_before, started) = (self.scheduler.operation_counts(), Instant::now());
+        let output = process(&mut self.scheduler);
+        let (duration, operations) = (started.elapsed(), self.scheduler.operation_counts().since(&counts_before));
+        self.observations.push(Observation { input, duration, operations });
+        output
     }
 }
--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -1,34 +1,35 @@
-//! A simulated worker: executes orders at once and ends its tasks after a fixed time.
+//! A simulated worker that executes orders immediately and whose tasks run for a fixed time.
 
 use std::collections::BTreeMap;
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber, TaskId};
 use wallstile::wire::{Cause, Heartbeat, Order, TaskPhase, TaskStatus};
 
-/// How long each task runs.
-pub(crate) const RUN_MS: u64 = 20_000;
-/// Between two regular heartbeats.
+/// Run time of each task.
+pub(crate) const TASK_RUN_MS: u64 = 20_000;
+/// Interval between regular heartbeats.
 pub(crate) const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
-/// Every so many machines are of the large kind.
+/// One in this many machines is of the large type.
 const LARGE_EVERY: usize = 8;
 const SMALL_CPUS: f64 = 8.0;
 const LARGE_CPUS: f64 = 64.0;
 
-/// Processors of all machines of a simulated fleet.
+/// The processors of all machines of a simulated fleet.
 pub(crate) fn fleet_cpus(machines: usize) -> f64 {
     (0..machines).map(|index| if index.is_multiple_of(LARGE_EVERY) { LARGE_CPUS } else { SMALL_CPUS }).sum()
 }
 
 pub(crate) struct Worker {
-    /// What its next heartbeat says.
+    /// The contents of the next heartbeat, but for the sequence number, which [`Worker::next_heartbeat`] increments.
     pub(crate) heartbeat: Heartbeat,
-    /// When each listed task that runs will end.
-    ends: BTreeMap<(TaskId, Attempt), u64>,
-    /// When its next regular heartbeat is due.
-    pub(crate) next_heartbeat_at: u64,
+    /// The end time of each running task attempt, in milliseconds.
+    end_times_ms: BTreeMap<(TaskId, Attempt), u64>,
+    /// When the next regular heartbeat is due, in milliseconds.
+    pub(crate) next_heartbeat_at_ms: u64,
 }
 
 impl Worker {
-    /// The worker of one of so many machines; their heartbeats are spread over the interval.
+    /// Creates the worker of machine number `index` in a fleet of `machines`. The regular heartbeats of a fleet are
+    /// spread evenly over the interval.
     pub(crate) fn new(index: usize, machines: usize, endpoint: String) -> Worker {
         let heartbeat = Heartbeat {
             machine: format!("m-{index:06}"),
@@ -44,55 +45,56 @@
         };
         Worker {
             heartbeat,
-            ends: BTreeMap::new(),
-            next_heartbeat_at: index as u64 * HEARTBEAT_INTERVAL_MS / machines as u64,
+            end_times_ms: BTreeMap::new(),
+            next_heartbeat_at_ms: index as u64 * HEARTBEAT_INTERVAL_MS / machines as u64,
         }
     }
 
-    /// Takes orders under a token, which the next heartbeats carry.
-    pub(crate) fn execute(&mut self, now: u64, token: FencingToken, orders: &[Order]) {
+    /// Executes orders. The next heartbeats carry the largest fencing token received with orders.
+    pub(crate) fn execute(&mut self, now_ms: u64, token: FencingToken, orders: &[Order]) {
         self.heartbeat.token = self.heartbeat.token.max(token);
         for order in orders {
             match order {
                 Order::Run { task, attempt } => {
-                    let listed = TaskStatus {
+                    let status = TaskStatus {
                         task: Some(*task),
                         attempt: *attempt,
                         phase: TaskPhase::Running,
                         cause: None,
                         kept: None,
                     };
-                    self.heartbeat.tasks.push(listed);
-                    self.ends.insert((*task, *attempt), now + RUN_MS);
+                    self.heartbeat.tasks.push(status);
+                    self.end_times_ms.insert((*task, *attempt), now_ms + TASK_RUN_MS);
                 }
                 Order::Stop { task, attempt, .. } => {
-                    let same = |listed: &&mut TaskStatus| listed.task == Some(*task) && listed.attempt == *attempt;
-                    for listed in self.heartbeat.tasks.iter_mut().filter(same) {
-                        (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Halted));
+                    let matches_order =
+                        |status: &&mut TaskStatus| status.task == Some(*task) && status.attempt == *attempt;
+                    for status in self.heartbeat.tasks.iter_mut().filter(matches_order) {
+                        (status.phase, status.cause) = (TaskPhase::Exited, Some(Cause::Halted));
                     }
                 }
                 Order::Clear { task, attempt } => {
-                    self.heartbeat.tasks.retain(|listed| listed.task != Some(*task) || listed.attempt != *attempt);
+                    self.heartbeat.tasks.retain(|status| status.task != Some(*task) || status.attempt != *attempt);
                 }
             }
         }
     }
 
-    /// The next heartbeat, or the answer to orders.
+    /// Returns the next heartbeat, which is also the response to orders.
     pub(crate) fn next_heartbeat(&mut self) -> Heartbeat {
         self.heartbeat.sequence = SequenceNumber(self.heartbeat.sequence.0 + 1);
         self.heartbeat.clone()
     }
 
-    /// Ends tasks that have run their time; true: something has changed.
-    pub(crate) fn step(&mut self, now: u64) -> bool {
+    /// Ends the tasks whose run time has passed. Returns whether any task has ended.
+    pub(crate) fn end_due_tasks(&mut self, now_ms: u64) -> bool {
         let mut changed = false;
-        for listed in self.heartbeat.tasks.iter_mut().filter(|listed| listed.phase != TaskPhase::Exited) {
-            let Some(task) = listed.task else { continue };
-            let key = (task, listed.attempt);
-            if self.ends.get(&key).is_some_and(|at| *at <= now) {
-                (listed.phase, listed.cause) = (TaskPhase::Exited, Some(Cause::Done));
-                self.ends.remove(&key);
+        for status in self.heartbeat.tasks.iter_mut().filter(|status| status.phase != TaskPhase::Exited) {
+            let Some(task) = status.task else { continue };
+            let key = (task, status.attempt);
+            if self.end_times_ms.get(&key).is_some_and(|end_ms| *end_ms <= now_ms) {
+                (status.phase, status.cause) = (TaskPhase::Exited, Some(Cause::Done));
+                self.end_times_ms.remove(&key);
                 changed = true;
             }
         }
--- a/benches/support/workload.rs
+++ b/benches/support/workload.rs
@@ -1,12 +1,13 @@
-//! The jobs and machine types of the benchmarks.
+//! The jobs and machine types that the benchmarks use.
 
 use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
 
-/// Tasks of each array.
+/// Number of tasks in each array.
 pub(crate) const ARRAY_TASKS: u32 = 200;
-/// Every so many jobs are services.
+/// One in this many jobs is a service.
 const SERVICE_EVERY: u64 = 10;
-const IMAGES: u64 = 20;
+/// Number of different images that the jobs use.
+const IMAGE_COUNT: u64 = 20;
 
 pub(crate) fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, cpus: f64, price: f64| MachineType {
@@ -24,6 +25,7 @@
     vec![machine_type("small", 8.0, 0.4), machine_type("large", 64.0, 4.0)]
 }
 
+/// Returns the job with the given number: a service, or an array of short tasks.
 pub(crate) fn job(number: u64) -> JobSpec {
     let service = number.is_multiple_of(SERVICE_EVERY);
     JobSpec {
@@ -36,7 +38,7 @@
         cpus: if service { 4.0 } else { 1.0 },
         gpus: 0.0,
         memory_gb: 2.0,
-        image: format!("img-{}", number % IMAGES),
+        image: format!("img-{}", number % IMAGE_COUNT),
         image_gb: 1.0,
         types: None,
         zone: None,
