--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -1,5 +1,5 @@
 //! Requests that the clients of the key-value store and of the cloud send, and how the clients decode the responses.
-//! Some of the encoded types are private, so their field names are visible only in the requests.
+//! Some of the types are private, so their encoded field names can be checked only by making a call.
 
 use crate::samples::Samples;
 use crate::values::machine_type;
