--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -27,7 +27,7 @@
     let now = node.now();
     let mut guard = node.lock();
     let state = &mut *guard;
-    let redirected = state.redirected_workers.among(&heartbeat.suspected, now);
+    let redirected = state.redirected_workers.filter_recent(&heartbeat.suspected, now);
     if heartbeat.leading && !heartbeat.asks_extension {
         take_leader_heartbeat(node, state, now, &heartbeat);
     }
@@ -52,7 +52,7 @@
 fn take_leader_heartbeat(node: &Node, state: &mut NodeState, now: MonotonicTime, heartbeat: &PeerHeartbeat) {
     state.suspected_machines = heartbeat.suspected.iter().cloned().collect();
     state.set_live_job_counts(&heartbeat.counts);
-    state.heartbeat_relay.heard_leader(&heartbeat.from, Term(heartbeat.term), now);
+    state.heartbeat_relay.record_leader_heartbeat(&heartbeat.from, Term(heartbeat.term), now);
     if !state.heartbeat_relay.is_leader_confirmed() && state.election.active_term(now).is_none() {
         node.relay_wakeup.notify_one();
     }
