--- a/src/core/cancellations.rs
+++ b/src/core/cancellations.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub struct ConfirmedCancellations {
     /// `confirmed` holds every cancellation after this revision that this process, or an earlier one at the same
-    /// address, has confirmed to a user. None: the store's revision was not read yet.
+    /// address, has confirmed to a user. `None` until the store's revision has been read.
     complete_after: Option<Revision>,
     /// Cancelled jobs and the revision that cancelled them.
     confirmed: BTreeSet<(Revision, JobId)>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// All confirmed cancellations after a revision, oldest first; none if they are not completely known.
+    /// All confirmed cancellations after a revision, oldest first. Returns `None` if they are not completely known.
     pub fn since(&self, revision: Revision) -> Option<Vec<JobId>> {
         self.complete_after.filter(|complete_after| *complete_after <= revision)?;
         Some(self.confirmed.iter().filter(|(at, _)| *at > revision).map(|(_, id)| *id).collect())
--- a/src/core/completion_bitmap.rs
+++ b/src/core/completion_bitmap.rs
@@ -32,8 +32,7 @@
     legacy_tasks_per_chunk: u32,
 }
 
-/// The position of one chunk in a job's bitmap. It has no content: which of its tasks are done is passed to
-/// its methods.
+/// The position of one chunk in a job's bitmap. It holds no bits itself: its methods are given the job's bitmap.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BitmapChunk {
     /// Identifies the chunk among those of its job, as part of its key.
@@ -48,8 +47,7 @@
 }
 
 impl BitmapLayout {
-    /// Creates the layout that holds for the store's current limits and for those announced in
-    /// [`StoreLimits::next`].
+    /// Creates a layout whose chunks fit the store's current limits and those announced in [`StoreLimits::next`].
     pub fn new(limits: &StoreLimits) -> BitmapLayout {
         BitmapLayout {
             tasks_per_chunk: tasks_per_chunk(limits.lowest().max_value_kb),
@@ -118,7 +116,7 @@
     }
 }
 
-/// Parses the key of a chunk into the job's id and the chunk's number. Returns none for any other key.
+/// Parses the key of a chunk into the job's id and the chunk's number. Returns `None` for any other key.
 pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let (job, number) = key.strip_prefix(BITMAP_PREFIX)?.split_once('/')?;
     Some((JobId::parse(job)?, number.parse().ok()?))
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -1,7 +1,7 @@
 //! The dependency graph of the live jobs: which dependents the end of a job releases or cancels, and the
 //! priority, deadlines and rank that a job inherits from its dependents.
 //!
-//! "Paper" is the one that [`placement`](super::placement) names.
+//! "Paper" is the publication that [`placement`](super::placement) cites.
 
 use super::records::JobOutcome;
 use crate::ids::JobId;
@@ -21,7 +21,7 @@
     /// Dependencies that are not known to be live and whose outcome is not known either: they have to be looked
     /// up in the key-value store.
     unresolved: BTreeSet<JobId>,
-    /// The job that was handed out last for look-up; the next batch starts after it.
+    /// The last job that was returned for lookup; the next batch starts after it.
     last_looked_up: Option<JobId>,
     /// Live jobs that have to be cancelled because a direct or transitive dependency was cancelled.
     cascade_cancelled: BTreeSet<JobId>,
@@ -32,7 +32,7 @@
 pub struct JobTiming {
     /// The job's own priority.
     pub priority: Priority,
-    /// Seconds left until the job's deadline; none: it has no deadline.
+    /// Seconds left until the job's deadline. `None` if it has no deadline.
     pub due_s: Option<f64>,
     /// Seconds left until each of the job's SLO deadlines.
     pub slo_deadlines: Vec<f64>,
@@ -49,7 +49,7 @@
     /// The priority of the most urgent dependent.
     pub priority: Priority,
     /// Latest finish with which all dependents can still meet their deadlines (paper, eq. 3), in seconds from
-    /// now; none: no dependent has a deadline.
+    /// now. `None` if no dependent has a deadline.
     pub due_s: Option<f64>,
     /// The dependents' SLO deadlines, less the time that the dependents need, in seconds from now. Ascending,
     /// without duplicates, at most `MAX_SLO_DEADLINES`.
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Records the outcome of a job, live or not. Returns the dependents that no longer wait for it: all of them
-    /// if it was done, otherwise none. If it was cancelled, its dependents have to be cancelled as well; if its
+    /// Records the outcome of a job, live or not. Returns the dependents that no longer wait for it: all if it
+    /// was done, otherwise an empty set. If it was cancelled, its dependents have to be cancelled as well; if its
     /// outcome is unknown, it has to be looked up.
     pub fn record_outcome(&mut self, id: &JobId, outcome: JobOutcome) -> BTreeSet<JobId> {
         let Some(dependents) = self.dependents.get(id) else { return BTreeSet::new() };
@@ -186,7 +186,7 @@
     }
 }
 
-/// The earliest of some SLO deadlines, ascending, without duplicates, at most `MAX_SLO_DEADLINES`.
+/// The earliest of the given SLO deadlines, ascending, without duplicates, at most `MAX_SLO_DEADLINES`.
 fn earliest(mut slo_deadlines: Vec<f64>) -> Vec<f64> {
     slo_deadlines.sort_by(f64::total_cmp);
     slo_deadlines.dedup();
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Combines the constraints from two dependents into the stricter of both.
+    /// Combines the constraints from two dependents by taking the stricter value of each.
     fn merge(self, other: InheritedConstraints) -> InheritedConstraints {
         let slo_deadlines = earliest([self.slo_deadlines, other.slo_deadlines].concat());
         InheritedConstraints {
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -52,8 +52,8 @@
     pub depends_on: BTreeSet<JobId>,
     /// When the job could first start: the later of its submission and the completion of its last dependency.
     pub startable_at: WallTime,
-    /// Priority, deadlines and rank inherited from the jobs that depend on this one, as of the last scheduling
-    /// round; none if no live job depends on it.
+    /// Priority, deadlines and rank inherited from the jobs that depend on this one, as of the last planning
+    /// round. `None` if no live job depends on it.
     pub inherited: Option<InheritedConstraints>,
     /// Index of the job's team in the settings.
     pub team: u32,
@@ -87,7 +87,8 @@
     pub last_failure_by_machine: BTreeMap<MachineId, MonotonicTime>,
     /// No task of the job is placed before this time: backoff after failures or a lack of capacity.
     pub pause_until: MonotonicTime,
-    /// Since when the job has had a task waiting for a spot machine that is not running yet.
+    /// Since when the job has had a task waiting for a spot machine that is not running yet. `None` if it has no such
+    /// task.
     pub spot_wait_since: Option<MonotonicTime>,
     /// Whether the job has waited too long for spot machines; none are provisioned for it any more.
     pub no_new_spot: bool,
@@ -246,8 +247,8 @@
         self.bitmap_write_in_flight = true;
     }
 
-    /// Ends the write of the completion bitmap. `durably_done` is the bitmap as it is stored now; none if the
-    /// write failed.
+    /// Ends the write of the completion bitmap. `durably_done` is the bitmap as it is stored now, or `None`
+    /// if the write failed.
     pub fn finish_bitmap_write(&mut self, durably_done: Option<FixedBitSet>) {
         self.bitmap_write_in_flight = false;
         if let Some(durably_done) = durably_done {
--- a/src/core/shards.rs
+++ b/src/core/shards.rs
@@ -43,8 +43,8 @@
 pub struct ShardAssignment {
     /// The leader's own name.
     leader: String,
-    /// The time of the last response of each other controller; none: it never responded, or it has not answered a
-    /// plan request since.
+    /// The time of the last response of each other controller. `None` if it has never responded, or has not responded
+    /// since it left a plan request unanswered.
     last_response_at: BTreeMap<String, Option<MonotonicTime>>,
     /// The controller that each team is assigned to.
     owners: BTreeMap<u32, String>,
@@ -104,7 +104,7 @@
         self.last_response_at.get(controller).is_some_and(|at| at.is_some_and(|at| now - at <= within))
     }
 
-    /// The peer that plans for a team; none: the leader plans for it itself.
+    /// The peer that plans for a team. `None` if the leader plans for it itself.
     pub fn planner_for(&self, team: u32, now: MonotonicTime) -> Option<&str> {
         let owner = self.owners.get(&team)?;
         self.has_responded_within(owner, now, UNRESPONSIVE_TIMEOUT).then_some(owner.as_str())
@@ -153,8 +153,8 @@
         moves
     }
 
-    /// The move of one team that best evens out the loads of the most and the least loaded controller; none if the
-    /// difference is too small to justify a move.
+    /// The move of one team that best evens out the loads of the most and the least loaded controller. Returns `None`
+    /// if the difference is too small to justify a move.
     fn move_by_load(&self, loads: &ControllerLoads) -> Option<ShardMove> {
         let (to, low) = loads.least_loaded();
         let (from, high) = loads.most_loaded();
@@ -180,7 +180,7 @@
         ControllerLoads(responsive.chain([&assignment.leader]).map(|name| (name.clone(), 0.0)).collect())
     }
 
-    /// Adds to the load of a controller. Returns false if the controller is not included.
+    /// Adds to the load of a controller. Returns false if teams may not be assigned to it.
     fn add_load(&mut self, controller: &str, weight: f64) -> bool {
         self.0.get_mut(controller).map(|load| *load += weight).is_some()
     }
