--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -96,8 +96,9 @@
     pub registration: Registration,
     /// The latest known agent epoch of its worker; 0 if none is known.
     pub agent_epoch: AgentEpoch,
-    /// When this leader first received a message of the agent epoch. The epoch began with a full lease some time before
-    /// that. So even if none of its heartbeats is answered, it counts as expired only one lease after this time.
+    /// When this leader first received a message of the agent epoch. A worker begins each epoch with a full lease, and
+    /// did so before this time. So the lease has expired one lease after this time even if no heartbeat of the epoch
+    /// was answered.
     pub agent_epoch_first_heard: MonotonicTime,
     /// Sequence number of the latest message that was applied, within the agent epoch.
     pub sequence: SequenceNumber,
@@ -143,7 +144,7 @@
     pub termination_in_flight: bool,
     /// No termination is requested before this time.
     pub terminate_after: MonotonicTime,
-    /// Since when no task has been on it.
+    /// Since when no task has been on it. `None` if a task may be on it, or no review has found it idle yet.
     pub idle_since: Option<MonotonicTime>,
     /// The images in its cache, as far as this leader can tell: index and size in GB, least recently used first.
     pub images: VecDeque<(u32, f64)>,
@@ -259,7 +260,7 @@
         self.allocations.values().any(|allocation| !allocation.has_exited())
     }
 
-    /// Whether a task of a job that is unknown or has ended is on it, so that its resource usage isn't known.
+    /// Whether a task of a job that is unknown or has ended may be on it, so that its resource usage isn't known.
     pub fn has_unknown_usage(&self) -> bool {
         self.allocations.values().any(|allocation| allocation.team.is_none() && !allocation.has_exited())
     }
--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -58,8 +58,8 @@
     Some(Estimate { finish_s, start_s, cost, reliability, spot: candidate.spot })
 }
 
-/// Whether the job's constraints allow the candidate, regardless of what runs there: the machine's size, type, zone and
-/// pricing model, the machines that the job avoids, and which offers it may use.
+/// Whether the job's constraints allow the candidate, regardless of what runs there. They concern the machine's size,
+/// type, zone and pricing model, the machines that the job avoids, and the offers that it may use.
 fn is_eligible(input: &PlanInput, job: &JobView, candidate: &Candidate, machine: Option<&MachineView>) -> bool {
     let machine_type = &input.types[candidate.type_index];
     let is_offer = candidate.offer().is_some();
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -117,7 +117,7 @@
         self.tasks_left > 0
     }
 
-    /// How many tasks one turn uses of the round's budget: one, or all of a gang.
+    /// How many tasks of the round's budget one turn uses: one, or all of a gang.
     pub(super) fn tasks_per_turn(&self) -> u32 {
         if self.job.gang { self.job.tasks } else { 1 }
     }
--- a/src/core/placement/planner.rs
+++ b/src/core/placement/planner.rs
@@ -77,7 +77,7 @@
         self.candidates.push(Candidate::from_offer(self.input, offer, &self.input.offers[offer]));
     }
 
-    /// Estimates the job's tasks on all candidates, with which its part in the round begins.
+    /// Starts the job's part in the round by estimating its tasks on all candidates.
     pub(super) fn start_job(&self, job: &'a JobView) -> JobProgress<'a> {
         self.meter.add_comparisons(self.candidates.len());
         JobProgress::new(self.input, &self.candidates, job)
--- a/src/core/placement/ranking.rs
+++ b/src/core/placement/ranking.rs
@@ -23,9 +23,9 @@
 pub(super) struct CandidateRanking {
     ranked: Vec<RankedCandidate>,
     cheapest_cost: f64,
-    /// Before this position in `ranked`, no candidate is feasible and passes both filters any more.
+    /// No candidate before this position in `ranked` is still feasible and passes both filters.
     passing_from: usize,
-    /// Before this position in `ranked`, no candidate is feasible any more.
+    /// No candidate before this position in `ranked` is still feasible.
     feasible_from: usize,
     /// No candidate passed both filters when the candidates were last compared.
     none_passes: bool,
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -11,7 +11,7 @@
     pub kind: usize,
     /// Index of the zone in the scheduler's catalog.
     pub zone: u32,
-    /// Spot machines, which the cloud may reclaim.
+    /// Whether its machines are spot machines, which the cloud may reclaim.
     pub spot: bool,
 }
 
@@ -37,10 +37,11 @@
     delay: Millis,
 }
 
-/// Backoff after the first refusal.
+/// Length of the backoff after the first refusal.
 const INITIAL_BACKOFF: Millis = Millis(5_000);
-/// Upper bound on the rest of a backoff once a machine of the pool is gone.
+/// Upper bound on the remaining backoff once a machine of the pool is gone.
 const CAPACITY_FREED_BACKOFF: Millis = Millis(1_000);
+/// Upper bound on the length of a backoff.
 const MAX_BACKOFF: Millis = Millis(40_000);
 /// Limit on the requests that have no final answer yet.
 const MAX_REQUESTS: usize = 16;
@@ -62,8 +63,9 @@
         self.backoffs.get(&pool).is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// Records that the cloud had no capacity, or provisioned fewer machines than requested, and starts a backoff of
-    /// the pool. It is twice as long as the previous backoff if that ended less than its own length ago.
+    /// Records that the cloud refused a request or provisioned fewer machines than requested, and starts a backoff of
+    /// the pool. It is twice as long as the previous backoff, up to a limit, if that ended less than its own length
+    /// ago.
     pub fn on_refused(&mut self, pool: InstancePool, now: MonotonicTime) {
         let delay = match self.backoffs.get(&pool) {
             Some(backoff) if now - backoff.until < backoff.delay => Millis((backoff.delay.0 * 2).min(MAX_BACKOFF.0)),
