--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -62,7 +62,7 @@
 
 impl Scheduler {
     /// Moves one replica off a machine that runs nothing but replicas to a machine that is in use anyway, so that
-    /// the former can be terminated in the end. Does nothing while tasks wait or there are reservations.
+    /// the former can eventually be terminated. Does nothing while tasks wait or there are reservations.
     pub(super) fn consolidate_replicas(&mut self, now: MonotonicTime) {
         if now < self.consolidation.next_move_at
             || !self.reservations.is_empty()
@@ -82,8 +82,9 @@
     /// Searches for a replica to move, starting with the machine whose unused capacity costs the most.
     fn find_move(&self, now: MonotonicTime) -> MoveSearch {
         let heartbeat_timeout = self.heartbeat_timeout();
-        let usable = |machine: &Machine| machine.is_schedulable(now, heartbeat_timeout) && machine.has_active_tasks();
-        let machines = self.machines.known.iter().filter(|(_, machine)| usable(machine));
+        let is_loaded =
+            |machine: &Machine| machine.is_schedulable(now, heartbeat_timeout) && machine.has_active_tasks();
+        let machines = self.machines.known.iter().filter(|(_, machine)| is_loaded(machine));
         let mut loaded: Vec<LoadedMachine> = machines.map(|(id, machine)| self.loaded_machine(id, machine)).collect();
         // Highest utilization first.
         loaded.sort_by(|a, b| b.utilization.total_cmp(&a.utilization).then(b.id.cmp(a.id)));
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -15,8 +15,8 @@
 const IMAGE_FETCH_LOSS_PER_SECOND: f64 = 20.0;
 /// Loss for placing a service replica without GPUs on a GPU machine: more than any loss on another machine.
 const GPU_MACHINE_LOSS: f64 = 1e6;
-/// Loss for placing such a replica in the headroom of GPU jobs.
-const GPU_CAPACITY_LOSS: f64 = 1e9;
+/// Loss for placing such a replica beyond the machine's headroom, in capacity that is kept free for GPU jobs.
+const GPU_JOB_CAPACITY_LOSS: f64 = 1e9;
 
 /// The machines on which work may be preempted for a task.
 #[derive(Clone, Copy, PartialEq)]
@@ -43,8 +43,8 @@
 }
 
 impl Scheduler {
-    /// The eviction needed on a machine for one more task of a job whose other tasks are in `zones`. `None` if the
-    /// machine cannot take the task.
+    /// The eviction needed on a machine for one more task of a job whose other tasks are in `zones`. Returns
+    /// `None` if the machine cannot take the task.
     pub(super) fn eviction_for(
         &self,
         now: MonotonicTime,
@@ -68,8 +68,9 @@
             && !job.avoids(id, now)
     }
 
-    /// The eviction needed on an eligible machine. `None` if the job's image or the headroom of GPU jobs rules the
-    /// machine out, or if stopping all preemptible tasks does not free enough capacity.
+    /// The eviction needed on an eligible machine. Returns `None` if the machine lacks the job's image although the target
+    /// requires it, if the task would take capacity that is kept free for GPU jobs, or if stopping all preemptible
+    /// tasks does not free enough capacity.
     fn eviction(
         &self,
         now: MonotonicTime,
@@ -86,9 +87,9 @@
             return None;
         }
         let cpu_task_on_gpu_machine = machine_type.gpus > 0.0 && need.gpus <= 0.0;
-        let takes_gpu_headroom = cpu_task_on_gpu_machine
+        let exceeds_headroom = cpu_task_on_gpu_machine
             && !self.gpus.urgent_headroom(machine, machine_type).covers(&Resources { gpus: 0.0, ..need });
-        if takes_gpu_headroom && !service {
+        if exceeds_headroom && !service {
             return None;
         }
         let mut eviction = self.choose_victims(now, preemptor, machine_id, machine)?;
@@ -96,13 +97,13 @@
             eviction.loss += IMAGE_FETCH_LOSS_PER_SECOND * spec.image_gb / self.fetch_rate(machine);
         }
         if service && cpu_task_on_gpu_machine {
-            eviction.loss += if takes_gpu_headroom { GPU_CAPACITY_LOSS } else { GPU_MACHINE_LOSS };
+            eviction.loss += if exceeds_headroom { GPU_JOB_CAPACITY_LOSS } else { GPU_MACHINE_LOSS };
         }
         Some(eviction)
     }
 
     /// The shortest prefix of [`Scheduler::preemptible_allocations`] that frees enough capacity for a task of the
-    /// job. `None` if stopping all of them is not enough.
+    /// job. Returns `None` if stopping all of them is not enough.
     fn choose_victims(
         &self,
         now: MonotonicTime,
@@ -157,7 +158,7 @@
         preemptible
     }
 
-    /// How many tasks are lost when one task of the job is stopped: all of a gang's.
+    /// How many tasks are lost when one task of the job is stopped: all tasks of a gang, otherwise one.
     fn tasks_lost_by_stop(&self, id: &JobId) -> f64 {
         self.jobs.live.get(id).filter(|job| job.spec.kind == Kind::Gang).map_or(1.0, |job| f64::from(job.spec.tasks))
     }
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -31,9 +31,9 @@
 /// The zones that a whole gang may be placed in.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum GangZone {
-    /// All of them in this zone.
+    /// All tasks must be in this zone.
     Zone(u32),
-    /// In any zones.
+    /// Each task may be in any zone.
     Any,
 }
 
@@ -108,8 +108,8 @@
             && wall.seconds_since(job.startable_at) >= self.tuning.gang_reservation_wait_s
     }
 
-    /// Reserves capacity for a gang. Returns false if its team's limit does not permit the gang, or if no zone has
-    /// enough capacity: even on empty machines, or, with [`PartialCapacity::Release`], after preemption.
+    /// Reserves capacity for a gang. Returns false if its team's limit does not permit the gang, or if no zone could
+    /// hold it: with all machines empty or, with [`PartialCapacity::Release`], after preemption.
     pub(super) fn reserve_for_gang(
         &mut self,
         now: MonotonicTime,
@@ -187,7 +187,8 @@
         zones
     }
 
-    /// Replaces a gang's reservations by reservations of the free capacity. Returns for how many tasks.
+    /// Replaces a gang's reservations by reservations of the free capacity. Returns the number of tasks that capacity
+    /// was reserved for.
     fn reserve_free_capacity(
         &mut self,
         now: MonotonicTime,
--- a/src/core/scheduler/gpu_lending.rs
+++ b/src/core/scheduler/gpu_lending.rs
@@ -46,8 +46,9 @@
     }
 
     /// Chooses the GPU machines that work without GPUs may fill completely: in each zone as many as recent GPU demand
-    /// leaves, starting with the machines that already run most of such work. If any GPU machine could be filled as soon as it is
-    /// free, the next GPU job would preempt that work, which would then restart from the beginning each time.
+    /// leaves, starting with the machines that already run the most of such work. If any GPU machine could be filled as
+    /// soon as it is free, the next GPU job would preempt that work, which would then restart from the beginning each
+    /// time.
     ///
     /// `waiting_gpus` is the number of GPUs that all startable tasks need.
     fn update_lendable(
@@ -106,9 +107,10 @@
         headroom
     }
 
-    /// Whether starting a task of the job leaves the headroom of GPU jobs on the machine. Planners respect the
-    /// headroom, but as they plan independently, several of them may use the same remaining capacity.
-    pub(super) fn preserves_headroom(
+    /// Whether a task of the job takes no capacity of the machine that is kept free for GPU jobs, or is of a service,
+    /// which may take it. Planners keep to the headrooms, but as they plan independently, several of them may use the
+    /// same remaining capacity.
+    pub(super) fn fits_headroom(
         &self,
         job: &Job,
         id: &MachineId,
@@ -129,9 +131,10 @@
 }
 
 impl Scheduler {
-    /// Updates the GPU machines that work without GPUs may fill completely, given the jobs with startable tasks.
-    pub(super) fn update_lendable_gpu_machines(&mut self, now: MonotonicTime, waiting: &BTreeSet<JobId>) {
-        let jobs = waiting.iter().filter_map(|id| self.jobs.live.get(id));
+    /// Updates the GPU machines that work without GPUs may fill completely, given the jobs with tasks that may
+    /// be placed now.
+    pub(super) fn update_lendable_gpu_machines(&mut self, now: MonotonicTime, plannable: &BTreeSet<JobId>) {
+        let jobs = plannable.iter().filter_map(|id| self.jobs.live.get(id));
         let waiting_gpus: f64 = jobs.map(|job| job.startable_tasks() as f64 * job.spec.gpus).sum();
         let zones = self.catalog.zones.len();
         self.gpus.update_lendable(now, &self.machines.known, &self.catalog.types, zones, waiting_gpus);
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The live job with this id.
+    /// The live job with this id, if there is one.
     pub(super) fn get(&self, id: &JobId) -> Option<&Job> {
         self.live.get(id)
     }
@@ -141,7 +141,7 @@
         self.dependencies.has_dependents(id)
     }
 
-    /// Live jobs that have to be cancelled because a job that they depend on was.
+    /// Live jobs that have to be cancelled because a direct or transitive dependency was cancelled.
     pub(super) fn cascade_cancelled(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.dependencies.cascade_cancelled().filter_map(|id| Some((id, self.live.get(id)?)))
     }
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -21,7 +21,7 @@
 
 impl PlannedPlacement<'_> {
     /// Resolves a placement's keys. Returns `None` for a planner's mistake: a key outside the view, or of a machine
-    /// without a name.
+    /// that has no id yet.
     fn resolve<'a>(view: &'a PlannerView, placement: &Placement) -> Option<PlannedPlacement<'a>> {
         Some(PlannedPlacement {
             job: view.jobs.get(placement.job as usize)?,
@@ -69,7 +69,7 @@
     }
 
     /// Preempts work on machines that hold the job's image, if its tasks would start too late on the planned
-    /// machine. Returns for how many of the tasks it did.
+    /// machine. Returns the number of tasks that capacity was reserved for.
     fn preempt_for_late_start(
         &mut self,
         now: MonotonicTime,
@@ -98,7 +98,7 @@
             let (Some(job), Some(machine)) = (self.jobs.live.get(id), self.machines.known.get(planned.machine)) else {
                 break;
             };
-            if !self.gpus.preserves_headroom(job, planned.machine, machine, &self.catalog.types[machine.kind])
+            if !self.gpus.fits_headroom(job, planned.machine, machine, &self.catalog.types[machine.kind])
                 || !self.may_place(now, id, planned.machine, 1.0)
             {
                 break;
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Whether an urgent job's start-time objective would be missed on this machine only because the image must be
-    /// fetched first. The job could still meet it on a machine that holds the image, so work is preempted there.
+    /// Whether an urgent job's start-time SLO would be missed on this machine only because the image must be fetched
+    /// first. The job could still meet it on a machine that holds the image, so work is preempted there.
     pub(super) fn starts_late(
         &self,
         now: MonotonicTime,
@@ -124,7 +124,7 @@
         };
         let fetch_s = self.image_fetch_s(now, &job.spec, machine);
         let slo_s = self.settings.start_slo_s(&job.spec.class, view.guaranteed);
-        // For services the job's age doesn't count: the objective also applies to replicas that replace lost ones.
+        // For services the job's age doesn't count: the SLO also applies to replicas that replace lost ones.
         let age_s = if job.spec.kind == Kind::Service { 0.0 } else { view.age_s };
         job.priority() <= Priority::High && slo_s.is_some_and(|slo_s| age_s < slo_s && age_s + fetch_s > slo_s)
     }
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -17,7 +17,7 @@
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The batch size is the number of ready tasks over this, within `batch_min` and `batch_max` of the tuning.
+/// The batch size is the number of ready tasks divided by this, within `batch_min` and `batch_max` of the tuning.
 const BATCHES_PER_BACKLOG: u32 = 4;
 /// Limit on the number of machines in one provisioning offer.
 const MAX_INSTANCES_PER_OFFER: u32 = 50;
@@ -46,16 +46,16 @@
         self.cost.add_machines(self.machines.known.len());
         self.quota.invalidate_usage();
         self.update_unreconciled_pools();
-        let waiting = self.plannable_jobs(now);
-        self.update_lendable_gpu_machines(now, &waiting);
-        let mut machines = self.machine_views(now, self.smallest_demand(&waiting));
+        let plannable = self.plannable_jobs(now);
+        self.update_lendable_gpu_machines(now, &plannable);
+        let mut machines = self.machine_views(now, self.smallest_demand(&plannable));
         self.add_requested_machines(&mut machines);
         let offers = self.offers(now);
         self.quota.update_guaranteed_jobs(&self.jobs.live);
         let teams = self.quota.headrooms(&self.machines.known, &self.catalog.types);
         let keys: HashMap<&MachineId, u32> = machines.keys().collect();
         let context =
-            JobContext { now, wall, waiting: &waiting, keys: &keys, backlog_s: self.backlog_s(machines.cpus_up) };
+            JobContext { now, wall, plannable: &plannable, keys: &keys, backlog_s: self.backlog_s(machines.cpus_up) };
         let (job_views, jobs) = self.job_views(&context);
         // The batch grows with the load.
         let ready: u32 = job_views.iter().map(|job| job.ready).sum();
@@ -92,9 +92,10 @@
         self.jobs.live.iter().filter(|(_, job)| plannable(job)).map(|(id, _)| *id).collect()
     }
 
-    /// The smallest need of any waiting task, for each resource separately.
-    fn smallest_demand(&self, waiting: &BTreeSet<JobId>) -> Option<Resources> {
-        let needs = waiting.iter().filter_map(|id| self.jobs.live.get(id)).map(|job| Resources::of_task(&job.spec));
+    /// The smallest need of a task of the plannable jobs, for each resource separately. Returns `None` if there are no
+    /// such jobs.
+    fn smallest_demand(&self, plannable: &BTreeSet<JobId>) -> Option<Resources> {
+        let needs = plannable.iter().filter_map(|id| self.jobs.live.get(id)).map(|job| Resources::of_task(&job.spec));
         needs.reduce(|smallest, need| Resources {
             cpus: smallest.cpus.min(need.cpus),
             gpus: smallest.gpus.min(need.gpus),
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -21,7 +21,8 @@
 pub(super) struct JobContext<'a> {
     pub(super) now: MonotonicTime,
     pub(super) wall: WallTime,
-    pub(super) waiting: &'a BTreeSet<JobId>,
+    /// The jobs with tasks that may be placed now.
+    pub(super) plannable: &'a BTreeSet<JobId>,
     /// Keys of the view's machines, by machine id.
     pub(super) keys: &'a HashMap<&'a MachineId, u32>,
     /// Seconds that the machines that are up need to run all startable tasks.
@@ -37,7 +38,7 @@
 
 /// A job's deadlines, in seconds from now.
 struct JobDeadlines {
-    /// The earliest of its own, its start objective's and its inherited deadline.
+    /// The earliest of its own deadline, the one that follows from its start-time SLO, and its inherited deadline.
     due_s: Option<f64>,
     /// The earliest SLO deadline that can still be met.
     slo_deadline_s: Option<f64>,
@@ -46,7 +47,7 @@
 }
 
 impl Scheduler {
-    /// The waiting jobs, with what each key refers to. A job's tasks whose spot machines were reclaimed are a
+    /// The plannable jobs, with what each key refers to. A job's tasks whose spot machines were reclaimed are a
     /// separate entry, as they must not cause spot machines to be provisioned. A gang always is one entry.
     pub(super) fn job_views(&mut self, context: &JobContext) -> (Vec<JobView>, Vec<PlannedJob>) {
         let mut views: Vec<JobView> = Vec::new();
@@ -55,7 +56,7 @@
             views.push(JobView { key: planned.len() as u32, ..view });
             planned.push(PlannedJob { id, reclaimed_only });
         };
-        for id in context.waiting {
+        for id in context.plannable {
             let Some(job) = self.jobs.live.get(id) else { continue };
             let Some(ready) = self.ready_tasks(id, job) else { continue };
             let image = self.catalog.assign_image_number(&job.spec.image);
@@ -131,7 +132,7 @@
     /// Combines a job's own deadlines with those that it inherits from its dependents.
     fn job_deadlines(&self, job: &Job, ages: JobAges, run_s: f64, guaranteed: bool) -> JobDeadlines {
         let spec = &job.spec;
-        // A start objective that can still be met counts as a deadline one run time later.
+        // A start-time SLO that can still be met counts as a deadline one run time later.
         let start_slo_s = self.settings.start_slo_s(&spec.class, guaranteed);
         let start_due_s =
             start_slo_s.filter(|slo_s| *slo_s > ages.startable_s).map(|slo_s| slo_s - ages.startable_s + run_s);
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -22,7 +22,7 @@
     pub(super) views: Vec<MachineView>,
     /// By key; `None` for a machine that has been requested from the cloud and has no id yet.
     pub(super) ids: Vec<Option<MachineId>>,
-    /// Processors of all usable machines, including those without free capacity.
+    /// Processors of all schedulable machines, including those without free capacity.
     pub(super) cpus_up: f64,
 }
 
@@ -41,19 +41,20 @@
 /// State of a machine that can take tasks now or soon.
 #[derive(Clone, Copy, PartialEq)]
 enum Readiness {
-    Usable,
+    /// May get new tasks now.
+    Schedulable,
     /// Up, but its record is not stored yet.
     Registering,
     Booting,
 }
 
 impl Scheduler {
-    /// The usable, registering and booting machines with free capacity for at least `smallest_demand`.
+    /// The schedulable, registering and booting machines with free capacity for at least `smallest_demand`.
     pub(super) fn machine_views(&self, now: MonotonicTime, smallest_demand: Option<Resources>) -> MachineViews {
         let mut machines = MachineViews::default();
         for (id, machine) in &self.machines.known {
             let Some(readiness) = self.readiness(now, machine) else { continue };
-            if readiness == Readiness::Usable {
+            if readiness == Readiness::Schedulable {
                 machines.cpus_up += self.catalog.types[machine.kind].cpus;
             }
             let free = self.unreserved_capacity(id, machine, None);
@@ -64,10 +65,10 @@
         machines
     }
 
-    /// `None` if the machine can take tasks neither now nor soon.
+    /// The state of a machine that can take tasks now or soon. Returns `None` for other machines.
     fn readiness(&self, now: MonotonicTime, machine: &Machine) -> Option<Readiness> {
         if machine.is_schedulable(now, self.heartbeat_timeout()) {
-            return Some(Readiness::Usable);
+            return Some(Readiness::Schedulable);
         }
         if machine.retiring {
             return None;
@@ -102,9 +103,9 @@
             kind: machine.kind as u32,
             zone: machine.zone,
             spot: machine.spot,
-            up: readiness == Readiness::Usable,
+            up: readiness == Readiness::Schedulable,
             ready_s: match readiness {
-                Readiness::Usable => 0.0,
+                Readiness::Schedulable => 0.0,
                 Readiness::Registering => REGISTRATION_DELAY_S,
                 Readiness::Booting => (machine_type.boot_s - age_s).max(MIN_REMAINING_BOOT_S),
             },
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -17,9 +17,9 @@
     /// GPUs that the tasks of each partition need.
     gpu_demand: Vec<f64>,
     /// One more than the machines assigned to each partition for work without GPUs.
-    machines_without_gpu_work: Vec<f64>,
+    assigned_for_cpus: Vec<f64>,
     /// One more than the machines assigned to each partition for work with GPUs.
-    machines_with_gpu_work: Vec<f64>,
+    assigned_for_gpus: Vec<f64>,
 }
 
 impl MachineAssigner {
@@ -31,8 +31,8 @@
         MachineAssigner {
             cpu_demand: demand(|job| f64::from(job.ready) * job.cpus, false),
             gpu_demand: demand(|job| f64::from(job.ready) * job.gpus, true),
-            machines_without_gpu_work: vec![1.0; partitions.len()],
-            machines_with_gpu_work: vec![1.0; partitions.len()],
+            assigned_for_cpus: vec![1.0; partitions.len()],
+            assigned_for_gpus: vec![1.0; partitions.len()],
         }
     }
 
@@ -44,8 +44,8 @@
     /// Chooses the partition that gets the next machine for this kind of work; `None` if there are no partitions.
     fn next_partition(&mut self, work: Work) -> Option<usize> {
         let (demand, assigned) = match work {
-            Work::WithoutGpus => (&self.cpu_demand, &mut self.machines_without_gpu_work),
-            Work::WithGpus => (&self.gpu_demand, &mut self.machines_with_gpu_work),
+            Work::WithoutGpus => (&self.cpu_demand, &mut self.assigned_for_cpus),
+            Work::WithGpus => (&self.gpu_demand, &mut self.assigned_for_gpus),
         };
         let demand_per_machine = |index: &usize| demand[*index] / assigned[*index];
         let index = (0..demand.len()).max_by(|a, b| demand_per_machine(a).total_cmp(&demand_per_machine(b)))?;
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -18,14 +18,14 @@
 
 /// Limit on the tasks of one job that other work is preempted for in one round.
 const MAX_TASKS_PER_PREEMPTOR: u32 = 64;
-/// Machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at different
-/// machines, so that all are examined in turn.
+/// Limit on the machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at
+/// different machines, so that all are examined in turn.
 const MAX_EXAMINED_MACHINES: usize = 256;
 /// Limit on all reservations, per machine of the fleet.
 const MAX_RESERVATIONS_PER_MACHINE: usize = 2;
 /// Reservations allowed in a fleet of any size, in addition to those per machine.
 const MIN_RESERVATIONS: usize = 1_024;
-/// Stands in for the deadline of a job that has none: this many times its expected finish.
+/// A job without a deadline is treated as due at this many times its expected finish.
 const DEFAULT_DEADLINE_FACTOR: f64 = 2.0;
 
 /// A request to free capacity for tasks of a job.
@@ -126,7 +126,7 @@
     /// Whether a waiting job may preempt other work.
     fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &Waiting) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
-        // A job that is expected to start within its objective without preemption does not preempt.
+        // A job that is expected to meet its start-time SLO without preemption does not preempt.
         let slo_s = self.jobs.live.get(id).and_then(|job| self.settings.start_slo_s(&job.spec.class, view.guaranteed));
         urgent && !slo_s.is_some_and(|slo_s| waiting.ready_s > 0.0 && view.age_s + waiting.ready_s <= slo_s)
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// [`Scheduler::preempt_tasks`] in all instance pools that the job permits.
+    /// Calls [`Scheduler::preempt_tasks`] for all instance pools that the job permits.
     pub(super) fn preempt_in_permitted_pools(
         &mut self,
         now: MonotonicTime,
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -18,16 +18,17 @@
 /// Operation budget of one search in a fleet of any size, in addition to that per machine.
 const MIN_SEARCH_OPERATIONS: u64 = 16_384;
 
-/// Urgency of work that may preempt other work.
+/// The urgency of work that may preempt other work.
 #[derive(Clone, Copy)]
 pub(super) struct Urgency {
     /// As given by [`priority_number`]; the lowest is the most urgent.
     pub(super) priority: usize,
-    /// Within its team's guarantee, so that it may also preempt work of the same priority beyond a guarantee.
+    /// Whether the work is within its team's guarantee, so that it may also preempt work of the same priority that is
+    /// beyond a guarantee.
     pub(super) guaranteed: bool,
 }
 
-/// A usable machine, with what preemption could free on it.
+/// A schedulable machine, with what preemption could free on it.
 pub(super) struct IndexedMachine {
     pub(super) id: MachineId,
     pub(super) pool: InstancePool,
@@ -50,14 +51,14 @@
     }
 }
 
-/// By priority, an upper bound on what any single machine of an instance pool could free.
+/// By priority, an upper bound on what preemption could free on any single machine of an instance pool.
 #[derive(Default)]
-struct ReclaimableByPool {
+struct PoolReclaimable {
     for_any: [Resources; PRIORITIES],
     for_guaranteed: [Resources; PRIORITIES],
 }
 
-impl ReclaimableByPool {
+impl PoolReclaimable {
     fn include(&mut self, machine: &IndexedMachine) {
         for priority in 0..PRIORITIES {
             let reclaimable = |guaranteed| machine.reclaimable_by(Urgency { priority, guaranteed });
@@ -72,15 +73,15 @@
     }
 }
 
-/// The usable machines, sorted by id.
+/// The schedulable machines, sorted by id.
 pub(super) struct PreemptionIndex {
     pub(super) machines: Vec<IndexedMachine>,
-    pools: BTreeMap<InstancePool, ReclaimableByPool>,
+    pools: BTreeMap<InstancePool, PoolReclaimable>,
 }
 
 impl PreemptionIndex {
     fn new(machines: Vec<IndexedMachine>) -> PreemptionIndex {
-        let mut pools: BTreeMap<InstancePool, ReclaimableByPool> = BTreeMap::new();
+        let mut pools: BTreeMap<InstancePool, PoolReclaimable> = BTreeMap::new();
         for machine in &machines {
             pools.entry(machine.pool).or_default().include(machine);
         }
@@ -105,7 +106,7 @@
     }
 }
 
-/// The operations that a search may still perform, as counted by the scheduler's cost meter.
+/// The operations that a search may still perform, as counted by the scheduler's operation meter.
 pub(super) struct OperationBudget {
     total: u64,
     left: u64,
@@ -207,14 +208,14 @@
 }
 
 impl Scheduler {
-    /// Indexes all usable machines.
+    /// Indexes all schedulable machines.
     fn build_preemption_index(&self, now: MonotonicTime) -> PreemptionIndex {
         self.cost.add_machines(self.machines.known.len());
         let indexed = self.machines.known.iter().filter_map(|(id, machine)| self.index_machine(now, id, machine));
         PreemptionIndex::new(indexed.collect())
     }
 
-    /// `None` if the machine is not usable.
+    /// The index entry of a machine. Returns `None` if the machine is not schedulable.
     fn index_machine(&self, now: MonotonicTime, id: &MachineId, machine: &Machine) -> Option<IndexedMachine> {
         if !machine.is_schedulable(now, self.heartbeat_timeout()) {
             return None;
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -109,7 +109,8 @@
     /// Starts a round: sends each controller the jobs of its shard's teams, and plans the leader's own share.
     pub(super) fn start_round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.rounds.begin(now);
-        // Before the view is taken, or the round would place other work on the capacity that these gangs wait for.
+        // Done before the view is taken, as the round would otherwise place other work on the capacity that these
+        // gangs wait for.
         self.reserve_for_large_gangs(now, wall);
         self.update_inherited_constraints(wall);
         let view = self.planner_view(now, wall);
@@ -129,8 +130,8 @@
         self.close_round(now);
     }
 
-    /// The keys of the view's jobs, by the peer that plans for them. `None` stands for this leader and always has
-    /// an entry.
+    /// The keys of the view's jobs, by the peer that plans for them. The entry for `None` holds the jobs that this leader
+    /// plans itself, and is always present.
     fn jobs_by_planner(&mut self, now: MonotonicTime, view: &PlannerView) -> BTreeMap<Option<String>, Vec<u32>> {
         let mut jobs_by_planner: BTreeMap<Option<String>, Vec<u32>> = BTreeMap::from([(None, Vec::new())]);
         for job in &view.input.jobs {
@@ -141,8 +142,8 @@
         jobs_by_planner
     }
 
-    /// Handles a peer's reply to a plan request. A plan for another round, term or message version is dropped.
-    /// `None` means that the request failed: then the round stops waiting for all peers.
+    /// Handles a peer's reply to a plan request. A plan for another round, term or message version is dropped. `plan`
+    /// is `None` if the request failed; the round then stops waiting for all peers.
     pub fn on_plan(&mut self, now: MonotonicTime, node: &str, plan: Option<PlanOutput>) {
         let Some(round) = &mut self.rounds.open else { return };
         match plan {
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -18,7 +18,7 @@
 const PROVISION_RETRY_INTERVAL: Millis = Millis(2_000);
 
 /// Tolerance for rounding errors when a load is rounded up to whole machines.
-const LOAD_EPSILON: f64 = 1e-6;
+const LOAD_TOLERANCE: f64 = 1e-6;
 
 impl Scheduler {
     /// Handles the result of the provisioning request with this name.
@@ -74,11 +74,11 @@
             }
         }
         for (pool, load) in loads {
-            let number = ((load - LOAD_EPSILON).ceil().max(1.0) as u32).min(MAX_MACHINES_PER_REQUEST);
+            let count = ((load - LOAD_TOLERANCE).ceil().max(1.0) as u32).min(MAX_MACHINES_PER_REQUEST);
             if !self.provisioner.has_request_slot() || !self.provisioner.may_request(pool, now) {
                 continue;
             }
-            self.provisioner.request(self.term, pool, number, now);
+            self.provisioner.request(self.term, pool, count, now);
         }
         self.send_provision_requests(now);
     }
