--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -33,7 +33,8 @@
 /// How long the other controllers don't stand for election after a hand-over to a successor.
 pub const SUCCESSOR_BACKOFF: Millis = Millis(2_000);
 
-/// With fewer suspected machines, the machines themselves are more likely to have failed.
+/// A leader hands over only if at least this many machines are suspected. With fewer, the machines themselves are more
+/// likely to have failed.
 const MIN_SUSPECTED_TO_HAND_OVER: usize = 2;
 /// A leader hands over only if at least one in this many machines is suspected.
 const MACHINES_PER_SUSPECTED_MACHINE: usize = 12;
@@ -114,9 +115,11 @@
     /// How long after a read of the live jobs a leader may act on it.
     read_ttl: Millis,
     pledge_duration: Millis,
+    /// This controller has pledged not to stand for election before this moment.
     pledged_until: MonotonicTime,
     /// A leader has named another controller as its successor, so this one doesn't stand for election until then.
     backoff_until: MonotonicTime,
+    /// The store may still commit a candidacy that this controller has sent.
     candidacy_pending: bool,
     /// The last request to the store was refused or not answered.
     store_unavailable: bool,
@@ -162,15 +165,15 @@
     /// Whether this controller may stand for election now.
     ///
     /// An earlier process of this controller may have given a pledge, so a new process first waits as
-    /// long as a pledge lasts. The wait isn't needed if the cluster has never had a leader, as there can
-    /// be no pledge then: `initialized` is false.
+    /// long as a pledge lasts. The wait isn't needed if `initialized` is false: the cluster has never had a
+    /// leader, so there can be no pledge.
     pub fn can_stand_for_election(&self, now: MonotonicTime, initialized: bool) -> bool {
         now >= self.pledged_until
             && now >= self.backoff_until
             && (!initialized || now >= MonotonicTime(0) + self.pledge_duration.plus_clock_drift())
     }
 
-    /// Doesn't stand for election for [`SUCCESSOR_BACKOFF`], so that the named successor is elected. Safety
+    /// Keeps this controller from standing for election for [`SUCCESSOR_BACKOFF`], so that the named successor is elected. Safety
     /// doesn't depend on this: if another controller stands first, it becomes leader instead.
     pub fn back_off_for_successor(&mut self, now: MonotonicTime) {
         self.backoff_until = now + SUCCESSOR_BACKOFF;
--- a/src/core/election_simulation/faults.rs
+++ b/src/core/election_simulation/faults.rs
@@ -26,8 +26,8 @@
         if self.chance(0.001) {
             self.controllers[random_index].frozen_until = now + self.rng.random_range(500..30_000);
         }
-        // Restarts are more frequent while the store refuses a controller: the others then confirm cancellations that the
-        // refused one can't read, and a restarted process has no record of those that its predecessor confirmed.
+        // Restarts are more frequent while the store refuses a controller: the others then confirm cancellations that
+        // the refused one can't read, and a restarted process has no record of those that its predecessor confirmed.
         let outage = now < self.outage_until;
         if self.chance(if refused_alone && !outage { 0.012 } else { 0.001 }) {
             self.restart(random_index);
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -2,8 +2,8 @@
 
 use crate::time::{Millis, MonotonicTime};
 
-/// A leader whose ticks are late by at least this much on average is overloaded: heartbeats wait, and lease renewals are
-/// about to fail.
+/// A leader whose ticks are late by at least this much on average is overloaded: heartbeats wait, and lease renewals
+/// are about to fail.
 const OVERLOAD_LAG: Millis = Millis(400);
 /// How many consecutive samples, about one per second, must be at or above the limit. A burst of work ends sooner.
 const MIN_OVERLOADED_SAMPLES: u32 = 3;
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -72,8 +72,8 @@
         // The average execution time in eq. 1 is the average finish time over the candidates.
         let known_count = known().count().max(1) as f64;
         let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_s;
-        // The budget beyond the cheapest candidate is B x (highest cost - cheapest cost) for each of the job's tasks, less
-        // what earlier placements have spent of it. This formula for several tasks is not from the paper.
+        // The budget beyond the cheapest candidate is B x (highest cost - cheapest cost) for each of the job's tasks,
+        // less what earlier placements have spent of it. This formula for several tasks is not from the paper.
         let spare_budget = if cheapest_cost.is_finite() {
             (input.budget_share * (highest_cost - cheapest_cost) * job.tasks as f64 - job.overspent).max(0.0)
         } else {
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -15,8 +15,8 @@
 const FIRST_HEARTBEAT_TIMEOUT: Millis = Millis(60_000);
 
 impl Scheduler {
-    /// The result of an [`Effect::Terminate`](super::Effect::Terminate): the machines are terminated if `ok`,
-    /// otherwise it isn't known whether they are, and the termination is retried.
+    /// Processes the result of an [`Effect::Terminate`](super::Effect::Terminate): the machines are terminated if
+    /// `ok`, otherwise it isn't known whether they are, and the termination is retried.
     pub fn on_terminated(&mut self, now: MonotonicTime, ids: &[MachineId], ok: bool) {
         for id in ids {
             if ok {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Adds a machine that is unknown except for the cloud's list.
+    /// Adds a machine that is known only from the cloud's list. One that is listed as running is added, as retiring, only
+    /// once its first heartbeat is overdue.
     fn add_listed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
--- a/src/core/scheduler/effects.rs
+++ b/src/core/scheduler/effects.rs
@@ -31,7 +31,8 @@
     Provision(ProvisionRequest),
     /// Terminates machines in the cloud; the result goes to `Scheduler::on_terminated`.
     Terminate(Vec<MachineId>),
-    /// Reads the outcomes of these jobs from the key-value store; the result goes to `Scheduler::on_outcomes_looked_up`.
+    /// Reads the outcomes of these jobs from the key-value store; the result goes to
+    /// `Scheduler::on_outcomes_looked_up`.
     LookUpOutcomes(Vec<JobId>),
     /// Asks a peer to plan its shard; the result goes to `Scheduler::on_plan`.
     Plan {
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -68,8 +68,8 @@
             && !job.avoids(id, now)
     }
 
-    /// The eviction needed on an eligible machine. Returns `None` if the machine lacks the job's image although the target
-    /// requires it, if the task would take capacity that is kept free for GPU jobs, or if stopping all preemptible
+    /// The eviction needed on an eligible machine. Returns `None` if the machine lacks the job's image although the
+    /// target requires it, if the task would take capacity that is kept free for GPU jobs, or if stopping all preemptible
     /// tasks does not free enough capacity.
     fn eviction(
         &self,
--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -72,7 +72,7 @@
 }
 
 impl RetirementReason {
-    /// `Debug` for machines that were already logged when they were reclaimed or quarantined.
+    /// `Debug` if the reclamation or quarantine was already logged when it began, otherwise `Info`.
     fn log_level(&self) -> Level {
         match self {
             RetirementReason::BootTimeout | RetirementReason::Suspected(_) | RetirementReason::Unacknowledged => {
@@ -198,7 +198,7 @@
         self.terminate_machines(retiring, idle);
     }
 
-    /// Gathers the cluster-wide inputs before the machines are decided on one by one.
+    /// Gathers the cluster-wide inputs of a review, before the machines are reviewed one by one.
     fn start_review(&mut self, now: MonotonicTime) -> Review {
         let lease = self.limits.lease;
         let machines = || self.machines.known.values();
--- a/src/core/scheduler/failure_detection/tests.rs
+++ b/src/core/scheduler/failure_detection/tests.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn is_mass_failure_needs_three_machines_and_a_third_of_all() {
+fn is_mass_failure_needs_three_machines_and_more_than_a_third_of_all() {
     let cases = [((2, 2), false), ((3, 8), true), ((3, 9), false), ((4, 11), true)];
     for ((count, up), expected) in cases {
         assert_eq!(is_mass_failure(count, up), expected, "{count} of {up}");
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -186,7 +186,8 @@
     }
 
     /// Builds the response to an accepted heartbeat. It carries every stop order that is due, even while other
-    /// orders are in flight: a worker whose lease is renewed must not keep running a cancelled task.
+    /// orders are in flight: a worker whose lease is renewed must not keep running a cancelled task. Clear orders are
+    /// added only if `is_newer`: no later message has been applied before this heartbeat.
     fn respond(&mut self, id: &MachineId, is_newer: bool) -> Result<HeartbeatResponse, HeartbeatRejection> {
         let machine = self.machines.known.get_mut(id).ok_or(HeartbeatRejection::Terminated)?;
         let token = FencingToken::new(self.term, machine.fence);
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -99,6 +99,7 @@
     settings: Settings,
     tuning: Tuning,
     term: Term,
+    /// The value that this leader wrote to the leader's key.
     record: LeaderRecord,
     /// The key-value store doesn't answer this controller but may answer others, which may have accepted
     /// cancellations that aren't known here.
@@ -253,7 +254,7 @@
         self.jobs.live.iter().map(count).filter(|count| count.done + count.running > 0).collect()
     }
 
-    /// Updates the catalog with the cloud's list of machine types. Known types keep their index.
+    /// Updates the catalog with the cloud's list of machine types. Known types keep their numbers.
     pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         let added = self.catalog.set_types(types);
         self.gpus.gpu_job_needs.extend(std::iter::repeat_n(Resources::default(), added));
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -57,7 +57,7 @@
         self.flush_machine(&id);
     }
 
-    /// Stops a task, or its whole gang, with a grace period for saving a checkpoint if the job makes any.
+    /// Stops a task, or its whole gang, with a grace period for saving a checkpoint if the job writes checkpoints.
     pub(super) fn stop_task(&mut self, id: &MachineId, key: &TaskAttempt) {
         let Some(job) = self.jobs.live.get(&key.0.job) else { return };
         let leeway_s = if job.writes_checkpoints() { job.spec.save_s + SAVE_LEEWAY_MARGIN_S } else { 0.0 };
@@ -141,7 +141,7 @@
     }
 }
 
-/// The task attempts that these orders run, in the same sequence.
+/// The task attempts that the run orders among these start, in the same sequence.
 fn runs_in(orders: &[Order]) -> Vec<TaskAttempt> {
     let run = |order: &Order| match order {
         Order::Run { task, attempt } => Some((*task, *attempt)),
@@ -173,8 +173,8 @@
     allocation.stop_leeway_s = Some(allocation.stop_leeway_s.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
     let run = Order::Run { task: key.0, attempt: key.1 };
     if let Some(position) = machine.outbox.iter().position(|order| *order == run) {
-        // The run order hasn't been sent, so it is dropped. Marked as answered, the allocation is removed when
-        // the next heartbeat doesn't list the task.
+        // The run order hasn't been sent, so it is dropped. It is marked as answered, so that the allocation is
+        // removed when the next heartbeat doesn't list the task.
         machine.outbox.remove(position);
         allocation.pending_run = Some(PendingRun { token: FencingToken(0), answered: true });
         return;
--- a/src/core/scheduler/placement_checks.rs
+++ b/src/core/scheduler/placement_checks.rs
@@ -13,8 +13,8 @@
 
 impl Scheduler {
     /// Whether a task of the job may start on the machine now: the store's state isn't in doubt, the job has no
-    /// pending dependencies or unreconciled machines, the machine is schedulable, permitted and has unreserved capacity,
-    /// and `tasks` tasks fit in the team's quota.
+    /// pending dependencies, none of its tasks may already run on an unreconciled machine, the machine is schedulable,
+    /// permitted and has unreserved capacity, and `tasks` tasks fit in the team's quota.
     pub(super) fn may_place(&mut self, now: MonotonicTime, job_id: &JobId, machine_id: &MachineId, tasks: f64) -> bool {
         let (Some(job), Some(machine)) = (self.jobs.live.get(job_id), self.machines.known.get(machine_id)) else {
             return false;
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -130,8 +130,8 @@
         self.close_round(now);
     }
 
-    /// The keys of the view's jobs, by the peer that plans for them. The entry for `None` holds the jobs that this leader
-    /// plans itself, and is always present.
+    /// The keys of the view's jobs, by the peer that plans for them. The entry for `None` holds the jobs that this
+    /// leader plans itself, and is always present.
     fn jobs_by_planner(&mut self, now: MonotonicTime, view: &PlannerView) -> BTreeMap<Option<String>, Vec<u32>> {
         let mut jobs_by_planner: BTreeMap<Option<String>, Vec<u32>> = BTreeMap::from([(None, Vec::new())]);
         for job in &view.input.jobs {
--- a/src/core/scheduler/spot_lives.rs
+++ b/src/core/scheduler/spot_lives.rs
@@ -8,8 +8,8 @@
 const MAX_OBSERVATIONS: f64 = 200.0;
 
 /// Log-normal distribution of spot machines' lifetimes. Its median starts at the configured value and moves with
-/// each observed reclamation. The update rule is our own: the paper that [`crate::core::placement`] implements
-/// only says that the distribution is fitted to "historical data".
+/// each observed reclamation. The update rule is not from the paper that [`crate::core::placement`] cites,
+/// which only says that the distribution is fitted to "historical data".
 pub(super) struct SpotLifetimes {
     /// Mean of the logarithm of the lifetime in seconds.
     mu: f64,
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -15,10 +15,10 @@
 /// How long a machine is quarantined after a first failed task.
 const FIRST_ERROR_QUARANTINE_PERIOD: Millis = Millis(10_000);
 
-/// Upper bound in seconds of the exponential backoff of a job whose tasks fail by its own fault.
+/// Upper bound, in seconds, of the exponential backoff of a job that is at fault for the failures of its tasks.
 const MAX_JOB_ERROR_BACKOFF_S: f64 = 60.0;
 
-/// How long no task of a job is started after a worker had no capacity for one.
+/// How long no task of a job is started after a worker has refused one for lack of capacity.
 const NO_ROOM_BACKOFF: Millis = Millis(500);
 
 /// How a task ended, according to its worker.
--- a/src/core/scheduler/writes/queue.rs
+++ b/src/core/scheduler/writes/queue.rs
@@ -27,11 +27,12 @@
         /// Machines whose record is deleted.
         delete: Vec<MachineId>,
     },
-    /// Stores chunks of completion bitmaps. Holds for each job which tasks are durably done once they are stored.
+    /// Stores chunks of completion bitmaps. Holds for each job the tasks that are durably done once the chunks are
+    /// stored.
     CompletionBitmaps(Vec<(JobId, FixedBitSet)>),
     /// Stores the terminal record of a job that was done at this time.
     Finish(JobId, WallTime),
-    /// Stores the terminal records of jobs that are cancelled because a job that they depend on was.
+    /// Stores the terminal records of jobs that are cancelled because a job that they depend on was cancelled.
     Cancel(Vec<JobId>),
     /// Stores the shard assignment: which controller plans for which team.
     ShardAssignment,
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -63,7 +63,7 @@
 
 /// State that a controller that doesn't lead keeps between two reads of the leader's key.
 struct Follower {
-    /// The cluster has had a leader; assumed until the store says otherwise.
+    /// The cluster has had a leader. Assumed until the store shows that it has not.
     initialized: bool,
     /// The leader's key belonged to an earlier process of this controller, whose lease was revoked just now. A
     /// new process then needn't wait for a pledge to end: pledges are given to the owner of the key, so that process
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -92,8 +92,8 @@
     input_kind: InputKind,
     input: impl FnOnce(&mut Scheduler) -> T,
 ) -> Option<T> {
-    let (answer, took, cost) = measure(state.scheduler.as_mut()?, input);
-    state.input_latency.record(now, input_kind, took, cost);
+    let (answer, took, operations) = measure(state.scheduler.as_mut()?, input);
+    state.input_latency.record(now, input_kind, took, operations);
     Some(answer)
 }
 
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -13,8 +13,8 @@
 
 /// Longest time for which the store may hold a watch request open until there is a change.
 const MAX_WATCH_BLOCK: Millis = Millis(3_000);
-/// The longest watch request as a part of the time for which a read may be acted on: several answers must
-/// fit into it.
+/// The longest watch request as a fraction of the time for which a read may be acted on. Several responses must fit
+/// into that time.
 const WATCH_BLOCK_SHARE: f64 = 0.25;
 const WATCH_RETRY_BACKOFF: Millis = Millis(200);
 const LIST_RETRY_BACKOFF: Millis = Millis(300);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Reads all live jobs, as there are too many changes to watch or the store no longer keeps them. Returns the revision
+/// Reads all live jobs, because there are too many changes to watch or the store no longer keeps them. Returns the revision
 /// from which to continue the watch.
 async fn resync(node: &Node) -> Result<Revision, KvError> {
     let requested_at = node.now();
--- a/src/net/leader_loop/loading.rs
+++ b/src/net/leader_loop/loading.rs
@@ -57,8 +57,8 @@
 async fn load_in_steps(node: &Node, scheduler: &mut Scheduler, stored: StoredState) {
     for part in stored.into_parts(RECORDS_PER_STEP) {
         let now = node.now();
-        let ((), took, cost) = measure(scheduler, |scheduler| scheduler.load_part(now, part));
-        node.lock().input_latency.record(now, InputKind::Load, took, cost);
+        let ((), took, operations) = measure(scheduler, |scheduler| scheduler.load_part(now, part));
+        node.lock().input_latency.record(now, InputKind::Load, took, operations);
         tokio::task::yield_now().await;
     }
     scheduler.finish_load(node.now());
--- a/src/net/leader_loop/machine_types.rs
+++ b/src/net/leader_loop/machine_types.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// The key under which the first leader stores the machine types; written once.
+/// The key under which the first leader stores the machine types. It is written only once.
 pub const MACHINE_TYPES_KEY: &str = "ctl/kinds";
 const STORE_POLL_INTERVAL: Millis = Millis(400);
 const CLOUD_RETRY_BACKOFF: Millis = Millis(500);
