--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -173,8 +173,8 @@
             && (!initialized || now >= MonotonicTime(0) + self.pledge_duration.plus_clock_drift())
     }
 
-    /// Keeps this controller from standing for election for [`SUCCESSOR_BACKOFF`], so that the named successor is elected. Safety
-    /// doesn't depend on this: if another controller stands first, it becomes leader instead.
+    /// Keeps this controller from standing for election for [`SUCCESSOR_BACKOFF`], so that the named successor is
+    /// elected. Safety doesn't depend on this: if another controller stands first, it becomes leader instead.
     pub fn back_off_for_successor(&mut self, now: MonotonicTime) {
         self.backoff_until = now + SUCCESSOR_BACKOFF;
     }
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Adds a machine that is known only from the cloud's list. One that is listed as running is added, as retiring, only
-    /// once its first heartbeat is overdue.
+    /// Adds a machine that is known only from the cloud's list. One that is listed as running is added, as retiring,
+    /// only once its first heartbeat is overdue.
     fn add_listed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -69,8 +69,8 @@
     }
 
     /// The eviction needed on an eligible machine. Returns `None` if the machine lacks the job's image although the
-    /// target requires it, if the task would take capacity that is kept free for GPU jobs, or if stopping all preemptible
-    /// tasks does not free enough capacity.
+    /// target requires it, if the task would take capacity that is kept free for GPU jobs, or if stopping all
+    /// preemptible tasks does not free enough capacity.
     fn eviction(
         &self,
         now: MonotonicTime,
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -11,10 +11,10 @@
 /// Limit on the ended jobs that are remembered, so that late messages about them are ignored.
 const MAX_RECENTLY_TERMINATED: usize = 1024;
 
-/// Limit on the jobs in one look-up in the key-value store.
+/// Limit on the jobs in one lookup in the key-value store.
 const MAX_LOOKUPS: usize = 16;
 
-/// Delay until the next look-up after one that found nothing.
+/// Delay until the next lookup after one that found nothing.
 const LOOKUP_RETRY_INTERVAL: Millis = Millis(500);
 
 /// The live jobs and their dependencies.
@@ -25,9 +25,9 @@
     /// The live jobs by id. Only [`JobTable::insert`] adds jobs and only [`JobTable::terminate`] removes them.
     pub(super) live: BTreeMap<JobId, Job>,
     dependencies: DependencyGraph,
-    /// A look-up of the outcomes of dependencies is in flight.
+    /// A lookup of the outcomes of dependencies is in flight.
     lookup_in_flight: bool,
-    /// No look-up starts before this time.
+    /// No lookup starts before this time.
     next_lookup_at: MonotonicTime,
     /// The most recently ended jobs, oldest first.
     recently_terminated: VecDeque<JobId>,
@@ -146,7 +146,7 @@
         self.dependencies.cascade_cancelled().filter_map(|id| Some((id, self.live.get(id)?)))
     }
 
-    /// Starts a look-up of the outcomes of dependencies and returns the jobs to look up. Empty if none is due.
+    /// Starts a lookup of the outcomes of dependencies and returns the jobs to look up. Empty if none is due.
     pub(super) fn start_lookup(&mut self, now: MonotonicTime) -> Vec<JobId> {
         if self.lookup_in_flight || now < self.next_lookup_at {
             return Vec::new();
@@ -156,7 +156,7 @@
         ids
     }
 
-    /// Records the end of the look-up in flight. `found` says whether it found any job that has ended.
+    /// Records the end of the lookup in flight. `found` says whether it found any job that has ended.
     pub(super) fn finish_lookup(&mut self, now: MonotonicTime, found: bool) {
         self.lookup_in_flight = false;
         if !found {
--- a/src/core/scheduler/job_table/tests.rs
+++ b/src/core/scheduler/job_table/tests.rs
@@ -79,7 +79,7 @@
     table.terminate(&id(1), JobOutcome::Unknown);
     assert!(table.get(&id(2)).unwrap().is_waiting());
     assert_eq!(table.start_lookup(START), [id(1)]);
-    assert!(table.start_lookup(START).is_empty(), "a look-up is in flight");
+    assert!(table.start_lookup(START).is_empty(), "a lookup is in flight");
     table.finish_lookup(START, false);
     assert!(table.start_lookup(START + Millis(499)).is_empty());
     assert_eq!(table.start_lookup(START + Millis(500)), [id(1)]);
@@ -87,12 +87,12 @@
     assert_eq!(
         table.start_lookup(START + Millis(600)),
         [id(1)],
-        "only a look-up that found nothing delays the next one"
+        "only a lookup that found nothing delays the next one"
     );
 }
 
 #[test]
-fn an_empty_look_up_does_not_block_the_next_one() {
+fn an_empty_lookup_does_not_block_the_next_one() {
     let mut table = table(&[(1, &[])]);
     assert!(table.start_lookup(START).is_empty());
     table.insert(id(2), job(2, &[9]));
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -26,7 +26,7 @@
     expires_at: MonotonicTime,
 }
 
-/// All reservations. Indexes by machine and by job make the cost of a look-up proportional to its result.
+/// All reservations. Indexes by machine and by job make the cost of a lookup proportional to its result.
 #[derive(Default)]
 pub(super) struct Reservations {
     by_number: BTreeMap<ReservationNumber, Reservation>,
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -1,4 +1,4 @@
-//! Performs the scheduler's effects: orders to workers, writes to the store, requests for plans from peers, look-ups
+//! Performs the scheduler's effects: orders to workers, writes to the store, requests for plans from peers, lookups
 //! of job outcomes and requests to the cloud.
 
 use super::{notify_scheduler, perform_pending_effects, step};
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Reads all live jobs, because there are too many changes to watch or the store no longer keeps them. Returns the revision
-/// from which to continue the watch.
+/// Reads all live jobs, because there are too many changes to watch or the store no longer keeps them. Returns the
+/// revision from which to continue the watch.
 async fn resync(node: &Node) -> Result<Revision, KvError> {
     let requested_at = node.now();
     let live = node.track_store(node.kv.list(&node.http, LIVE_PREFIX)).await?;
