--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -5,7 +5,7 @@
 
 use super::Scheduler;
 use super::scale_in::{idle_timeout, is_termination_due, review_idleness};
-use super::task_exit::QUARANTINE_ERROR_THRESHOLD;
+use super::task_exit::QUARANTINE_FAILURE_THRESHOLD;
 use crate::core::machine::{HeartbeatRoute, Machine, Registration};
 use crate::ids::MachineId;
 use crate::time::{Millis, MonotonicTime};
@@ -124,7 +124,7 @@
             None
         } else if machine.spot_notice {
             Some(RetirementReason::Reclaimed)
-        } else if machine.consecutive_failures >= QUARANTINE_ERROR_THRESHOLD && machine.quarantined_until > self.now {
+        } else if machine.consecutive_failures >= QUARANTINE_FAILURE_THRESHOLD && machine.quarantined_until > self.now {
             Some(RetirementReason::Quarantined)
         } else {
             None
--- a/src/core/scheduler/failure_detection/tests.rs
+++ b/src/core/scheduler/failure_detection/tests.rs
@@ -88,7 +88,7 @@
     reclaimed.spot_notice = true;
     let mut quarantined = registered();
     (quarantined.consecutive_failures, quarantined.quarantined_until) =
-        (QUARANTINE_ERROR_THRESHOLD, MonotonicTime(101_000));
+        (QUARANTINE_FAILURE_THRESHOLD, MonotonicTime(101_000));
     for (mut machine, expected) in
         [(reclaimed, "reclaimed by the cloud and empty"), (quarantined, "quarantined and empty")]
     {
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -10,13 +10,13 @@
 
 /// A machine is quarantined for [`QUARANTINE_PERIOD`] after this many consecutive task failures that weren't
 /// their jobs' fault.
-pub(super) const QUARANTINE_ERROR_THRESHOLD: u32 = 2;
+pub(super) const QUARANTINE_FAILURE_THRESHOLD: u32 = 2;
 
 /// How long a machine is quarantined after a first failed task.
-const FIRST_ERROR_QUARANTINE_PERIOD: Millis = Millis(10_000);
+const FIRST_FAILURE_QUARANTINE_PERIOD: Millis = Millis(10_000);
 
 /// Upper bound, in seconds, of the exponential backoff of a job that is at fault for the failures of its tasks.
-const MAX_JOB_ERROR_BACKOFF_S: f64 = 60.0;
+const MAX_JOB_FAILURE_BACKOFF_S: f64 = 60.0;
 
 /// How long no task of a job is started after a worker has refused one for lack of capacity.
 const NO_ROOM_BACKOFF: Millis = Millis(500);
@@ -102,7 +102,7 @@
             // The same as for repeated failures, so the machine is retired once it is empty.
             info!("machine {id} quarantined: its tasks run slowly, slowness={:.1}", machine.slowness);
             machine.quarantined_until = now + QUARANTINE_PERIOD;
-            machine.consecutive_failures = QUARANTINE_ERROR_THRESHOLD;
+            machine.consecutive_failures = QUARANTINE_FAILURE_THRESHOLD;
         } else {
             machine.consecutive_failures = 0;
         }
@@ -117,7 +117,7 @@
         job.last_failure_by_machine.insert(id.clone(), now);
         debug!("task {task} failed on machine {id}, errors={}", job.failure_count);
         if job.is_at_fault(now) {
-            let backoff_s = f64::from(1u32 << job.failure_count.min(6)).min(MAX_JOB_ERROR_BACKOFF_S);
+            let backoff_s = f64::from(1u32 << job.failure_count.min(6)).min(MAX_JOB_FAILURE_BACKOFF_S);
             job.pause_until = now + Millis::from_secs_f64(backoff_s);
             return;
         }
@@ -126,11 +126,11 @@
         if machine.quarantined_until > now {
             return;
         }
-        if machine.consecutive_failures >= QUARANTINE_ERROR_THRESHOLD {
+        if machine.consecutive_failures >= QUARANTINE_FAILURE_THRESHOLD {
             machine.quarantined_until = now + QUARANTINE_PERIOD;
             info!("machine {id} quarantined: consecutive task failures, errors={}", machine.consecutive_failures);
         } else {
-            machine.quarantined_until = now + FIRST_ERROR_QUARANTINE_PERIOD;
+            machine.quarantined_until = now + FIRST_FAILURE_QUARANTINE_PERIOD;
         }
     }
 
