--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -107,7 +107,7 @@
                 break;
             }
         }
-        self.cost.add_machines(operations);
+        self.meter.add_machines(operations);
         search
     }
 
--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -112,7 +112,7 @@
         machine: &Machine,
     ) -> Option<Eviction> {
         let need = Resources::of_task(&preemptor.job.spec);
-        self.cost.add_tasks(machine.allocations.len());
+        self.meter.add_tasks(machine.allocations.len());
         let mut free = self.unreserved_capacity(machine_id, machine, None);
         // Resources of tasks that are being stopped will soon be free.
         for allocation in machine.allocations.values().filter(|a| !a.has_exited() && a.stop_leeway_s.is_some()) {
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -123,7 +123,7 @@
             return false;
         }
         let mut pools = self.jobs.live.get(id).map(|job| self.permitted_pools(&job.spec)).unwrap_or_default();
-        let before = self.cost.read();
+        let before = self.meter.read();
         let reserved_in =
             self.reservations.for_job(id).next().and_then(|r| self.machines.known.get(&r.machine)).map(|m| m.zone);
         let best = self
@@ -134,7 +134,7 @@
                 let reserved_here = reserved_in.is_some_and(|reserved_in| *zone == GangZone::Zone(reserved_in));
                 (reserved_here, capacity.reclaimable.min(tasks), capacity.free_tasks())
             });
-        search.budget.spend(self.cost.read().since(&before).total());
+        search.budget.spend(self.meter.read().since(&before).total());
         let best = best.filter(|(_, capacity)| partial == PartialCapacity::Reserve || capacity.reclaimable >= tasks);
         let Some((zone, capacity)) = best else { return false };
         let mut missing = tasks - self.reserve_free_capacity(now, search, id, &capacity);
@@ -147,7 +147,7 @@
             let request = PreemptionRequest { job: *id, target: PlacementTarget::Anywhere, tasks: missing, pools };
             missing -= self.preempt_tasks(now, search, &request);
         }
-        self.cost.add_tasks((tasks - missing) as usize);
+        self.meter.add_tasks((tasks - missing) as usize);
         true
     }
 
@@ -168,7 +168,7 @@
             reserved.entry(&reservation.machine).or_default().add(&reservation.need);
         }
         let index = search.index(self, now);
-        self.cost.add_machines(index.machines.len());
+        self.meter.add_machines(index.machines.len());
         for machine in index.machines.iter().filter(|m| pools.contains(&m.pool) && !job.avoids(&m.id, now)) {
             let (mut free, mut reclaimable) = (machine.free, machine.reclaimable_by(urgency));
             if let Some(reserved) = reserved.get(&machine.id) {
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -267,7 +267,7 @@
     fn apply_task_list(&mut self, now: MonotonicTime, id: &MachineId, tasks: &[TaskStatus]) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         machine.task_lists_applied += 1;
-        self.cost.add_tasks(machine.allocations.len() + tasks.len());
+        self.meter.add_tasks(machine.allocations.len() + tasks.len());
         let mut changed: Vec<(TaskAttempt, &TaskStatus)> = Vec::new();
         for listed in tasks {
             let Some(task) = listed.task else {
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -79,8 +79,8 @@
     /// Loads a part of the cluster state. Completion bitmaps must come after their jobs: those without a live job
     /// are deleted. A row that can't be used is logged and ignored.
     pub fn load_part(&mut self, now: MonotonicTime, stored: StoredState) {
-        self.cost.add_jobs(stored.live.len() + stored.bitmaps.len());
-        self.cost.add_machines(stored.machines.len());
+        self.meter.add_jobs(stored.live.len() + stored.bitmaps.len());
+        self.meter.add_machines(stored.machines.len());
         for row in stored.live {
             log_if_ignored(self.load_job(&row));
         }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -126,7 +126,7 @@
     orders: OutstandingOrders,
     effects: Vec<Effect>,
     /// Counts of operations since this scheduler was created.
-    cost: OperationMeter,
+    meter: OperationMeter,
 }
 
 /// Interval at which [`Scheduler::tick`] is to be called.
@@ -185,7 +185,7 @@
             last_request: RequestId(0),
             orders: OutstandingOrders::default(),
             effects: Vec::new(),
-            cost: OperationMeter::default(),
+            meter: OperationMeter::default(),
             limits,
             settings,
             tuning,
@@ -213,7 +213,7 @@
 
     /// Counts of operations since this scheduler was created.
     pub fn operation_counts(&self) -> OperationCounts {
-        self.cost.read()
+        self.meter.read()
     }
 
     /// Log fields with the numbers of jobs, machines and outstanding requests.
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -98,7 +98,7 @@
 
     /// Sends the outboxes of all machines that have no orders in flight.
     pub(super) fn flush_orders(&mut self) {
-        self.cost.add_machines(self.machines.known.len());
+        self.meter.add_machines(self.machines.known.len());
         let has_unsent = |machine: &Machine| !machine.outbox.is_empty() && machine.orders_in_flight.is_none();
         let ids: Vec<MachineId> =
             self.machines.known.iter().filter(|(_, machine)| has_unsent(machine)).map(|(id, _)| id.clone()).collect();
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -42,8 +42,8 @@
     /// Builds the view of a new round. Also updates the state that is computed once a round: pools with
     /// unreconciled machines, lendable GPU machines, quota usage and the jobs within their team's guarantee.
     pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
-        self.cost.add_jobs(self.jobs.live.len());
-        self.cost.add_machines(self.machines.known.len());
+        self.meter.add_jobs(self.jobs.live.len());
+        self.meter.add_machines(self.machines.known.len());
         self.quota.invalidate_usage();
         self.update_unreconciled_pools();
         let plannable = self.plannable_jobs(now);
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -100,7 +100,7 @@
                 });
             }
         }
-        self.cost.add_jobs(plan.waiting.len());
+        self.meter.add_jobs(plan.waiting.len());
         preemptors
     }
 
@@ -165,7 +165,7 @@
         search: &mut PreemptionSearch,
         request: &PreemptionRequest,
     ) -> u32 {
-        let before = self.cost.read();
+        let before = self.meter.read();
         let id = &request.job;
         let mut zones = self.zones_in_use(id);
         let mut candidates = self.candidates_for(now, search, request, &zones);
@@ -192,7 +192,7 @@
                 candidates.push(next.loss, position);
             }
         }
-        search.budget.spend(self.cost.read().since(&before).total());
+        search.budget.spend(self.meter.read().since(&before).total());
         reserved
     }
 
@@ -213,13 +213,13 @@
         let Some(job) = self.jobs.live.get(&request.job) else { return candidates };
         let preemptor = Preemptor { id: &request.job, job, target: request.target };
         let (need, urgency) = (Resources::of_task(&job.spec), self.urgency(&request.job, job));
-        self.cost.add_jobs(1);
+        self.meter.add_jobs(1);
         let index = search.index(self, now);
         let candidate_pools = index.pools_that_may_fit(&request.pools, urgency, &need);
         if candidate_pools.is_empty() {
             return candidates;
         }
-        self.cost.add_machines(index.machines.len());
+        self.meter.add_machines(index.machines.len());
         let may_fit = |position: &usize| {
             let machine = &index.machines[*position];
             machine.reclaimable_by(urgency).covers(&need) && candidate_pools.contains(&machine.pool)
@@ -245,7 +245,7 @@
         let reserved =
             self.reservations.for_job(id).filter_map(|reservation| self.machines.known.get(&reservation.machine));
         zones.extend(reserved.map(|machine| ZoneCount { zone: machine.zone, count: 1 }));
-        self.cost.add_tasks(job.placed.len() + zones.len());
+        self.meter.add_tasks(job.placed.len() + zones.len());
         zones
     }
 }
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -210,7 +210,7 @@
 impl Scheduler {
     /// Indexes all schedulable machines.
     fn build_preemption_index(&self, now: MonotonicTime) -> PreemptionIndex {
-        self.cost.add_machines(self.machines.known.len());
+        self.meter.add_machines(self.machines.known.len());
         let indexed = self.machines.known.iter().filter_map(|(id, machine)| self.index_machine(now, id, machine));
         PreemptionIndex::new(indexed.collect())
     }
@@ -220,7 +220,7 @@
         if !machine.is_schedulable(now, self.heartbeat_timeout()) {
             return None;
         }
-        self.cost.add_tasks(machine.allocations.len());
+        self.meter.add_tasks(machine.allocations.len());
         let free = self.unreserved_capacity(id, machine, None);
         let mut reclaimable = [free; PRIORITIES];
         let mut over_guarantee = [Resources::default(); PRIORITIES];
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -169,7 +169,7 @@
         self.reservations.expire(now);
         let mut done: BTreeSet<JobId> = BTreeSet::new();
         for id in self.reservations.next_jobs(MAX_RESERVATIONS_PER_TICK) {
-            self.cost.add_reservations(self.reservations.count_for_job(&id));
+            self.meter.add_reservations(self.reservations.count_for_job(&id));
             let machines: Vec<MachineId> =
                 self.reservations.for_job(&id).map(|reservation| reservation.machine.clone()).collect();
             let used = match self.jobs.live.get(&id).map(|job| job.spec.kind) {
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -125,7 +125,7 @@
             self.effects.push(Effect::Plan { node: node.clone(), input: input.clone() });
             pending_inputs.insert(node, input);
         }
-        let plans = vec![placement::plan_metered(&own_input, &self.cost)];
+        let plans = vec![placement::plan_metered(&own_input, &self.meter)];
         self.rounds.open = Some(OpenRound { view, plans, pending_inputs, deadline: now + PLAN_TIMEOUT });
         self.close_round(now);
     }
@@ -166,7 +166,7 @@
         if let Some((node, input)) = round.pending_inputs.pop_first() {
             debug!("peer has not returned its plan in time, planning its jobs locally: node={node}");
             self.shards.mark_unresponsive(&node);
-            round.plans.push(placement::plan_metered(&input, &self.cost));
+            round.plans.push(placement::plan_metered(&input, &self.meter));
         }
         if !round.pending_inputs.is_empty() {
             self.rounds.open = Some(round);
