--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -18,14 +18,14 @@
 
 /// Limit on the tasks of one job that other work is preempted for in one round.
 const MAX_TASKS_PER_PREEMPTOR: u32 = 64;
-/// Machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at different
-/// machines, so that all are examined in turn.
+/// Limit on the machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at
+/// different machines, so that all are examined in turn.
 const MAX_EXAMINED_MACHINES: usize = 256;
 /// Limit on all reservations, per machine of the fleet.
 const MAX_RESERVATIONS_PER_MACHINE: usize = 2;
 /// Reservations allowed in a fleet of any size, in addition to those per machine.
 const MIN_RESERVATIONS: usize = 1_024;
-/// Stands in for the deadline of a job that has none: this many times its expected finish.
+/// A job without a deadline is treated as due at this many times its expected finish.
 const DEFAULT_DEADLINE_FACTOR: f64 = 2.0;
 
 /// A request to free capacity for tasks of a job.
@@ -100,7 +100,7 @@
                 });
             }
         }
-        self.cost.add_jobs(plan.waiting.len());
+        self.meter.add_jobs(plan.waiting.len());
         preemptors
     }
 
@@ -126,7 +126,7 @@
     /// Whether a waiting job may preempt other work.
     fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &WaitingTasks) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
-        // A job that is expected to start within its objective without preemption does not preempt.
+        // A job that is expected to meet its start-time SLO without preemption does not preempt.
         let slo_s = self.jobs.live.get(id).and_then(|job| self.settings.start_slo_s(&job.spec.class, view.guaranteed));
         urgent && !slo_s.is_some_and(|slo_s| waiting.start_s > 0.0 && view.age_s + waiting.start_s <= slo_s)
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// [`Scheduler::preempt_tasks`] in all instance pools that the job permits.
+    /// Calls [`Scheduler::preempt_tasks`] for all instance pools that the job permits.
     pub(super) fn preempt_in_permitted_pools(
         &mut self,
         now: MonotonicTime,
@@ -165,7 +165,7 @@
         search: &mut PreemptionSearch,
         request: &PreemptionRequest,
     ) -> u32 {
-        let before = self.cost.read();
+        let before = self.meter.read();
         let id = &request.job;
         let mut zones = self.zones_in_use(id);
         let mut candidates = self.candidates_for(now, search, request, &zones);
@@ -192,7 +192,7 @@
                 candidates.push(next.loss, position);
             }
         }
-        search.budget.spend(self.cost.read().since(&before).total());
+        search.budget.spend(self.meter.read().since(&before).total());
         reserved
     }
 
@@ -213,13 +213,13 @@
         let Some(job) = self.jobs.live.get(&request.job) else { return candidates };
         let preemptor = Preemptor { id: &request.job, job, target: request.target };
         let (need, urgency) = (Resources::of_task(&job.spec), self.urgency(&request.job, job));
-        self.cost.add_jobs(1);
+        self.meter.add_jobs(1);
         let index = search.index(self, now);
         let candidate_pools = index.pools_that_may_fit(&request.pools, urgency, &need);
         if candidate_pools.is_empty() {
             return candidates;
         }
-        self.cost.add_machines(index.machines.len());
+        self.meter.add_machines(index.machines.len());
         let may_fit = |position: &usize| {
             let machine = &index.machines[*position];
             machine.reclaimable_by(urgency).covers(&need) && candidate_pools.contains(&machine.pool)
@@ -245,7 +245,7 @@
         let reserved =
             self.reservations.for_job(id).filter_map(|reservation| self.machines.known.get(&reservation.machine));
         zones.extend(reserved.map(|machine| ZoneCount { zone: machine.zone, count: 1 }));
-        self.cost.add_tasks(job.placed.len() + zones.len());
+        self.meter.add_tasks(job.placed.len() + zones.len());
         zones
     }
 }
