--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -287,7 +287,7 @@
     pub(super) fn append_to(self, output: &mut PlanOutput) {
         for (machine, placed) in self.placed {
             let PlacedTasks { count, excess_cost } = placed;
-            output.placements.push(Placement { job: self.job.key, machine, count, excess_cost: excess_cost });
+            output.placements.push(Placement { job: self.job.key, machine, count, excess_cost });
         }
         let count = self.waiting.count + self.tasks_left;
         if count > 0 {
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -217,7 +217,7 @@
 fn plan_output_matches_sample() {
     let placement = Placement { job: 61, machine: 62, count: 63, excess_cost: 1.5 };
     let scale_out_request = ScaleOutRequest { type_index: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
-    let waiting = WaitingTasks { job: 67, count: 68, waits_for_spot: true, finish_s: 2.5, ready_s: 3.5 };
+    let waiting = WaitingTasks { job: 67, count: 68, waits_for_spot: true, finish_s: 2.5, start_s: 3.5 };
     let output = PlanOutput {
         version: 3,
         term: 9001,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -161,7 +161,8 @@
 
 #[test]
 fn provision_requests_match_samples() {
-    let request = ProvisionRequest { name: "w31-2".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 6 };
+    let request =
+        ProvisionRequest { name: "w31-2".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 6 };
     Samples::wire().assert_round_trip("rent_request", &request);
     let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
     Samples::wire().assert_round_trip("machine_names", &names);
