--- a/benches/support/fakes.rs
+++ b/benches/support/fakes.rs
@@ -186,7 +186,7 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         match (request.method().as_str(), request.uri().path()) {
             ("GET", "/machine_types") => {
-                let types = MachineTypes { builds: machine_types() };
+                let types = MachineTypes { types: machine_types() };
                 send_response(response, 200, json!(types).to_string());
             }
             ("GET", _) => send_response(response, 200, json!({"plinths": [], "has_next": false}).to_string()),
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -71,7 +71,7 @@
     pub async fn machine_types(&self, http: &HttpClient, now: MonotonicTime) -> Result<Vec<MachineType>, CloudError> {
         self.wait_for_rate_limit(now, true).await?;
         let types: MachineTypes = self.get(http, "/machine_types").await?;
-        Ok(types.builds)
+        Ok(types.types)
     }
 
     /// Requests new machines.
@@ -87,7 +87,7 @@
         }
         match http.call(Method::POST, &self.addr, "/machines", body, REQUEST_TIMEOUT).await {
             Ok((200, body)) => match serde_json::from_slice::<MachineNames>(&body) {
-                Ok(names) => ProvisionOutcome::Provisioned(names.plinths),
+                Ok(names) => ProvisionOutcome::Provisioned(names.names),
                 Err(_) => ProvisionOutcome::Unknown,
             },
             Ok((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => ProvisionOutcome::NoCapacity,
@@ -98,7 +98,7 @@
 
     /// Terminates machines. After an error it is unknown which of them were terminated.
     pub async fn terminate(&self, http: &HttpClient, now: MonotonicTime, names: Vec<String>) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&MachineNames { plinths: names })?;
+        let body = serde_json::to_vec(&MachineNames { names: names })?;
         self.wait_for_rate_limit(now, true).await?;
         match http.call(Method::POST, &self.addr, "/machines/return", body, REQUEST_TIMEOUT).await? {
             (200, _) => Ok(()),
@@ -114,8 +114,8 @@
             self.wait_for_rate_limit(now, false).await?;
             let since = machines.last().map(|machine| format!("&since={}", machine.id)).unwrap_or_default();
             let page: MachineList = self.get(http, &format!("/machines?limit=500{since}")).await?;
-            let has_more = page.has_next && !page.plinths.is_empty();
-            machines.extend(page.plinths);
+            let has_more = page.has_next && !page.machines.is_empty();
+            machines.extend(page.machines);
             if !has_more {
                 return Ok(machines);
             }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -44,7 +44,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
     /// All machine types.
-    pub builds: Vec<MachineType>,
+    #[serde(rename = "builds")]
+    pub types: Vec<MachineType>,
 }
 
 /// A request for machines of one instance pool (PROTOCOL, "POST /machines").
@@ -72,7 +73,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
-    pub plinths: Vec<String>,
+    #[serde(rename = "plinths")]
+    pub names: Vec<String>,
 }
 
 /// Phase of a machine in the cloud's list.
@@ -115,7 +117,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineList {
     /// The machines, ordered by name, which is the order of their creation.
-    pub plinths: Vec<ListedMachine>,
+    #[serde(rename = "plinths")]
+    pub machines: Vec<ListedMachine>,
     /// Whether there are more pages.
     #[serde(default)]
     pub has_next: bool,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -152,7 +152,7 @@
 #[test]
 fn machine_types_match_samples() {
     let samples = Samples::wire();
-    samples.assert_round_trip("machine_types", &MachineTypes { builds: vec![machine_type()] });
+    samples.assert_round_trip("machine_types", &MachineTypes { types: vec![machine_type()] });
     let minimal: MachineType = samples.read("machine_type_of_the_least_members");
     let expected =
         MachineType { gpus: 0.0, cache_gb: 0.0, fetch_gb_per_s: 1.0, boot_s: 0.0, zones: Vec::new(), ..machine_type() };
@@ -164,7 +164,7 @@
     let request =
         ProvisionRequest { name: "w31-2".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 6 };
     Samples::wire().assert_round_trip("rent_request", &request);
-    let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
+    let names = MachineNames { names: vec!["m-000231".into(), "m-000232".into()] };
     Samples::wire().assert_round_trip("machine_names", &names);
 }
 
@@ -186,7 +186,7 @@
     samples.assert_round_trip("listed_machine_starting", &starting);
     let page: MachineList = samples.read("machine_list");
     assert!(page.has_next);
-    assert_eq!(format!("{:?}", page.plinths), format!("{:?}", [machine, starting]));
+    assert_eq!(format!("{:?}", page.machines), format!("{:?}", [machine, starting]));
     assert!(!samples.read::<MachineList>("machine_list_of_the_least_members").has_next);
 }
 
