--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -320,7 +320,7 @@
     pub fn pending_stops(&self) -> Vec<Order> {
         let stop_order = |((task, attempt), allocation): (&TaskAttempt, &Allocation)| {
             let leeway_s = allocation.stop_leeway_s?;
-            let is_writing_checkpoint = allocation.phase == Some(TaskPhase::Flushing);
+            let is_writing_checkpoint = allocation.phase == Some(TaskPhase::SavingCheckpoint);
             if allocation.has_exited() || (is_writing_checkpoint && leeway_s != 0.0) {
                 return None;
             }
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -122,7 +122,7 @@
 
     /// Creates the record of a cancelled job.
     pub fn cancelled(tasks: u32) -> TerminalRecord {
-        TerminalRecord { phase: JobPhase::Aborted, tasks, at: None }
+        TerminalRecord { phase: JobPhase::Cancelled, tasks, at: None }
     }
 
     /// Whether the job was done rather than cancelled.
@@ -134,7 +134,7 @@
     pub fn outcome(&self) -> JobOutcome {
         match self.phase {
             JobPhase::Done => JobOutcome::Done(self.at),
-            JobPhase::Queued | JobPhase::Running | JobPhase::Aborted => JobOutcome::Cancelled,
+            JobPhase::Queued | JobPhase::Running | JobPhase::Cancelled => JobOutcome::Cancelled,
         }
     }
 }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -241,7 +241,7 @@
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.known.values() {
             for ((task, _), allocation) in &machine.allocations {
-                if matches!(allocation.phase, Some(TaskPhase::Running | TaskPhase::Flushing)) {
+                if matches!(allocation.phase, Some(TaskPhase::Running | TaskPhase::SavingCheckpoint)) {
                     *running.entry(&task.job).or_default() += 1;
                 }
             }
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -71,7 +71,7 @@
             return;
         };
         if let Some(leeway_s) = allocation.stop_leeway_s {
-            if phase != TaskPhase::Flushing || leeway_s == 0.0 {
+            if phase != TaskPhase::SavingCheckpoint || leeway_s == 0.0 {
                 stop_allocation(machine, key, leeway_s);
             }
         } else if !job.may_continue(key) {
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -80,12 +80,12 @@
         let has_leeway = leeway_s > 0.0;
         match self.phase {
             TaskPhase::Running if writes_checkpoints && has_leeway => {
-                self.phase = TaskPhase::Flushing;
+                self.phase = TaskPhase::SavingCheckpoint;
                 self.next_phase_at = now + 500;
             }
             TaskPhase::Exited => {}
-            TaskPhase::Flushing if has_leeway => {}
-            TaskPhase::Pulling | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Flushing => {
+            TaskPhase::SavingCheckpoint if has_leeway => {}
+            TaskPhase::Pulling | TaskPhase::Waiting | TaskPhase::Running | TaskPhase::SavingCheckpoint => {
                 self.exit(ExitCause::Halted);
             }
         }
@@ -264,7 +264,7 @@
                     state.exit(ExitCause::Done);
                     self.completed_tasks.insert(*task);
                 }
-                TaskPhase::Flushing => {
+                TaskPhase::SavingCheckpoint => {
                     state.exit(ExitCause::Halted);
                     state.progress_saved = true;
                 }
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -84,7 +84,7 @@
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut state = node.lock();
     state.outcome_cache.insert(id, record);
-    if record.phase == JobPhase::Aborted {
+    if record.phase == JobPhase::Cancelled {
         state.cancellations.record(*id, revision);
     }
     if let Some(scheduler) = &mut state.scheduler {
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -104,7 +104,8 @@
     /// All tasks are done. This phase is final.
     Done,
     /// The job was cancelled. This phase is final.
-    Aborted,
+    #[serde(rename = "aborted")]
+    Cancelled,
 }
 
 /// The status of a job (PROTOCOL, "GET /api/jobs/{id}").
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -16,7 +16,8 @@
     /// The task is running.
     Running,
     /// The task was ordered to stop and is saving a checkpoint.
-    Flushing,
+    #[serde(rename = "flushing")]
+    SavingCheckpoint,
     /// The task has exited, for the reason in [`TaskStatus::cause`].
     Exited,
 }
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -17,9 +17,10 @@
     let samples = Samples::wire();
     samples.assert_round_trip("kinds", &[JobKind::Array, JobKind::Gang, JobKind::Service]);
     samples.assert_round_trip("priorities", &[Priority::Prod, Priority::High, Priority::Normal, Priority::Low]);
-    let phases = [JobPhase::Queued, JobPhase::Running, JobPhase::Done, JobPhase::Aborted];
+    let phases = [JobPhase::Queued, JobPhase::Running, JobPhase::Done, JobPhase::Cancelled];
     samples.assert_round_trip("job_phases", &phases);
-    let phases = [TaskPhase::Pulling, TaskPhase::Waiting, TaskPhase::Running, TaskPhase::Flushing, TaskPhase::Exited];
+    let phases =
+        [TaskPhase::Pulling, TaskPhase::Waiting, TaskPhase::Running, TaskPhase::SavingCheckpoint, TaskPhase::Exited];
     samples.assert_round_trip("task_phases", &phases);
     samples.assert_round_trip("list_phases", &[MachinePhase::Starting, MachinePhase::Running, MachinePhase::Failed]);
     let causes = [
