--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -84,17 +84,17 @@
     /// Name of the team, unique among the teams.
     pub name: String,
     /// Guaranteed number of CPUs.
-    #[serde(default)]
-    pub cpus: f64,
+    #[serde(rename = "cpus", default)]
+    pub guaranteed_cpus: f64,
     /// Quota: the maximum number of CPUs that its tasks may use at a time.
-    #[serde(default)]
-    pub cpus_max: f64,
+    #[serde(rename = "cpus_max", default)]
+    pub max_cpus: f64,
     /// Guaranteed number of GPUs.
-    #[serde(default)]
-    pub gpus: f64,
+    #[serde(rename = "gpus", default)]
+    pub guaranteed_gpus: f64,
     /// Quota: the maximum number of GPUs that its tasks may use at a time.
-    #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(rename = "gpus_max", default)]
+    pub max_gpus: f64,
 }
 
 /// Timing of the workers and of cancellations (PROTOCOL, "Workers -> controller nodes").
--- a/src/core/scheduler/quota.rs
+++ b/src/core/scheduler/quota.rs
@@ -90,14 +90,14 @@
         types: &[MachineType],
     ) -> bool {
         let Some(quota) = self.teams.get(team as usize) else { return false };
-        if quota.cpus_max <= 0.0 && quota.gpus_max <= 0.0 {
+        if quota.max_cpus <= 0.0 && quota.max_gpus <= 0.0 {
             return true;
         }
         let usage = self.usage.get_or_insert_with(|| QuotaUsage::count(self.teams.len(), machines, types));
         let mut used = usage.teams[team as usize];
         used.add(&usage.unreconciled);
         let fits = |limit: f64, used: f64, need: f64| limit <= 0.0 || used + need * tasks <= limit + ROUNDING_TOLERANCE;
-        fits(quota.cpus_max, used.cpus, need.cpus) && fits(quota.gpus_max, used.gpus, need.gpus)
+        fits(quota.max_cpus, used.cpus, need.cpus) && fits(quota.max_gpus, used.gpus, need.gpus)
     }
 
     /// The resources that each team may still use under its limit.
@@ -112,8 +112,8 @@
         };
         let headroom = |(number, (team, used)): (usize, (&Team, &Resources))| TeamHeadroom {
             team: number as u32,
-            cpus: remaining(team.cpus_max, used.cpus, usage.unreconciled.cpus),
-            gpus: remaining(team.gpus_max, used.gpus, usage.unreconciled.gpus),
+            cpus: remaining(team.max_cpus, used.cpus, usage.unreconciled.cpus),
+            gpus: remaining(team.max_gpus, used.gpus, usage.unreconciled.gpus),
         };
         self.teams.iter().zip(&usage.teams).enumerate().map(headroom).collect()
     }
@@ -133,7 +133,7 @@
         self.within_guarantee.clear();
         for (team, mut jobs) in by_team {
             let Some(guarantee) = self.teams.get(team as usize) else { continue };
-            if guarantee.cpus <= 0.0 && guarantee.gpus <= 0.0 {
+            if guarantee.guaranteed_cpus <= 0.0 && guarantee.guaranteed_gpus <= 0.0 {
                 continue;
             }
             jobs.sort_by_key(|(id, job)| (job.startable_at, **id));
@@ -142,7 +142,9 @@
                 let tasks = f64::from(job.spec.tasks);
                 cpus += tasks * job.spec.cpus;
                 gpus += tasks * job.spec.gpus;
-                if cpus <= guarantee.cpus + ROUNDING_TOLERANCE && gpus <= guarantee.gpus + ROUNDING_TOLERANCE {
+                if cpus <= guarantee.guaranteed_cpus + ROUNDING_TOLERANCE
+                    && gpus <= guarantee.guaranteed_gpus + ROUNDING_TOLERANCE
+                {
                     self.within_guarantee.insert(*id);
                 }
             }
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -9,8 +9,8 @@
 const LIMITED: u32 = 0;
 const UNBOUNDED: u32 = 1;
 
-fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
-    Team { name: name.into(), cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 }
+fn team(name: &str, guaranteed_cpus: f64, max_cpus: f64) -> Team {
+    Team { name: name.into(), guaranteed_cpus, max_cpus, guaranteed_gpus: 0.0, max_gpus: 0.0 }
 }
 
 fn tracker() -> QuotaTracker {
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -102,7 +102,7 @@
         }
         let team = self.settings.cluster.teams.iter().find(|team| team.name == spec.team).unwrap();
         assert!(
-            team.cpus_max == 0.0 || used_cpus <= team.cpus_max + 1e-6,
+            team.max_cpus == 0.0 || used_cpus <= team.max_cpus + 1e-6,
             "team {} uses {used_cpus} CPUs, over its limit, at {now} ms",
             team.name
         );
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -183,7 +183,7 @@
     }
     let tasks_at_once = if spec.kind == JobKind::Array { 1.0 } else { spec.tasks as f64 };
     let exceeds = |per_task: f64, limit: f64| limit > 0.0 && per_task * tasks_at_once > limit + ROUNDING_TOLERANCE;
-    if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
+    if exceeds(spec.cpus, team.max_cpus) || exceeds(spec.gpus, team.max_gpus) {
         return Err(UnsatisfiableSubmission::BeyondTeamLimit);
     }
     Ok(())
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -24,7 +24,8 @@
 fn team_and_objective_settings_are_read() {
     let cluster = settings().cluster;
     assert_eq!(cluster.zones, ["a", "b"]);
-    let team = |team: &Team| (team.name.clone(), [team.cpus, team.cpus_max, team.gpus, team.gpus_max]);
+    let team =
+        |team: &Team| (team.name.clone(), [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus]);
     let teams: Vec<_> = cluster.teams.iter().map(team).collect();
     assert_eq!(teams, [("team-a".to_string(), [8.0, 40.0, 2.0, 6.0]), ("team-b".to_string(), [0.0; 4])]);
     let fields = |objective: &Objective| (objective.kind, objective.class.clone(), objective.within_s, objective.times);
