--- a/src/config/slo.rs
+++ b/src/config/slo.rs
@@ -11,7 +11,7 @@
     Wait,
     /// Jobs of a class are done within [`Objective::within_s`] after they could start.
     Finished,
-    /// Jobs of a class are done within [`Objective::times`] times their deadline.
+    /// Jobs of a class are done within [`Objective::deadline_factor`] times their deadline.
     Deadline,
     /// Tasks of jobs within their team's guarantee, of any class, start within [`Objective::within_s`].
     Guarantee,
@@ -44,8 +44,8 @@
     #[serde(default)]
     pub within_s: f64,
     /// Only for [`ObjectiveKind::Deadline`]: the factor by which the job's deadline is multiplied.
-    #[serde(default = "default_deadline_factor")]
-    pub times: f64,
+    #[serde(rename = "times", default = "default_deadline_factor")]
+    pub deadline_factor: f64,
 }
 
 fn default_deadline_factor() -> f64 {
@@ -56,9 +56,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobAges {
     /// Seconds since the job was submitted.
-    pub submitted_s: f64,
+    pub since_submission_s: f64,
     /// Seconds since the job could start, that is, since all its dependencies were done.
-    pub startable_s: f64,
+    pub since_startable_s: f64,
 }
 
 impl Settings {
@@ -79,13 +79,13 @@
     /// Objectives on deadlines count from the job's submission, all others from the time that it could start.
     pub fn slo_deadlines(&self, class: &str, deadline_s: Option<f64>, ages: JobAges, run_s: f64) -> Vec<f64> {
         let remaining_s = |objective: &Objective| match objective.kind {
-            ObjectiveKind::Finished => Some(objective.within_s - ages.startable_s),
+            ObjectiveKind::Finished => Some(objective.within_s - ages.since_startable_s),
             // A limit on the start is treated as a limit on the end, later by one run time.
-            ObjectiveKind::Wait => Some(objective.within_s + run_s - ages.startable_s),
+            ObjectiveKind::Wait => Some(objective.within_s + run_s - ages.since_startable_s),
             ObjectiveKind::Deadline | ObjectiveKind::Guarantee | ObjectiveKind::Unknown => None,
         };
         let mut slo_deadlines: Vec<f64> = self.objectives_of(class).filter_map(remaining_s).collect();
-        slo_deadlines.extend(self.deadlines(class, deadline_s, ages.submitted_s));
+        slo_deadlines.extend(self.deadlines(class, deadline_s, ages.since_submission_s));
         slo_deadlines
     }
 
@@ -95,7 +95,7 @@
     pub fn deadlines(&self, class: &str, deadline_s: Option<f64>, submitted_s: f64) -> Vec<f64> {
         let Some(deadline_s) = deadline_s else { return Vec::new() };
         let objectives = self.objectives_of(class).filter(|objective| objective.kind == ObjectiveKind::Deadline);
-        let multiples = objectives.map(|objective| deadline_s * objective.times);
+        let multiples = objectives.map(|objective| deadline_s * objective.deadline_factor);
         multiples.chain([deadline_s]).map(|due_s| due_s - submitted_s).collect()
     }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -32,17 +32,17 @@
 #[test]
 fn next_slo_deadline_is_the_first_that_can_still_be_met() {
     let mut settings = sample_settings();
-    let objective = |kind: &str, within_s: f64, times: f64| Objective {
+    let objective = |kind: &str, within_s: f64, deadline_factor: f64| Objective {
         kind: kind.to_string().into(),
         class: "x".into(),
         within_s,
-        times,
+        deadline_factor,
     };
     settings.cluster.objectives =
         vec![objective("deadline", 0.0, 1.5), objective("wait", 30.0, 1.0), objective("finished", 200.0, 1.0)];
     // With a run time of 20 s, the SLO deadlines are 50 s (start within 30 s), 60 s (the job's own deadline), 90 s (1.5
     // times that) and 200 s.
-    let ages = |submitted_s, startable_s| JobAges { submitted_s, startable_s };
+    let ages = |since_submission_s, since_startable_s| JobAges { since_submission_s, since_startable_s };
     let next = |slo_deadlines| {
         let NextSlo { deadline_s, missed } = next_slo_deadline(slo_deadlines, 20.0);
         (deadline_s, missed)
@@ -101,7 +101,7 @@
     let settings = Settings::parse(&value.to_string()).unwrap();
     assert_eq!(settings.cluster.objectives[0].kind, ObjectiveKind::Unknown);
     assert_eq!(settings.start_slo_s("x", true), None);
-    let ages = JobAges { submitted_s: 0.0, startable_s: 0.0 };
+    let ages = JobAges { since_submission_s: 0.0, since_startable_s: 0.0 };
     assert!(settings.slo_deadlines("x", None, ages, 1.0).is_empty());
     value["cluster"]["objectives"] = serde_json::json!([{"kind": 1}]);
     assert!(Settings::parse(&value.to_string()).is_err(), "a kind must be a string");
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -137,7 +137,7 @@
     /// from which its other objectives count (0 while it waits for dependencies).
     pub fn ages(&self, wall: WallTime) -> JobAges {
         let startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
-        JobAges { submitted_s: wall.seconds_since(self.submitted), startable_s }
+        JobAges { since_submission_s: wall.seconds_since(self.submitted), since_startable_s: startable_s }
     }
 
     /// Number of tasks that could be started now.
--- a/src/core/jobs/tests.rs
+++ b/src/core/jobs/tests.rs
@@ -130,7 +130,8 @@
 #[test]
 fn ages_count_from_submission_and_from_when_the_job_could_start() {
     let mut job = job();
-    let ages = |job: &Job, wall| (job.ages(WallTime(wall)).submitted_s, job.ages(WallTime(wall)).startable_s);
+    let ages =
+        |job: &Job, wall| (job.ages(WallTime(wall)).since_submission_s, job.ages(WallTime(wall)).since_startable_s);
     assert_eq!(ages(&job, 12_500), (2.5, 2.5));
     assert_eq!(ages(&job, 9_000), (0.0, 0.0), "an age is never negative, even if clocks differ");
     job.startable_at = WallTime(12_000);
--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -26,7 +26,7 @@
 
     fn job_timing(&self, wall: WallTime, job: &Job) -> JobTiming {
         let spec = &job.spec;
-        let submitted_s = job.ages(wall).submitted_s;
+        let submitted_s = job.ages(wall).since_submission_s;
         JobTiming {
             priority: spec.priority,
             due_s: spec.deadline_s.map(|due_s| due_s - submitted_s),
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -119,7 +119,7 @@
             dependents_rank_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
             missed_slos: if service { 0 } else { missed },
             service,
-            age_s: ages.startable_s,
+            age_s: ages.since_startable_s,
             excess_cost: job.excess_cost,
             placed: zone_counts(job, &self.machines.known),
             avoided_machines: if at_fault { Vec::new() } else { avoided_machines(job, context) },
@@ -134,9 +134,10 @@
         let spec = &job.spec;
         // A start-time SLO that can still be met counts as a deadline one run time later.
         let start_slo_s = self.settings.start_slo_s(&spec.class, guaranteed);
-        let start_due_s =
-            start_slo_s.filter(|slo_s| *slo_s > ages.startable_s).map(|slo_s| slo_s - ages.startable_s + run_s);
-        let own_deadline_s = spec.deadline_s.map(|deadline_s| deadline_s - ages.submitted_s);
+        let start_due_s = start_slo_s
+            .filter(|slo_s| *slo_s > ages.since_startable_s)
+            .map(|slo_s| slo_s - ages.since_startable_s + run_s);
+        let own_deadline_s = spec.deadline_s.map(|deadline_s| deadline_s - ages.since_submission_s);
         let inherited_due_s = job.inherited.as_ref().and_then(|inherited| inherited.due_s);
         let mut slo_deadlines = self.settings.slo_deadlines(&spec.class, spec.deadline_s, ages, run_s);
         slo_deadlines.extend(job.inherited.iter().flat_map(|inherited| &inherited.slo_deadlines));
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -28,7 +28,9 @@
         |team: &Team| (team.name.clone(), [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus]);
     let teams: Vec<_> = cluster.teams.iter().map(team).collect();
     assert_eq!(teams, [("team-a".to_string(), [8.0, 40.0, 2.0, 6.0]), ("team-b".to_string(), [0.0; 4])]);
-    let fields = |objective: &Objective| (objective.kind, objective.class.clone(), objective.within_s, objective.times);
+    let fields = |objective: &Objective| {
+        (objective.kind, objective.class.clone(), objective.within_s, objective.deadline_factor)
+    };
     let objectives: Vec<_> = cluster.objectives.iter().map(fields).collect();
     let expected =
         [(ObjectiveKind::Deadline, "feed".to_string(), 3.5, 1.5), (ObjectiveKind::Guarantee, String::new(), 0.0, 1.0)];
