--- a/src/config.rs
+++ b/src/config.rs
@@ -6,8 +6,8 @@
 mod tuning;
 
 pub use settings::{
-    CloudLimits, Cluster, External, Limits, Peer, Settings, SettingsError, SocketShares, StoreLimits, Team,
-    UpcomingStoreLimits, WorkerLimits,
+    CloudLimits, ClusterSettings, ControllerLimits, ExternalServices, Peer, Settings, SettingsError, SocketShares,
+    StoreLimits, Team, UpcomingStoreLimits, WorkerLimits,
 };
 pub use slo::{JobAges, NextSlo, Objective, ObjectiveKind, next_slo_deadline};
 pub use tuning::{Tuning, TuningError, TuningErrorKind};
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -70,7 +70,7 @@
 
 /// Services that the controllers depend on.
 #[derive(Clone, Debug, Deserialize)]
-pub struct External {
+pub struct ExternalServices {
     /// Address of the cloud, from which machines are provisioned (PROTOCOL, "Controller nodes -> cloud").
     pub cloud: SocketAddr,
     /// Address of the key-value store (PROTOCOL, "Controller nodes -> state service").
@@ -183,7 +183,7 @@
 
 /// Limits of the machine that a controller runs on.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Limits {
+pub struct ControllerLimits {
     /// Maximum number of open file descriptors, nearly all of which are sockets.
     #[serde(rename = "fd_limit")]
     pub max_sockets: usize,
@@ -191,7 +191,7 @@
 
 /// Settings that are the same for all controllers of the cluster.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Cluster {
+pub struct ClusterSettings {
     /// Zones of the cloud that machines may be in.
     #[serde(default)]
     pub zones: Vec<String>,
@@ -208,7 +208,7 @@
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of the machine that each controller runs on.
-    pub limits: Limits,
+    pub limits: ControllerLimits,
 }
 
 /// The platform's settings for one controller.
@@ -228,9 +228,9 @@
     pub peers: Vec<Peer>,
     /// Services that the controllers depend on.
     #[serde(rename = "external")]
-    pub services: External,
+    pub services: ExternalServices,
     /// Settings that are the same for all controllers.
-    pub cluster: Cluster,
+    pub cluster: ClusterSettings,
 }
 
 impl Settings {
@@ -248,7 +248,7 @@
     }
 
     fn validate(&self) -> Result<(), SettingsError> {
-        let Cluster { workers, cloud, limits, .. } = &self.cluster;
+        let ClusterSettings { workers, cloud, limits, .. } = &self.cluster;
         let store = self.cluster.store.lowest();
         let positive = [
             ("workers.report_s", workers.heartbeat_interval_s),
