--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -153,7 +153,7 @@
 impl StoreLimits {
     /// The stricter of each limit now and its upcoming value. The store accepts what is within these limits both before
     /// and after the change.
-    pub fn lowest(&self) -> StoreLimits {
+    pub fn strictest(&self) -> StoreLimits {
         let lower = |now: f64, later: Option<f64>| later.map_or(now, |later| now.min(later));
         let next = &self.next;
         let later_ops = next.max_transaction_ops.unwrap_or(self.max_transaction_ops);
@@ -167,8 +167,8 @@
     }
 
     /// Maximum size of a value in bytes, by the stricter of the limit now and its upcoming value.
-    pub fn value_bytes(&self) -> usize {
-        (self.lowest().max_value_kb * 1024.0) as usize
+    pub fn max_value_bytes(&self) -> usize {
+        (self.strictest().max_value_kb * 1024.0) as usize
     }
 }
 
@@ -249,7 +249,7 @@
 
     fn validate(&self) -> Result<(), SettingsError> {
         let ClusterSettings { workers, cloud, limits, .. } = &self.cluster;
-        let store = self.cluster.store.lowest();
+        let store = self.cluster.store.strictest();
         let positive = [
             ("workers.report_s", workers.heartbeat_interval_s),
             ("workers.lease_s", workers.lease_s),
@@ -302,7 +302,7 @@
     /// How long after its last read of the live jobs a leader may act on it. A cancellation that the leader fails to
     /// read must still take effect in time: when the leader stops acting, the workers' leases expire and they kill the
     /// tasks.
-    pub fn reading_validity(&self) -> Millis {
+    pub fn read_ttl(&self) -> Millis {
         let workers = &self.cluster.workers;
         Millis::from_secs_f64((workers.cancellation_limit_s - workers.lease_s) * READ_TTL_FRACTION)
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -64,11 +64,11 @@
     let with =
         |next: &str| Settings::parse(&good.replace("\"txn_ops\": 12", &format!("\"txn_ops\": 12, \"next\": {next}")));
     let limits = with(r#"{"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 4}"#).unwrap().cluster.store;
-    let lowest = limits.lowest();
+    let lowest = limits.strictest();
     assert_eq!((lowest.rps, lowest.write_rps, lowest.max_value_kb, lowest.max_transaction_ops), (100.0, 15.0, 2.0, 4));
     // The current limit stays available, as it determines the layout of what is already stored.
-    assert_eq!((limits.max_value_kb, limits.value_bytes()), (8.0, 2_048));
-    assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.store.lowest().max_value_kb, 8.0);
+    assert_eq!((limits.max_value_kb, limits.max_value_bytes()), (8.0, 2_048));
+    assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.store.strictest().max_value_kb, 8.0);
     assert!(with("null").is_ok() && with("{}").is_ok());
     assert!(with(r#"{"txn_ops": 3}"#).is_err() && with(r#"{"write_rps": 0.0}"#).is_err());
 }
--- a/src/core/completion_bitmap.rs
+++ b/src/core/completion_bitmap.rs
@@ -50,7 +50,7 @@
     /// Creates a layout whose chunks fit the store's current limits and those announced in [`StoreLimits::next`].
     pub fn new(limits: &StoreLimits) -> BitmapLayout {
         BitmapLayout {
-            tasks_per_chunk: tasks_per_chunk(limits.lowest().max_value_kb),
+            tasks_per_chunk: tasks_per_chunk(limits.strictest().max_value_kb),
             legacy_tasks_per_chunk: tasks_per_chunk(limits.max_value_kb),
         }
     }
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -153,12 +153,12 @@
                 zones.push(zone.clone());
             }
         }
-        let store = cluster.store.lowest();
+        let store = cluster.store.strictest();
         let limits = ProtocolLimits {
             heartbeat: Millis::from_secs_f64(cluster.workers.heartbeat_interval_s),
             lease: Millis::from_secs_f64(cluster.workers.lease_s),
             txn_ops: store.max_transaction_ops,
-            value_bytes: cluster.store.value_bytes(),
+            value_bytes: cluster.store.max_value_bytes(),
             write_rps: store.write_rps * SCHEDULER_WRITE_FRACTION,
             layout: BitmapLayout::new(&cluster.store),
             list_lag: Millis::from_secs_f64(cluster.cloud.list_lag_s),
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -21,7 +21,7 @@
 
 /// Gives the scheduler all changes of live jobs after the revision `since`, while this controller leads for the term.
 pub(super) async fn watch(node: &Arc<Node>, term: Term, mut since: Revision) {
-    let block = MAX_WATCH_BLOCK.min(node.settings.reading_validity().mul_f64(WATCH_BLOCK_SHARE));
+    let block = MAX_WATCH_BLOCK.min(node.settings.read_ttl().mul_f64(WATCH_BLOCK_SHARE));
     while still_leads(node, term) {
         let requested_at = node.now();
         let changes = node.kv.watch(&node.http, LIVE_PREFIX, since, block).await;
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -96,7 +96,7 @@
 impl NodeState {
     fn new(settings: &Settings) -> NodeState {
         NodeState {
-            election: Election::new(settings.leader_lease_ttl(), settings.reading_validity()),
+            election: Election::new(settings.leader_lease_ttl(), settings.read_ttl()),
             scheduler: None,
             leader_name: None,
             machine_types: None,
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -87,7 +87,7 @@
     let mut record = LiveRecord { submitted_at: node.wall_time(), spec, depends_on };
     // The limit applies to the record with all dependencies, including those that are done and won't be stored.
     let value = json!(record);
-    if value.to_string().len() > node.settings.cluster.store.value_bytes() {
+    if value.to_string().len() > node.settings.cluster.store.max_value_bytes() {
         return Err(UnsatisfiableSubmission::RecordTooLarge.into());
     }
     match check_dependencies(node, &record.depends_on).await? {
