--- a/src/config.rs
+++ b/src/config.rs
@@ -6,7 +6,7 @@
 mod tuning;
 
 pub use settings::{
-    CloudLimits, ClusterSettings, ControllerLimits, ExternalServices, Peer, Settings, SettingsError, SocketShares,
+    CloudLimits, ClusterSettings, ControllerLimits, ExternalServices, Peer, Settings, SettingsError, SocketBudget,
     StoreLimits, Team, UpcomingStoreLimits, WorkerLimits,
 };
 pub use slo::{JobAges, NextSlo, Objective, ObjectiveKind, next_slo_deadline};
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -308,23 +308,28 @@
     }
 
     /// Divides the platform's limit on sockets among the controller's purposes.
-    pub fn sockets(&self) -> SocketShares {
+    pub fn socket_budget(&self) -> SocketBudget {
         let total = self.cluster.limits.max_sockets;
         let share = |percent: usize, min: usize| (total * percent / 100).max(min);
         // The remaining 2% are for the listening sockets, the log and the runtime.
-        SocketShares { public: share(64, 1), peers: share(3, 8), own: share(3, 8), orders: share(28, 4) }
+        SocketBudget {
+            public_listener: share(64, 1),
+            peer_listener: share(3, 8),
+            service_client: share(3, 8),
+            worker_client: share(28, 4),
+        }
     }
 }
 
 /// How many sockets a controller may use for each purpose. Each worker keeps a connection to the leader open. Orders to
 /// workers use separate connections, whose number is limited so that enough sockets are left for the workers'.
-pub struct SocketShares {
+pub struct SocketBudget {
     /// Incoming connections of users, workers and health checks.
-    pub public: usize,
+    pub public_listener: usize,
     /// Incoming connections of peers.
-    pub peers: usize,
+    pub peer_listener: usize,
     /// Outgoing connections to the key-value store, the cloud and peers.
-    pub own: usize,
+    pub service_client: usize,
     /// Outgoing connections that carry orders to workers.
-    pub orders: usize,
+    pub worker_client: usize,
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -23,9 +23,9 @@
     // The lowest limits on sockets seen on platforms with these numbers of workers.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
         settings.cluster.limits.max_sockets = limit;
-        let SocketShares { public, peers, own, orders } = settings.sockets();
-        assert!(public > workers * 11 / 10);
-        assert!(public + peers + own + orders <= limit * 98 / 100);
+        let SocketBudget { public_listener, peer_listener, service_client, worker_client } = settings.socket_budget();
+        assert!(public_listener > workers * 11 / 10);
+        assert!(public_listener + peer_listener + service_client + worker_client <= limit * 98 / 100);
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -82,9 +82,11 @@
         tokio::spawn(net::heartbeat_relay::run(node.clone()));
         tokio::spawn(net::relay_routes::run(node.clone()));
         tokio::spawn(net::load_log::run(node.clone()));
-        let sockets = node.settings.sockets();
-        let users = net::server::serve(node.settings.listen, net::server::public_router(&node), sockets.public);
-        let peers = net::server::serve(node.settings.peer_listen, net::server::internal_router(&node), sockets.peers);
+        let sockets = node.settings.socket_budget();
+        let users =
+            net::server::serve(node.settings.listen, net::server::public_router(&node), sockets.public_listener);
+        let peers =
+            net::server::serve(node.settings.peer_listen, net::server::internal_router(&node), sockets.peer_listener);
         // A listener ends only with an error.
         let ended = tokio::select! { result = users => result, result = peers => result };
         Ok(ended?)
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -131,10 +131,10 @@
 impl Node {
     /// Creates the clients and the initial state. The caller starts the asynchronous tasks that run the controller.
     pub fn new(settings: Settings, tuning: Tuning) -> Arc<Node> {
-        let sockets = settings.sockets();
+        let sockets = settings.socket_budget();
         Arc::new(Node {
-            http: HttpClient::new(sockets.own),
-            worker_http: HttpClient::new(sockets.orders),
+            http: HttpClient::new(sockets.service_client),
+            worker_http: HttpClient::new(sockets.worker_client),
             kv: KvClient::new(settings.services.store.to_string()),
             cloud: CloudClient::new(settings.services.cloud.to_string(), settings.cluster.cloud.rps),
             incarnation: rand::random::<u64>() >> 1,
