--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -219,10 +219,10 @@
     pub name: String,
     /// Address at which it listens for users, workers and health checks.
     #[serde(rename = "serve_on")]
-    pub listen: SocketAddr,
+    pub listen_addr: SocketAddr,
     /// Address at which it listens for peers.
     #[serde(rename = "internal_addr")]
-    pub peer_listen: SocketAddr,
+    pub peer_listen_addr: SocketAddr,
     /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
--- a/src/config/slo.rs
+++ b/src/config/slo.rs
@@ -91,12 +91,12 @@
 
     /// Seconds until the job's deadline and until each multiple of it that is an objective of its class; negative if
     /// the time has passed. Empty if the job has no deadline. `deadline_s` counts from the submission, which was
-    /// `submitted_s` seconds ago.
-    pub fn deadlines(&self, class: &str, deadline_s: Option<f64>, submitted_s: f64) -> Vec<f64> {
+    /// `since_submission_s` seconds ago.
+    pub fn deadlines(&self, class: &str, deadline_s: Option<f64>, since_submission_s: f64) -> Vec<f64> {
         let Some(deadline_s) = deadline_s else { return Vec::new() };
         let objectives = self.objectives_of(class).filter(|objective| objective.kind == ObjectiveKind::Deadline);
         let multiples = objectives.map(|objective| deadline_s * objective.deadline_factor);
-        multiples.chain([deadline_s]).map(|due_s| due_s - submitted_s).collect()
+        multiples.chain([deadline_s]).map(|due_s| due_s - since_submission_s).collect()
     }
 
     fn objectives_of(&self, class: &str) -> impl Iterator<Item = &Objective> {
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -136,8 +136,8 @@
     /// The job's ages at `wall`: since its submission, from which its deadline counts, and since it could start,
     /// from which its other objectives count (0 while it waits for dependencies).
     pub fn ages(&self, wall: WallTime) -> JobAges {
-        let startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
-        JobAges { since_submission_s: wall.seconds_since(self.submitted), since_startable_s: startable_s }
+        let since_startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
+        JobAges { since_submission_s: wall.seconds_since(self.submitted), since_startable_s }
     }
 
     /// Number of tasks that could be started now.
--- a/src/main.rs
+++ b/src/main.rs
@@ -76,7 +76,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().max_blocking_threads(1).build()?;
     runtime.block_on(async {
         let node = net::node::Node::new(settings, tuning);
-        log::info!("starting {} on {}", node.settings.name, node.settings.listen);
+        log::info!("starting {} on {}", node.settings.name, node.settings.listen_addr);
         tokio::spawn(net::leader_loop::poll_machine_types(node.clone()));
         tokio::spawn(net::election::run(node.clone()));
         tokio::spawn(net::heartbeat_relay::run(node.clone()));
@@ -84,9 +84,12 @@
         tokio::spawn(net::load_log::run(node.clone()));
         let sockets = node.settings.socket_budget();
         let users =
-            net::server::serve(node.settings.listen, net::server::public_router(&node), sockets.public_listener);
-        let peers =
-            net::server::serve(node.settings.peer_listen, net::server::internal_router(&node), sockets.peer_listener);
+            net::server::serve(node.settings.listen_addr, net::server::public_router(&node), sockets.public_listener);
+        let peers = net::server::serve(
+            node.settings.peer_listen_addr,
+            net::server::internal_router(&node),
+            sockets.peer_listener,
+        );
         // A listener ends only with an error.
         let ended = tokio::select! { result = users => result, result = peers => result };
         Ok(ended?)
--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -79,7 +79,7 @@
     // they couldn't reach, until their leases expired.
     let cluster = FakeCluster::default();
     let [(relaying, _), (other, _)] = start_pair(&cluster).await;
-    tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal_router(&relaying), 64));
+    tokio::spawn(server::serve(relaying.settings.peer_listen_addr, server::internal_router(&relaying), 64));
     // A leader on a machine that hangs: it accepts connections but never responds.
     let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = other.settings.clone();
@@ -89,7 +89,7 @@
         addr: unresponsive.local_addr().unwrap(),
         zone: String::new(),
     });
-    settings.peer_listen = free_addr();
+    settings.peer_listen_addr = free_addr();
     let (node, client) = start(&cluster, settings).await;
     let client = Arc::new(client);
     tokio::time::sleep(Millis(200).to_std()).await;
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -111,7 +111,7 @@
 async fn start_without_peers(cluster: &FakeCluster) -> (Arc<Node>, Client) {
     let mut settings = sample_settings();
     settings.peers.clear();
-    settings.peer_listen = free_addr();
+    settings.peer_listen_addr = free_addr();
     start(cluster, settings).await
 }
 
@@ -119,23 +119,23 @@
 async fn start_with_unreachable_peers(cluster: &FakeCluster) -> (Arc<Node>, Client) {
     let mut settings = sample_settings();
     settings.peers.iter_mut().for_each(|peer| peer.addr = free_addr());
-    settings.peer_listen = free_addr();
+    settings.peer_listen_addr = free_addr();
     start(cluster, settings).await
 }
 
 /// Starts a controller and the fakes that it talks to, and returns it with a client of its public API. All servers
 /// accept connections when this returns. The controller doesn't stand for election yet.
 pub(super) async fn start(cluster: &FakeCluster, mut settings: Settings) -> (Arc<Node>, Client) {
-    settings.listen = free_addr();
+    settings.listen_addr = free_addr();
     settings.services.store = cluster.serve_store(&settings.name);
     settings.services.cloud = cluster.serve_cloud();
     let worker = cluster.serve_worker();
-    let client = Client { http: HttpClient::new(16), addr: settings.listen.to_string() };
+    let client = Client { http: HttpClient::new(16), addr: settings.listen_addr.to_string() };
     let node = Node::new(settings, Tuning::default());
     tokio::spawn(heartbeat_relay::run(node.clone()));
     tokio::spawn(relay_routes::run(node.clone()));
-    tokio::spawn(server::serve(node.settings.listen, server::public_router(&node), 64));
-    for addr in [node.settings.services.store, node.settings.services.cloud, worker, node.settings.listen] {
+    tokio::spawn(server::serve(node.settings.listen_addr, server::public_router(&node), 64));
+    for addr in [node.settings.services.store, node.settings.services.cloud, worker, node.settings.listen_addr] {
         wait_for_listener(addr).await;
     }
     (node, client)
@@ -143,8 +143,8 @@
 
 /// Starts a controller's server for its peers, so that it receives their messages.
 async fn serve_peers(node: &Arc<Node>) {
-    tokio::spawn(server::serve(node.settings.peer_listen, server::internal_router(node), 64));
-    wait_for_listener(node.settings.peer_listen).await;
+    tokio::spawn(server::serve(node.settings.peer_listen_addr, server::internal_router(node), 64));
+    wait_for_listener(node.settings.peer_listen_addr).await;
 }
 
 /// Starts the tasks of a controller that poll the machine types and take part in leader elections.
@@ -172,10 +172,10 @@
     let (mut first, mut second) = (settings.clone(), settings);
     first.peers.truncate(1);
     second.peers.truncate(1);
-    (first.peer_listen, second.peer_listen) = (free_addr(), free_addr());
+    (first.peer_listen_addr, second.peer_listen_addr) = (free_addr(), free_addr());
     second.name.clone_from(&first.peers[0].name);
     second.peers[0].name.clone_from(&first.name);
-    (first.peers[0].addr, second.peers[0].addr) = (second.peer_listen, first.peer_listen);
+    (first.peers[0].addr, second.peers[0].addr) = (second.peer_listen_addr, first.peer_listen_addr);
     let second = start(cluster, second).await;
     serve_peers(&second.0).await;
     [start(cluster, first).await, second]
--- a/src/net/loopback/relay.rs
+++ b/src/net/loopback/relay.rs
@@ -49,7 +49,7 @@
 async fn peer_routes_refuse_invalid_messages() {
     let cluster = FakeCluster::default();
     let [_leader, (relay, _)] = leader_and_relay(&cluster, sample_settings()).await;
-    let peer = Client { http: HttpClient::new(4), addr: relay.settings.peer_listen.to_string() };
+    let peer = Client { http: HttpClient::new(4), addr: relay.settings.peer_listen_addr.to_string() };
     for path in [peers::HEARTBEAT_PATH, peers::PLAN_PATH, peers::HEARTBEAT_BATCH_PATH] {
         assert_eq!(peer.post(path, json!("no message")).await.0, 400, "{path}");
     }
@@ -76,7 +76,7 @@
     settings.name = "plinth-9".into();
     settings.peers.truncate(2);
     settings.peers[0] = Peer { addr: free_addr(), name: leader.settings.name.clone(), zone: String::new() };
-    settings.peers[1] = Peer { addr: relay.settings.peer_listen, name: relay_name.clone(), zone: String::new() };
+    settings.peers[1] = Peer { addr: relay.settings.peer_listen_addr, name: relay_name.clone(), zone: String::new() };
     let (third, third_client) = start(&cluster, settings).await;
     third.lock().leader_name = Some(leader.settings.name.clone());
     eventually(async || third_client.heartbeat(&cluster).await == (421, json!({"steward": relay_name}))).await;
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -8,9 +8,9 @@
 
 #[test]
 fn controller_settings_are_read() {
-    let Settings { name, listen, peer_listen, peers, services, cluster: _ } = settings();
+    let Settings { name, listen_addr, peer_listen_addr, peers, services, cluster: _ } = settings();
     assert_eq!(name, "plinth-0");
-    let addresses = [listen, peer_listen, services.cloud, services.store].map(|address| address.to_string());
+    let addresses = [listen_addr, peer_listen_addr, services.cloud, services.store].map(|address| address.to_string());
     assert_eq!(addresses, ["10.0.0.1:8080", "10.0.0.1:8081", "10.2.0.2:8443", "10.2.0.1:2379"]);
     let peer = |peer: &Peer| (peer.name.clone(), peer.zone.clone(), peer.addr.to_string());
     let expected = [
