--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -76,7 +76,7 @@
 #[test]
 fn tuning_errors_name_their_line() {
     let tuning = Tuning::parse("<wallstile>\n <idle-s>60</idle-s>\n</wallstile>").unwrap();
-    assert_eq!(tuning.idle_s, 60.0);
+    assert_eq!(tuning.idle_timeout_s, 60.0);
     assert_eq!(Tuning::parse("<wallstile/>").unwrap(), Tuning::default());
     for (text, line, what) in [
         ("<wallstile>\n<idel-s>1</idel-s></wallstile>", 2, "unknown"),
--- a/src/config/tuning.rs
+++ b/src/config/tuning.rs
@@ -23,7 +23,7 @@
     /// seconds: w in equation 8 of the paper that [`crate::core::placement`] follows.
     pub spot_window_s: f64,
     /// Seconds after which an idle machine is terminated.
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
     /// Factor by which a GPU machine may be idle longer than [`Tuning::idle_s`].
     pub gpu_idle_factor: f64,
     /// Run time that the planner assumes for tasks of services, which have no end, in seconds.
@@ -34,9 +34,9 @@
     /// Upper bound on the batch size.
     pub batch_max: f64,
     /// Minimum time between the starts of two planning rounds, in milliseconds. An overloaded leader waits longer.
-    pub round_ms: f64,
+    pub min_round_interval_ms: f64,
     /// Maximum number of user requests in progress at a time. Further ones are answered with status 503.
-    pub user_requests: f64,
+    pub max_user_requests: f64,
     /// Time in seconds after which capacity is reserved for a gang that could have started.
     pub gang_reservation_wait_s: f64,
 }
@@ -48,13 +48,13 @@
             spot_median_s: 5400.0,
             spot_sigma: 1.0,
             spot_window_s: 10.0,
-            idle_s: 20.0,
+            idle_timeout_s: 20.0,
             gpu_idle_factor: 2.0,
             service_horizon_s: 600.0,
             batch_min: 64.0,
             batch_max: 1024.0,
-            round_ms: 150.0,
-            user_requests: 64.0,
+            min_round_interval_ms: 150.0,
+            max_user_requests: 64.0,
             gang_reservation_wait_s: 120.0,
         }
     }
@@ -127,13 +127,13 @@
             "spot-median-s" => (&mut self.spot_median_s, 1.0..=1e7),
             "spot-sigma" => (&mut self.spot_sigma, 0.01..=10.0),
             "spot-window-s" => (&mut self.spot_window_s, 0.0..=3600.0),
-            "idle-s" => (&mut self.idle_s, 0.0..=86_400.0),
+            "idle-s" => (&mut self.idle_timeout_s, 0.0..=86_400.0),
             "gpu-idle-factor" => (&mut self.gpu_idle_factor, 0.1..=1000.0),
             "service-horizon-s" => (&mut self.service_horizon_s, 1.0..=1e7),
             "batch-min" => (&mut self.batch_min, 1.0..=100_000.0),
             "batch-max" => (&mut self.batch_max, 1.0..=100_000.0),
-            "round-ms" => (&mut self.round_ms, 10.0..=60_000.0),
-            "user-requests" => (&mut self.user_requests, 1.0..=10_000.0),
+            "round-ms" => (&mut self.min_round_interval_ms, 10.0..=60_000.0),
+            "user-requests" => (&mut self.max_user_requests, 1.0..=10_000.0),
             "gather-s" => (&mut self.gang_reservation_wait_s, 0.0..=86_400.0),
             _ => return None,
         })
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -16,7 +16,7 @@
 /// they are kept longer.
 pub(super) fn idle_timeout(tuning: &Tuning, machine_type: &MachineType) -> Millis {
     let factor = if machine_type.gpus > 0.0 { tuning.gpu_idle_factor } else { 1.0 };
-    Millis::from_secs_f64(tuning.idle_s * factor)
+    Millis::from_secs_f64(tuning.idle_timeout_s * factor)
 }
 
 /// Updates `idle_since` of a machine. Returns whether it has been idle for longer than `timeout` and has no orders
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -109,7 +109,7 @@
 impl SchedulerHarness {
     /// A newly elected leader, with machines that an earlier one has registered.
     fn new(machines: usize) -> SchedulerHarness {
-        let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_s: 600.0, ..Tuning::default() };
+        let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_timeout_s: 600.0, ..Tuning::default() };
         let mut leader =
             Scheduler::new(sample_settings(), tuning, machine_types(), TERM, leader_record(), MonotonicTime(0));
         leader.load(
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -48,7 +48,7 @@
 
 impl FixedFleet {
     fn new() -> FixedFleet {
-        let tuning = Tuning { gang_reservation_wait_s: 4.0, idle_s: 30.0, ..Tuning::default() };
+        let tuning = Tuning { gang_reservation_wait_s: 4.0, idle_timeout_s: 30.0, ..Tuning::default() };
         let mut types = machine_types();
         types.push(MachineType { name: "large".into(), cpus: 64.0, price: 7.0, spot_price: 2.5, ..types[0].clone() });
         let mut leader = Scheduler::new(sample_settings(), tuning, types, TERM, leader_record(), MonotonicTime(0));
--- a/src/core/scheduler/ticks.rs
+++ b/src/core/scheduler/ticks.rs
@@ -21,7 +21,7 @@
         self.send_writes(now, wall);
         // Rounds are most of the scheduler's work. When ticks come late, rounds are spaced further apart, and
         // each covers more changes.
-        let interval_ms = self.tuning.round_ms + ROUND_INTERVAL_PER_LAG * self.load.lag_ms();
+        let interval_ms = self.tuning.min_round_interval_ms + ROUND_INTERVAL_PER_LAG * self.load.lag_ms();
         let interval = Millis(interval_ms.min(MAX_ROUND_INTERVAL_MS) as u64);
         self.rebalance_shards(now);
         self.use_reservations(now);
--- a/src/core/simulation/leaders.rs
+++ b/src/core/simulation/leaders.rs
@@ -14,7 +14,7 @@
         self.check_cleared_tasks_are_done();
         let mut leader = Scheduler::new(
             self.settings.clone(),
-            Tuning { idle_s: 20.0, gang_reservation_wait_s: 4.0, ..Tuning::default() },
+            Tuning { idle_timeout_s: 20.0, gang_reservation_wait_s: 4.0, ..Tuning::default() },
             self.types.clone(),
             Term(self.revision),
             record,
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -14,7 +14,7 @@
     /// Admits a request, unless the limit [`Tuning::user_requests`](crate::config::Tuning::user_requests) is reached.
     pub(super) fn try_acquire(node: &Node) -> Result<Admission<'_>, TooManyRequests> {
         let mut state = node.lock();
-        if state.user_requests_in_progress >= node.tuning.user_requests as usize {
+        if state.user_requests_in_progress >= node.tuning.max_user_requests as usize {
             return Err(TooManyRequests);
         }
         state.user_requests_in_progress += 1;
--- a/src/net/admission/tests.rs
+++ b/src/net/admission/tests.rs
@@ -3,7 +3,7 @@
 
 #[tokio::test]
 async fn admission_counts_until_dropped() {
-    let tuning = Tuning { user_requests: 2.0, ..Tuning::default() };
+    let tuning = Tuning { max_user_requests: 2.0, ..Tuning::default() };
     let node = Node::new(sample_settings(), tuning);
     let first = Admission::try_acquire(&node);
     let second = Admission::try_acquire(&node);
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -59,13 +59,13 @@
         spot_median_s: 5401.0,
         spot_sigma: 1.5,
         spot_window_s: 11.0,
-        idle_s: 21.0,
+        idle_timeout_s: 21.0,
         gpu_idle_factor: 2.5,
         service_horizon_s: 601.0,
         batch_min: 65.0,
         batch_max: 1025.0,
-        round_ms: 151.0,
-        user_requests: 66.0,
+        min_round_interval_ms: 151.0,
+        max_user_requests: 66.0,
         gang_reservation_wait_s: 121.0,
     };
     assert_eq!(Tuning::parse(include_str!("operators.xml")).expect("the sample is valid"), expected);
