--- a/src/config/slo.rs
+++ b/src/config/slo.rs
@@ -85,14 +85,14 @@
             ObjectiveKind::Deadline | ObjectiveKind::Guarantee | ObjectiveKind::Unknown => None,
         };
         let mut slo_deadlines: Vec<f64> = self.objectives_of(class).filter_map(remaining_s).collect();
-        slo_deadlines.extend(self.deadlines(class, deadline_s, ages.since_submission_s));
+        slo_deadlines.extend(self.deadline_multiples(class, deadline_s, ages.since_submission_s));
         slo_deadlines
     }
 
     /// Seconds until the job's deadline and until each multiple of it that is an objective of its class; negative if
     /// the time has passed. Empty if the job has no deadline. `deadline_s` counts from the submission, which was
     /// `since_submission_s` seconds ago.
-    pub fn deadlines(&self, class: &str, deadline_s: Option<f64>, since_submission_s: f64) -> Vec<f64> {
+    pub fn deadline_multiples(&self, class: &str, deadline_s: Option<f64>, since_submission_s: f64) -> Vec<f64> {
         let Some(deadline_s) = deadline_s else { return Vec::new() };
         let objectives = self.objectives_of(class).filter(|objective| objective.kind == ObjectiveKind::Deadline);
         let multiples = objectives.map(|objective| deadline_s * objective.deadline_factor);
--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -30,7 +30,7 @@
         JobTiming {
             priority: spec.priority,
             due_s: spec.deadline_s.map(|due_s| due_s - submitted_s),
-            slo_deadlines: self.settings.deadlines(&spec.class, spec.deadline_s, submitted_s),
+            slo_deadlines: self.settings.deadline_multiples(&spec.class, spec.deadline_s, submitted_s),
             run_s: self.jobs.expected_run_s(spec),
             transfer_s: spec.image_gb / self.mean_fetch_rate(spec),
         }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -78,7 +78,7 @@
 
 /// Installs the logger, at a level such as `info`. An unknown level is treated as `info`. Calls after the first have no
 /// effect.
-pub fn start(level: &str) {
+pub fn init(level: &str) {
     let inner = env_logger::Builder::new()
         .filter_level(LevelFilter::Error)
         .filter_module("wallstile", level.parse().unwrap_or(LevelFilter::Info))
--- a/src/main.rs
+++ b/src/main.rs
@@ -51,7 +51,7 @@
             return ExitCode::from(2);
         }
     };
-    logging::start(&level);
+    logging::init(&level);
     match run(cli) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
