--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -165,12 +165,12 @@
     /// Whether this controller may stand for election now.
     ///
     /// An earlier process of this controller may have given a pledge, so a new process first waits as
-    /// long as a pledge lasts. The wait isn't needed if `initialized` is false: the cluster has never had a
-    /// leader, so there can be no pledge.
-    pub fn can_stand_for_election(&self, now: MonotonicTime, initialized: bool) -> bool {
+    /// long as a pledge lasts. The wait isn't needed if `predecessor_may_have_pledged` is false, for
+    /// instance because the cluster has never had a leader.
+    pub fn can_stand_for_election(&self, now: MonotonicTime, predecessor_may_have_pledged: bool) -> bool {
         now >= self.pledged_until
             && now >= self.backoff_until
-            && (!initialized || now >= MonotonicTime(0) + self.pledge_duration.plus_clock_drift())
+            && (!predecessor_may_have_pledged || now >= MonotonicTime(0) + self.pledge_duration.plus_clock_drift())
     }
 
     /// Keeps this controller from standing for election for [`SUCCESSOR_BACKOFF`], so that the named successor is
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -1,6 +1,6 @@
 //! The placement policy, MISER: decides which machine each ready task is placed on and which machines to provision.
 //!
-//! The policy is a pure function: [`plan`] takes a [`PlanInput`] (machines, instance offers, jobs with ready tasks)
+//! The policy is a pure function: [`plan`] takes a [`PlanInput`] (machines, provisioning offers, jobs with ready tasks)
 //! and returns a [`PlanOutput`] (placements, scale-out requests, waiting tasks).
 //!
 //! It is based on sections 3.1 to 3.4 of "Constructing Reliable Computing Environments on Top of Amazon EC2 Spot
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -20,7 +20,7 @@
 /// The batch size is the number of ready tasks divided by this, within `batch_min` and `batch_max` of the tuning.
 const BATCHES_PER_BACKLOG: u32 = 4;
 /// Limit on the number of machines in one provisioning offer.
-const MAX_INSTANCES_PER_OFFER: u32 = 50;
+const MAX_MACHINES_PER_OFFER: u32 = 50;
 
 /// A planner's input, with the jobs and machines that its keys refer to.
 pub(super) struct PlannerView {
@@ -124,7 +124,7 @@
                             kind: kind as u32,
                             zone: zone as u32,
                             spot,
-                            most: MAX_INSTANCES_PER_OFFER,
+                            most: MAX_MACHINES_PER_OFFER,
                         });
                     }
                 }
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -25,10 +25,10 @@
 /// A controller that was not elected tries again after a random part of this time.
 const MAX_CANDIDACY_BACKOFF_MS: u64 = 200;
 const RENEW_TIMEOUT: Millis = Millis(900);
-/// After a renewal that takes longer, the next one follows after [`SLOW_RENEWAL_BACKOFF`].
+/// If a renewal takes longer than this, the next one follows after [`SLOW_RENEWAL_BACKOFF`].
 const SLOW_RENEWAL_THRESHOLD: Millis = Millis(1_000);
 const SLOW_RENEWAL_BACKOFF: Millis = Millis(100);
-/// How often the lease is renewed within its time to live.
+/// Number of renewals within the lease's time to live.
 const RENEWALS_PER_TTL: u64 = 6;
 const PROBE_TIMEOUT: Millis = Millis(700);
 const EXTENSION_TIMEOUT: Millis = Millis(800);
