--- a/src/net/heartbeat_relay/tests.rs
+++ b/src/net/heartbeat_relay/tests.rs
@@ -79,7 +79,7 @@
     // they couldn't reach, until their leases expired.
     let cluster = FakeCluster::default();
     let [(relaying, _), (other, _)] = start_pair(&cluster).await;
-    tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal(&relaying), 64));
+    tokio::spawn(server::serve(relaying.settings.peer_listen, server::internal_router(&relaying), 64));
     // A leader on a machine that hangs: it accepts connections but never responds.
     let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = other.settings.clone();
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -155,7 +155,7 @@
     // While the key-value store doesn't serve this controller, the leader's name that was last read from it may be
     // outdated, and redirects to it could send workers in circles. Peers may know the current leader.
     let health = &state.store_health;
-    let leader = if health.is_refused() { health.leader_per_peers() } else { state.leader_name.as_ref() };
+    let leader = if health.is_unavailable() { health.leader_reported_by_peers() } else { state.leader_name.as_ref() };
     // The leader suspects this machine because it gets no heartbeats from it, so the worker probably can't reach it.
     let leader = if state.suspected_machines.contains(&heartbeat.machine) { None } else { leader.cloned() };
     state.redirected_workers.record(&heartbeat.machine, now, leader).filter(|name| *name != node.settings.name)
