--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -78,8 +78,8 @@
         self.predecessor_held_key = false;
         let Some(own) = record.filter(|record| record.node == node.settings.name) else { return Next::Wait };
         // An earlier process of this controller led. Only one process runs at an address at a time, so its lease
-        // can be revoked. If a candidacy of that process is committed late, its key is found here as well; answers of
-        // it that arrive late have a lower term than those of the next leader.
+        // can be revoked. If a candidacy of that process is committed late, its key is found here as well;
+        // messages of that process that arrive late have a lower term than those of the next leader.
         info!("revoking the leader lease of an earlier process of this controller");
         let revoked = node.track_store(node.kv.revoke_lease(&node.http, own.lease)).await;
         self.predecessor_held_key = revoked.is_ok();
@@ -123,8 +123,8 @@
 
 /// Asks the peers whether the store serves them and who leads, as the store doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
-    let answers = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), PROBE_TIMEOUT).await;
-    node.lock().store_health.record_peer_responses(&answers);
+    let responses = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), PROBE_TIMEOUT).await;
+    node.lock().store_health.record_peer_responses(&responses);
 }
 
 /// Whether a leader has just handed over and named another controller as its successor.
@@ -307,10 +307,10 @@
     let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
     let heartbeat =
         PeerHeartbeat { asks_extension: true, leading: true, term: term.0, read_through, ..peers::new_heartbeat(node) };
-    let answers = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
-    let pledges: Vec<Option<Pledge>> = answers.iter().map(|answer| parse_pledge(answer.as_ref()?)).collect();
+    let responses = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
+    let pledges: Vec<Option<Pledge>> = responses.iter().map(|response| parse_pledge(response.as_ref()?)).collect();
     let mut state = node.lock();
-    state.store_health.record_peer_responses(&answers);
+    state.store_health.record_peer_responses(&responses);
     let Some(scheduler) = &mut state.scheduler else { return false };
     for pledge in pledges.iter().flatten() {
         pledge.cancelled.iter().for_each(|id| scheduler.on_job_terminated(id, JobOutcome::Cancelled));
@@ -328,7 +328,7 @@
 }
 
 /// A peer's pledge. `None` if the peer doesn't pledge or the names of its cancelled jobs can't be parsed.
-fn parse_pledge(answer: &PeerHeartbeatResponse) -> Option<Pledge> {
-    let duration = Some(Millis(answer.pledge_ms)).filter(|duration| *duration > Millis(0))?;
-    Some(Pledge { duration, cancelled: peers::parse_job_ids(&answer.cancelled)? })
+fn parse_pledge(response: &PeerHeartbeatResponse) -> Option<Pledge> {
+    let duration = Some(Millis(response.pledge_ms)).filter(|duration| *duration > Millis(0))?;
+    Some(Pledge { duration, cancelled: peers::parse_job_ids(&response.cancelled)? })
 }
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -56,13 +56,14 @@
     }
 }
 
-/// Gives the scheduler an input and starts to perform the effects that it requests. Returns the scheduler's answer.
+/// Gives the scheduler an input and starts to perform the effects that it requests. Returns the result of
+/// `input`.
 ///
 /// Returns `None` if this controller may not act as leader now or hasn't loaded the cluster state. The scheduler
 /// then gets no input, so that it requests no effects.
 pub fn step<T>(node: &Arc<Node>, input_kind: InputKind, input: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
     let now = node.now();
-    let (answer, term, effects) = {
+    let (result, term, effects) = {
         let mut state = node.lock();
         let Some(term) = state.election.active_term(now) else {
             if let Some(scheduler) = &mut state.scheduler {
@@ -70,14 +71,14 @@
             }
             return None;
         };
-        let (answer, effects) =
+        let (result, effects) =
             step_measured(&mut state, now, input_kind, |scheduler| (input(scheduler), scheduler.take_effects()))?;
-        (answer, term, effects)
+        (result, term, effects)
     };
     for effect in effects {
         tokio::spawn(perform_effect(node.clone(), term, effect));
     }
-    Some(answer)
+    Some(result)
 }
 
 /// Starts to perform the effects that the scheduler has requested and that have not been started.
@@ -92,16 +93,17 @@
     input_kind: InputKind,
     input: impl FnOnce(&mut Scheduler) -> T,
 ) -> Option<T> {
-    let (answer, took, operations) = measure(state.scheduler.as_mut()?, input);
+    let (result, took, operations) = measure(state.scheduler.as_mut()?, input);
     state.input_latency.record(now, input_kind, took, operations);
-    Some(answer)
+    Some(result)
 }
 
-/// Gives a scheduler an input. Returns its answer, the time that it took and the operations that it counted.
+/// Gives a scheduler an input. Returns the result, the time that it took and the operations that it
+/// counted.
 fn measure<T>(scheduler: &mut Scheduler, input: impl FnOnce(&mut Scheduler) -> T) -> (T, Duration, OperationCounts) {
     let (started_at, before) = (Instant::now(), scheduler.operation_counts());
-    let answer = input(scheduler);
-    (answer, started_at.elapsed(), scheduler.operation_counts().since(&before))
+    let result = input(scheduler);
+    (result, started_at.elapsed(), scheduler.operation_counts().since(&before))
 }
 
 /// Gives the scheduler, if there is one, the result of an effect, even after the lease has expired: recording a
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -25,7 +25,7 @@
     while still_leads(node, term) {
         let requested_at = node.now();
         let changes = node.kv.watch(&node.http, LIVE_PREFIX, since, block).await;
-        // A watch request may stay open for long, so a missing answer doesn't show that the store is unavailable.
+        // A watch request may stay open for long, so a missing response doesn't show that the store is unavailable.
         if !matches!(changes, Err(KvError::NoResponse(_))) {
             node.record_store_result(changes.as_ref().err());
         }
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Sends the leader's heartbeats to its peers, and decides from their answers whether to hand over to one of them.
+//! Sends the leader's heartbeats to its peers, and decides from their responses whether to hand over to one of them.
 
 use super::still_leads;
 use crate::config::Peer;
@@ -14,19 +14,19 @@
 use std::sync::Arc;
 
 const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
-/// The interval while the peers' answers suggest that workers can't reach this controller.
+/// The interval while the peers' responses suggest that workers can't reach this controller.
 const RECHECK_INTERVAL: Millis = Millis(300);
 const HEARTBEAT_TIMEOUT: Millis = Millis(800);
 
-/// Sends heartbeats to the peers while this controller leads for the term, and evaluates their answers.
+/// Sends heartbeats to the peers while this controller leads for the term, and evaluates their responses.
 pub(super) async fn run(node: &Arc<Node>, term: Term) {
     let mut detections = 0;
     while still_leads(node, term) {
         let (heartbeat, machines) = leader_heartbeat(node, term);
-        let answers = peers::broadcast_heartbeat(node, &heartbeat, HEARTBEAT_TIMEOUT).await;
-        record_relay_peers(node, &answers);
-        detections = detect_unreachable_leader(node, &answers, heartbeat.suspected.len(), machines, detections);
-        hand_over_if_overloaded(node, &answers);
+        let responses = peers::broadcast_heartbeat(node, &heartbeat, HEARTBEAT_TIMEOUT).await;
+        record_relay_peers(node, &responses);
+        detections = detect_unreachable_leader(node, &responses, heartbeat.suspected.len(), machines, detections);
+        hand_over_if_overloaded(node, &responses);
         let delay = if detections > 0 { RECHECK_INTERVAL } else { HEARTBEAT_INTERVAL };
         tokio::time::sleep(delay.to_std()).await;
     }
@@ -49,13 +49,13 @@
 }
 
 /// Names a successor if this controller has been overloaded for several samples and a peer can take over.
-fn hand_over_if_overloaded(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
+fn hand_over_if_overloaded(node: &Node, responses: &[Option<PeerHeartbeatResponse>]) {
     let now = node.now();
     let mut state = node.lock();
     let Some(scheduler) = state.scheduler.as_ref().filter(|scheduler| scheduler.has_led_for_lease(now)) else { return };
     let lag = scheduler.lag();
-    let candidates =
-        peers::responding_peers(node, answers).filter(|(_, answer)| answer.store_ok && answer.relays_heartbeats);
+    let candidates = peers::responding_peers(node, responses)
+        .filter(|(_, response)| response.store_ok && response.relays_heartbeats);
     let candidates: Vec<&Peer> = candidates.map(|(peer, _)| peer).collect();
     let Some(peer) = candidates.choose(&mut rand::rng()) else { return };
     if state.overload.record_lag(now, lag) {
@@ -65,21 +65,21 @@
 }
 
 /// Records which peers can relay workers' heartbeats.
-fn record_relay_peers(node: &Node, answers: &[Option<PeerHeartbeatResponse>]) {
-    let relaying = peers::responding_peers(node, answers).filter(|(_, answer)| answer.relays_heartbeats);
+fn record_relay_peers(node: &Node, responses: &[Option<PeerHeartbeatResponse>]) {
+    let relaying = peers::responding_peers(node, responses).filter(|(_, response)| response.relays_heartbeats);
     let peers = relaying.map(|(peer, _)| peer.clone()).collect();
     node.lock().heartbeat_balancer.set_peers(peers);
 }
 
-/// Names a successor if the peers' answers show repeatedly that workers can't reach this controller, and records for
-/// the scheduler which peers have answered.
+/// Names a successor if the peers' responses show repeatedly that workers can't reach this controller, and records for
+/// the scheduler which peers have responded.
 ///
 /// A single detection is not enough unless at least half of all machines are suspected: workers that have just lost
 /// contact with the leader try other controllers for a moment. `detections` is the number of detections in a row so
 /// far; the new number is returned.
 fn detect_unreachable_leader(
     node: &Node,
-    answers: &[Option<PeerHeartbeatResponse>],
+    responses: &[Option<PeerHeartbeatResponse>],
     suspected: usize,
     machines: usize,
     detections: u32,
@@ -90,11 +90,11 @@
     // Workers try the controllers in turn, so each peer has heard from only some of them.
     let mut redirected: BTreeSet<&str> = BTreeSet::new();
     let mut successor: Option<(usize, &str)> = None;
-    for (peer, answer) in peers::responding_peers(node, answers) {
+    for (peer, response) in peers::responding_peers(node, responses) {
         scheduler.mark_peer_responsive(now, &peer.name);
-        redirected.extend(answer.redirected.iter().map(String::as_str));
-        if answer.store_ok {
-            successor = successor.max(Some((answer.redirected.len(), &peer.name)));
+        redirected.extend(response.redirected.iter().map(String::as_str));
+        if response.store_ok {
+            successor = successor.max(Some((response.redirected.len(), &peer.name)));
         }
     }
     let Some((1.., name)) = successor else { return 0 };
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -179,7 +179,7 @@
     }
 
     /// Records whether the store serves this controller, as shown by a request: `error` is its error, or `None` if it
-    /// succeeded. Any answer but a refusal counts as served.
+    /// succeeded. The store counts as available after any valid response other than a refusal.
     pub fn record_store_result(&self, error: Option<&KvError>) {
         let now = self.now();
         let availability = StoreAvailability::from(error);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Whether the store has not answered for so long that user requests should fail at once instead of waiting for
+    /// Whether the store has not responded for so long that user requests should fail at once instead of waiting for
     /// it. The election keeps sending requests.
     pub fn is_store_unreachable(&self) -> bool {
         let now = self.now();
