--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -55,7 +55,7 @@
     }
 
     /// Checks that a task may start on this worker now: its job permits the machine, was not cancelled 30 s ago or
-    /// earlier, and its dependencies are done.
+    /// earlier, and has no unfinished dependencies. Also checks the start against the running tasks.
     pub(super) fn check_start(&self, index: usize, task: &TaskId) {
         let spec = &self.specs[&task.job];
         let (now, worker) = (self.now, &self.workers[index]);
@@ -116,12 +116,13 @@
             let max_per_zone = spec.tasks.div_ceil(2);
             assert!(
                 tasks_by_zone[zone_index] <= max_per_zone,
-                "{task} starts at {now} ms in a zone that has its share of the job's tasks"
+                "{task} starts at {now} ms in a zone that already runs half of the job's tasks"
             );
         }
     }
 
-    /// Checks that no task of a cancelled job runs later than 30 s (`cancel_s`) after the cancellation was confirmed.
+    /// Checks that no task of a cancelled job runs later than 30 s after the cancellation was confirmed, which is the
+    /// limit in the settings (`cancel_s`).
     pub(super) fn check_cancelled_jobs_do_not_run(&self) {
         for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_gone) {
             for ((task, _), state) in &worker.tasks {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Live jobs other than services, which never end by themselves.
+    /// Ids of the live jobs, except for services, which never end by themselves.
     pub(super) fn unfinished_jobs(&self) -> Vec<String> {
         let live = self.store.keys().filter_map(|key| key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse));
         live.filter(|id| self.specs[id].kind != Kind::Service).map(|id| id.to_string()).collect()
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -8,7 +8,7 @@
 const MAX_MACHINES_PER_REQUEST: u32 = 2;
 
 impl Simulation {
-    /// Provisions machines that boot some time later, or returns the earlier ones if the request is repeated.
+    /// Provisions machines that boot some time later. A repeated request returns the machines provisioned before.
     pub(super) fn provision(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
         if let Some(names) = self.provision_requests.get(&request.name) {
             return ProvisionOutcome::Provisioned(names.clone());
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -32,7 +32,7 @@
 }
 
 impl Digest {
-    /// The digest of no output.
+    /// A digest to which no output has been added.
     pub(in crate::core) fn new() -> Digest {
         Digest { state: 0xcbf2_9ce4_8422_2325, counts: [0; TAG_COUNT] }
     }
@@ -43,7 +43,7 @@
     }
 
     /// How many outputs of each kind were hashed: orders, commits, fence refreshes, provision requests, terminations,
-    /// lookups of outcomes, inputs of plans, plans of peers, heartbeat responses, rejected heartbeats.
+    /// lookups of outcomes, plan requests to peers, plans of peers, heartbeat responses, rejected heartbeats.
     pub(in crate::core) fn counts(&self) -> [u64; TAG_COUNT] {
         self.counts
     }
@@ -92,7 +92,7 @@
         self.add_length_prefixed(&plan.encode_to_vec());
     }
 
-    /// Hashes the leader's response to a heartbeat; `None` if the leader rejected the heartbeat.
+    /// Hashes the leader's response to a heartbeat, which is `None` if the leader rejected the heartbeat.
     pub(in crate::core) fn add_heartbeat_response(&mut self, response: Option<&HeartbeatResponse>) {
         match response {
             Some(response) => {
--- a/src/core/simulation/effects.rs
+++ b/src/core/simulation/effects.rs
@@ -24,7 +24,7 @@
             Effect::Orders { request, endpoint, body } => self.send_orders(request, &endpoint, body),
             Effect::Commit { request, transaction } => self.send_commit(request, transaction),
             Effect::RefreshFence(transaction) => self.send_fence_refresh(transaction),
-            Effect::Plan { node, input } => self.plan_on_peer(node, &input),
+            Effect::Plan { node, input } => self.plan_as_peer(node, &input),
             Effect::LookUpOutcomes(ids) => {
                 let lost = self.draw_message_loss();
                 let outcomes = ids.iter().filter_map(|id| Some((*id, self.outcome(id)?))).filter(|_| !lost);
@@ -71,15 +71,15 @@
         let delay =
             if self.draw_late_commit() { self.rng.random_range(2_000..12_000) } else { self.draw_message_delay() };
         if delay > COMMIT_TIMEOUT_MS {
-            // The write's outcome is unknown, so the leader's key is read.
+            // The request times out, so the leader's key is read to learn the outcome.
             self.send(COMMIT_TIMEOUT_MS, Message::ReadLeaderKey { leader, transaction: transaction.clone() });
         }
         self.send(delay, Message::FenceRefresh { leader, transaction });
     }
 
-    /// Plans as a peer. The plan reaches the leader later, when its view may be outdated; it can be duplicated or
-    /// lost. Some plans are corrupted: their placements are random, or they belong to another round.
-    fn plan_on_peer(&mut self, node: String, input: &PlanInput) {
+    /// Plans as a peer. The plan reaches the leader later, when the input that it was computed from may be outdated; it
+    /// can be duplicated or lost. Some plans are corrupted.
+    fn plan_as_peer(&mut self, node: String, input: &PlanInput) {
         let leader = self.leader_number;
         let mut plan = (!self.draw_message_loss()).then(|| placement::plan(input));
         plan.iter().for_each(|plan| self.digest.add_peer_plan(plan));
@@ -96,6 +96,7 @@
         self.send(delay, Message::Plan { leader, node, plan });
     }
 
+    /// Makes the placements of a plan random. Some of these plans also get the number of the previous round.
     fn corrupt_plan(&mut self, plan: &mut PlanOutput) {
         for placement in &mut plan.placements {
             placement.machine = self.rng.random_range(0..8);
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Simulation {
+    /// Draws whether an event with this probability occurs.
     pub(super) fn chance(&mut self, probability: f64) -> bool {
         self.rng.random::<f64>() < probability
     }
--- a/src/core/simulation/mail.rs
+++ b/src/core/simulation/mail.rs
@@ -66,7 +66,7 @@
         leader: u64,
         outcomes: Vec<(JobId, JobOutcome)>,
     },
-    /// A change of a live job's record; without a value, its deletion.
+    /// A change of a live job's record. `value` is the record with its revision, or `None` if it was deleted.
     WatchEvent {
         leader: u64,
         key: String,
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Passes a heartbeat to the leader. Returns the message with its response, or `None` if there is no leader, if it
-    /// rejects the heartbeat, or if the response can't reach the worker.
+    /// Passes a heartbeat to the leader. Returns the message with the response, or `None` if there is no leader, if the
+    /// leader rejects the heartbeat, or if the response can't reach the worker.
     fn respond_to_heartbeat(&mut self, sent: &SentHeartbeat) -> Option<Message> {
         let leader = self.leader.as_mut()?;
         let response = leader.on_heartbeat(MonotonicTime(self.now), &sent.heartbeat).ok();
@@ -223,7 +223,8 @@
                 return;
             }
         }
-        // The refresh failed, or (always while faults are enabled) its response is lost: read the outcome.
+        // The refresh failed, or its response is lost, which is always so while faults are enabled. The leader's key is
+        // read to learn the outcome.
         self.send(100, Message::ReadLeaderKey { leader, transaction });
     }
 
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -64,9 +64,9 @@
     relay_batch: Vec<SentHeartbeat>,
     /// The current leader's scheduler, or `None` between a crash and the next election.
     leader: Option<Scheduler>,
-    /// Number of the latest leader, counted from 1. Messages to earlier leaders are dropped.
+    /// Number of the latest leader, counted from 1. Messages addressed to earlier leaders are dropped.
     leader_number: u64,
-    /// When the next leader is elected after the current one has crashed.
+    /// When the next leader is elected, if there is none now.
     next_leader_at: u64,
     /// The machines provisioned for each request name. A repeated request gets the same machines.
     provision_requests: BTreeMap<String, Vec<String>>,
@@ -80,7 +80,7 @@
     completed_tasks: BTreeSet<TaskId>,
     /// Completed tasks that their workers have cleared on a leader's order.
     cleared_tasks: BTreeSet<TaskId>,
-    /// Probability that a transaction gets no response and is applied after newer ones.
+    /// Probability that a transaction is applied only after its request has timed out, possibly after newer ones.
     late_commit_probability: f64,
     /// Probability that the leader crashes in a step.
     leader_crash_probability: f64,
@@ -92,7 +92,7 @@
     dependency_probability: f64,
     /// Probability that a heartbeat reaches the leader through a controller that relays it.
     relay_probability: f64,
-    /// Upper bound of the delay added to each message while faults are enabled.
+    /// Upper bound of the time added to the usual delay of messages while faults are enabled.
     max_extra_delay: u64,
     last_job_number: u64,
     /// Whether faults are injected and new jobs submitted in the current step.
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -14,8 +14,8 @@
         }
     }
 
-    /// Submits a job. Like a controller that accepts it, leaves out dependencies that are done, and records the job as
-    /// cancelled at once if one of them is cancelled.
+    /// Submits a job. As when a controller accepts a job, dependencies that are done are left out, and the job is
+    /// recorded as cancelled at once if one of its dependencies is cancelled.
     fn submit(&mut self) {
         self.last_job_number += 1;
         let id = JobId::parse(&format!("req-{:06}", self.last_job_number)).unwrap();
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -40,7 +40,7 @@
     pub(super) inbound_partitioned_until: u64,
     /// Until this time, orders reach it but its heartbeats reach no controller.
     pub(super) outbound_partitioned_until: u64,
-    /// All tasks that finish pulling their images fail at once.
+    /// Tasks fail as soon as they have pulled their images.
     pub(super) fails_tasks: bool,
     pub(super) agent_epoch: u64,
     sequence: u64,
@@ -50,11 +50,11 @@
     /// When the latest answered heartbeat was sent. The lease counts from then.
     pub(super) lease_renewed_at: u64,
     pub(super) next_heartbeat_at: u64,
-    /// When the heartbeat was sent that awaits its response.
+    /// When the heartbeat that awaits its response was sent, or `None` if no heartbeat awaits one.
     pub(super) unanswered_heartbeat_sent_at: Option<u64>,
     /// Task attempts on the worker, including exited ones that have not been cleared.
     pub(super) tasks: BTreeMap<(TaskId, Attempt), AttemptState>,
-    /// When the cloud reclaims this spot machine.
+    /// When the cloud reclaims this spot machine, or `None` if it has not announced that.
     pub(super) reclaimed_at: Option<u64>,
 }
 
@@ -153,7 +153,7 @@
         format!("m-{:06}", self.workers.len() - 1)
     }
 
-    /// Creates the next heartbeat of a worker. Its answers to orders have the same form.
+    /// Creates the next heartbeat of a worker. Its responses to orders have the same form.
     pub(super) fn next_heartbeat(&mut self, index: usize) -> Heartbeat {
         let worker = &mut self.workers[index];
         worker.sequence += 1;
@@ -217,8 +217,8 @@
             if worker.is_gone || self.now < worker.boots_at {
                 continue;
             }
-            // Even while frozen, because a machine that resumes after its lease has expired kills its tasks before
-            // anything else.
+            // The lease expires even while the machine is frozen, because a machine that resumes after that kills its
+            // tasks before it does anything else.
             self.expire_lease(index);
             let now = self.now;
             let worker = &mut self.workers[index];
