--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -43,8 +43,8 @@
     unanswered_transactions: Option<Vec<Transaction>>,
     /// Transactions that the store has applied.
     committed: Vec<Transaction>,
-    /// The cost of the most expensive tick so far.
-    longest_tick: OperationCounts,
+    /// Operation counts of the tick with the most operations so far.
+    max_tick_operations: OperationCounts,
     /// Contents of the key-value store: each value with the revision at which it was written.
     store: BTreeMap<String, (Value, u64)>,
     /// Term of the current leader.
@@ -131,7 +131,7 @@
             store,
             term: TERM,
             committed: Vec::new(),
-            longest_tick: OperationCounts::default(),
+            max_tick_operations: OperationCounts::default(),
         }
     }
 
@@ -165,7 +165,7 @@
         id
     }
 
-    /// Deletes the live record as a cancellation does. The leader is not notified.
+    /// Deletes a job's live record as a cancellation does. The leader is not notified.
     fn cancel(&mut self, id: &JobId) {
         self.store.remove(&live_key(id));
     }
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Sends a worker's next heartbeat and lets the worker execute the orders of the response, if that reaches it.
-    /// Returns whether the leader responded.
+    /// Sends a worker's next heartbeat. If the response reaches the worker, it executes the orders in it. Returns
+    /// whether the leader responded.
     fn send_heartbeat(&mut self, name: &str) -> bool {
         let Some(heartbeat) = self.workers.get_mut(name) else { return false };
         heartbeat.sequence.0 += 1;
@@ -280,13 +280,13 @@
         }
     }
 
-    /// Ticks the leader and records the cost.
+    /// Ticks the leader and updates [`SchedulerHarness::max_tick_operations`].
     fn tick(&mut self) {
         let before = self.scheduler.operation_counts();
         self.scheduler.tick(MonotonicTime(self.now), WallTime(self.now));
-        let cost = self.scheduler.operation_counts().since(&before);
-        if cost.total() > self.longest_tick.total() {
-            self.longest_tick = cost;
+        let operations = self.scheduler.operation_counts().since(&before);
+        if operations.total() > self.max_tick_operations.total() {
+            self.max_tick_operations = operations;
         }
     }
 
--- a/src/core/scheduler/tests/dependencies.rs
+++ b/src/core/scheduler/tests/dependencies.rs
@@ -16,7 +16,7 @@
     [first, second, last]
 }
 
-/// Completes all tasks that run now, and lets the heartbeats report it.
+/// Completes all tasks that run now, and runs until heartbeats have reported it.
 fn finish_all_tasks(harness: &mut SchedulerHarness) {
     for heartbeat in harness.workers.values_mut() {
         let running: Vec<TaskStatus> = heartbeat.tasks.clone();
@@ -40,7 +40,7 @@
         (harness.running_count(&first), harness.running_count(&second), harness.running_count(&last)),
         (1, 1, 0)
     );
-    // A plan that places the last job is not accepted either, whoever made it.
+    // The leader doesn't accept the placement of the last job either, no matter which planner has made it.
     let machine = MachineId::parse("m-000001").unwrap();
     assert!(!harness.scheduler.may_place(MonotonicTime(harness.now), &last, &machine, 1.0));
     assert!(harness.scheduler.may_place(MonotonicTime(harness.now), &first, &machine, 1.0));
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -38,7 +38,7 @@
     leader: Scheduler,
     now: u64,
     revision: u64,
-    /// The workers by the number of their machine; `None` if the machine has been terminated or reclaimed.
+    /// The workers by the number of their machine. An entry is `None` if the machine has been terminated or reclaimed.
     workers: Vec<Option<SimulatedWorker>>,
     services: BTreeSet<JobId>,
     outcomes: BTreeMap<JobId, JobOutcome>,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The spec of a job. The specs repeat after ten jobs, except for the image.
+    /// The spec of a job. The specs repeat after ten jobs, except for the id and the image.
     fn job(number: u64) -> JobSpec {
         let id = format!("req-{number:06}");
         let basic = |kind: Kind, tasks: u32, cpus: f64| JobSpec {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The dependencies of a job: up to two earlier jobs of the same ten, but no services, as these never end.
+    /// The dependencies of a job: up to two earlier jobs of the same group of ten, but no services, as these never end.
     fn dependencies(number: u64) -> Vec<JobId> {
         let before = |distance: u64| JobId::parse(&format!("req-{:06}", number - distance)).unwrap();
         match number % 10 {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Reclaims some spot machines. Their heartbeats announce it 6 s before.
+    /// Reclaims some spot machines. Their heartbeats announce the reclamation from 6 s before it.
     fn reclaim_spot_machines(&mut self) {
         for index in (0..MACHINE_COUNT).step_by(35) {
             let reclaimed_at = FIRST_RECLAMATION_MS + index as u64 * 100;
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Applies a transaction, except that some are rejected. For some that are applied the outcome is unknown.
+    /// Applies a transaction. Some transactions are rejected instead, and some are applied but get no response.
     fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         self.effect_counts.commits += 1;
         self.revision += 1;
@@ -293,7 +293,7 @@
         outcome
     }
 
-    /// Provisions machines. Every fourth request finds no capacity, and every fourth gets no response.
+    /// Provisions machines. Of every four requests, one finds no capacity and one gets no response.
     fn provision(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
         self.effect_counts.provisions += 1;
         match self.effect_counts.provisions % 4 {
@@ -324,13 +324,13 @@
 fn digest_and_operation_counts_of_a_fixed_fleet_are_unchanged() {
     let mut fleet = FixedFleet::new();
     fleet.run();
-    let (cost, counts) = (fleet.leader.operation_counts(), fleet.digest.counts());
-    println!("digest={:#018x} counts={counts:?} {cost}", fleet.digest.value());
+    let (operations, counts) = (fleet.leader.operation_counts(), fleet.digest.counts());
+    println!("digest={:#018x} counts={counts:?} {operations}", fleet.digest.value());
     println!("ended_jobs={} workers={}", fleet.outcomes.len(), fleet.workers.iter().flatten().count());
-    let expected =
+    let expected_operations =
         OperationCounts { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, comparisons: 83_142 };
     // In the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
-    assert_eq!(cost, expected);
+    assert_eq!(operations, expected_operations);
     assert_eq!(fleet.digest.value(), 0x2274_5ee1_d7e3_b1b3);
 }
--- a/src/core/scheduler/tests/digest/worker.rs
+++ b/src/core/scheduler/tests/digest/worker.rs
@@ -8,7 +8,7 @@
     index: usize,
     /// Its state, in the form of its latest heartbeat.
     pub(super) heartbeat: Heartbeat,
-    /// When each status task attempt enters its next phase.
+    /// When each task attempt enters its next phase.
     next_phase_at: BTreeMap<TaskAttempt, u64>,
     pub(super) next_heartbeat_at: u64,
 }
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -4,8 +4,9 @@
 
 #[test]
 fn new_leader_does_not_suspect_machines_that_have_not_sent_heartbeats_to_it() {
-    // Guards against a new leader that suspects machines 3 s after the start of its term. Peers redirect the
-    // workers of suspected machines to the next controller, so most workers missed the leader and lost their tasks.
+    // Guards against a new leader that suspects every machine from which it has got no heartbeat within 3 s of the start
+    // of its term. Peers redirect the workers of suspected machines to the next controller, so most workers missed the
+    // leader and lost their tasks.
     let mut harness = SchedulerHarness::new(3);
     let suspected = |harness: &SchedulerHarness| harness.scheduler.suspected_machines(MonotonicTime(harness.now)).0;
     harness.workers.retain(|name, _| name == "w0");
@@ -109,7 +110,7 @@
     assert_eq!(harness.running_count(&id), 2, "no task is started a second time");
     let machine = MachineId::parse(&delayed.machine).unwrap();
     assert!(!harness.scheduler.machines.known[&machine].reconciled);
-    // The same heartbeat after newer ones of its machine.
+    // The same heartbeat is rejected once newer ones of its machine have arrived.
     harness.outbound_partitioned.clear();
     harness.run(2_000);
     assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &late).is_err());
@@ -137,7 +138,8 @@
         harness.workers.values().filter(runs_tasks).map(|worker| worker.zone.clone()).collect()
     };
     assert_eq!(zones(&harness).len(), 1);
-    // The heartbeats of all its machines but one stop. Tasks that may still run there bind the other tasks to the zone.
+    // The heartbeats of all machines with its tasks but one stop. Tasks that may still run there bind the other tasks
+    // to the zone.
     let busy: Vec<String> =
         harness.workers.iter().filter(|(_, worker)| !worker.tasks.is_empty()).map(|(name, _)| name.clone()).collect();
     harness.outbound_partitioned.extend(busy.iter().skip(1).cloned());
@@ -159,11 +161,14 @@
     harness.run(3_000);
     harness.finish_first_task("w0");
     harness.run(4_000);
-    assert!(harness.workers["w0"].tasks.is_empty(), "cleared, because its completion is stored");
+    assert!(harness.workers["w0"].tasks.is_empty(), "the done task is cleared, because its completion is stored");
     harness.change_leader();
     harness.run(4_000);
     let terminal_key = format!("over/{id}");
-    assert!(harness.running_count(&id) == 1 && harness.workers["w0"].tasks.is_empty(), "not started again");
+    assert!(
+        harness.running_count(&id) == 1 && harness.workers["w0"].tasks.is_empty(),
+        "the done task is not started again"
+    );
     assert!(!harness.store.contains_key(&terminal_key));
     harness.finish_first_task("w1");
     harness.run(1_000);
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -10,9 +10,12 @@
     let old = harness.submit(50, spec("req-000001", Kind::Array, 2, 1.0));
     harness.run(9_000);
     assert_eq!(harness.running_count(&old), 0, "its tasks may still run on w0");
-    assert!(harness.send_heartbeat("w0"), "the machine may be slow to acknowledge the token");
+    assert!(
+        harness.send_heartbeat("w0"),
+        "the leader still responds, as the machine may be slow to acknowledge the token"
+    );
     harness.run(2_000);
-    assert!(!harness.send_heartbeat("w0"), "without responses the worker ends its agent epoch");
+    assert!(!harness.send_heartbeat("w0"), "the leader stops responding, so that the worker ends its agent epoch");
     harness.run(12_000);
     assert_eq!(harness.running_count(&old), 2, "after its lease has expired, w0 is known to run nothing");
     assert!(harness.terminated.contains("m-000000"), "w0 is terminated");
@@ -84,7 +87,7 @@
 
 #[test]
 fn failure_detection_allows_one_lease_to_machines_that_never_sent_heartbeats_to_a_new_leader() {
-    // Without any heartbeat it isn't known over which route they would arrive.
+    // Without any heartbeat the leader doesn't know over which route the heartbeats of a machine would arrive.
     let mut harness = SchedulerHarness::new(16);
     harness.outbound_partitioned = ["w0", "w1", "w2", "w3"].map(String::from).into();
     harness.run(13_000);
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -1,6 +1,5 @@
-//! Bounds on the cost of a single input, counted in operations. At production size one planning round blocked a
-//! leader for over a minute, in which it renewed no lease and answered no requests
-//! (docs/incidents/production-overload.md).
+//! Bounds on the number of operations for a single input. At production size one planning round blocked a leader for
+//! over a minute, in which it renewed no lease and answered no requests (docs/incidents/production-overload.md).
 
 use super::*;
 use crate::core::placement;
@@ -11,8 +10,8 @@
 }
 
 /// Fills all machines with preemptible work and then submits urgent work for several times their capacity. Returns
-/// the cost of the most expensive tick after that.
-fn longest_tick_under_urgent_overload(machines: usize) -> u64 {
+/// the maximum of operations in a tick after that.
+fn max_tick_operations_under_urgent_overload(machines: usize) -> u64 {
     let mut harness = SchedulerHarness::new(machines);
     harness.run(2_000);
     let low = JobSpec { priority: Priority::Low, ..spec("req-000001", Kind::Array, 8 * machines as u32, 1.0) };
@@ -21,20 +20,20 @@
     for number in 0..machines as u32 {
         harness.submit(300, spec(&format!("req-{:06}", 100 + number), Kind::Array, 16, 2.0));
     }
-    harness.longest_tick = OperationCounts::default();
+    harness.max_tick_operations = OperationCounts::default();
     harness.run(3_000);
     let urgent =
         harness.workers.values().flat_map(|worker| &worker.tasks).filter(|status| status.phase == TaskPhase::Running);
     let urgent = urgent.filter(|status| status.task.is_some_and(|task| task.job.to_string() != "req-000001")).count();
     assert!(urgent * 2 >= machines, "too few urgent tasks have started: {urgent}");
-    harness.longest_tick.total()
+    harness.max_tick_operations.total()
 }
 
 #[test]
 fn round_under_urgent_overload_has_a_bounded_cost() {
-    let cost = longest_tick_under_urgent_overload(100);
+    let operations = max_tick_operations_under_urgent_overload(100);
     let bound = operation_bound(100, 101, 800);
-    assert!(cost <= bound, "one tick took {cost} operations, bound {bound}");
+    assert!(operations <= bound, "one tick took {operations} operations, bound {bound}");
 }
 
 #[test]
@@ -44,24 +43,26 @@
     let jobs = 1_000;
     let mut harness = SchedulerHarness::new(machines);
     harness.run(2_000);
-    harness.longest_tick = OperationCounts::default();
+    harness.max_tick_operations = OperationCounts::default();
     for number in 0..jobs {
         harness.submit(300, spec(&format!("req-{:06}", 100 + number), Kind::Array, 4, 1.0));
     }
     harness.run(1_000);
-    let (cost, bound) = (harness.longest_tick.total(), operation_bound(machines, jobs as usize, 8 * machines));
-    assert!(cost <= bound, "one tick took {cost} operations, bound {bound}");
+    let (operations, bound) =
+        (harness.max_tick_operations.total(), operation_bound(machines, jobs as usize, 8 * machines));
+    assert!(operations <= bound, "one tick took {operations} operations, bound {bound}");
 }
 
-/// Maximum factor by which the cost may grow when machines and work double: 2 for linear growth, plus a margin.
+/// Maximum factor by which the operations of a tick may grow when machines and work double: 2 for linear growth, plus a
+/// margin.
 const MAX_GROWTH: f64 = 2.4;
 
 #[test]
 fn cost_of_a_round_grows_in_proportion_to_the_machines() {
-    let costs: Vec<u64> = [200, 400, 800].map(longest_tick_under_urgent_overload).into();
-    for pair in costs.windows(2) {
+    let maxima: Vec<u64> = [200, 400, 800].map(max_tick_operations_under_urgent_overload).into();
+    for pair in maxima.windows(2) {
         let growth = pair[1] as f64 / pair[0] as f64;
-        assert!(growth <= MAX_GROWTH, "operations of the longest tick at 200, 400 and 800 machines: {costs:?}");
+        assert!(growth <= MAX_GROWTH, "maximum of operations in a tick at 200, 400 and 800 machines: {maxima:?}");
     }
 }
 
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -36,7 +36,7 @@
             break;
         }
     }
-    assert!(started_at.is_some_and(|at| at < 60_000), "{started_at:?}");
+    assert!(started_at.is_some_and(|at| at < 60_000), "start time of the largest gang in ms: {started_at:?}");
 }
 
 #[test]
@@ -73,7 +73,7 @@
     let old = JobView { age_s: 100.0, ..JobView::default() };
     assert!(
         harness.scheduler.starts_late(MonotonicTime(harness.now), &service, &machine, Some(&old)),
-        "a replica should start where the image is cached"
+        "a replica should start on a machine that has its image, so without it the start counts as late"
     );
     assert!(
         !harness.scheduler.starts_late(MonotonicTime(harness.now), &array, &machine, Some(&old)),
