--- a/benches/load.rs
+++ b/benches/load.rs
@@ -16,7 +16,6 @@
 use fakes::{FakeCloud, FakeStore, RequestCounts, free_addr, serve_cloud, serve_store, serve_worker};
 use hyper::Method;
 use serde_json::json;
-
 use std::net::SocketAddr;
 use std::process::{Child, Command};
 use std::sync::atomic::Ordering;
@@ -28,7 +27,7 @@
 use worker::{HEARTBEAT_INTERVAL_MS, TASK_RUN_MS, Worker, fleet_cpus};
 use workload::{ARRAY_TASKS, job};
 
-/// A change causes a heartbeat only if the worker's previous heartbeat was sent at least this long ago.
+/// The end of a task causes a heartbeat only if the worker's previous heartbeat was sent at least this long ago.
 const MIN_HEARTBEAT_GAP_MS: u64 = 500;
 /// Interval at which each worker ends its due tasks and checks whether to send a heartbeat.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
--- a/benches/support/fakes.rs
+++ b/benches/support/fakes.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on loopback that stand for the key-value store, the cloud and the workers.
+//! HTTP servers on loopback that stand in for the key-value store, the cloud and the workers.
 
 use crate::worker::Worker;
 use crate::workload::machine_types;
@@ -178,7 +178,7 @@
     spawn_server(StoreServer { store: Mutex::new(store), counts })
 }
 
-/// A cloud without capacity, so that the machines of the controller stay the same.
+/// A cloud without capacity for further machines, so that the controller's fleet stays the same.
 pub(crate) struct FakeCloud;
 
 #[salvo::handler]
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! Every field of the platform's settings file and of the operators' tuning file is read.
+//! Checks that every field of the platform's settings file and of the operators' tuning file is read.
 
 use wallstile::config::{Objective, ObjectiveKind, Peer, Settings, Team, Tuning};
 
