--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -46,7 +46,7 @@
 
 impl Fleet {
     /// Creates a fleet of which an earlier leader has recorded the first `recorded` machines. These may get tasks once
-    /// they have sent a heartbeat, the others only after their records are written, as fast as the store's limits allow.
+    /// they have sent a heartbeat, the others only after their records are written, which the store's limits slow down.
     pub(crate) fn new(machines: usize, recorded: usize) -> Fleet {
         let settings = Settings::parse(include_str!("../../tests/settings.json")).expect("the sample is valid");
         let record = LeaderRecord { node: settings.name.clone(), incarnation: 1, lease: LeaseId(1) };
