--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -5,7 +5,7 @@
 
 use super::Scheduler;
 use super::scale_in::{idle_timeout, is_termination_due, review_idleness};
-use super::task_exit::QUARANTINE_ERROR_THRESHOLD;
+use super::task_exit::QUARANTINE_FAILURE_THRESHOLD;
 use crate::core::machine::{HeartbeatRoute, Machine, Registration};
 use crate::ids::MachineId;
 use crate::time::{Millis, MonotonicTime};
@@ -72,7 +72,7 @@
 }
 
 impl RetirementReason {
-    /// `Debug` for machines that were already logged when they were reclaimed or quarantined.
+    /// `Debug` if the reclamation or quarantine was already logged when it began, otherwise `Info`.
     fn log_level(&self) -> Level {
         match self {
             RetirementReason::BootTimeout | RetirementReason::Suspected(_) | RetirementReason::Unacknowledged => {
@@ -124,7 +124,7 @@
             None
         } else if machine.spot_notice {
             Some(RetirementReason::Reclaimed)
-        } else if machine.consecutive_failures >= QUARANTINE_ERROR_THRESHOLD && machine.quarantined_until > self.now {
+        } else if machine.consecutive_failures >= QUARANTINE_FAILURE_THRESHOLD && machine.quarantined_until > self.now {
             Some(RetirementReason::Quarantined)
         } else {
             None
@@ -198,7 +198,7 @@
         self.terminate_machines(retiring, idle);
     }
 
-    /// Gathers the cluster-wide inputs before the machines are decided on one by one.
+    /// Gathers the cluster-wide inputs of a review, before the machines are reviewed one by one.
     fn start_review(&mut self, now: MonotonicTime) -> Review {
         let lease = self.limits.lease;
         let machines = || self.machines.known.values();
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -186,7 +186,8 @@
     }
 
     /// Builds the response to an accepted heartbeat. It carries every stop order that is due, even while other
-    /// orders are in flight: a worker whose lease is renewed must not keep running a cancelled task.
+    /// orders are in flight: a worker whose lease is renewed must not keep running a cancelled task. Clear orders are
+    /// added only if `is_newer`: no later message has been applied before this heartbeat.
     fn respond(&mut self, id: &MachineId, is_newer: bool) -> Result<HeartbeatResponse, HeartbeatRejection> {
         let machine = self.machines.known.get_mut(id).ok_or(HeartbeatRejection::Terminated)?;
         let token = FencingToken::new(self.term, machine.fence);
@@ -266,7 +267,7 @@
     fn apply_task_list(&mut self, now: MonotonicTime, id: &MachineId, tasks: &[TaskStatus]) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         machine.task_lists_applied += 1;
-        self.cost.add_tasks(machine.allocations.len() + tasks.len());
+        self.meter.add_tasks(machine.allocations.len() + tasks.len());
         let mut changed: Vec<(TaskAttempt, &TaskStatus)> = Vec::new();
         for listed in tasks {
             let Some(task) = listed.task else {
