--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Handles workers' heartbeats: the leader decides on them, and other controllers relay them to the leader or
 //! redirect the worker.
 //!
-//! `respond_to_worker` handles a heartbeat received from the worker itself, and `answer_batch` heartbeats that a
+//! `respond_to_worker` handles a heartbeat received from the worker itself, and `respond_to_batch` heartbeats that a
 //! peer has relayed. Both use `decide`, which passes the heartbeats to the leader's scheduler.
 
 use super::heartbeat_relay::{self, RelayOutcome};
@@ -23,7 +23,7 @@
 /// process can run.
 const MAX_HEARTBEATS_PER_STEP: usize = 256;
 
-/// The reply to a worker's heartbeat, each with its HTTP status.
+/// A reply to a worker's heartbeat. The variants' docs begin with the HTTP status.
 enum HeartbeatReply {
     /// 200: the leader's response, which carries orders. Its fencing token, if any, renews the worker's lease.
     Accepted(HeartbeatResponse),
@@ -55,7 +55,7 @@
     }
 }
 
-/// The error that this controller isn't the leader, or no longer is, and so can't decide on heartbeats.
+/// The error that this controller doesn't lead, or no longer does, so that it can't decide on heartbeats.
 #[derive(Debug)]
 struct NotLeading;
 
@@ -144,8 +144,8 @@
     Some(peer)
 }
 
-/// Returns the controller to redirect a worker to whose heartbeat can't be decided on or relayed here. Returns
-/// `None` if no suitable controller is known.
+/// Returns the name of the controller that a worker is redirected to if its heartbeat can be neither decided on nor
+/// relayed here. Returns `None` if no suitable controller is known.
 fn redirect_target(node: &Node, heartbeat: &Heartbeat) -> Option<String> {
     let now = node.now();
     let mut state = node.lock();
@@ -156,14 +156,14 @@
     // outdated, and redirects to it could send workers in circles. Peers may know the current leader.
     let health = &state.store_health;
     let leader = if health.is_unavailable() { health.leader_reported_by_peers() } else { state.leader_name.as_ref() };
-    // The leader suspects this machine because it gets no heartbeats from it, so the worker probably can't reach it.
+    // The leader suspects a machine when it gets no heartbeats from its worker, which probably can't reach the leader.
     let leader = if state.suspected_machines.contains(&heartbeat.machine) { None } else { leader.cloned() };
     state.redirected_workers.record(&heartbeat.machine, now, leader).filter(|name| *name != node.settings.name)
 }
 
 /// Decides on an encoded batch of heartbeats that a peer has relayed, and returns the encoded decisions. Returns
 /// `None` if the batch can't be decoded or is of another protocol version.
-pub async fn answer_batch(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
+pub async fn respond_to_batch(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
     let batch = HeartbeatBatch::decode(body).ok().filter(|batch| batch.version == VERSION)?;
     let (leading, decisions) = match decide_in_steps(node, &batch).await {
         Ok(decisions) => (true, decisions),
--- a/src/net/loopback/bounds.rs
+++ b/src/net/loopback/bounds.rs
@@ -54,7 +54,7 @@
     let heartbeats = (0..600).map(|n| body(n).into()).collect();
     let batch = HeartbeatBatch { version: VERSION, heartbeats, from: "plinth-1".into() }.encode_to_vec();
     let send_batch = async || {
-        let answer = heartbeats::answer_batch(&node, &batch).await.expect("the batch is valid");
+        let answer = heartbeats::respond_to_batch(&node, &batch).await.expect("the batch is valid");
         HeartbeatDecisions::decode(answer.as_slice()).expect("the response can be decoded")
     };
     let answer = send_batch().await;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -12,15 +12,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Maximum size of a request body, as specified in PROTOCOL.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of the body of a submission, as specified in PROTOCOL.
+const MAX_SUBMISSION_BYTES: usize = 64 * 1024;
 /// Maximum size of a worker's heartbeat, which lists all its tasks.
-const MAX_HEARTBEAT_BYTES: usize = 4 * MAX_BODY_BYTES;
+const MAX_HEARTBEAT_BYTES: usize = 4 * MAX_SUBMISSION_BYTES;
 /// Maximum size of a peer's request body. The input of a plan for a few thousand machines, with their cached images,
 /// takes 1 to 2 MB. A larger body is rejected and logged, and the leader plans that shard itself.
 const MAX_PEER_BODY_BYTES: usize = 16 << 20;
 
-/// An endpoint of this controller.
+/// An endpoint of this controller: a path with its method.
 #[derive(Clone, Copy)]
 enum Route {
     Submit,
@@ -48,7 +48,7 @@
                 let ok = user_api::is_healthy(node);
                 send_json(response, if ok { 200 } else { 503 }, json!({ "ok": ok }).to_string());
             }
-            Route::Submit => match request.payload_with_max_size(MAX_BODY_BYTES).await {
+            Route::Submit => match request.payload_with_max_size(MAX_SUBMISSION_BYTES).await {
                 Ok(body) => {
                     let body = body.clone();
                     send_reply(response, user_api::submit(node, &body).await);
@@ -82,7 +82,7 @@
             }
             Route::HeartbeatBatch => {
                 let response_body = match read_peer_body(request).await {
-                    Some(body) => heartbeats::answer_batch(node, &body).await,
+                    Some(body) => heartbeats::respond_to_batch(node, &body).await,
                     None => None,
                 };
                 send_to_peer(node, response, response_body);
@@ -96,7 +96,7 @@
     request.payload_with_max_size(MAX_PEER_BODY_BYTES).await.ok().cloned()
 }
 
-/// Sends a response to a peer. `None` means that the request was invalid; it is answered with status 400.
+/// Sends a response to a peer. If `body` is `None`, the request was invalid and is answered with status 400.
 fn send_to_peer(node: &Node, response: &mut Response, body: Option<Vec<u8>>) {
     if let Some(body) = body {
         response.status_code(StatusCode::OK);
@@ -152,7 +152,7 @@
         .push(Router::with_path(&peers::HEARTBEAT_BATCH_PATH[1..]).post(route_handler(node, Route::HeartbeatBatch)))
 }
 
-/// The address can't be bound, or its server has stopped with an error.
+/// Why a server doesn't run: its address can't be bound, or it has stopped with an error.
 #[derive(Debug, thiserror::Error)]
 #[error("{addr}: {reason}")]
 pub struct ServeError {
