--- a/src/net/heartbeat_balancing/tests.rs
+++ b/src/net/heartbeat_balancing/tests.rs
@@ -39,6 +39,6 @@
     assert_eq!(
         redirect_one(&mut balancer, MonotonicTime(2_000), "b", Some("one")),
         None,
-        "the peer in its zone no longer answers"
+        "the peer in its zone no longer relays heartbeats"
     );
 }
--- a/src/net/heartbeat_relay.rs
+++ b/src/net/heartbeat_relay.rs
@@ -21,14 +21,14 @@
 /// How long the leader may take to answer a batch. Shorter than the 4 s that a worker waits for its response, so that
 /// the worker can still be redirected if the leader doesn't answer.
 const BATCH_TIMEOUT: Millis = Millis(1_800);
-/// If timers fire this late on average, in milliseconds, this controller is overloaded and no more workers are
-/// redirected to it.
+/// Average delay of timers, in milliseconds, at which this controller is overloaded and no more workers are redirected
+/// to it.
 const OVERLOAD_TIMER_LAG_MS: f64 = 200.0;
 /// Smoothing factor of the exponential moving average of the timer lag.
 const TIMER_LAG_SMOOTHING: f64 = 0.2;
 /// Maximum number of heartbeats that wait for the next batch. Workers whose heartbeats exceed it are redirected.
 const MAX_WAITING_HEARTBEATS: usize = 4_096;
-/// Waiting heartbeats of this many bytes in total block further ones.
+/// Total size of the waiting heartbeats at which no more are queued. The last one queued may exceed it.
 const MAX_WAITING_BYTES: usize = 4 << 20;
 /// A leader sends a heartbeat to its peers every second. No batches are sent to one that has not done so for this long.
 const LEADER_HEARTBEAT_TIMEOUT: Millis = Millis(4_000);
@@ -179,9 +179,10 @@
     node.lock().heartbeat_relay.record_batch_result(leader.term, decisions.is_some());
     let Some(decisions) = decisions else {
         log::debug!("heartbeat batch not answered: leader={} heartbeats={}", leader.name, waiting.len());
-        // Refreshed first, so that the workers are redirected to a peer that can relay their heartbeats: if several
-        // controllers are unreachable, a worker that tries them one by one would lose its lease. Heartbeats that
-        // arrived meanwhile are dropped too, as another batch would only wait for another timeout.
+        // The routes are refreshed before the heartbeats are dropped, so that the workers are redirected to a peer that
+        // can relay their heartbeats: if several controllers are unreachable, a worker that tries them one by one would
+        // lose its lease. Heartbeats that arrived meanwhile are dropped too, as another batch would only wait for
+        // another timeout.
         relay_routes::refresh(node).await;
         drop(node.lock().heartbeat_relay.take_waiting());
         return;
--- a/src/net/redirected_workers.rs
+++ b/src/net/redirected_workers.rs
@@ -17,7 +17,7 @@
 
 struct Redirect {
     at: MonotonicTime,
-    /// The leader, if one was known, that was passed to [`RedirectedWorkers::record`].
+    /// The leader that was passed to [`RedirectedWorkers::record`], or `None` if none was known.
     leader: Option<String>,
 }
 
--- a/src/net/relay_routes.rs
+++ b/src/net/relay_routes.rs
@@ -12,7 +12,7 @@
 
 /// Interval at which peers are queried while the leader can't be reached.
 const REFRESH_INTERVAL: Millis = Millis(1_000);
-/// How long a peer may take to answer.
+/// How long a peer may take to respond to a query.
 const REFRESH_TIMEOUT: Millis = Millis(700);
 
 /// The peers that relay heartbeats to the leader, according to their latest responses.
@@ -61,8 +61,8 @@
 
 /// Queries all peers and returns the names of those that can relay heartbeats to the leader.
 async fn relaying_peers(node: &Arc<Node>) -> Vec<String> {
-    let answers = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), REFRESH_TIMEOUT).await;
-    let relaying = peers::responding_peers(node, &answers).filter(|(_, answer)| answer.relays_heartbeats);
+    let responses = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), REFRESH_TIMEOUT).await;
+    let relaying = peers::responding_peers(node, &responses).filter(|(_, response)| response.relays_heartbeats);
     relaying.map(|(peer, _)| peer.name.clone()).collect()
 }
 
