--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -126,8 +126,8 @@
 const MAX_IDLE_PER_HOST: usize = 4;
 /// Lower bound for the connection limit: with fewer connections the controller can't work.
 const MIN_CONNECTIONS: usize = 4;
-/// Maximum size of a response. Only a list of all jobs or machines would exceed it, and the store and the cloud return
-/// those in pages.
+/// Maximum size of a response. The store and the cloud return lists of jobs and machines in pages. The response to a
+/// watch may exceed the limit; the keys are then listed again.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 impl HttpClient {
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -51,8 +51,8 @@
 
 #[tokio::test]
 async fn client_can_call_more_hosts_than_its_connection_limit() {
-    // A leader of 2,000 machines kept a connection open to each worker that it had sent an order, until no connection
-    // was left for heartbeats.
+    // Guards against idle connections that use up the limit: a leader of 2,000 machines kept a connection open to each
+    // worker that it had sent an order, until no connection was left for heartbeats.
     let (addrs, open) = start_hosts(40).await;
     let http = HttpClient::new(12);
     let call = |addr: &str| {
@@ -63,10 +63,11 @@
     for addr in &addrs {
         assert_eq!(call(addr).await.unwrap(), 200);
     }
-    // The same holds for concurrent requests.
+    // Concurrent requests don't exceed the limit either.
     let results = tokio::join!(call(&addrs[0]), call(&addrs[1]), call(&addrs[2]), call(&addrs[3]));
     assert!(<[_; 4]>::from(results).into_iter().all(|result| result.is_ok_and(|status| status == 200)));
     let max_open = open.lock().unwrap().1;
+    // The hosts may still count a connection as open for a moment after the client has closed it.
     assert!(max_open <= 13, "{max_open} connections were open at once");
     assert!(max_open >= 6, "some connections are kept alive for later requests");
 }
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -49,7 +49,8 @@
     /// Not committed: the revisions of these keys differ from those in the preconditions.
     #[error("revisions of {0:?} differ from the preconditions")]
     Conflict(Vec<String>),
-    /// The store returned no result. After some of these errors the transaction may still have been committed.
+    /// The store returned no result. Some of these errors leave open whether the transaction was committed; see
+    /// [`KvError`].
     #[error(transparent)]
     Store(#[from] KvError),
 }
@@ -63,7 +64,7 @@
     pub revision: Revision,
 }
 
-/// Time limit of one request, unless the method takes its own.
+/// Time limit of a request, unless another constant or an argument of the method limits it.
 const REQUEST_TIMEOUT: Millis = Millis(1_200);
 /// Time limit of one page of a listing.
 const PAGE_TIMEOUT: Millis = Millis(3_000);
@@ -192,7 +193,7 @@
 
     /// Watches keys with the prefix for changes after revision `since`. The store waits up to `block` for a change.
     ///
-    /// Returns `None` if `since` is too old for the store or the changes exceed the maximum response size: the keys must
+    /// Returns `None` if `since` is too old for the store or the changes exceed the maximum response size. The keys must
     /// then be listed again.
     pub async fn watch(
         &self,
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -17,7 +17,7 @@
 use std::time::Instant;
 
 /// Handles a peer's heartbeat and returns the response. Returns `None` if the message can't be decoded or is of another
-/// version.
+/// protocol version.
 pub fn respond_to_heartbeat(node: &Arc<Node>, body: &[u8]) -> Option<Vec<u8>> {
     let heartbeat = PeerHeartbeat::decode(body).ok().filter(|heartbeat| heartbeat.version == VERSION)?;
     let cancelled = peers::parse_job_ids(&heartbeat.cancelled)?;
@@ -60,8 +60,8 @@
     }
 }
 
-/// Pledges not to stand for election to a leader that the store doesn't serve, if the rules of the election allow it.
-/// The response then contains the length of the pledge and the cancellations that the leader can't have read.
+/// Gives a leader that the store doesn't serve a pledge not to stand for election, if the rules of the election allow
+/// it. The response then contains the pledge's duration and the cancellations that the leader can't have read.
 fn grant_pledge(
     state: &mut NodeState,
     now: MonotonicTime,
@@ -76,7 +76,7 @@
 }
 
 /// Plans a shard for a leader, which checks every placement before it applies it. Returns `None` if the message can't
-/// be decoded or is of another version.
+/// be decoded or is of another protocol version.
 pub fn respond_to_plan_request(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
     let (now, started, meter) = (node.now(), Instant::now(), OperationMeter::default());
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -16,16 +16,16 @@
 /// Path on which a leader takes batches of workers' heartbeats from the peers that relay them.
 pub const HEARTBEAT_BATCH_PATH: &str = "/peer/reports";
 
-const CANCELLATION_HINT_TIMEOUT: Millis = Millis(800);
+const CANCELLATION_NOTIFICATION_TIMEOUT: Millis = Millis(800);
 /// Longer than the scheduler waits for a plan: it discards a plan that arrives later.
 const PLAN_TIMEOUT: Millis = Millis(400);
 
-/// Creates a heartbeat with this controller's name and version, and all other fields empty.
+/// Creates a heartbeat with this controller's name and protocol version, and all other fields empty.
 pub fn new_heartbeat(node: &Node) -> PeerHeartbeat {
     PeerHeartbeat { version: VERSION, from: node.settings.name.clone(), ..Default::default() }
 }
 
-/// Sends a heartbeat to one peer. Returns `None` if no valid response of this version arrives in time.
+/// Sends a heartbeat to one peer. Returns `None` if no valid response of this protocol version arrives in time.
 async fn send_heartbeat(
     node: &Node,
     addr: &str,
@@ -37,8 +37,8 @@
     PeerHeartbeatResponse::decode(body).ok().filter(|response| response.version == VERSION)
 }
 
-/// Sends a heartbeat to all peers concurrently. Returns one element for each peer, in the order of the settings:
-/// `None` if the peer sent no valid response in time.
+/// Sends a heartbeat to all peers concurrently. Returns one element for each peer, in the order of the settings. An
+/// element is `None` if its peer sent no valid response in time.
 pub async fn broadcast_heartbeat(
     node: &Arc<Node>,
     heartbeat: &PeerHeartbeat,
@@ -64,7 +64,7 @@
     node.settings.peers.iter().zip(responses).filter_map(|(peer, response)| Some((peer, response.as_ref()?)))
 }
 
-/// Parses job names. Returns `None` if any of them is not a valid job name.
+/// Parses the names of jobs. Returns `None` if any of them is invalid.
 pub fn parse_job_ids(names: &[String]) -> Option<Vec<JobId>> {
     names.iter().map(|name| JobId::parse(name)).collect()
 }
@@ -76,7 +76,7 @@
     let Some(peer) = node.settings.peers.iter().find(|peer| Some(&peer.name) == leader.as_ref()) else { return };
     let heartbeat = PeerHeartbeat { cancelled: vec![id.to_string()], ..new_heartbeat(node) };
     let (node, addr) = (node.clone(), peer.addr.to_string());
-    tokio::spawn(async move { send_heartbeat(&node, &addr, &heartbeat, CANCELLATION_HINT_TIMEOUT).await });
+    tokio::spawn(async move { send_heartbeat(&node, &addr, &heartbeat, CANCELLATION_NOTIFICATION_TIMEOUT).await });
 }
 
 /// Requests a plan for a shard from the peer with this name. Returns `None` if there is no such peer, or it returns no
