--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -7,7 +7,7 @@
 use crate::time::Millis;
 use crate::wire::{JobPhase, KeyValue};
 
-/// A job as the key-value store has it.
+/// The state of a job in the key-value store.
 pub enum StoredJob {
     /// The store has no record of the job: it was never accepted.
     Absent,
--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -10,15 +10,17 @@
 /// The results of the latest requests to the store, and the peers' latest responses.
 #[derive(Default)]
 pub struct StoreHealth {
-    /// No request to the store has been served since then.
+    /// Time of the first of the latest consecutive requests that the store didn't serve. `None` if it served the last
+    /// request.
     not_served_since: Option<MonotonicTime>,
-    /// The store has not responded at all since then, not even to refuse a request.
+    /// Time of the first of the latest consecutive requests without a response. `None` if the store responded to the
+    /// last request, even by refusing it.
     unreachable_since: Option<MonotonicTime>,
-    /// The store serves at least one peer.
+    /// Whether the store serves at least one peer.
     is_peer_served: bool,
-    /// There are peers, and none of them responded when last asked.
+    /// Whether there are peers and none of them responded to the latest heartbeat.
     no_peer_responds: bool,
-    /// The leader's name, as reported by a peer that the store serves.
+    /// The leader's name, as reported by a peer that the store serves. `None` if no peer reported one.
     leader_reported_by_peers: Option<String>,
 }
 
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Records the responses of all peers to one heartbeat; `None` for a peer that didn't respond.
+    /// Records the responses of all peers to one heartbeat. An element is `None` if its peer didn't respond.
     pub fn record_peer_responses(&mut self, responses: &[Option<PeerHeartbeatResponse>]) {
         let leader = |response: &PeerHeartbeatResponse| Some(response.leader.clone()).filter(|name| !name.is_empty());
         self.is_peer_served = responses.iter().flatten().any(|response| response.store_ok);
@@ -76,7 +78,7 @@
         self.not_served_since.is_some()
     }
 
-    /// The leader's name, as reported by a peer that the store serves.
+    /// Returns the leader's name, as reported by a peer that the store serves, or `None` if no peer reported one.
     pub fn leader_reported_by_peers(&self) -> Option<&String> {
         self.leader_reported_by_peers.as_ref()
     }
--- a/src/net/store_health/tests.rs
+++ b/src/net/store_health/tests.rs
@@ -13,7 +13,7 @@
         let mut health = StoreHealth::default();
         health.record(START, StoreAvailability::from(Some(&error)));
         assert!(health.is_unavailable());
-        assert!(!health.is_unreachable(MonotonicTime(LATER.0 - 1)), "has not lasted long enough: {error}");
+        assert!(!health.is_unreachable(MonotonicTime(LATER.0 - 1)), "the failure has not lasted long enough: {error}");
         assert_eq!(health.is_unreachable(LATER), unreachable, "{error}");
         health.record(LATER, StoreAvailability::from(None));
         assert!(!health.is_unavailable() && !health.is_unreachable(LATER + Millis(9_000)), "{error}");
@@ -45,7 +45,7 @@
     assert!(!health.is_isolated(LATER), "the store serves no peer either");
     health.record_peer_responses(&[response(true, "plinth-1"), None]);
     assert!(health.is_isolated(LATER));
-    assert!(!health.is_isolated(START + FAILURE_GRACE_PERIOD), "has not lasted long enough");
+    assert!(!health.is_isolated(START + FAILURE_GRACE_PERIOD), "the failure has not lasted long enough");
     assert_eq!(health.leader_reported_by_peers().map(String::as_str), Some("plinth-1"));
 }
 
