--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -1,5 +1,5 @@
-//! Measures how long each input occupies the core, and how much it examined. A controller has a single thread, so lease
-//! renewals, heartbeats and users' requests wait while the core handles an input.
+//! Measures how long each input occupies the core, and how many objects the core examines for it. A controller has a
+//! single thread, so lease renewals, heartbeats and users' requests wait while the core handles an input.
 
 use super::rate_limited_log::RateLimitedLog;
 use crate::core::cost::OperationCounts;
@@ -51,7 +51,7 @@
 struct LongestInput {
     input_kind: InputKind,
     duration: Duration,
-    cost: OperationCounts,
+    operation_counts: OperationCounts,
 }
 
 /// Durations of inputs since the last summary.
@@ -73,7 +73,13 @@
 
 impl InputLatency {
     /// Records an input that was received at `now` and has just been handled. Logs it if it was slow.
-    pub fn record(&mut self, now: MonotonicTime, input_kind: InputKind, duration: Duration, cost: OperationCounts) {
+    pub fn record(
+        &mut self,
+        now: MonotonicTime,
+        input_kind: InputKind,
+        duration: Duration,
+        operation_counts: OperationCounts,
+    ) {
         let micros = (duration.as_micros() as u64).clamp(1, MAX_RECORDED_MICROS);
         let histogram = self.histograms.entry(input_kind).or_insert_with(new_histogram);
         histogram.saturating_record(micros);
@@ -81,10 +87,13 @@
             && let Some(count) = self.slow_input_log.record(now)
         {
             let unlogged = count - 1;
-            warn!("slow input: kind={input_kind} took_ms={} {cost} unlogged={unlogged}", duration.as_millis());
+            warn!(
+                "slow input: kind={input_kind} took_ms={} {operation_counts} unlogged={unlogged}",
+                duration.as_millis()
+            );
         }
         if self.longest.as_ref().is_none_or(|longest| duration > longest.duration) {
-            self.longest = Some(LongestInput { input_kind, duration, cost });
+            self.longest = Some(LongestInput { input_kind, duration, operation_counts });
         }
     }
 
@@ -105,7 +114,7 @@
                 millis(1.0)
             );
         }
-        let _ = write!(line, "longest: {} {}", longest.input_kind, longest.cost);
+        let _ = write!(line, "longest: {} {}", longest.input_kind, longest.operation_counts);
         Some(line)
     }
 }
--- a/src/net/input_latency/tests.rs
+++ b/src/net/input_latency/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn summary_has_durations_of_inputs_and_cost_of_the_longest() {
+fn summary_has_durations_of_inputs_and_operation_counts_of_the_longest() {
     let mut latency = InputLatency::default();
     assert_eq!(latency.take_summary(), None);
-    let cost = OperationCounts { machines: 4_000, tasks: 7, ..OperationCounts::default() };
-    latency.record(MonotonicTime(0), InputKind::Tick, Duration::from_millis(3), cost);
+    let operation_counts = OperationCounts { machines: 4_000, tasks: 7, ..OperationCounts::default() };
+    latency.record(MonotonicTime(0), InputKind::Tick, Duration::from_millis(3), operation_counts);
     latency.record(MonotonicTime(0), InputKind::Heartbeats, Duration::from_millis(1), OperationCounts::default());
     let summary = latency.take_summary().expect("there were inputs");
     assert!(summary.contains("tick n=1") && summary.contains("heartbeats n=1"), "{summary}");
