--- a/src/net/user_api/reply.rs
+++ b/src/net/user_api/reply.rs
@@ -13,7 +13,7 @@
     pub status: u16,
     /// The JSON body: a job's status, or an object with the field `error`.
     pub body: String,
-    /// After how many seconds the user should retry: the value of the `Retry-After` header.
+    /// The value of the `Retry-After` header, in seconds. The header is not sent if this is `None`.
     pub retry_after: Option<u32>,
 }
 
@@ -51,7 +51,7 @@
         Reply { retry_after: Some(1), ..Reply::error(503, message) }
     }
 
-    /// Status 404: there is no such job, or the id is not a valid job name.
+    /// Status 404: there is no such job, or the id is invalid.
     pub(super) fn no_such_job() -> Reply {
         Reply::error(404, "no such job")
     }
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -54,8 +54,8 @@
     Cancelled(TerminalRecord),
 }
 
-/// Validates a submission and stores its job. If a job with this id exists already, the reply describes that job instead,
-/// whatever the rest of the body contains.
+/// Validates a submission and stores its job. If a job with this id exists already, the reply describes that job
+/// instead, whatever the rest of the body contains.
 pub async fn submit(node: &Arc<Node>, body: &[u8]) -> Reply {
     let _admission = match Admission::try_acquire(node) {
         Ok(admission) => admission,
@@ -102,7 +102,7 @@
 
 /// The dependencies of a submitted job that are not done.
 enum Dependencies {
-    /// None is cancelled; these jobs have yet to be done.
+    /// No dependency is cancelled. Contains those that are not done yet.
     Live(Vec<JobId>),
     /// At least one dependency is cancelled.
     Cancelled,
