--- a/src/net/loopback/fakes.rs
+++ b/src/net/loopback/fakes.rs
@@ -35,7 +35,7 @@
         self.lock().store.entries.contains_key(key)
     }
 
-    /// Starts a server of the store for one controller, which can be refused separately.
+    /// Starts a server of the store for one controller, whose requests can be refused separately.
     pub(super) fn serve_store(&self, controller: &str) -> SocketAddr {
         serve(StoreServer { cluster: self.clone(), controller: controller.to_string() })
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The key-value store. Its leases never expire, and watches are answered from a log of all changes.
+/// A fake key-value store. Its leases never expire, and watches are answered from a log of all changes.
 #[derive(Default)]
 pub(in crate::net) struct FakeStore {
     /// Each value with the revision at which it was written.
--- a/src/net/loopback/relay.rs
+++ b/src/net/loopback/relay.rs
@@ -29,7 +29,7 @@
         has_tasks && status == 200 && answer["baton"] == json!(term)
     })
     .await;
-    // The stop order of a cancelled job reaches it through the relay too.
+    // The stop order for a cancelled job reaches the worker through the relay too.
     assert_eq!(relay_client.cancel("req-000001").await.1["phase"], "aborted");
     eventually(async || relay_client.heartbeat(&cluster).await.1["orders"].to_string().contains("stop")).await;
 }
--- a/src/net/loopback/users.rs
+++ b/src/net/loopback/users.rs
@@ -66,7 +66,7 @@
     let cluster = FakeCluster::default();
     let (_node, client) = start_leading(&cluster).await;
     run_to_completion(&cluster, &client, "req-000001", 2).await;
-    assert!(cluster.has_key("fleet/m-000001"), "its record is stored before its first order");
+    assert!(cluster.has_key("fleet/m-000001"), "the machine's record is stored before its first order");
     assert_eq!(client.cancel("req-000001").await.1["phase"], "done");
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,9 +3,10 @@
 //!
 //! - Clients: `kv` (key-value store), `cloud` and `peers` (other controllers), all built on `http`.
 //! - Services: `user_api` with `admission`, `linearizable_reads` and `dependency_check`; `heartbeats` with
-//!   `heartbeat_relay`, `relay_routes` and `heartbeat_balancing`; `election`; `leader_loop`, which passes inputs to
-//!   the scheduler and carries out its effects.
-//! - `server` routes requests to the services, and `node` holds the state that the services share.
+//!   `heartbeat_relay`, `relay_routes`, `redirected_workers` and `heartbeat_balancing`; `peer_service`; `election`;
+//!   `leader_loop`, which passes inputs to the scheduler and carries out its effects.
+//! - `server` routes requests to the services, and `node` holds the state that the services share, such as
+//!   `store_health` and `outcome_cache`.
 //! - Logging: `input_latency`, `load_log` and `rate_limited_log`.
 
 mod admission;
