--- a/src/config/tuning.rs
+++ b/src/config/tuning.rs
@@ -24,7 +24,7 @@
     pub spot_window_s: f64,
     /// Seconds after which an idle machine is terminated.
     pub idle_timeout_s: f64,
-    /// Factor by which a GPU machine may be idle longer than [`Tuning::idle_s`].
+    /// Factor by which a GPU machine may be idle longer than [`Tuning::idle_timeout_s`].
     pub gpu_idle_factor: f64,
     /// Run time that the planner assumes for tasks of services, which have no end, in seconds.
     pub service_horizon_s: f64,
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -11,7 +11,8 @@
 }
 
 impl Admission<'_> {
-    /// Admits a request, unless the limit [`Tuning::user_requests`](crate::config::Tuning::user_requests) is reached.
+    /// Admits a request, unless the limit [`Tuning::max_user_requests`](crate::config::Tuning::max_user_requests) is
+    /// reached.
     pub(super) fn try_acquire(node: &Node) -> Result<Admission<'_>, TooManyRequests> {
         let mut state = node.lock();
         if state.user_requests_in_progress >= node.tuning.max_user_requests as usize {
