--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -98,7 +98,7 @@
 
     /// Terminates machines. After an error it is unknown which of them were terminated.
     pub async fn terminate(&self, http: &HttpClient, now: MonotonicTime, names: Vec<String>) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&MachineNames { names: names })?;
+        let body = serde_json::to_vec(&MachineNames { names })?;
         self.wait_for_rate_limit(now, true).await?;
         match http.call(Method::POST, &self.addr, "/machines/return", body, REQUEST_TIMEOUT).await? {
             (200, _) => Ok(()),
