--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -83,9 +83,9 @@
 pub enum MachinePhase {
     /// Not up yet. Some machines never come up.
     Starting,
-    /// Up, or failed only recently.
+    /// Up, or stopped only recently.
     Running,
-    /// It has failed. It stays in the list until it is terminated.
+    /// It has stopped without a termination request. It stays in the list until it is terminated.
     Failed,
 }
 
