--- a/src/net/redirected_workers.rs
+++ b/src/net/redirected_workers.rs
@@ -1,27 +1,29 @@
-//! Records workers that have sent a heartbeat to this controller while another controller led.
+//! Records workers that have sent this controller a heartbeat while it didn't lead, and neither it nor a known peer could
+//! relay the heartbeat to the leader.
 //!
-//! A leader asks its peers which of the machines that it suspects have done so. If most have, the machines are alive
-//! and it is the leader that they can't reach.
+//! A leader asks its peers which of the machines that it suspects they have recorded. If they have recorded most, the
+//! machines are alive and it is the leader that they can't reach.
 
 use crate::time::{Millis, MonotonicTime};
 use std::collections::HashMap;
 
 /// How long a worker waits for the response to a heartbeat, as the platform's protocol specifies.
 const WORKER_RESPONSE_TIMEOUT: Millis = Millis(4_000);
-/// How long a redirect is remembered. A worker that tries one controller after the other comes back to the same one
-/// within this time.
+/// How long a record is kept. A worker that tries one controller after the other comes back to the same one within
+/// this time.
 const REDIRECT_TTL: Millis = Millis(8_000);
 /// Maximum number of recorded machines, far above the size of known clusters. When it is reached, all records are
 /// discarded.
 const MAX_REDIRECTED: usize = 65_536;
 
+/// The record of a worker's heartbeat. The worker may not have been redirected, for example if no leader was known.
 struct Redirect {
     at: MonotonicTime,
     /// The leader that was passed to [`RedirectedWorkers::record`], or `None` if none was known.
     leader: Option<String>,
 }
 
-/// The latest redirect of each machine.
+/// The latest record of each machine.
 #[derive(Default)]
 pub struct RedirectedWorkers {
     by_machine: HashMap<String, Redirect>,
