--- a/src/net/user_api.rs
+++ b/src/net/user_api.rs
@@ -1,8 +1,9 @@
 //! The API for users: submission, polling and cancellation of jobs, and the load balancer's health check.
 //!
-//! Every controller serves it. The phase of a job that a response reports comes from a committed transaction or a
-//! linearizable read, so a response is never older than an earlier one of any controller. The task counts of a job come
-//! from the leader's latest peer heartbeat and may be some seconds old.
+//! Every controller serves it. Whether a job exists, and whether and how it has ended, comes from a committed
+//! transaction or a linearizable read, so no response is older in this than an earlier one of any controller. Whether a
+//! live job is queued or running, and its task counts, come from the leader's latest peer heartbeat and may be some
+//! seconds old.
 
 mod cancellation;
 mod commit;
