--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -28,7 +28,7 @@
     Plan,
     /// Planning a shard for a leader that is another controller.
     PlanForPeer,
-    /// Results of orders, writes and look-ups, and changes reported by watches.
+    /// Results of orders, writes and look-ups, and changes reported by watches or peers.
     Result,
     /// Loading the stored cluster state on becoming leader.
     Load,
