--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -99,6 +99,7 @@
     settings: Settings,
     tuning: Tuning,
     term: Term,
+    /// The value that this leader wrote to the leader's key.
     record: LeaderRecord,
     /// The key-value store doesn't answer this controller but may answer others, which may have accepted
     /// cancellations that aren't known here.
@@ -125,7 +126,7 @@
     orders: OutstandingOrders,
     effects: Vec<Effect>,
     /// Counts of operations since this scheduler was created.
-    cost: OperationMeter,
+    meter: OperationMeter,
 }
 
 /// Interval at which [`Scheduler::tick`] is to be called.
@@ -184,7 +185,7 @@
             last_request: RequestId(0),
             orders: OutstandingOrders::default(),
             effects: Vec::new(),
-            cost: OperationMeter::default(),
+            meter: OperationMeter::default(),
             limits,
             settings,
             tuning,
@@ -212,7 +213,7 @@
 
     /// Counts of operations since this scheduler was created.
     pub fn operation_counts(&self) -> OperationCounts {
-        self.cost.read()
+        self.meter.read()
     }
 
     /// Log fields with the numbers of jobs, machines and outstanding requests.
@@ -253,7 +254,7 @@
         self.jobs.live.iter().map(count).filter(|count| count.done + count.running > 0).collect()
     }
 
-    /// Updates the catalog with the cloud's list of machine types. Known types keep their index.
+    /// Updates the catalog with the cloud's list of machine types. Known types keep their numbers.
     pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         let added = self.catalog.set_types(types);
         self.gpus.gpu_job_needs.extend(std::iter::repeat_n(Resources::default(), added));
