--- a/src/net/redirected_workers.rs
+++ b/src/net/redirected_workers.rs
@@ -1,5 +1,5 @@
-//! Records workers that have sent this controller a heartbeat while it didn't lead, and neither it nor a known peer could
-//! relay the heartbeat to the leader.
+//! Records workers that have sent this controller a heartbeat while it didn't lead, and neither it nor a known peer
+//! could relay the heartbeat to the leader.
 //!
 //! A leader asks its peers which of the machines that it suspects they have recorded. If they have recorded most, the
 //! machines are alive and it is the leader that they can't reach.
