--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -5,8 +5,8 @@
 #[test]
 fn new_leader_does_not_suspect_machines_that_have_not_sent_heartbeats_to_it() {
     // Guards against a new leader that suspects every machine from which it has got no heartbeat within 3 s of the
-    // start of its term. Peers redirect the workers of suspected machines to the next controller, so most workers missed
-    // the leader and lost their tasks.
+    // start of its term. Peers redirect the workers of suspected machines to the next controller, so most workers
+    // missed the leader and lost their tasks.
     let mut harness = SchedulerHarness::new(3);
     let suspected = |harness: &SchedulerHarness| harness.scheduler.suspected_machines(MonotonicTime(harness.now)).0;
     harness.workers.retain(|name, _| name == "w0");
