--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber, TaskId};
-use wallstile::wire::{Cause, Heartbeat, Order, TaskPhase, TaskStatus};
+use wallstile::wire::{ExitCause, Heartbeat, Order, TaskPhase, TaskStatus};
 
 /// Run time of each task.
 pub(crate) const TASK_RUN_MS: u64 = 20_000;
@@ -34,7 +34,7 @@
         let heartbeat = Heartbeat {
             machine: format!("m-{index:06}"),
             endpoint,
-            kind: if index.is_multiple_of(LARGE_EVERY) { "large" } else { "small" }.into(),
+            machine_type: if index.is_multiple_of(LARGE_EVERY) { "large" } else { "small" }.into(),
             zone: if index.is_multiple_of(2) { "a" } else { "b" }.into(),
             spot: false,
             agent_epoch: AgentEpoch(1),
@@ -61,7 +61,7 @@
                         attempt: *attempt,
                         phase: TaskPhase::Running,
                         cause: None,
-                        kept: None,
+                        progress_saved: None,
                     };
                     self.heartbeat.tasks.push(status);
                     self.end_times_ms.insert((*task, *attempt), now_ms + TASK_RUN_MS);
@@ -70,7 +70,7 @@
                     let matches_order =
                         |status: &&mut TaskStatus| status.task == Some(*task) && status.attempt == *attempt;
                     for status in self.heartbeat.tasks.iter_mut().filter(matches_order) {
-                        (status.phase, status.cause) = (TaskPhase::Exited, Some(Cause::Halted));
+                        (status.phase, status.cause) = (TaskPhase::Exited, Some(ExitCause::Halted));
                     }
                 }
                 Order::Clear { task, attempt } => {
@@ -93,7 +93,7 @@
             let Some(task) = status.task else { continue };
             let key = (task, status.attempt);
             if self.end_times_ms.get(&key).is_some_and(|end_ms| *end_ms <= now_ms) {
-                (status.phase, status.cause) = (TaskPhase::Exited, Some(Cause::Done));
+                (status.phase, status.cause) = (TaskPhase::Exited, Some(ExitCause::Done));
                 self.end_times_ms.remove(&key);
                 changed = true;
             }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -70,7 +70,7 @@
 
 /// Services that the controllers depend on.
 #[derive(Clone, Debug, Deserialize)]
-pub struct External {
+pub struct ExternalServices {
     /// Address of the cloud, from which machines are provisioned (PROTOCOL, "Controller nodes -> cloud").
     pub cloud: SocketAddr,
     /// Address of the key-value store (PROTOCOL, "Controller nodes -> state service").
@@ -84,17 +84,17 @@
     /// Name of the team, unique among the teams.
     pub name: String,
     /// Guaranteed number of CPUs.
-    #[serde(default)]
-    pub cpus: f64,
+    #[serde(rename = "cpus", default)]
+    pub guaranteed_cpus: f64,
     /// Quota: the maximum number of CPUs that its tasks may use at a time.
-    #[serde(default)]
-    pub cpus_max: f64,
+    #[serde(rename = "cpus_max", default)]
+    pub max_cpus: f64,
     /// Guaranteed number of GPUs.
-    #[serde(default)]
-    pub gpus: f64,
+    #[serde(rename = "gpus", default)]
+    pub guaranteed_gpus: f64,
     /// Quota: the maximum number of GPUs that its tasks may use at a time.
-    #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(rename = "gpus_max", default)]
+    pub max_gpus: f64,
 }
 
 /// Timing of the workers and of cancellations (PROTOCOL, "Workers -> controller nodes").
@@ -153,7 +153,7 @@
 impl StoreLimits {
     /// The stricter of each limit now and its upcoming value. The store accepts what is within these limits both before
     /// and after the change.
-    pub fn lowest(&self) -> StoreLimits {
+    pub fn strictest(&self) -> StoreLimits {
         let lower = |now: f64, later: Option<f64>| later.map_or(now, |later| now.min(later));
         let next = &self.next;
         let later_ops = next.max_transaction_ops.unwrap_or(self.max_transaction_ops);
@@ -167,8 +167,8 @@
     }
 
     /// Maximum size of a value in bytes, by the stricter of the limit now and its upcoming value.
-    pub fn value_bytes(&self) -> usize {
-        (self.lowest().max_value_kb * 1024.0) as usize
+    pub fn max_value_bytes(&self) -> usize {
+        (self.strictest().max_value_kb * 1024.0) as usize
     }
 }
 
@@ -183,7 +183,7 @@
 
 /// Limits of the machine that a controller runs on.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Limits {
+pub struct ControllerLimits {
     /// Maximum number of open file descriptors, nearly all of which are sockets.
     #[serde(rename = "fd_limit")]
     pub max_sockets: usize,
@@ -191,7 +191,7 @@
 
 /// Settings that are the same for all controllers of the cluster.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Cluster {
+pub struct ClusterSettings {
     /// Zones of the cloud that machines may be in.
     #[serde(default)]
     pub zones: Vec<String>,
@@ -208,7 +208,7 @@
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of the machine that each controller runs on.
-    pub limits: Limits,
+    pub limits: ControllerLimits,
 }
 
 /// The platform's settings for one controller.
@@ -219,18 +219,18 @@
     pub name: String,
     /// Address at which it listens for users, workers and health checks.
     #[serde(rename = "serve_on")]
-    pub listen: SocketAddr,
+    pub listen_addr: SocketAddr,
     /// Address at which it listens for peers.
     #[serde(rename = "internal_addr")]
-    pub peer_listen: SocketAddr,
+    pub peer_listen_addr: SocketAddr,
     /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
     /// Services that the controllers depend on.
     #[serde(rename = "external")]
-    pub services: External,
+    pub services: ExternalServices,
     /// Settings that are the same for all controllers.
-    pub cluster: Cluster,
+    pub cluster: ClusterSettings,
 }
 
 impl Settings {
@@ -248,8 +248,8 @@
     }
 
     fn validate(&self) -> Result<(), SettingsError> {
-        let Cluster { workers, cloud, limits, .. } = &self.cluster;
-        let store = self.cluster.store.lowest();
+        let ClusterSettings { workers, cloud, limits, .. } = &self.cluster;
+        let store = self.cluster.store.strictest();
         let positive = [
             ("workers.report_s", workers.heartbeat_interval_s),
             ("workers.lease_s", workers.lease_s),
@@ -302,29 +302,34 @@
     /// How long after its last read of the live jobs a leader may act on it. A cancellation that the leader fails to
     /// read must still take effect in time: when the leader stops acting, the workers' leases expire and they kill the
     /// tasks.
-    pub fn reading_validity(&self) -> Millis {
+    pub fn read_ttl(&self) -> Millis {
         let workers = &self.cluster.workers;
         Millis::from_secs_f64((workers.cancellation_limit_s - workers.lease_s) * READ_TTL_FRACTION)
     }
 
     /// Divides the platform's limit on sockets among the controller's purposes.
-    pub fn sockets(&self) -> SocketShares {
+    pub fn socket_budget(&self) -> SocketBudget {
         let total = self.cluster.limits.max_sockets;
         let share = |percent: usize, min: usize| (total * percent / 100).max(min);
         // The remaining 2% are for the listening sockets, the log and the runtime.
-        SocketShares { public: share(64, 1), peers: share(3, 8), own: share(3, 8), orders: share(28, 4) }
+        SocketBudget {
+            public_listener: share(64, 1),
+            peer_listener: share(3, 8),
+            service_client: share(3, 8),
+            worker_client: share(28, 4),
+        }
     }
 }
 
 /// How many sockets a controller may use for each purpose. Each worker keeps a connection to the leader open. Orders to
 /// workers use separate connections, whose number is limited so that enough sockets are left for the workers'.
-pub struct SocketShares {
+pub struct SocketBudget {
     /// Incoming connections of users, workers and health checks.
-    pub public: usize,
+    pub public_listener: usize,
     /// Incoming connections of peers.
-    pub peers: usize,
+    pub peer_listener: usize,
     /// Outgoing connections to the key-value store, the cloud and peers.
-    pub own: usize,
+    pub service_client: usize,
     /// Outgoing connections that carry orders to workers.
-    pub orders: usize,
+    pub worker_client: usize,
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -23,26 +23,26 @@
     // The lowest limits on sockets seen on platforms with these numbers of workers.
     for (limit, workers) in [(1_721, 740), (3_482, 1_982)] {
         settings.cluster.limits.max_sockets = limit;
-        let SocketShares { public, peers, own, orders } = settings.sockets();
-        assert!(public > workers * 11 / 10);
-        assert!(public + peers + own + orders <= limit * 98 / 100);
+        let SocketBudget { public_listener, peer_listener, service_client, worker_client } = settings.socket_budget();
+        assert!(public_listener > workers * 11 / 10);
+        assert!(public_listener + peer_listener + service_client + worker_client <= limit * 98 / 100);
     }
 }
 
 #[test]
 fn next_slo_deadline_is_the_first_that_can_still_be_met() {
     let mut settings = sample_settings();
-    let objective = |kind: &str, within_s: f64, times: f64| Objective {
+    let objective = |kind: &str, within_s: f64, deadline_factor: f64| Objective {
         kind: kind.to_string().into(),
         class: "x".into(),
         within_s,
-        times,
+        deadline_factor,
     };
     settings.cluster.objectives =
         vec![objective("deadline", 0.0, 1.5), objective("wait", 30.0, 1.0), objective("finished", 200.0, 1.0)];
     // With a run time of 20 s, the SLO deadlines are 50 s (start within 30 s), 60 s (the job's own deadline), 90 s (1.5
     // times that) and 200 s.
-    let ages = |submitted_s, startable_s| JobAges { submitted_s, startable_s };
+    let ages = |since_submission_s, since_startable_s| JobAges { since_submission_s, since_startable_s };
     let next = |slo_deadlines| {
         let NextSlo { deadline_s, missed } = next_slo_deadline(slo_deadlines, 20.0);
         (deadline_s, missed)
@@ -64,11 +64,11 @@
     let with =
         |next: &str| Settings::parse(&good.replace("\"txn_ops\": 12", &format!("\"txn_ops\": 12, \"next\": {next}")));
     let limits = with(r#"{"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 4}"#).unwrap().cluster.store;
-    let lowest = limits.lowest();
+    let lowest = limits.strictest();
     assert_eq!((lowest.rps, lowest.write_rps, lowest.max_value_kb, lowest.max_transaction_ops), (100.0, 15.0, 2.0, 4));
     // The current limit stays available, as it determines the layout of what is already stored.
-    assert_eq!((limits.max_value_kb, limits.value_bytes()), (8.0, 2_048));
-    assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.store.lowest().max_value_kb, 8.0);
+    assert_eq!((limits.max_value_kb, limits.max_value_bytes()), (8.0, 2_048));
+    assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.store.strictest().max_value_kb, 8.0);
     assert!(with("null").is_ok() && with("{}").is_ok());
     assert!(with(r#"{"txn_ops": 3}"#).is_err() && with(r#"{"write_rps": 0.0}"#).is_err());
 }
@@ -76,7 +76,7 @@
 #[test]
 fn tuning_errors_name_their_line() {
     let tuning = Tuning::parse("<wallstile>\n <idle-s>60</idle-s>\n</wallstile>").unwrap();
-    assert_eq!(tuning.idle_s, 60.0);
+    assert_eq!(tuning.idle_timeout_s, 60.0);
     assert_eq!(Tuning::parse("<wallstile/>").unwrap(), Tuning::default());
     for (text, line, what) in [
         ("<wallstile>\n<idel-s>1</idel-s></wallstile>", 2, "unknown"),
@@ -101,7 +101,7 @@
     let settings = Settings::parse(&value.to_string()).unwrap();
     assert_eq!(settings.cluster.objectives[0].kind, ObjectiveKind::Unknown);
     assert_eq!(settings.start_slo_s("x", true), None);
-    let ages = JobAges { submitted_s: 0.0, startable_s: 0.0 };
+    let ages = JobAges { since_submission_s: 0.0, since_startable_s: 0.0 };
     assert!(settings.slo_deadlines("x", None, ages, 1.0).is_empty());
     value["cluster"]["objectives"] = serde_json::json!([{"kind": 1}]);
     assert!(Settings::parse(&value.to_string()).is_err(), "a kind must be a string");
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -8,7 +8,7 @@
 use super::ranking::CandidateRanking;
 use super::{Estimate, TOLERANCE, sub_deadline, zone_allowed};
 use crate::core::cost::OperationMeter;
-use crate::peer::{JobView, Placement, PlanInput, PlanOutput, Waiting, ZoneCount};
+use crate::peer::{JobView, Placement, PlanInput, PlanOutput, WaitingTasks, ZoneCount};
 use std::collections::BTreeMap;
 
 /// Sort key for the order in which jobs take turns, lowest first.
@@ -48,7 +48,7 @@
     /// By machine key: the tasks that start now.
     placed: BTreeMap<u32, PlacedTasks>,
     /// The tasks that can't start now.
-    waiting: Waiting,
+    waiting: WaitingTasks,
     /// The job's rank in seconds (paper, eq. 1).
     rank_s: f64,
     ranking: CandidateRanking,
@@ -71,11 +71,11 @@
             .fold(f64::INFINITY, f64::min);
         // The average execution time in eq. 1 is the average finish time over the candidates.
         let known_count = known().count().max(1) as f64;
-        let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_s;
+        let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_rank_s;
         // The budget beyond the cheapest candidate is B x (highest cost - cheapest cost) for each of the job's tasks,
         // less what earlier placements have spent of it. This formula for several tasks is not from the paper.
         let spare_budget = if cheapest_cost.is_finite() {
-            (input.budget_share * (highest_cost - cheapest_cost) * job.tasks as f64 - job.overspent).max(0.0)
+            (input.budget_share * (highest_cost - cheapest_cost) * job.tasks as f64 - job.excess_cost).max(0.0)
         } else {
             0.0
         };
@@ -85,13 +85,13 @@
         JobProgress {
             job,
             estimates,
-            tasks_left: job.ready,
+            tasks_left: job.ready_tasks,
             cheapest_cost,
             spare_budget,
             due_s,
             zone_counts: job.placed.clone(),
             placed: BTreeMap::new(),
-            waiting: Waiting { job: job.key, ..Default::default() },
+            waiting: WaitingTasks { job: job.key, ..Default::default() },
             rank_s,
             ranking: CandidateRanking::default(),
             scope,
@@ -277,9 +277,9 @@
             placed.excess_cost += excess_cost;
         } else {
             self.waiting.count += 1;
-            self.waiting.on_spot |= candidate.spot && !candidate.up;
+            self.waiting.waits_for_spot |= candidate.spot && !candidate.up;
             self.waiting.finish_s = self.waiting.finish_s.max(estimate.finish_s);
-            self.waiting.ready_s = self.waiting.ready_s.max(estimate.start_s);
+            self.waiting.start_s = self.waiting.start_s.max(estimate.start_s);
         }
     }
 
@@ -287,11 +287,11 @@
     pub(super) fn append_to(self, output: &mut PlanOutput) {
         for (machine, placed) in self.placed {
             let PlacedTasks { count, excess_cost } = placed;
-            output.placements.push(Placement { job: self.job.key, machine, count, extra: excess_cost });
+            output.placements.push(Placement { job: self.job.key, machine, count, excess_cost });
         }
         let count = self.waiting.count + self.tasks_left;
         if count > 0 {
-            output.waiting.push(Waiting { count, ..self.waiting });
+            output.waiting.push(WaitingTasks { count, ..self.waiting });
         }
     }
 }
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,28 +1,28 @@
 use super::estimates::estimate;
 use super::job_selection::{MAX_ESTIMATES, MIN_JOBS_PER_ROUND};
 use super::*;
-use crate::peer::{ImageView, JobView, MachineView, ProvisionOffer, TeamHeadroom, TypeView};
+use crate::peer::{ImageView, JobView, MachineTypeView, MachineView, ProvisionOffer, TeamHeadroom};
 
-fn machine_type(cpus: f64, gpus: f64, price: f64) -> TypeView {
+fn machine_type(cpus: f64, gpus: f64, price: f64) -> MachineTypeView {
     let spot_price = price / 3.0;
-    TypeView { cpus, gpus, memory_gb: 32.0, fetch_gb_per_s: 0.5, price, spot_price, boot_s: 30.0 }
+    MachineTypeView { cpus, gpus, memory_gb: 32.0, fetch_gb_per_s: 0.5, price, spot_price, boot_s: 30.0 }
 }
 
 fn machine(key: u32, free_cpus: f64) -> MachineView {
     MachineView { key, up: true, free_cpus, free_memory_gb: 32.0, slowness: 1.0, ..Default::default() }
 }
 
-fn job(key: u32, ready: u32) -> JobView {
+fn job(key: u32, ready_tasks: u32) -> JobView {
     JobView {
         key,
-        ready,
-        tasks: ready,
+        ready_tasks,
+        tasks: ready_tasks,
         cpus: 2.0,
         memory_gb: 1.0,
         image_gb: 1.0,
         run_s: 36.0,
-        spot: true,
-        new_spot: true,
+        allows_spot: true,
+        may_provision_spot: true,
         may_scale_out: true,
         priority: 2,
         ..Default::default()
@@ -35,7 +35,7 @@
         types: vec![machine_type(8.0, 0.0, 1.0)],
         machines,
         jobs,
-        batch: 100,
+        batch_size: 100,
         budget_share: 0.25,
         spot_mu: 5400f64.ln(),
         spot_sigma: 1.0,
@@ -59,9 +59,9 @@
 #[test]
 fn estimate_covers_machines_that_are_up_booting_or_offered() {
     let mut booting = machine(1, 8.0);
-    (booting.up, booting.ready_s, booting.spot) = (false, 12.0, true);
+    (booting.up, booting.ready_in_s, booting.spot) = (false, 12.0, true);
     let mut view = input(vec![machine(0, 8.0), booting], vec![job(0, 1)]);
-    view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 1 }];
+    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, max_count: 1 }];
     let meter = OperationMeter::default();
     let planner = Planner::new(&view, &meter);
     // Up: fetches 1 GB at 0.5 GB/s, then runs for 36 s, on a quarter of a machine at 1.0 per hour.
@@ -99,8 +99,8 @@
 fn cost_filter_holds_until_the_budget_is_spent() {
     // Two machine types, one at five times the price. The expensive machine already has the image.
     let mut expensive = machine(1, 8.0);
-    expensive.kind = 1;
-    expensive.images = vec![ImageView { image: 0, ready_s: 0.0 }];
+    expensive.type_index = 1;
+    expensive.images = vec![ImageView { image: 0, ready_in_s: 0.0 }];
     let mut view = input(vec![machine(0, 8.0), expensive], vec![job(0, 4)]);
     view.types.push(machine_type(8.0, 0.0, 5.0));
     view.budget_share = 0.0;
@@ -133,7 +133,7 @@
     // Capacity for one task. Both jobs are due at the same time, but the dependents of one take longer, which gives it
     // the higher rank (eq. 1).
     let job_followed_by =
-        |key: u32, dependents_s: f64| JobView { slo_deadline_s: Some(80.0), dependents_s, ..job(key, 1) };
+        |key: u32, dependents_rank_s: f64| JobView { slo_deadline_s: Some(80.0), dependents_rank_s, ..job(key, 1) };
     let placed = |jobs: Vec<JobView>| placements(&plan(&input(vec![machine(0, 2.0)], jobs)));
     assert_eq!(placed(vec![job_followed_by(0, 5.0), job_followed_by(1, 30.0)]), [(1, 0, 1)]);
     assert_eq!(placed(vec![job_followed_by(0, 30.0), job_followed_by(1, 5.0)]), [(0, 0, 1)]);
@@ -150,12 +150,12 @@
 fn scale_out_requests_for_a_long_queue_exceed_the_batch() {
     // One machine is up and four of the 40 tasks fit on a machine: a batch of 4 starts.
     let mut view = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
-    view.batch = 4;
-    view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 50 }];
+    view.batch_size = 4;
+    view.offers = vec![ProvisionOffer { type_index: 0, zone: 0, spot: false, max_count: 50 }];
     let out = plan(&view);
     assert_eq!(placements(&out), [(0, 0, 4)]);
     // The tasks that wait request machines, for up to eight batches of them.
-    view.jobs[0].ready = 36;
+    view.jobs[0].ready_tasks = 36;
     view.machines.clear();
     assert_eq!(plan(&view).scale_out.len(), 8, "32 tasks at 8 CPUs a machine");
 }
@@ -163,7 +163,7 @@
 #[test]
 fn search_scope_of_a_service_includes_gpu_machines_last() {
     let mut gpu = machine(1, 8.0);
-    (gpu.kind, gpu.urgent_cpus, gpu.urgent_memory_gb) = (1, 2.0, 8.0);
+    (gpu.type_index, gpu.urgent_headroom_cpus, gpu.urgent_headroom_memory_gb) = (1, 2.0, 8.0);
     let mut view = input(vec![machine(0, 4.0), gpu], vec![job(0, 4)]);
     view.types.push(machine_type(8.0, 2.0, 9.0));
     (view.jobs[0].service, view.jobs[0].priority) = (true, 0);
@@ -179,7 +179,7 @@
     // The best candidate for a single task is in zone 0, which lacks capacity for all three.
     let (mut a, mut b) = (machine(0, 4.0), machine(1, 8.0));
     (a.zone, b.zone) = (0, 1);
-    a.images = vec![ImageView { image: 0, ready_s: 0.0 }];
+    a.images = vec![ImageView { image: 0, ready_in_s: 0.0 }];
     b.free_memory_gb = 8.0;
     let mut view = input(vec![a, b], vec![job(0, 3)]);
     (view.jobs[0].gang, view.jobs[0].one_zone) = (true, true);
@@ -210,7 +210,7 @@
 #[test]
 fn plan_for_an_inconsistent_input_is_empty() {
     let mut view = input(vec![machine(0, 8.0)], vec![job(0, 4)]);
-    view.machines[0].kind = 7;
+    view.machines[0].type_index = 7;
     assert_eq!(plan(&view), PlanOutput::default());
 }
 
--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -4,7 +4,7 @@
 use crate::core::machine::{Machine, Registration};
 use crate::ids::MachineId;
 use crate::time::{Millis, MonotonicTime};
-use crate::wire::{ListPhase, ListedMachine};
+use crate::wire::{ListedMachine, MachinePhase};
 use log::info;
 
 /// Delay before a termination that the cloud refused or didn't answer is retried.
@@ -48,7 +48,7 @@
             if self.machines.is_terminated(&id) {
                 continue;
             }
-            if listed.phase == ListPhase::Failed {
+            if listed.phase == MachinePhase::Failed {
                 self.retire_failed_machine(now, id, listed);
             } else if self.machines.known.contains_key(&id) {
                 self.machines.stop_awaiting_first_heartbeat(&id);
@@ -62,7 +62,9 @@
     /// on it.
     fn retire_failed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         if !self.machines.known.contains_key(&id) {
-            let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
+            let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.machine_type, &listed.zone) else {
+                return;
+            };
             let machine = Machine::new(String::new(), kind, zone, listed.spot, now);
             self.machines.known.insert(id.clone(), machine);
         }
@@ -74,11 +76,11 @@
     /// Adds a machine that is known only from the cloud's list. One that is listed as running is added, as retiring,
     /// only once its first heartbeat is overdue.
     fn add_listed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
-        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
+        let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.machine_type, &listed.zone) else { return };
         let mut machine = Machine::new(listed.endpoint.clone().unwrap_or_default(), kind, zone, listed.spot, now);
         // The subtraction saturates, as the machine may be older than this process's monotonic clock.
         machine.created_at = MonotonicTime(now.0.saturating_sub(Millis::from_secs_f64(listed.age_s).0));
-        if listed.phase == ListPhase::Running {
+        if listed.phase == MachinePhase::Running {
             // The list lags, so the machine may already be terminated; or its first heartbeat is on its way.
             let since = self.machines.awaiting_first_heartbeat_since(&id, now);
             if now - since < FIRST_HEARTBEAT_TIMEOUT + self.limits.list_lag {
@@ -87,7 +89,7 @@
             machine.retiring = true;
             self.machines.stop_awaiting_first_heartbeat(&id);
         }
-        info!("machine {id} added from the cloud's list: kind={} zone={}", listed.kind, listed.zone);
+        info!("machine {id} added from the cloud's list: kind={} zone={}", listed.machine_type, listed.zone);
         self.machines.known.insert(id, machine);
         self.rounds.request();
     }
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -10,9 +10,9 @@
 use crate::core::placement;
 use crate::core::provisioning::InstancePool;
 use crate::ids::JobId;
-use crate::peer::{JobView, PlanOutput, Waiting, ZoneCount};
+use crate::peer::{JobView, PlanOutput, WaitingTasks, ZoneCount};
 use crate::time::MonotonicTime;
-use crate::wire::{Kind, Priority};
+use crate::wire::{JobKind, Priority};
 use log::debug;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -106,10 +106,10 @@
 
     /// Stops provisioning spot machines for a job once its slack is less than its wait for one so far plus the
     /// configured window (eq. 8 of the paper that [`crate::core::placement`] follows).
-    fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, waiting: &Waiting) {
+    fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, waiting: &WaitingTasks) {
         let window_s = self.tuning.spot_window_s;
         let Some(job) = self.jobs.live.get_mut(id) else { return };
-        if !waiting.on_spot {
+        if !waiting.waits_for_spot {
             job.spot_wait_since = None;
             return;
         }
@@ -124,17 +124,17 @@
     }
 
     /// Whether a waiting job may preempt other work.
-    fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &Waiting) -> bool {
+    fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &WaitingTasks) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
         // A job that is expected to meet its start-time SLO without preemption does not preempt.
         let slo_s = self.jobs.live.get(id).and_then(|job| self.settings.start_slo_s(&job.spec.class, view.guaranteed));
-        urgent && !slo_s.is_some_and(|slo_s| waiting.ready_s > 0.0 && view.age_s + waiting.ready_s <= slo_s)
+        urgent && !slo_s.is_some_and(|slo_s| waiting.start_s > 0.0 && view.age_s + waiting.start_s <= slo_s)
     }
 
     fn preempt_for(&mut self, now: MonotonicTime, preemptor: &QueuedPreemptor, search: &mut PreemptionSearch) {
         let Some(job) = self.jobs.live.get_mut(&preemptor.id) else { return };
         job.last_preemption_search_round = self.rounds.count();
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             // A gang cannot start in part, so work is preempted only if that frees capacity for all its tasks.
             self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
         } else {
@@ -227,7 +227,7 @@
         let count = index.machines.len();
         let first = (self.rounds.count() as usize).wrapping_mul(MAX_EXAMINED_MACHINES) % count.max(1);
         // The capacity found for a gang may be spread over all machines.
-        let most = if job.spec.kind == Kind::Gang { count } else { MAX_EXAMINED_MACHINES };
+        let most = if job.spec.kind == JobKind::Gang { count } else { MAX_EXAMINED_MACHINES };
         for position in (first..count).chain(0..first).filter(may_fit).take(most) {
             let machine = &index.machines[position];
             if let Some(eviction) = self.eviction_for(now, preemptor, &machine.id, zones) {
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -17,8 +17,8 @@
 use crate::ids::{AgentEpoch, Attempt, FencingToken, LeaseId, SequenceNumber, TaskId};
 use crate::time::WallTime;
 use crate::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobSpec, KeyValue, Kind, ListPhase, ListedMachine, Mutation,
-    Order, Priority, ProvisionRequest, TaskStatus, Transaction,
+    DirectOrders, ExitCause, Heartbeat, HeartbeatResponse, JobKind, JobSpec, KeyValue, ListedMachine, MachinePhase,
+    Mutation, Order, Priority, ProvisionRequest, TaskStatus, Transaction,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -75,7 +75,7 @@
     vec![machine_type("plain", 0.0), machine_type("gpu", 2.0)]
 }
 
-fn spec(id: &str, kind: Kind, tasks: u32, cpus: f64) -> JobSpec {
+fn spec(id: &str, kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         id: id.into(),
         class: "any".into(),
@@ -88,14 +88,14 @@
         memory_gb: 1.0,
         image: "img".into(),
         image_gb: 1.0,
-        types: None,
+        allowed_types: None,
         zone: None,
-        one_zone: kind == Kind::Gang,
+        one_zone: kind == JobKind::Gang,
         spread: false,
-        spot: false,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        allows_spot: false,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     }
 }
@@ -109,7 +109,7 @@
 impl SchedulerHarness {
     /// A newly elected leader, with machines that an earlier one has registered.
     fn new(machines: usize) -> SchedulerHarness {
-        let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_s: 600.0, ..Tuning::default() };
+        let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_timeout_s: 600.0, ..Tuning::default() };
         let mut leader =
             Scheduler::new(sample_settings(), tuning, machine_types(), TERM, leader_record(), MonotonicTime(0));
         leader.load(
@@ -140,7 +140,7 @@
         Heartbeat {
             machine: format!("m-{index:06}"),
             endpoint: format!("w{index}"),
-            kind: "plain".into(),
+            machine_type: "plain".into(),
             zone: "a".into(),
             spot: false,
             agent_epoch: AgentEpoch(1),
@@ -228,10 +228,10 @@
                     attempt: *attempt,
                     phase: TaskPhase::Running,
                     cause: None,
-                    kept: None,
+                    progress_saved: None,
                 }),
                 Order::Stop { task, attempt, .. } => {
-                    SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, Cause::Halted);
+                    SchedulerHarness::exit_task(heartbeat, Some(*task), *attempt, ExitCause::Halted);
                 }
                 Order::Clear { task, attempt } => {
                     heartbeat.tasks.retain(|status| status.task != Some(*task) || status.attempt != *attempt);
@@ -240,7 +240,7 @@
         }
     }
 
-    fn exit_task(heartbeat: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: Cause) {
+    fn exit_task(heartbeat: &mut Heartbeat, task: Option<TaskId>, attempt: Attempt, cause: ExitCause) {
         let is_attempt = |status: &&mut TaskStatus| status.task == task && status.attempt == attempt;
         for status in heartbeat.tasks.iter_mut().filter(is_attempt) {
             (status.phase, status.cause) = (TaskPhase::Exited, Some(cause));
@@ -345,7 +345,7 @@
     fn finish_first_task(&mut self, name: &str) {
         let heartbeat = self.workers.get_mut(name).expect("a worker of the harness");
         let first = heartbeat.tasks[0].clone();
-        SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, Cause::Done);
+        SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, ExitCause::Done);
     }
 
     /// The first worker that lists a task.
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -5,9 +5,9 @@
 use prost::Message;
 use std::fmt::Debug;
 use wallstile::peer::{
-    HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineView, PeerHeartbeat,
-    PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest, TeamHeadroom, TypeView,
-    VERSION, Waiting, ZoneCount,
+    HeartbeatBatch, HeartbeatDecision, HeartbeatDecisions, ImageView, JobCount, JobView, MachineTypeView, MachineView,
+    PeerHeartbeat, PeerHeartbeatResponse, Placement, PlanInput, PlanOutput, ProvisionOffer, ScaleOutRequest,
+    TeamHeadroom, VERSION, WaitingTasks, ZoneCount,
 };
 
 /// Asserts that each message is encoded as the sample of the given name, and decoded from it.
@@ -32,18 +32,18 @@
     let full = PeerHeartbeat {
         version: 3,
         from: "plinth-0".into(),
-        asks_extension: true,
+        requests_lease_extension: true,
         term: 9001,
-        counts: vec![job_count()],
+        live_job_counts: vec![job_count()],
         leading: true,
         successor: "plinth-1".into(),
-        suspected: vec!["m-000231".into(), "m-000232".into()],
+        suspected_machines: vec!["m-000231".into(), "m-000232".into()],
         read_through: 9002,
-        cancelled: vec!["req-000007".into()],
+        cancelled_jobs: vec!["req-000007".into()],
     };
     assert_samples(&[
         ("hello", full),
-        ("hello_hold_on", PeerHeartbeat { asks_extension: true, ..PeerHeartbeat::default() }),
+        ("hello_hold_on", PeerHeartbeat { requests_lease_extension: true, ..PeerHeartbeat::default() }),
         ("hello_leading", PeerHeartbeat { leading: true, ..PeerHeartbeat::default() }),
     ]);
     assert_samples(&[("job_count", job_count())]);
@@ -53,16 +53,16 @@
 fn peer_heartbeat_responses_match_samples() {
     let full = PeerHeartbeatResponse {
         version: 3,
-        store_ok: true,
+        store_available: true,
         pledge_ms: 3500,
-        redirected: vec!["m-000231".into()],
+        redirected_machines: vec!["m-000231".into()],
         leader: "plinth-2".into(),
-        cancelled: vec!["req-000007".into(), "req-000008".into()],
+        cancelled_jobs: vec!["req-000007".into(), "req-000008".into()],
         relays_heartbeats: true,
     };
     assert_samples(&[
         ("hello_answer", full),
-        ("hello_answer_state_ok", PeerHeartbeatResponse { store_ok: true, ..PeerHeartbeatResponse::default() }),
+        ("hello_answer_state_ok", PeerHeartbeatResponse { store_available: true, ..PeerHeartbeatResponse::default() }),
         (
             "hello_answer_forwards",
             PeerHeartbeatResponse { relays_heartbeats: true, ..PeerHeartbeatResponse::default() },
@@ -80,8 +80,8 @@
     assert_samples(&[("report_decision", decision)]);
 }
 
-fn type_view() -> TypeView {
-    TypeView {
+fn type_view() -> MachineTypeView {
+    MachineTypeView {
         cpus: 16.0,
         gpus: 8.0,
         memory_gb: 64.5,
@@ -95,28 +95,28 @@
 fn machine_view() -> MachineView {
     MachineView {
         key: 21,
-        kind: 22,
+        type_index: 22,
         zone: 23,
         spot: true,
         up: true,
-        ready_s: 2.5,
+        ready_in_s: 2.5,
         age_s: 3.5,
         free_cpus: 4.5,
         free_gpus: 5.5,
         free_memory_gb: 6.5,
-        images: vec![ImageView { image: 24, ready_s: 7.5 }],
+        images: vec![ImageView { image: 24, ready_in_s: 7.5 }],
         slowness: 8.5,
-        urgent_cpus: 9.5,
-        urgent_memory_gb: 10.5,
-        preemptible_cpus: 11.5,
-        preemptible_memory_gb: 12.5,
+        urgent_headroom_cpus: 9.5,
+        urgent_headroom_memory_gb: 10.5,
+        preemptible_headroom_cpus: 11.5,
+        preemptible_headroom_memory_gb: 12.5,
     }
 }
 
 #[test]
 fn machine_views_match_samples() {
     assert_samples(&[("type_view", type_view())]);
-    assert_samples(&[("image_view", ImageView { image: 24, ready_s: 7.5 })]);
+    assert_samples(&[("image_view", ImageView { image: 24, ready_in_s: 7.5 })]);
     assert_samples(&[
         ("machine_view", machine_view()),
         ("machine_view_spot", MachineView { spot: true, ..MachineView::default() }),
@@ -130,31 +130,31 @@
         team: 32,
         priority: 33,
         gang: true,
-        ready: 34,
+        ready_tasks: 34,
         tasks: 35,
         cpus: 1.5,
         gpus: 2.5,
         memory_gb: 3.5,
         image: 36,
         image_gb: 4.5,
-        types: vec![37, 38],
+        allowed_types: vec![37, 38],
         zone: Some(39),
         one_zone: true,
         spread: true,
-        spot: true,
-        new_spot: true,
+        allows_spot: true,
+        may_provision_spot: true,
         run_s: 5.5,
         due_s: Some(6.5),
         age_s: 7.5,
-        overspent: 8.5,
+        excess_cost: 8.5,
         placed: vec![ZoneCount { zone: 40, count: 41 }],
-        avoid: vec![42, 43],
+        avoided_machines: vec![42, 43],
         guaranteed: true,
         service: true,
         slo_deadline_s: Some(9.5),
         may_scale_out: true,
         missed_slos: 44,
-        dependents_s: 10.5,
+        dependents_rank_s: 10.5,
     }
 }
 
@@ -176,8 +176,8 @@
         ("job_view_gang", JobView { gang: true, ..JobView::default() }),
         ("job_view_one_zone", JobView { one_zone: true, ..JobView::default() }),
         ("job_view_spread", JobView { spread: true, ..JobView::default() }),
-        ("job_view_spot", JobView { spot: true, ..JobView::default() }),
-        ("job_view_new_spot", JobView { new_spot: true, ..JobView::default() }),
+        ("job_view_spot", JobView { allows_spot: true, ..JobView::default() }),
+        ("job_view_new_spot", JobView { may_provision_spot: true, ..JobView::default() }),
         ("job_view_guaranteed", JobView { guaranteed: true, ..JobView::default() }),
         ("job_view_service", JobView { service: true, ..JobView::default() }),
         ("job_view_may_rent", JobView { may_scale_out: true, ..JobView::default() }),
@@ -189,7 +189,7 @@
 }
 
 fn provision_offer() -> ProvisionOffer {
-    ProvisionOffer { kind: 52, zone: 53, spot: true, most: 54 }
+    ProvisionOffer { type_index: 52, zone: 53, spot: true, max_count: 54 }
 }
 
 #[test]
@@ -203,7 +203,7 @@
         jobs: vec![job_view()],
         teams: vec![team_headroom()],
         offers: vec![provision_offer()],
-        batch: 55,
+        batch_size: 55,
         budget_share: 0.25,
         spot_mu: 8.5,
         spot_sigma: 1.25,
@@ -215,9 +215,9 @@
 
 #[test]
 fn plan_output_matches_sample() {
-    let placement = Placement { job: 61, machine: 62, count: 63, extra: 1.5 };
-    let scale_out_request = ScaleOutRequest { kind: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
-    let waiting = Waiting { job: 67, count: 68, on_spot: true, finish_s: 2.5, ready_s: 3.5 };
+    let placement = Placement { job: 61, machine: 62, count: 63, excess_cost: 1.5 };
+    let scale_out_request = ScaleOutRequest { type_index: 64, zone: 65, spot: true, load: 0.75, priority: 66 };
+    let waiting = WaitingTasks { job: 67, count: 68, waits_for_spot: true, finish_s: 2.5, start_s: 3.5 };
     let output = PlanOutput {
         version: 3,
         term: 9001,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -7,39 +7,40 @@
 use wallstile::ids::{AgentEpoch, Attempt, FencingToken, SequenceNumber};
 use wallstile::net::user_api::Reply;
 use wallstile::wire::{
-    Cause, DirectOrders, Heartbeat, HeartbeatResponse, JobPhase, JobStatus, KeyValue, Kind, ListPhase, ListedMachine,
-    MachineList, MachineNames, MachineType, MachineTypes, Mutation, Order, Precondition, Priority, ProvisionRequest,
-    RangeResponse, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
+    DirectOrders, ExitCause, Heartbeat, HeartbeatResponse, JobKind, JobPhase, JobStatus, KeyValue, ListedMachine,
+    MachineList, MachineNames, MachinePhase, MachineType, MachineTypes, Mutation, Order, Precondition, Priority,
+    ProvisionRequest, RangeResponse, TaskPhase, TaskStatus, Transaction, WatchEvent, WatchResponse,
 };
 
 #[test]
 fn enum_names_match_samples() {
     let samples = Samples::wire();
-    samples.assert_round_trip("kinds", &[Kind::Array, Kind::Gang, Kind::Service]);
+    samples.assert_round_trip("kinds", &[JobKind::Array, JobKind::Gang, JobKind::Service]);
     samples.assert_round_trip("priorities", &[Priority::Prod, Priority::High, Priority::Normal, Priority::Low]);
-    let phases = [JobPhase::Queued, JobPhase::Running, JobPhase::Done, JobPhase::Aborted];
+    let phases = [JobPhase::Queued, JobPhase::Running, JobPhase::Done, JobPhase::Cancelled];
     samples.assert_round_trip("job_phases", &phases);
-    let phases = [TaskPhase::Pulling, TaskPhase::Waiting, TaskPhase::Running, TaskPhase::Flushing, TaskPhase::Exited];
+    let phases =
+        [TaskPhase::Pulling, TaskPhase::Waiting, TaskPhase::Running, TaskPhase::SavingCheckpoint, TaskPhase::Exited];
     samples.assert_round_trip("task_phases", &phases);
-    samples.assert_round_trip("list_phases", &[ListPhase::Starting, ListPhase::Running, ListPhase::Failed]);
+    samples.assert_round_trip("list_phases", &[MachinePhase::Starting, MachinePhase::Running, MachinePhase::Failed]);
     let causes = [
-        Cause::Done,
-        Cause::Halted,
-        Cause::MatesGone,
-        Cause::Alone,
-        Cause::Error,
-        Cause::NoRoom,
-        Cause::InUse,
-        Cause::Unknown,
-        Cause::Other,
+        ExitCause::Done,
+        ExitCause::Halted,
+        ExitCause::MatesGone,
+        ExitCause::Alone,
+        ExitCause::Error,
+        ExitCause::NoRoom,
+        ExitCause::InUse,
+        ExitCause::Unknown,
+        ExitCause::Other,
     ];
     samples.assert_round_trip("causes", &causes);
 }
 
 #[test]
 fn unknown_cause_of_a_later_version_is_read_as_other() {
-    let causes: Vec<Cause> = Samples::wire().read("causes_of_a_later_version");
-    assert_eq!(causes, [Cause::Other]);
+    let causes: Vec<ExitCause> = Samples::wire().read("causes_of_a_later_version");
+    assert_eq!(causes, [ExitCause::Other]);
 }
 
 // Users
@@ -87,20 +88,20 @@
         task: Some(task(3)),
         attempt: Attempt(70_000_000_001),
         phase: TaskPhase::Exited,
-        cause: Some(Cause::MatesGone),
-        kept: Some(true),
+        cause: Some(ExitCause::MatesGone),
+        progress_saved: Some(true),
     }
 }
 
 fn sparse_task() -> TaskStatus {
-    TaskStatus { phase: TaskPhase::Pulling, cause: None, kept: None, ..full_task() }
+    TaskStatus { phase: TaskPhase::Pulling, cause: None, progress_saved: None, ..full_task() }
 }
 
 fn full_heartbeat() -> Heartbeat {
     Heartbeat {
         machine: "m-000231".into(),
         endpoint: "10.1.0.7:9000".into(),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: AgentEpoch(31),
@@ -152,7 +153,7 @@
 #[test]
 fn machine_types_match_samples() {
     let samples = Samples::wire();
-    samples.assert_round_trip("machine_types", &MachineTypes { builds: vec![machine_type()] });
+    samples.assert_round_trip("machine_types", &MachineTypes { types: vec![machine_type()] });
     let minimal: MachineType = samples.read("machine_type_of_the_least_members");
     let expected =
         MachineType { gpus: 0.0, cache_gb: 0.0, fetch_gb_per_s: 1.0, boot_s: 0.0, zones: Vec::new(), ..machine_type() };
@@ -161,9 +162,10 @@
 
 #[test]
 fn provision_requests_match_samples() {
-    let request = ProvisionRequest { name: "w31-2".into(), kind: "g8".into(), zone: "a".into(), spot: true, number: 6 };
+    let request =
+        ProvisionRequest { name: "w31-2".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 6 };
     Samples::wire().assert_round_trip("rent_request", &request);
-    let names = MachineNames { plinths: vec!["m-000231".into(), "m-000232".into()] };
+    let names = MachineNames { names: vec!["m-000231".into(), "m-000232".into()] };
     Samples::wire().assert_round_trip("machine_names", &names);
 }
 
@@ -172,20 +174,20 @@
     let machine = ListedMachine {
         id: "m-000231".into(),
         endpoint: Some("10.1.0.7:9000".into()),
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        phase: ListPhase::Running,
+        phase: MachinePhase::Running,
         age_s: 62.5,
     };
     let samples = Samples::wire();
     samples.assert_round_trip("listed_machine", &machine);
     let id = "m-000232".into();
-    let starting = ListedMachine { id, endpoint: None, phase: ListPhase::Starting, age_s: 0.0, ..machine.clone() };
+    let starting = ListedMachine { id, endpoint: None, phase: MachinePhase::Starting, age_s: 0.0, ..machine.clone() };
     samples.assert_round_trip("listed_machine_starting", &starting);
     let page: MachineList = samples.read("machine_list");
     assert!(page.has_next);
-    assert_eq!(format!("{:?}", page.plinths), format!("{:?}", [machine, starting]));
+    assert_eq!(format!("{:?}", page.machines), format!("{:?}", [machine, starting]));
     assert!(!samples.read::<MachineList>("machine_list_of_the_least_members").has_next);
 }
 
