--- a/src/core/scheduler/failure_detection.rs
+++ b/src/core/scheduler/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Failure detection: expired leases, suspected machines, and the decision to retire a machine.
 //!
-//! Missing heartbeats only make a machine suspected, and a suspected machine is retired. Its tasks count as
-//! lost only once its lease has expired or the cloud has terminated it.
+//! Missing heartbeats only make a machine suspected. A suspected machine is retired: it gets no new tasks and is
+//! terminated. Its tasks count as lost only once its lease has expired or the cloud has terminated it.
 
 use super::Scheduler;
 use super::scale_in::{idle_timeout, is_termination_due, review_idleness};
@@ -14,7 +14,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Added to the lease before it counts as expired, to cover the delivery time of the response that renewed it.
+/// Time added to a worker's lease before the leader treats the lease as expired, to cover the delivery time of the
+/// response that renewed the lease.
 const LEASE_MARGIN: Millis = Millis(300);
 
 /// A machine is suspected after this fraction of a lease without a heartbeat.
@@ -24,18 +25,18 @@
 /// missing heartbeats.
 const LENIENT_SUSPICION_LEASE_FACTOR: f64 = 3.0;
 
-/// Multiple of its type's boot time within which a provisioned machine must send its first heartbeat.
+/// A provisioned machine must send its first heartbeat within this multiple of its machine type's boot time.
 const BOOT_TIMEOUT_FACTOR: f64 = 3.5;
 
-/// Lower bound of the boot timeout, in seconds.
+/// Lower bound, in seconds, of the time within which a provisioned machine must send its first heartbeat.
 const MIN_BOOT_TIMEOUT_S: f64 = 60.0;
 
-/// Where so many heartbeats are late at once that a network partition, a failed peer or a recent election is
+/// Where so many heartbeats are late at the same time that a network partition, a failed peer or a recent election is
 /// the likelier cause than failed machines.
 struct MassSuspicion {
-    /// Across all machines.
+    /// Whether too many of all machines are late.
     everywhere: bool,
-    /// Among the machines whose heartbeats arrive over these routes.
+    /// The routes over which the heartbeats of too many machines are late.
     routes: BTreeSet<Option<HeartbeatRoute>>,
 }
 
@@ -45,17 +46,17 @@
     count > 2 && count * 3 > up
 }
 
-/// Why a machine is retired.
+/// Why a machine is retired: it gets no new tasks any more and is terminated in the cloud.
 enum RetirementReason {
-    /// It was provisioned but sent no heartbeat within the boot timeout.
+    /// The machine was provisioned but sent no heartbeat within the boot timeout.
     BootTimeout,
-    /// No heartbeat of it has been accepted for this long.
+    /// No heartbeat of the machine has been accepted for this long.
     Suspected(Millis),
-    /// It doesn't acknowledge its fencing token, so responses and orders probably don't reach it.
+    /// The worker doesn't acknowledge its fencing token, so responses and orders probably don't reach it.
     Unacknowledged,
-    /// The cloud reclaims it, and no task is left on it.
+    /// The cloud reclaims the machine, and no task runs on it any more.
     Reclaimed,
-    /// It is quarantined, and no task is left on it.
+    /// The machine is quarantined, and no task runs on it any more.
     Quarantined,
 }
 
@@ -138,13 +139,14 @@
 }
 
 impl Scheduler {
-    /// Expires the leases of machines whose heartbeats nobody has answered for longer than a lease. Such a worker
-    /// has killed all its tasks (see "leases" in PROTOCOL), so they are removed as lost.
+    /// Expires the leases of machines whose heartbeats nobody has answered for longer than a lease. The worker of such
+    /// a machine has killed all its tasks (see "leases" in PROTOCOL), so these tasks are removed as lost.
     pub(super) fn expire_leases(&mut self, now: MonotonicTime) {
         let lease = self.limits.lease.plus_clock_drift() + LEASE_MARGIN;
         let mut expired = Vec::new();
         for (id, machine) in &mut self.machines.known {
-            // Other leaders or the loading leader itself may have answered until the cluster state was loaded.
+            // Until the cluster state was loaded, other leaders, or this one while loading, may have answered
+            // heartbeats that `last_heartbeat_at` doesn't show.
             let answered_at = machine.last_heartbeat_at.max(self.loaded_at);
             if now - answered_at.max(machine.agent_epoch_first_heard) <= lease {
                 continue;
@@ -228,7 +230,7 @@
         }
         let up = counts.values().map(|(up, _)| up).sum();
         let late = counts.values().map(|(_, late)| late).sum();
-        // Machines without an accepted heartbeat have no route, so they say nothing about one.
+        // Machines without an accepted heartbeat have no route, so they say nothing about any route.
         let on_route = |(route, (up, late)): (&Option<HeartbeatRoute>, &(usize, usize))| {
             (route.is_some() && is_mass_failure(*late, *up)).then_some(*route)
         };
@@ -245,8 +247,8 @@
 
     /// The machines whose heartbeats are late, and the number of machines that are expected to send heartbeats.
     pub fn suspected_machines(&self, now: MonotonicTime) -> (Vec<String>, usize) {
-        // Shorter than `heartbeat_timeout`: in a network partition little time is left to find another leader
-        // before leases expire.
+        // Shorter than `heartbeat_timeout`: in a network partition little time remains to find another leader before
+        // leases expire.
         let timeout = self.limits.heartbeat.mul_f64(1.25) + Millis(500);
         let is_expected = |machine: &Machine| machine.registration == Registration::Registered && !machine.retiring;
         let expected = || self.machines.known.iter().filter(|(_, machine)| is_expected(machine));
--- a/src/core/scheduler/heartbeats.rs
+++ b/src/core/scheduler/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Processing of worker heartbeats: validation, lease renewal, and reconciliation of the cluster state with
 //! the tasks that the worker lists.
 //!
-//! A response renews the worker's lease (see "leases" in PROTOCOL). Every reason to withhold it is therefore
+//! A response renews the worker's lease (see "leases" in PROTOCOL). Every reason to withhold the response is therefore
 //! an explicit [`HeartbeatRejection`].
 
 use super::Scheduler;
@@ -38,12 +38,13 @@
         /// Zone stated by the worker.
         zone: String,
     },
-    /// The heartbeat belongs to an agent epoch that has ended, or is a duplicate of (or older than) one that
-    /// was already accepted. No worker waits for the response, and it doesn't show that the machine is alive.
+    /// The heartbeat belongs to an agent epoch that has ended (an epoch ends when the worker loses its lease), or is a
+    /// duplicate of (or older than) one that was already accepted. No worker waits for the response, and the heartbeat
+    /// doesn't show that the machine is alive.
     #[error("duplicate heartbeat, or from an agent epoch that has ended")]
     Superseded,
-    /// The worker has not acknowledged its fencing token for longer than a lease, so responses probably don't
-    /// reach it. Without a response its lease expires, which proves that no task is left on it.
+    /// The worker has not acknowledged its fencing token for longer than a lease, so responses probably don't reach it.
+    /// Without a response the worker's lease expires, which proves that it runs no task any more.
     #[error("worker has not acknowledged its fencing token within a lease")]
     UnacknowledgedToken,
     /// More stop orders are due than fit in one message. A response without all of them would renew the
@@ -119,7 +120,7 @@
         self.respond(&id, is_newer)
     }
 
-    /// Adds a machine that was unknown until this, its first heartbeat.
+    /// Adds the machine that sent this heartbeat to the machine table, which doesn't contain it yet.
     fn add_reporting_machine(
         &mut self,
         now: MonotonicTime,
@@ -133,8 +134,8 @@
             let (kind, zone) = (heartbeat.kind.clone(), heartbeat.zone.clone());
             return Err(HeartbeatRejection::UnknownPool { kind, zone });
         };
-        // No leader has sent it orders, as a machine's record is stored before its first order. So it counts
-        // as reconciled from the start.
+        // A machine's record is stored before its first order, so no leader has sent orders to a machine without a
+        // record. Such a machine counts as reconciled (all its tasks are known) from the start.
         let machine = Machine::new(heartbeat.endpoint.clone(), kind, zone, heartbeat.spot, now);
         self.machines.known.insert(id.clone(), machine);
         Ok(())
@@ -163,8 +164,8 @@
         Ok(())
     }
 
-    /// Decides whether the response may renew the worker's lease. A heartbeat whose contents are outdated by a
-    /// later answer to orders still renews it.
+    /// Decides whether the response may renew the worker's lease. A heartbeat whose contents are outdated by a later
+    /// answer to orders still renews the lease.
     fn renew_lease(
         &mut self,
         now: MonotonicTime,
@@ -198,8 +199,8 @@
         }
         machine.outbox.retain(|order| !matches!(order, Order::Stop { .. }));
         if is_newer && machine.orders_in_flight.is_none() {
-            // Run orders are only sent directly, where the worker's answer confirms them. Clear orders may go
-            // with the response.
+            // Run orders are only sent directly, where the worker's answer confirms them. Clear orders, which delete
+            // exited tasks from the worker's list, may go with the response to a heartbeat.
             let remaining = MAX_ORDERS_PER_MESSAGE - orders.len();
             let (clears, mut rest): (Vec<Order>, Vec<Order>) =
                 machine.outbox.drain(..).partition(|order| matches!(order, Order::Clear { .. }));
@@ -283,7 +284,8 @@
                 {
                     allocation.last_task_list = machine.task_lists_applied;
                 }
-                // Done and already processed; the worker keeps it until the completion is stored.
+                // The task is done and its exit already processed. The worker keeps listing the task until its
+                // completion is in the key-value store.
                 Some(allocation)
                     if allocation.has_exited()
                         && listed.is_done()
--- a/src/core/scheduler/loading.rs
+++ b/src/core/scheduler/loading.rs
@@ -13,11 +13,11 @@
 /// The rows of the key-value store that make up the cluster state.
 #[derive(Default)]
 pub struct StoredState {
-    /// Records of live jobs.
+    /// Records of live jobs: accepted ones that have not ended.
     pub live: Vec<KeyValue>,
-    /// Chunks of completion bitmaps.
+    /// Chunks of completion bitmaps, which say which tasks of each job are done.
     pub bitmaps: Vec<KeyValue>,
-    /// Records of machines.
+    /// Records of machines: endpoint, type, zone, and whether they are spot machines.
     pub machines: Vec<KeyValue>,
     /// The shard assignment (which controller plans for which team), if it is stored.
     pub shards: Option<Value>,
@@ -43,7 +43,7 @@
     })
 }
 
-/// Why a stored row is ignored. The row is left in the store, as another version may be able to read it.
+/// Why a stored row is ignored. The row stays in the store, as another version of this program may be able to read it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RowError {
     /// The key is not that of a job.
@@ -70,14 +70,15 @@
 }
 
 impl Scheduler {
-    /// Loads the whole cluster state at once.
+    /// Loads the whole cluster state in one call. To load it piece by piece, use [`Scheduler::load_part`] and
+    /// [`Scheduler::finish_load`].
     pub fn load(&mut self, now: MonotonicTime, stored: StoredState) {
         self.load_part(now, stored);
         self.finish_load(now);
     }
 
-    /// Loads a part of the cluster state. Completion bitmaps must come after their jobs: those without a live job
-    /// are deleted. A row that can't be used is logged and ignored.
+    /// Loads a part of the cluster state. Completion bitmaps must come after their jobs: bitmaps without a live job are
+    /// deleted from the store. A row that can't be used is logged and ignored.
     pub fn load_part(&mut self, now: MonotonicTime, stored: StoredState) {
         self.meter.add_jobs(stored.live.len() + stored.bitmaps.len());
         self.meter.add_machines(stored.machines.len());
@@ -96,10 +97,11 @@
         }
     }
 
-    /// Ends the load after the last part.
+    /// Completes the loading of the cluster state; called after the last [`Scheduler::load_part`].
     pub fn finish_load(&mut self, now: MonotonicTime) {
-        // Leases count from here: until now heartbeats were answered without the cluster state
-        // (`response_before_load`), which renewed the leases of empty workers.
+        // Until now, heartbeats were answered without the cluster state (`response_before_load`), which renewed the
+        // leases of workers that run no tasks. So no worker's lease is taken to have expired until a whole lease after
+        // this time.
         self.loaded_at = now;
         info!(
             "cluster state loaded: term={} jobs={} machines={}",
@@ -142,8 +144,8 @@
         };
         let mut machine = Machine::new(record.endpoint, kind, zone, record.spot, now);
         machine.registration = Registration::Registered;
-        // Earlier leaders may have started any task on it, until the worker sends a message with a token of this
-        // term.
+        // Earlier leaders may have started any task on the machine. Its tasks are fully known only once its worker has
+        // sent a message with a token of this term or has lost its lease.
         machine.reconciled = false;
         self.machines.unreconciled.insert(machine.pool());
         self.machines.known.insert(id, machine);
--- a/src/core/scheduler/orders.rs
+++ b/src/core/scheduler/orders.rs
@@ -16,7 +16,8 @@
 /// Seconds that a stopped task gets in addition to the time that its job takes to save a checkpoint.
 const SAVE_LEEWAY_MARGIN_S: f64 = 0.5;
 
-/// On a spot notice a task is left running if it is expected to end within this fraction of the notice.
+/// When the cloud announces that it will reclaim a spot machine, a task keeps running if it is expected to end within
+/// this fraction of the announced time.
 const DRAIN_FRACTION: f64 = 0.7;
 
 impl Scheduler {
@@ -43,8 +44,9 @@
                 self.apply_heartbeat(now, &id, &heartbeat);
             }
             OrdersResult::Unknown => {
-                // The orders may still be executed at any time during this agent epoch, so the fence is raised:
-                // once the worker states the new fence in a heartbeat, it refuses them.
+                // The orders may still be executed at any time during this agent epoch, so the machine's fence (the
+                // part of its token that grows within a term) is raised: once the worker has stated the new fence in a
+                // heartbeat, it refuses these orders.
                 if machine.fence >= MAX_FENCE {
                     machine.retiring = true;
                 } else {
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Sends one machine's outbox, if it may get orders now. Heartbeats use this instead of
-    /// [`Scheduler::flush_orders`], as they are too frequent to iterate over all machines for each.
+    /// Sends one machine's outbox, if the machine may get orders now. The processing of a heartbeat calls this method
+    /// instead of [`Scheduler::flush_orders`], as heartbeats are too frequent to iterate over all machines for each.
     pub(super) fn flush_machine(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         if machine.outbox.is_empty() || machine.orders_in_flight.is_some() || machine.awaits_fence_ack || !machine.up {
@@ -141,7 +143,7 @@
     }
 }
 
-/// The task attempts that the run orders among these start, in the same sequence.
+/// The task attempts that the run orders in `orders` start, in the same sequence.
 fn runs_in(orders: &[Order]) -> Vec<TaskAttempt> {
     let run = |order: &Order| match order {
         Order::Run { task, attempt } => Some((*task, *attempt)),
@@ -163,8 +165,8 @@
     orders
 }
 
-/// Queues an order to stop a task with a grace period of `leeway_s` seconds. The allocation stays until the task is
-/// proven gone.
+/// Queues an order to stop a task with a grace period of `leeway_s` seconds. The allocation stays until it is proven
+/// that the task doesn't run any more.
 pub(super) fn stop_allocation(machine: &mut Machine, key: &TaskAttempt, leeway_s: f64) {
     let Some(allocation) = machine.allocations.get_mut(key) else { return };
     if allocation.has_exited() {
@@ -173,8 +175,8 @@
     allocation.stop_leeway_s = Some(allocation.stop_leeway_s.map_or(leeway_s, |earlier_s| earlier_s.min(leeway_s)));
     let run = Order::Run { task: key.0, attempt: key.1 };
     if let Some(position) = machine.outbox.iter().position(|order| *order == run) {
-        // The run order hasn't been sent, so it is dropped. It is marked as answered, so that the allocation is
-        // removed when the next heartbeat doesn't list the task.
+        // The run order hasn't been sent, so it is removed from the outbox. The allocation's pending run is marked as
+        // answered, so that the allocation is removed when the next heartbeat doesn't list the task.
         machine.outbox.remove(position);
         allocation.pending_run = Some(PendingRun { token: FencingToken(0), answered: true });
         return;
--- a/src/core/scheduler/outstanding_orders.rs
+++ b/src/core/scheduler/outstanding_orders.rs
@@ -6,13 +6,13 @@
 
 /// A message with orders that was sent to one worker.
 pub(super) struct SentOrders {
-    /// The machine whose worker it was sent to.
+    /// The machine whose worker the message was sent to.
     pub(super) machine: MachineId,
-    /// The task attempts that its run orders start.
+    /// The task attempts that the run orders in the message start.
     pub(super) runs: Vec<TaskAttempt>,
 }
 
-/// Sent orders whose result isn't known, by request.
+/// Sent orders whose result isn't known, by request number.
 #[derive(Default)]
 pub(super) struct OutstandingOrders {
     by_request: HashMap<RequestId, SentOrders>,
--- a/src/core/scheduler/starts.rs
+++ b/src/core/scheduler/starts.rs
@@ -24,7 +24,7 @@
         Attempt::new(self.term, self.attempts_started)
     }
 
-    /// The number of a job's image in the catalog.
+    /// The number of a job's image in the catalog, or [`UNKNOWN_IMAGE`] if the image has none.
     pub(super) fn image_number(&self, spec: &JobSpec) -> u32 {
         self.catalog.image_number(&spec.image).unwrap_or(UNKNOWN_IMAGE)
     }
@@ -34,14 +34,15 @@
         self.catalog.types[machine.kind].fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
 
-    /// Seconds until a job's image could be on a machine: the rest of a fetch in progress, or a whole fetch.
+    /// Seconds until a job's image could be on a machine: 0 if it is there, the rest of a fetch in progress, or else a
+    /// whole fetch.
     pub(super) fn image_fetch_s(&self, now: MonotonicTime, spec: &JobSpec, machine: &Machine) -> f64 {
         let remaining_s = machine.image_ready_in_s(self.image_number(spec), now);
         remaining_s.unwrap_or_else(|| spec.image_gb / self.fetch_rate(machine))
     }
 
-    /// Starts a gang on these machines. If one of them can't take its tasks any more, no task of the gang is
-    /// started.
+    /// Starts a gang on these machines. If one of the machines can't take the tasks meant for it any more, no task of
+    /// the gang is started.
     pub(super) fn start_gang(&mut self, now: MonotonicTime, job_id: &JobId, parts: &[GangPlacement]) {
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.live.get_mut(job_id) else { return };
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Records a task attempt in the cluster state and queues its run order. The record always precedes the order, so
-    /// that no task can run that isn't accounted for.
+    /// Records a task attempt in the cluster state and queues its run order. A task attempt is always recorded before
+    /// its run order is sent, so that no task can run that isn't accounted for.
     pub(super) fn start_task(
         &mut self,
         now: MonotonicTime,
--- a/src/core/scheduler/task_exit.rs
+++ b/src/core/scheduler/task_exit.rs
@@ -8,27 +8,27 @@
 use crate::wire::{Cause, Kind, Order};
 use log::{debug, info};
 
-/// A machine is quarantined for [`QUARANTINE_PERIOD`] after this many consecutive task failures that weren't
-/// their jobs' fault.
+/// A machine is quarantined (gets no new tasks) for [`QUARANTINE_PERIOD`] after this many consecutive task failures
+/// that weren't their jobs' fault.
 pub(super) const QUARANTINE_FAILURE_THRESHOLD: u32 = 2;
 
-/// How long a machine is quarantined after a first failed task.
+/// How long a machine gets no new tasks after a single failed task.
 const FIRST_FAILURE_QUARANTINE_PERIOD: Millis = Millis(10_000);
 
 /// Upper bound, in seconds, of the exponential backoff of a job that is at fault for the failures of its tasks.
 const MAX_JOB_FAILURE_BACKOFF_S: f64 = 60.0;
 
-/// How long no task of a job is started after a worker has refused one for lack of capacity.
+/// How long no task of a job is started after a worker has refused a task of the job for lack of capacity.
 const NO_ROOM_BACKOFF: Millis = Millis(500);
 
 /// How a task ended, according to its worker.
 #[derive(Clone, Copy)]
 pub(super) struct TaskExit {
-    /// `None` if the worker stated no cause.
+    /// The cause of the exit; `None` if the worker stated none.
     pub(super) cause: Option<Cause>,
     /// Run time in seconds. `None` if the run wasn't observed as a whole, so that its length is uncertain.
     pub(super) ran_s: Option<f64>,
-    /// Whether a stop had been ordered.
+    /// Whether the scheduler had ordered the worker to stop the task.
     pub(super) was_stopped: bool,
 }
 
@@ -99,7 +99,7 @@
             return;
         }
         if is_slow {
-            // The same as for repeated failures, so the machine is retired once it is empty.
+            // A slow machine is treated like one with repeated failures, so it is retired once no task runs on it.
             info!("machine {id} quarantined: its tasks run slowly, slowness={:.1}", machine.slowness);
             machine.quarantined_until = now + QUARANTINE_PERIOD;
             machine.consecutive_failures = QUARANTINE_FAILURE_THRESHOLD;
@@ -134,22 +134,24 @@
         }
     }
 
-    /// Removes all tasks of a machine, which are proven gone.
+    /// Removes all tasks of a machine, which are proven not to run there. `reclaimed` says whether they were lost with
+    /// a reclaimed spot machine.
     pub(super) fn remove_all_lost_tasks(&mut self, id: &MachineId, reclaimed: bool) {
         let Some(machine) = self.machines.known.get(id) else { return };
         let keys: Vec<TaskAttempt> = machine.allocations.keys().copied().collect();
         self.remove_lost_tasks(id, keys, reclaimed);
     }
 
-    /// Removes these task attempts from a machine, which are proven gone.
+    /// Removes task attempts from a machine that are proven not to run there. `reclaimed` says whether they were lost
+    /// with a reclaimed spot machine.
     pub(super) fn remove_lost_tasks(&mut self, id: &MachineId, keys: Vec<TaskAttempt>, reclaimed: bool) {
         for key in keys {
             self.remove_lost_task(id, &key, reclaimed);
         }
     }
 
-    /// Removes a task attempt that is proven gone, and makes the task ready again unless its worker had reported how
-    /// it ended. `reclaimed` says whether it was lost with a reclaimed spot machine.
+    /// Removes a task attempt from a machine, where it is proven not to run, and makes the task ready again unless its
+    /// worker had reported how it ended. `reclaimed` says whether the task was lost with a reclaimed spot machine.
     pub(super) fn remove_lost_task(&mut self, id: &MachineId, key: &TaskAttempt, reclaimed: bool) {
         let Some(machine) = self.machines.known.get_mut(id) else { return };
         let Some(allocation) = machine.allocations.remove(key) else { return };
@@ -168,11 +170,12 @@
         }
     }
 
-    /// Stops the remaining tasks of a gang attempt after one has ended. The gang can start again once all are gone.
+    /// Stops the remaining tasks of a gang attempt after one of them has ended. The gang can start again once no task
+    /// of it runs any more.
     pub(super) fn break_gang(&mut self, id: &JobId, attempt: Attempt) {
         let Some(job) = self.jobs.live.get_mut(id) else { return };
         if job.placed.is_empty() {
-            // No task is left of any attempt, so the gang can start again.
+            // No task of any attempt of the gang is placed any more, so the gang can start again.
             job.gang = None;
             return;
         }
--- a/src/core/scheduler/task_status.rs
+++ b/src/core/scheduler/task_status.rs
@@ -50,7 +50,8 @@
             };
             self.on_task_exited(now, id, key, exit);
         }
-        // The worker must keep a done task until its completion is stored. Any other exit may be cleared at once.
+        // The worker must keep a done task until its completion is in the key-value store. A task that exited for any
+        // other reason may be cleared from the worker's list without delay.
         let may_clear = match self.jobs.live.get(&task.job) {
             Some(job) if listed.is_done() => job.is_durably_done(task.index),
             _ => true,
@@ -89,8 +90,8 @@
             if let Some(places) = job.placed.get(&task.index)
                 && listed.phase != TaskPhase::Exited
             {
-                // One of the two heartbeats is outdated, but it isn't known which. Both places count until one
-                // is proven gone.
+                // The task is listed in two places, so one of the two heartbeats is outdated, but it isn't known which.
+                // Both places count until the task is proven not to run in one of them.
                 info!("machine {id} lists task={task} attempt={attempt}, which is also placed on {places:?}");
             }
             let spec = &job.spec;
@@ -117,7 +118,7 @@
     }
 }
 
-/// An allocation of a task about which nothing but its existence is known.
+/// An allocation of a task about which nothing is known except that the worker lists it.
 fn unknown_allocation(now: MonotonicTime) -> Allocation {
     Allocation {
         need: Resources::default(),
