--- a/src/core/scheduler/cloud_inventory.rs
+++ b/src/core/scheduler/cloud_inventory.rs
@@ -10,8 +10,8 @@
 /// Delay before a termination that the cloud refused or didn't answer is retried.
 const TERMINATION_RETRY_INTERVAL: Millis = Millis(1_000);
 
-/// How long, in addition to the list's lag, an unknown machine that the cloud lists as running may take to send
-/// its first heartbeat before it is retired.
+/// How long, in addition to the lag of the cloud's machine list, an unknown machine that the cloud lists as running may
+/// take to send its first heartbeat before it is retired.
 const FIRST_HEARTBEAT_TIMEOUT: Millis = Millis(60_000);
 
 impl Scheduler {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Retires a machine that has failed according to the cloud. Only its termination proves that no task is left
-    /// on it.
+    /// Retires a machine that has failed according to the cloud. Only the machine's termination proves that no task
+    /// runs on it any more.
     fn retire_failed_machine(&mut self, now: MonotonicTime, id: MachineId, listed: &ListedMachine) {
         if !self.machines.known.contains_key(&id) {
             let Some((kind, zone)) = self.catalog.type_and_zone_numbers(&listed.kind, &listed.zone) else { return };
--- a/src/core/scheduler/effects.rs
+++ b/src/core/scheduler/effects.rs
@@ -34,11 +34,11 @@
     /// Reads the outcomes of these jobs from the key-value store; the result goes to
     /// `Scheduler::on_outcomes_looked_up`.
     LookUpOutcomes(Vec<JobId>),
-    /// Asks a peer to plan its shard; the result goes to `Scheduler::on_plan`.
+    /// Asks a peer to plan for the teams of its shard; the result goes to `Scheduler::on_plan`.
     Plan {
         /// Name of the peer.
         node: String,
-        /// The view of the cluster state that it plans on.
+        /// The view of the cluster state that the peer plans on.
         input: Arc<PlanInput>,
     },
 }
@@ -46,7 +46,8 @@
 /// Result of an [`Effect::Orders`].
 #[derive(Clone, Debug)]
 pub enum OrdersResult {
-    /// The worker has executed the orders. Its answer has the form of a heartbeat and lists the tasks afterwards.
+    /// The worker has executed the orders. Its answer has the form of a heartbeat, and lists the worker's tasks as they
+    /// are after the orders.
     Executed(Heartbeat),
     /// The worker has refused the orders: it has executed none of them, nor will it.
     Rejected(Heartbeat),
@@ -79,7 +80,7 @@
 pub enum ProvisionOutcome {
     /// The cloud is provisioning machines with these names.
     Provisioned(Vec<String>),
-    /// The instance pool has no capacity left.
+    /// The cloud has no more capacity for the instance pool.
     NoCapacity,
     /// The cloud refused the request as invalid, so a retry would fail as well.
     Malformed,
--- a/src/core/scheduler/job_events.rs
+++ b/src/core/scheduler/job_events.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Processes the end of a job, whether or not it is live here: stops its tasks, queues the deletion of its
-    /// stored bitmap, and resolves dependencies on it.
+    /// Processes the end of a job, whether or not the job is live in this scheduler: stops its tasks, queues the
+    /// deletion of its stored bitmap, and resolves dependencies on it.
     pub fn on_job_terminated(&mut self, id: &JobId, outcome: JobOutcome) {
         let termination = self.jobs.terminate(id, outcome);
         if termination.released_dependents {
--- a/src/core/scheduler/load.rs
+++ b/src/core/scheduler/load.rs
@@ -6,8 +6,8 @@
 /// Weight of the latest tick in the moving average of the lateness.
 const LAG_WEIGHT: f64 = 0.1;
 
-/// At this average lateness of ticks, received heartbeats wait to be processed, so late heartbeats say little
-/// about machines.
+/// Average lateness of ticks in milliseconds from which received heartbeats wait to be processed, so that late
+/// heartbeats say little about machines.
 const OVERLOAD_LAG_THRESHOLD_MS: f64 = 250.0;
 
 /// Exponentially weighted moving average of the lateness of ticks.
@@ -22,7 +22,8 @@
         LoadMeter { last_tick: now, lag_ms: 0.0 }
     }
 
-    /// Records a tick, and averages in how much later than [`TICK_INTERVAL`] after the previous one it comes.
+    /// Records a tick, and updates the average with how much later than [`TICK_INTERVAL`] after the previous tick it
+    /// comes.
     pub(super) fn record_tick(&mut self, now: MonotonicTime) {
         let late_ms = (now - self.last_tick).0.saturating_sub(TICK_INTERVAL.0) as f64;
         self.last_tick = now;
--- a/src/core/scheduler/mod.rs
+++ b/src/core/scheduler/mod.rs
@@ -71,7 +71,7 @@
 use crate::wire::{MachineType, TaskPhase};
 use std::collections::BTreeMap;
 
-/// Fraction of the key-value store's write rate that the scheduler may use. The rest is left for submissions and
+/// Fraction of the key-value store's write rate that the scheduler may use. The rest is reserved for submissions and
 /// cancellations on all controllers.
 const SCHEDULER_WRITE_FRACTION: f64 = 0.6;
 
@@ -101,11 +101,11 @@
     term: Term,
     /// The value that this leader wrote to the leader's key.
     record: LeaderRecord,
-    /// The key-value store doesn't answer this controller but may answer others, which may have accepted
-    /// cancellations that aren't known here.
+    /// Whether the key-value store doesn't answer this controller. The store may answer other controllers, which may
+    /// have accepted cancellations that this one doesn't know.
     in_doubt: bool,
-    /// When loading of the cluster state finished. Any heartbeat response that didn't come from this
-    /// scheduler, and may have renewed a lease, is older.
+    /// When loading of the cluster state finished. Any heartbeat response that didn't come from this scheduler, and may
+    /// have renewed a lease, is older than that.
     loaded_at: MonotonicTime,
     catalog: Catalog,
     jobs: JobTable,
@@ -132,7 +132,7 @@
 /// Interval at which [`Scheduler::tick`] is to be called.
 pub const TICK_INTERVAL: Millis = Millis(50);
 
-/// How long a round waits for the plans of peers before the leader plans their shards itself.
+/// How long a planning round waits for the plans of peers before the leader itself plans for the teams of their shards.
 const PLAN_TIMEOUT: Millis = Millis(250);
 
 impl Scheduler {
@@ -206,7 +206,7 @@
     }
 
     /// Sets whether the state of the key-value store is in doubt. While it is, no task is started, as another
-    /// controller may have accepted a cancellation that isn't known here.
+    /// controller may have accepted a cancellation that this one doesn't know.
     pub fn set_in_doubt(&mut self, in_doubt: bool) {
         self.in_doubt = in_doubt;
     }
@@ -236,7 +236,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Numbers of done and running tasks per live job. Jobs without either are left out.
+    /// Numbers of done and running tasks per live job. Jobs with neither are omitted.
     pub fn live_job_counts(&self) -> Vec<JobCount> {
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.known.values() {
--- a/src/core/scheduler/placement_checks.rs
+++ b/src/core/scheduler/placement_checks.rs
@@ -39,16 +39,16 @@
         self.quota.fits(team, need, tasks, &self.machines.known, &self.catalog.types)
     }
 
-    /// Whether no task of the job may start because some may already run on machines that aren't reconciled. This
-    /// concerns jobs accepted before this leader's term, until all machines that could hold their tasks are
-    /// reconciled.
+    /// Whether no task of the job may start because some may already run, unknown to this leader, on machines that
+    /// aren't reconciled. This concerns jobs accepted before this leader's term, until all machines that could hold
+    /// their tasks are reconciled.
     pub(super) fn held_back(&self, job: &Job) -> bool {
         let predates_term = job.revision.0 <= self.term.0;
         predates_term && self.machines.unreconciled.iter().any(|pool| self.permits_pool(&job.spec, *pool))
     }
 
-    /// Whether the job may run on the machine's type, in its zone, and on spot if it is one, regardless of free
-    /// capacity.
+    /// Whether the job may run on the machine's type, in its zone, and on a spot machine if the machine is one,
+    /// regardless of free capacity.
     pub(super) fn permits_machine(&self, spec: &JobSpec, machine: &Machine) -> bool {
         self.permits_pool(spec, machine.pool())
     }
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -11,7 +11,7 @@
 use crate::wire::{Kind, Priority};
 use std::collections::BTreeMap;
 
-/// A placement with its keys resolved in the view that it was planned on.
+/// A placement of a plan. Its keys of a job and a machine are resolved in the planner view that the plan was made on.
 struct PlannedPlacement<'a> {
     job: &'a PlannedJob,
     view: Option<&'a JobView>,
@@ -20,8 +20,8 @@
 }
 
 impl PlannedPlacement<'_> {
-    /// Resolves a placement's keys. Returns `None` for a planner's mistake: a key outside the view, or of a machine
-    /// that has no id yet.
+    /// Resolves a placement's keys of a job and a machine. Returns `None` for a planner's mistake: a key outside the
+    /// view, or of a machine that has no id yet.
     fn resolve<'a>(view: &'a PlannerView, placement: &Placement) -> Option<PlannedPlacement<'a>> {
         Some(PlannedPlacement {
             job: view.jobs.get(placement.job as usize)?,
@@ -34,10 +34,11 @@
 
 impl Scheduler {
     /// Commits the parts of a plan that are still valid. Single tasks are started first, in the plan's order, then
-    /// gangs. After that machines are provisioned and work is preempted for the tasks that are left waiting.
+    /// gangs. After that, machines are provisioned, and tasks of other jobs are preempted for the tasks that are still
+    /// waiting.
     pub(super) fn commit_plan(&mut self, now: MonotonicTime, view: &PlannerView, plan: &PlanOutput) {
         let mut search = PreemptionSearch::new(self.machines.known.len());
-        // By the job's key in the view.
+        // The planned machines of gangs, by the gang's key in the view.
         let mut gangs: BTreeMap<u32, Vec<GangPlacement>> = BTreeMap::new();
         for placement in &plan.placements {
             let Some(planned) = PlannedPlacement::resolve(view, placement) else { continue };
@@ -63,13 +64,14 @@
             }
         }
         self.scale_out(now, &plan.scale_out);
-        // A new search, as the index of the first one is outdated by the tasks started since.
+        // A new preemption search is needed, as the tasks started above have outdated the index of the first one.
         self.preempt_for_waiting(now, view, plan, &mut PreemptionSearch::new(self.machines.known.len()));
         self.flush_orders();
     }
 
-    /// Preempts work on machines that hold the job's image, if its tasks would start too late on the planned
-    /// machine. Returns the number of tasks that capacity was reserved for.
+    /// Preempts tasks of other jobs on machines that hold the planned job's image, if the planned machine would have to
+    /// fetch the image and the job's start-time SLO would be missed by that. Returns the number of tasks that capacity
+    /// was reserved for.
     fn preempt_for_late_start(
         &mut self,
         now: MonotonicTime,
@@ -82,7 +84,7 @@
         self.preempt_in_permitted_pools(now, search, &planned.job.id, PlacementTarget::ImageHolders, planned.tasks)
     }
 
-    /// Starts up to `tasks` of a job's ready tasks on the planned machine, until one may not be placed there.
+    /// Starts up to `tasks` of a job's ready tasks on the planned machine, until one of them may not be placed there.
     fn start_planned_tasks(&mut self, now: MonotonicTime, planned: &PlannedPlacement, tasks: u32) {
         let PlannedJob { id, reclaimed_only } = planned.job;
         let Some(job) = self.jobs.live.get(id) else { return };
@@ -109,7 +111,8 @@
     }
 
     /// Whether an urgent job's start-time SLO would be missed on this machine only because the image must be fetched
-    /// first. The job could still meet it on a machine that holds the image, so work is preempted there.
+    /// first. The job could still meet the SLO on a machine that holds the image, so tasks of other jobs are preempted
+    /// there.
     pub(super) fn starts_late(
         &self,
         now: MonotonicTime,
--- a/src/core/scheduler/rounds.rs
+++ b/src/core/scheduler/rounds.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A round whose plans are not committed yet.
+/// A planning round whose plans are not committed yet.
 pub(super) struct OpenRound {
     view: PlannerView,
     plans: Vec<PlanOutput>,
@@ -34,8 +34,8 @@
         self.pending_inputs.is_empty() || now >= self.deadline
     }
 
-    /// The view and the merged plans. Planners do not know of each other's placements, which may therefore
-    /// conflict: placements of more urgent jobs come first, so that they are committed first.
+    /// The view and the merged plans. Planners do not know of each other's placements, which may therefore conflict.
+    /// Placements of more urgent jobs come first, so that they are committed before conflicting ones.
     fn into_merged_plan(self) -> (PlannerView, PlanOutput) {
         let mut plan = PlanOutput::default();
         for output in self.plans {
@@ -53,7 +53,7 @@
     }
 }
 
-/// A round starts after this time even if nothing has changed.
+/// A planning round starts this long after the start of the last one even if nothing has changed.
 const IDLE_ROUND_INTERVAL: Millis = Millis(1_000);
 
 /// State of this leader's planning rounds.
@@ -62,29 +62,29 @@
     requested: bool,
     /// When the last round started.
     last_started: MonotonicTime,
-    /// Number of rounds started.
+    /// Number of planning rounds that this leader has started.
     count: u64,
     /// The round that is being planned.
     open: Option<OpenRound>,
 }
 
 impl Rounds {
-    /// No round has started, and the first one is requested.
+    /// Creates the state in which no planning round has started and the first one is requested.
     pub(super) fn new(now: MonotonicTime) -> Rounds {
         Rounds { requested: true, last_started: now, count: 0, open: None }
     }
 
-    /// Requests a round, as something that planning depends on has changed.
+    /// Requests a planning round, as something that planning depends on has changed.
     pub(super) fn request(&mut self) {
         self.requested = true;
     }
 
-    /// Number of rounds started, which is also the number of the last round.
+    /// Number of planning rounds that this leader has started, which is also the number of the last round.
     pub(super) fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether a round should start: none is open, the last one started at least `interval` ago, and one was
+    /// Whether a planning round should start: none is open, the last one started at least `interval` ago, and one was
     /// requested since or [`IDLE_ROUND_INTERVAL`] has passed.
     pub(super) fn is_due(&self, now: MonotonicTime, interval: Millis) -> bool {
         let since_last = now - self.last_started;
@@ -106,11 +106,12 @@
 }
 
 impl Scheduler {
-    /// Starts a round: sends each controller the jobs of its shard's teams, and plans the leader's own share.
+    /// Starts a planning round: sends each peer the jobs of its shard's teams, and plans for the jobs of the leader's
+    /// own shard.
     pub(super) fn start_round(&mut self, now: MonotonicTime, wall: WallTime) {
         self.rounds.begin(now);
-        // Done before the view is taken, as the round would otherwise place other work on the capacity that these
-        // gangs wait for.
+        // Capacity for large gangs is reserved before the view is taken, as the round would otherwise place tasks of
+        // other jobs on the capacity that these gangs wait for.
         self.reserve_for_large_gangs(now, wall);
         self.update_inherited_constraints(wall);
         let view = self.planner_view(now, wall);
@@ -143,7 +144,8 @@
     }
 
     /// Handles a peer's reply to a plan request. A plan for another round, term or message version is dropped. `plan`
-    /// is `None` if the request failed; the round then stops waiting for all peers.
+    /// is `None` if the request failed; the round then waits for no peer any longer, and the leader plans for all that
+    /// have not replied.
     pub fn on_plan(&mut self, now: MonotonicTime, node: &str, plan: Option<PlanOutput>) {
         let Some(round) = &mut self.rounds.open else { return };
         match plan {
--- a/src/core/scheduler/spot_lives.rs
+++ b/src/core/scheduler/spot_lives.rs
@@ -1,9 +1,9 @@
 //! Estimate of how long spot machines live before the cloud reclaims them.
 
-/// Number of observations that the configured median counts as.
+/// Weight of the configured median lifetime in the estimate, as a number of observed reclamations.
 const PRIOR_WEIGHT: f64 = 20.0;
 
-/// Observations beyond this number don't lower the weight of the next one any further, so the estimate keeps
+/// Reclamations observed beyond this number don't lower the weight of the next one any further, so the estimate keeps
 /// adapting.
 const MAX_OBSERVATIONS: f64 = 200.0;
 
--- a/src/core/scheduler/ticks.rs
+++ b/src/core/scheduler/ticks.rs
@@ -3,10 +3,11 @@
 use super::Scheduler;
 use crate::time::{Millis, MonotonicTime, WallTime};
 
-/// Upper bound of the interval between two rounds in milliseconds, however late ticks come.
+/// Upper bound, in milliseconds, of the interval between two planning rounds, however late ticks come.
 const MAX_ROUND_INTERVAL_MS: f64 = 1_500.0;
 
-/// Milliseconds by which each millisecond of lag lengthens the interval between two rounds.
+/// Milliseconds by which each millisecond of the ticks' average lateness lengthens the interval between two planning
+/// rounds.
 const ROUND_INTERVAL_PER_LAG: f64 = 6.0;
 
 impl Scheduler {
@@ -19,8 +20,8 @@
         }
         self.look_up_dependencies(now);
         self.send_writes(now, wall);
-        // Rounds are most of the scheduler's work. When ticks come late, rounds are spaced further apart, and
-        // each covers more changes.
+        // Planning rounds take most of the scheduler's processor time. When ticks come late, rounds are spaced further
+        // apart, and each covers more changes.
         let interval_ms = self.tuning.round_ms + ROUND_INTERVAL_PER_LAG * self.load.lag_ms();
         let interval = Millis(interval_ms.min(MAX_ROUND_INTERVAL_MS) as u64);
         self.rebalance_shards(now);
--- a/src/core/scheduler/writes.rs
+++ b/src/core/scheduler/writes.rs
@@ -1,8 +1,9 @@
 //! Writes to the key-value store. Pending changes are collected from the cluster state and sent, the most urgent
 //! first, within the leader's share of the store's write rate.
 //!
-//! Every transaction is conditional on the fence revision. So a delayed write, of an earlier leader or of this one
-//! from before the fence revision was refreshed, can't overwrite newer ones.
+//! Every transaction is conditional on the fence revision: the latest revision of the leader's key that this leader
+//! wrote. So a delayed write, of an earlier leader or of this one from before a refresh of the fence revision, can't
+//! overwrite newer values.
 
 mod queue;
 mod results;
@@ -20,13 +21,13 @@
 use fixedbitset::FixedBitSet;
 use log::warn;
 
-/// Fraction of the leader's write rate that completion bitmaps may use.
+/// Fraction of the leader's write rate that may be used for completion bitmaps (which tasks of a job are done).
 const BITMAP_RATE_SHARE: f64 = 0.4;
 
 /// Minimum interval between two writes of completion bitmaps, in seconds.
 const MIN_BITMAP_INTERVAL_S: f64 = 1.5;
 
-/// Maximum number of orphaned bitmap chunks deleted in one transaction.
+/// Maximum number of completion bitmap chunks of ended jobs that are deleted in one transaction.
 const MAX_BITMAPS_DELETED_AT_ONCE: usize = 4;
 
 impl Scheduler {
@@ -60,8 +61,8 @@
         self.effects.push(Effect::Commit { request, transaction });
     }
 
-    /// Rewrites the leader's key under the same store lease. Its new revision becomes the fence revision of all later
-    /// writes.
+    /// Rewrites the leader's key under the same store lease. The key's new revision becomes the fence revision, on
+    /// which all later writes are conditional.
     fn refresh_fence(&mut self) {
         if !self.writes.start_fence_refresh() {
             return;
@@ -153,8 +154,9 @@
         }
     }
 
-    /// Stores which tasks are done, so that workers may forget them. The interval grows with the number of changed
-    /// jobs, to stay within the rate for bitmaps. Returns `false` if nothing was due.
+    /// Stores which tasks are done, so that workers may forget them. The interval between two writes grows with the
+    /// number of jobs whose done tasks have changed, to stay within the rate for bitmaps. Returns `false` if nothing
+    /// was due.
     fn write_completion_bitmaps(&mut self, now: MonotonicTime) -> bool {
         let jobs = self.jobs.iter();
         let changed: Vec<JobId> = jobs.filter(|(_, job)| job.has_unsaved_bitmap()).map(|(id, _)| *id).collect();
@@ -169,9 +171,9 @@
         true
     }
 
-    /// Starts the bitmap writes of as many of these jobs as fit in a transaction. Returns for each what will be durably
-    /// done, and the mutations that store the changed chunks. If the first job alone has too many chunks, only the
-    /// first ones of it are written.
+    /// Starts the bitmap writes of as many of these jobs as fit in a transaction. Returns for each of them the tasks
+    /// that will be durably done, and the mutations that store the changed chunks. If the first job alone has too many
+    /// changed chunks, only the first of that job's changed chunks are written.
     fn start_bitmap_writes(&mut self, changed: Vec<JobId>) -> (Vec<(JobId, FixedBitSet)>, Vec<Mutation>) {
         let max_mutations = self.limits.txn_ops.min(self.writes.whole_tokens());
         let mut mutations = Vec::new();
@@ -198,7 +200,8 @@
         (bitmaps, mutations)
     }
 
-    /// Stores the shard assignment if it has changed. Returns `false` if nothing was written.
+    /// Stores the shard assignment (which controller plans for which team) if it has changed. Returns `false` if
+    /// nothing was written.
     fn write_shards(&mut self) -> bool {
         if !self.writes.shards_unsaved() || !self.writes.has_spare_rate() {
             return false;
@@ -206,7 +209,7 @@
         self.writes.set_shards_saved();
         let value = serde_json::json!(self.shards.to_record(self.quota.team_names()));
         if value.to_string().len() > self.limits.value_bytes {
-            // Without the record the next leader only has to move teams again, so it is not essential.
+            // Without a stored assignment the next leader only has to move teams again, so the write is not essential.
             warn!("shard assignment not stored, exceeds the maximum size of a value: key={SHARDS_KEY}");
             return false;
         }
--- a/src/core/scheduler/writes/queue.rs
+++ b/src/core/scheduler/writes/queue.rs
@@ -40,7 +40,8 @@
     DeleteBitmaps(Vec<String>),
 }
 
-/// State of the refresh of the fence revision.
+/// State of the refresh of the fence revision: the rewrite of the leader's key that makes earlier unanswered writes
+/// fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FenceRefresh {
     Idle,
@@ -51,19 +52,19 @@
 /// A transaction whose result isn't known yet.
 struct PendingWrite {
     purpose: WritePurpose,
-    /// The fence revision on which it is conditional.
+    /// The fence revision on which the transaction is conditional.
     fence_revision: Revision,
 }
 
 /// Writes in flight and pending, with their rate limit and fence revision.
 ///
-/// After a commit without an answer no other may be sent until [`WriteQueue::on_fence_refreshed`] has received a
-/// newer fence revision. The caller must check [`WriteQueue::may_send`] and
-/// [`WriteQueue::needs_fence_refresh`] before each commit.
+/// After a commit without an answer no other commit may be sent until [`WriteQueue::on_fence_refreshed`] has received a
+/// newer fence revision. The caller must check [`WriteQueue::may_send`] and [`WriteQueue::needs_fence_refresh`] before
+/// each commit.
 pub(in crate::core::scheduler) struct WriteQueue {
-    /// The revision of the leader's key on which all writes are conditional. It equals the term until a write goes
-    /// unanswered. The store could still apply such a write at any time and overwrite newer values. So the leader's
-    /// key is rewritten, which makes every write that is conditional on its older revision fail.
+    /// The revision of the leader's key on which all writes are conditional. The revision equals the term until a write
+    /// goes unanswered. The store could still apply such a write at any time and overwrite newer values. So the
+    /// leader's key is rewritten, which makes every write that is conditional on the key's older revision fail.
     fence_revision: Revision,
     fence_refresh: FenceRefresh,
     in_flight: HashMap<RequestId, PendingWrite>,
@@ -79,7 +80,7 @@
     tokens: f64,
     last_refill: MonotonicTime,
     last_bitmap_write: MonotonicTime,
-    /// Nothing is sent before this time, because a write has failed.
+    /// No transaction is sent before this time, as the store has refused one or left it unanswered.
     backoff_until: MonotonicTime,
 }
 
@@ -121,7 +122,7 @@
         self.in_flight.values().any(|write| purpose(&write.purpose))
     }
 
-    /// Adds the tokens for the time since the last refill.
+    /// Adds the tokens of the rate limit for the time since the last refill, up to those of one second.
     pub(super) fn refill(&mut self, now: MonotonicTime) {
         let elapsed_s = (now - self.last_refill).as_secs_f64();
         self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate);
@@ -138,8 +139,8 @@
         self.in_flight.len() < MAX_COMMITS_IN_FLIGHT
     }
 
-    /// Whether the rate limit allows this many mutations now. A transaction may nevertheless have more, which makes
-    /// the number of tokens negative and so delays the next ones.
+    /// Whether the rate limit allows this many mutations now. A transaction may nevertheless have more mutations, which
+    /// makes the number of tokens negative and so delays the next transactions.
     pub(super) fn has_tokens(&self, mutations: f64) -> bool {
         self.tokens >= mutations
     }
@@ -160,10 +161,12 @@
         self.in_flight.insert(request, PendingWrite { purpose, fence_revision: self.fence_revision });
     }
 
-    /// Processes the result of a transaction and returns its purpose, or `None` if it isn't in flight.
+    /// Processes the result of a transaction and returns the transaction's purpose. Returns `None` if no such
+    /// transaction is in flight.
     ///
-    /// A write that the store refused or left unanswered starts a backoff. A write that was left unanswered, or
-    /// whose fence precondition failed, makes a refresh due if it used the current fence revision.
+    /// A write that the store refused or left unanswered starts a backoff. A write that was left unanswered, or whose
+    /// fence precondition failed, makes a refresh of the fence revision due, unless the revision was refreshed since
+    /// the write was sent or is being refreshed.
     pub(super) fn finish(
         &mut self,
         now: MonotonicTime,
@@ -188,8 +191,8 @@
         self.fence_refresh != FenceRefresh::Idle
     }
 
-    /// Starts the refresh of the fence revision. Returns `false` if none is due, it is already in flight, or the rate
-    /// limit doesn't allow it yet.
+    /// Starts the refresh of the fence revision. Returns `false` if no refresh is due, one is already in flight, or the
+    /// rate limit doesn't allow it yet.
     pub(super) fn start_fence_refresh(&mut self) -> bool {
         if self.fence_refresh != FenceRefresh::Due || !self.has_tokens(1.0) {
             return false;
@@ -199,8 +202,9 @@
         true
     }
 
-    /// Processes the result of a refresh: the new revision of the leader's key. Without one, or with one that isn't
-    /// newer, the refresh is due again after a backoff. Returns whether commits may be sent again.
+    /// Processes the result of a refresh of the fence revision. `revision` is the new revision of the leader's key; if
+    /// it is `None` or not newer than the fence revision, the refresh is due again after a backoff. Returns whether
+    /// commits may be sent again.
     pub(super) fn on_fence_refreshed(&mut self, now: MonotonicTime, revision: Option<Revision>) -> bool {
         match revision.filter(|revision| *revision > self.fence_revision) {
             Some(revision) => {
@@ -239,13 +243,13 @@
         self.orphaned_bitmaps.extend(keys);
     }
 
-    /// Removes the first keys of bitmap chunks to delete from the queue, at most `limit`, and returns them.
+    /// Takes the first keys, at most `limit`, from the queue of bitmap chunks that have to be deleted.
     pub(super) fn take_orphaned_bitmaps(&mut self, limit: usize) -> Vec<String> {
         let count = self.orphaned_bitmaps.len().min(limit);
         self.orphaned_bitmaps.drain(..count).collect()
     }
 
-    /// Whether the deletion of bitmap chunks is queued.
+    /// Whether any bitmap chunk is queued for deletion.
     pub(super) fn has_orphaned_bitmaps(&self) -> bool {
         !self.orphaned_bitmaps.is_empty()
     }
--- a/src/core/scheduler/writes/results.rs
+++ b/src/core/scheduler/writes/results.rs
@@ -12,7 +12,7 @@
 
 impl Scheduler {
     /// Processes the result of an [`Effect::RefreshFence`](crate::core::scheduler::Effect::RefreshFence): the new
-    /// revision of the leader's key, or `None` if it isn't known or the key is no longer this leader's.
+    /// revision of the leader's key, or `None` if that revision isn't known or the key is no longer this leader's.
     pub fn on_fence_refreshed(&mut self, now: MonotonicTime, revision: Option<Revision>) {
         if self.writes.on_fence_refreshed(now, revision) {
             debug!("fence revision refreshed: revision={}", self.writes.fence_revision());
@@ -43,7 +43,8 @@
             if let Some(machine) = self.machines.known.get_mut(&id) {
                 machine.registration = if committed { Registration::Registered } else { Registration::Unregistered };
             } else if *result != CommitOutcome::Rejected {
-                // The machine was terminated in the meantime, and its record is stored or may still be.
+                // The machine was terminated in the meantime, but its record is in the store or may yet be written
+                // there, so the record must be deleted.
                 self.writes.queue_machine_deletion(id);
             }
         }
@@ -53,7 +54,7 @@
     }
 
     fn on_completion_bitmaps_written(&mut self, jobs: Vec<(JobId, FixedBitSet)>, committed: bool) {
-        // Clear orders for the newly stored tasks are queued when workers list them again.
+        // Clear orders for tasks whose completion is now in the store are queued when workers list the tasks again.
         for (id, durably_done) in jobs {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.finish_bitmap_write(committed.then_some(durably_done));
@@ -85,8 +86,8 @@
                     self.on_job_terminated(id, JobOutcome::Cancelled);
                 }
             }
-            // The jobs whose precondition failed have already ended. Their outcome isn't known here, as the watch
-            // only reports that they ended.
+            // The jobs whose precondition failed have already ended. Their outcome isn't known to this leader, as the
+            // watch only reports that they ended.
             CommitOutcome::Conflict(failed) => {
                 for id in ids.iter().filter(|id| failed.contains(&live_key(id))) {
                     self.on_job_terminated(id, JobOutcome::Unknown);
