--- a/src/core/scheduler/eviction.rs
+++ b/src/core/scheduler/eviction.rs
@@ -1,4 +1,4 @@
-//! Chooses which tasks of a machine to stop for a task of another job, and estimates the work lost by that.
+//! Chooses which tasks of a machine to stop for a task of another job, and estimates the processor time lost by that.
 
 use super::Scheduler;
 use crate::core::jobs::Job;
@@ -11,23 +11,26 @@
 use log::debug;
 use std::cmp::Reverse;
 
-/// Loss for each second that fetching the image would take, in processor seconds.
+/// Processor seconds that count as lost for each second that the machine would take to fetch the image of the task to
+/// be placed. Machines that hold the image are preferred by that.
 const IMAGE_FETCH_LOSS_PER_SECOND: f64 = 20.0;
-/// Loss for placing a service replica without GPUs on a GPU machine: more than any loss on another machine.
+/// Processor seconds that count as lost if a service replica without GPUs is placed on a GPU machine: more than any
+/// loss on another machine.
 const GPU_MACHINE_LOSS: f64 = 1e6;
-/// Loss for placing such a replica beyond the machine's headroom, in capacity that is kept free for GPU jobs.
+/// Processor seconds that count as lost if a service replica without GPUs is placed in capacity of a GPU machine that
+/// is kept free for GPU jobs.
 const GPU_JOB_CAPACITY_LOSS: f64 = 1e9;
 
-/// The machines on which work may be preempted for a task.
+/// The machines on which other tasks may be preempted for a task.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum PlacementTarget {
-    /// Any that the job permits.
+    /// Any machine that the job permits.
     Anywhere,
-    /// Those that the job permits and that hold its image.
+    /// Machines that the job permits and that hold its image.
     ImageHolders,
 }
 
-/// The job that other work is preempted for.
+/// The job that tasks of other jobs are preempted for.
 #[derive(Clone, Copy)]
 pub(super) struct Preemptor<'a> {
     pub(super) id: &'a JobId,
@@ -35,7 +38,7 @@
     pub(super) target: PlacementTarget,
 }
 
-/// Tasks to be stopped on a machine, and the cost of this in processor seconds.
+/// Tasks to be stopped on a machine, and the estimated loss in processor seconds that stopping them causes.
 #[derive(Default)]
 pub(super) struct Eviction {
     pub(super) victims: Vec<TaskAttempt>,
@@ -141,8 +144,8 @@
         let Preemptor { id, job, target } = preemptor;
         let guaranteed = self.quota.is_within_guarantee(id);
         let may_be_stopped = |(key, allocation): &(&TaskAttempt, &Allocation)| {
-            // A job within its team's guarantee may preempt work of equal priority that another team runs beyond
-            // its own guarantee.
+            // A job within its team's guarantee may preempt tasks of equal priority that another team runs beyond its
+            // own guarantee.
             let over_guarantee = allocation.team != Some(job.team) && !self.quota.is_within_guarantee(&key.0.job);
             let outranked = allocation.priority > job.priority()
                 || guaranteed && allocation.priority == job.priority() && over_guarantee;
--- a/src/core/scheduler/gang_reservations.rs
+++ b/src/core/scheduler/gang_reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations for whole gangs: a gang starts only where all of its tasks have capacity at once.
+//! Reservations for whole gangs: a gang starts only when all of its tasks have capacity at the same time.
 
 use super::Scheduler;
 use super::eviction::PlacementTarget;
@@ -22,9 +22,9 @@
 /// What to do with free capacity that is not enough for a whole gang.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum PartialCapacity {
-    /// Leave it to other work.
+    /// Leave the capacity to other jobs.
     Release,
-    /// Reserve it, so that more can be gathered later.
+    /// Reserve the capacity, so that more can be gathered later.
     Reserve,
 }
 
@@ -40,11 +40,12 @@
 /// Capacity for a gang in one [`GangZone`], counted in tasks of the gang.
 #[derive(Default)]
 struct GangCapacity {
-    /// By machine, the tasks that fit into its free capacity now.
+    /// By machine, how many of the gang's tasks fit into the machine's free capacity now.
     free: Vec<(MachineId, u32)>,
-    /// The tasks that would fit if work of lower priority were stopped.
+    /// How many of the gang's tasks would fit on the machines if tasks of lower priority were stopped, including those
+    /// that fit into free capacity.
     reclaimable: u32,
-    /// The tasks that would fit if the machines were empty.
+    /// How many of the gang's tasks would fit if the machines were empty.
     total: u32,
 }
 
@@ -65,10 +66,10 @@
 }
 
 impl Scheduler {
-    /// Gathers capacity for large gangs that have waited long: otherwise smaller work would take every machine that
-    /// becomes free, and the largest gangs would never start. Free capacity is reserved, for one gang at a time and
-    /// the largest first, as new work cannot use what is reserved. Work of lower priority is preempted once that
-    /// and the free capacity together are enough for the whole gang.
+    /// Gathers capacity for large gangs that have waited long: otherwise smaller jobs would take every machine that
+    /// becomes free, and the largest gangs would never start. Free capacity is reserved, for one gang at a time and the
+    /// largest first, as no other job can use reserved capacity. Tasks of lower priority are preempted once their
+    /// capacity and the free capacity together are enough for the whole gang.
     pub(super) fn reserve_for_large_gangs(&mut self, now: MonotonicTime, wall: WallTime) {
         // Of each class only gangs of at least half the size of the largest: smaller ones find capacity anyway.
         let mut largest: BTreeMap<&str, u32> = BTreeMap::new();
@@ -108,8 +109,8 @@
             && wall.seconds_since(job.startable_at) >= self.tuning.gang_reservation_wait_s
     }
 
-    /// Reserves capacity for a gang. Returns false if its team's limit does not permit the gang, or if no zone could
-    /// hold it: with all machines empty or, with [`PartialCapacity::Release`], after preemption.
+    /// Reserves capacity for a gang. Returns `false` if its team's limit does not permit the gang, or if no zone could
+    /// hold the whole gang: even with all machines empty or, with [`PartialCapacity::Release`], even after preemption.
     pub(super) fn reserve_for_gang(
         &mut self,
         now: MonotonicTime,
@@ -187,8 +188,8 @@
         zones
     }
 
-    /// Replaces a gang's reservations by reservations of the free capacity. Returns the number of tasks that capacity
-    /// was reserved for.
+    /// Replaces a gang's reservations by reservations of the free capacity that was found for it. Returns the number of
+    /// tasks that capacity was reserved for.
     fn reserve_free_capacity(
         &mut self,
         now: MonotonicTime,
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -17,7 +17,8 @@
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The batch size is the number of ready tasks divided by this, within `batch_min` and `batch_max` of the tuning.
+/// The batch size (the maximum number of tasks that a planner places in one round on machines that are up) is the
+/// number of ready tasks divided by this, within `batch_min` and `batch_max` of the tuning.
 const BATCHES_PER_BACKLOG: u32 = 4;
 /// Limit on the number of machines in one provisioning offer.
 const MAX_MACHINES_PER_OFFER: u32 = 50;
@@ -34,13 +35,14 @@
 /// The job that a key of the view refers to.
 pub(super) struct PlannedJob {
     pub(super) id: JobId,
-    /// The key covers only the job's tasks whose spot machines were reclaimed.
+    /// Whether the key covers only those tasks of the job whose spot machines were reclaimed.
     pub(super) reclaimed_only: bool,
 }
 
 impl Scheduler {
-    /// Builds the view of a new round. Also updates the state that is computed once a round: pools with
-    /// unreconciled machines, lendable GPU machines, quota usage and the jobs within their team's guarantee.
+    /// Builds the view of a new planning round. Also updates the state that is computed once a round: pools with
+    /// unreconciled machines, GPU machines that may be filled with tasks without GPUs, quota usage, and the jobs within
+    /// their team's guarantee.
     pub(super) fn planner_view(&mut self, now: MonotonicTime, wall: WallTime) -> PlannerView {
         self.meter.add_jobs(self.jobs.live.len());
         self.meter.add_machines(self.machines.known.len());
@@ -57,7 +59,7 @@
         let context =
             JobContext { now, wall, plannable: &plannable, keys: &keys, backlog_s: self.backlog_s(machines.cpus_up) };
         let (job_views, jobs) = self.job_views(&context);
-        // The batch grows with the load.
+        // With more ready tasks, planners may place more tasks in one round.
         let ready: u32 = job_views.iter().map(|job| job.ready).sum();
         let batch = (ready / BATCHES_PER_BACKLOG).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
         let input = PlanInput {
@@ -110,7 +112,7 @@
         if cpus_up > 0.0 { cpu_seconds / cpus_up } else { f64::INFINITY }
     }
 
-    /// The instance pools that machines may be requested from now.
+    /// The instance pools from which machines may be requested at this time.
     fn offers(&self, now: MonotonicTime) -> Vec<ProvisionOffer> {
         let mut offers = Vec::new();
         for (kind, machine_type) in self.catalog.types.iter().enumerate() {
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -10,9 +10,10 @@
 use crate::wire::{JobSpec, Kind, Priority};
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs of normal and low priority cause scaling out only if the backlog would take longer than this.
+/// Jobs of normal and low priority cause scaling out only if the machines that are up would need more than this many
+/// seconds to run all startable tasks.
 const SCALE_OUT_BACKLOG_S: f64 = 8.0;
-/// Lower bound on the expected run time of a task.
+/// Lower bound on the expected run time of a task, in seconds.
 const MIN_RUN_S: f64 = 0.1;
 /// Index that stands for an unknown machine type or zone.
 const UNKNOWN_INDEX: u32 = u32::MAX;
@@ -32,15 +33,16 @@
 /// How many tasks of a job may be placed.
 struct ReadyTasks {
     all: u32,
-    /// Those of them whose spot machines were reclaimed.
+    /// How many of these tasks were on spot machines that the cloud has reclaimed.
     reclaimed: u32,
 }
 
 /// A job's deadlines, in seconds from now.
 struct JobDeadlines {
-    /// The earliest of its own deadline, the one that follows from its start-time SLO, and its inherited deadline.
+    /// The earliest of the job's own deadline, the one that follows from its start-time SLO, and the one that it
+    /// inherits from its dependents. `None` if it has none of them.
     due_s: Option<f64>,
-    /// The earliest SLO deadline that can still be met.
+    /// The earliest SLO deadline that can still be met; `None` if there is none.
     slo_deadline_s: Option<f64>,
     /// Number of SLO deadlines that can no longer be met.
     missed: u32,
@@ -72,7 +74,7 @@
         (views, planned)
     }
 
-    /// The tasks of a job that may be placed now; `None` if there are none.
+    /// How many tasks of a job may be placed now. Returns `None` if there are none.
     fn ready_tasks(&self, id: &JobId, job: &Job) -> Option<ReadyTasks> {
         let gang = job.spec.kind == Kind::Gang;
         if gang && (job.gang.is_some() || !job.placed.is_empty()) {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Indices of the machine types that a job is restricted to; empty if it may use any. If none of them is
+    /// Indices of the machine types that a job is restricted to; empty if it may use any. If none of these types is
     /// known, the result is [`UNKNOWN_INDEX`], which matches no machine.
     fn allowed_types(&self, spec: &JobSpec) -> Vec<u32> {
         let Some(names) = &spec.types else { return Vec::new() };
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -7,22 +7,22 @@
 use crate::peer::{ImageView, MachineView};
 use crate::time::MonotonicTime;
 
-/// Machine ages are rounded down to a multiple of this.
+/// Machine ages in a planner view are rounded down to a multiple of this many seconds.
 const AGE_GRANULARITY_S: f64 = 30.0;
-/// Machine slowness is rounded to steps of one over this.
+/// Machine slowness in a planner view is rounded to a multiple of one divided by this number.
 const SLOWNESS_STEPS: f64 = 4.0;
-/// Expected time until a machine that is up but not registered can get its first order.
+/// Expected seconds until a machine that is up but whose record is not stored yet can get its first order.
 const REGISTRATION_DELAY_S: f64 = 0.3;
-/// Lower bound on the expected remaining boot time, also of a machine whose boot is overdue.
+/// Lower bound, in seconds, on the expected remaining boot time, also of a machine whose boot is overdue.
 const MIN_REMAINING_BOOT_S: f64 = 3.0;
 
 /// The machines of a view that is being built.
 #[derive(Default)]
 pub(super) struct MachineViews {
     pub(super) views: Vec<MachineView>,
-    /// By key; `None` for a machine that has been requested from the cloud and has no id yet.
+    /// The machines' ids by key; `None` for a machine that has been requested from the cloud and has no id yet.
     pub(super) ids: Vec<Option<MachineId>>,
-    /// Processors of all schedulable machines, including those without free capacity.
+    /// Total number of processors of all schedulable machines, including those without free capacity.
     pub(super) cpus_up: f64,
 }
 
@@ -41,9 +41,9 @@
 /// State of a machine that can take tasks now or soon.
 #[derive(Clone, Copy, PartialEq)]
 enum Readiness {
-    /// May get new tasks now.
+    /// The machine may get new tasks now.
     Schedulable,
-    /// Up, but its record is not stored yet.
+    /// The machine is up, but its record is not in the key-value store yet.
     Registering,
     Booting,
 }
@@ -114,7 +114,7 @@
             free_gpus: free.gpus,
             free_memory_gb: free.memory_gb,
             images: machine.images.iter().map(image).collect(),
-            // Rounded, so that machines with a small difference compare as equal.
+            // The slowness is rounded, so that machines with a small difference compare as equal.
             slowness: (machine.slowness * SLOWNESS_STEPS).round().max(1.0) / SLOWNESS_STEPS,
             urgent_cpus: urgent.cpus,
             urgent_memory_gb: urgent.memory_gb,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Adds the machines requested from the cloud.
+    /// Adds the machines that have been requested from the cloud, whose ids are not known yet.
     pub(super) fn add_requested_machines(&self, machines: &mut MachineViews) {
         for request in self.provisioner.requests() {
             let machine_type = &self.catalog.types[request.pool.kind];
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -2,23 +2,23 @@
 
 use crate::peer::{JobView, MachineView, PlanInput};
 
-/// The work that a machine is assigned for.
+/// The kind of tasks that a machine is assigned to a partition for.
 #[derive(Clone, Copy)]
 enum Work {
     WithoutGpus,
     WithGpus,
 }
 
-/// Assigns each machine that is not up to one partition: to the one with the most demand per machine that it has
-/// been assigned.
+/// Assigns each machine that is not up to one partition (the input of one planner): to the partition with the most
+/// demand per machine assigned to it so far.
 struct MachineAssigner {
-    /// Processors that the tasks without GPUs of each partition need.
+    /// Total processors that the ready tasks without GPUs need, by partition.
     cpu_demand: Vec<f64>,
-    /// GPUs that the tasks of each partition need.
+    /// Total GPUs that the ready tasks need, by partition.
     gpu_demand: Vec<f64>,
-    /// One more than the machines assigned to each partition for work without GPUs.
+    /// Number of machines assigned for tasks without GPUs plus one, by partition.
     assigned_for_cpus: Vec<f64>,
-    /// One more than the machines assigned to each partition for work with GPUs.
+    /// Number of machines assigned for tasks with GPUs plus one, by partition.
     assigned_for_gpus: Vec<f64>,
 }
 
@@ -36,12 +36,14 @@
         }
     }
 
-    /// The work that a machine is assigned for: a GPU machine is for work without GPUs if no task needs GPUs.
+    /// The kind of tasks that a machine is assigned for: a GPU machine is assigned for tasks without GPUs if no task
+    /// needs GPUs.
     fn work_for(&self, has_gpus: bool) -> Work {
         if has_gpus && self.gpu_demand.iter().any(|gpus| *gpus > 0.0) { Work::WithGpus } else { Work::WithoutGpus }
     }
 
-    /// Chooses the partition that gets the next machine for this kind of work; `None` if there are no partitions.
+    /// Chooses the partition that gets the next machine for this kind of tasks. Returns `None` if there are no
+    /// partitions.
     fn next_partition(&mut self, work: Work) -> Option<usize> {
         let (demand, assigned) = match work {
             Work::WithoutGpus => (&self.cpu_demand, &mut self.assigned_for_cpus),
@@ -54,7 +56,7 @@
     }
 }
 
-/// Splits a round's view into partitions, given the keys of the jobs of each.
+/// Splits the view of a planning round into partitions, one for each planner, given the keys of each partition's jobs.
 ///
 /// Every partition contains all machines that are up, each in a different order, so that planners choose different
 /// machines among equally good ones. Each machine that is not up is in one partition only: if all planners counted
@@ -76,7 +78,7 @@
     partitions
 }
 
-/// The partition with these jobs, without machines.
+/// Creates a partition with these jobs and without machines.
 fn partition_with_jobs(input: &PlanInput, keys: &[u32]) -> PlanInput {
     let jobs: Vec<JobView> = keys.iter().filter_map(|key| input.jobs.get(*key as usize)).cloned().collect();
     let teams = input.teams.iter().filter(|team| jobs.iter().any(|job| job.team == team.team)).cloned().collect();
--- a/src/core/scheduler/preemption.rs
+++ b/src/core/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: stops tasks of lower priority for waiting tasks that would otherwise start too late.
+//! Preemption: stops less urgent tasks for waiting tasks that would otherwise start too late.
 
 use super::Scheduler;
 use super::eviction::{PlacementTarget, Preemptor};
@@ -16,16 +16,16 @@
 use log::debug;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Limit on the tasks of one job that other work is preempted for in one round.
+/// Limit on the tasks of one job that tasks of other jobs are preempted for in one planning round.
 const MAX_TASKS_PER_PREEMPTOR: u32 = 64;
-/// Limit on the machines whose tasks are examined for one job in one round. In a larger fleet the rounds start at
-/// different machines, so that all are examined in turn.
+/// Limit on the machines whose tasks are examined for one job in one planning round. In a larger fleet the rounds start
+/// at different machines, so that all are examined in turn.
 const MAX_EXAMINED_MACHINES: usize = 256;
-/// Limit on all reservations, per machine of the fleet.
+/// Limit on the number of reservations of capacity, per machine of the fleet.
 const MAX_RESERVATIONS_PER_MACHINE: usize = 2;
-/// Reservations allowed in a fleet of any size, in addition to those per machine.
+/// Number of reservations allowed in a fleet of any size, in addition to those per machine.
 const MIN_RESERVATIONS: usize = 1_024;
-/// A job without a deadline is treated as due at this many times its expected finish.
+/// A job without a deadline is treated as due after this many times the time until its expected finish.
 const DEFAULT_DEADLINE_FACTOR: f64 = 2.0;
 
 /// A request to free capacity for tasks of a job.
@@ -37,19 +37,19 @@
     pub(super) pools: BTreeSet<InstancePool>,
 }
 
-/// A waiting job that other work may be preempted for in this round.
+/// A waiting job that tasks of other jobs may be preempted for in this planning round.
 struct QueuedPreemptor {
     id: JobId,
     /// Priority number, and whether the job is beyond its team's guarantee. The lowest value is the most urgent.
     urgency: (u32, bool),
-    /// The round in which capacity was last searched for it.
+    /// The last planning round in which capacity for the job was searched for.
     last_searched_round: u64,
     tasks: u32,
 }
 
 impl Scheduler {
-    /// Preempts work for the tasks that the plan could not place on a machine that is up, within the search's
-    /// budget. Also ends waits for spot machines that are no longer worthwhile.
+    /// Preempts tasks of other jobs for the tasks that the plan could not place on a machine that is up, within the
+    /// search's operation budget. Also ends waits for spot machines that are no longer worthwhile.
     pub(super) fn preempt_for_waiting(
         &mut self,
         now: MonotonicTime,
@@ -58,8 +58,8 @@
         search: &mut PreemptionSearch,
     ) {
         let mut preemptors = self.waiting_preemptors(now, view, plan);
-        // The most urgent first; among equally urgent ones, the one searched for longest ago, so that jobs
-        // which the budget does not cover come first in the next round.
+        // The most urgent jobs come first; among equally urgent ones, the job for which capacity was searched for
+        // longest ago, so that jobs which the budget does not cover come first in the next round.
         preemptors.sort_by_key(|preemptor| (preemptor.urgency, preemptor.last_searched_round));
         let mut preemptors: VecDeque<QueuedPreemptor> = preemptors.into();
         while !search.budget.is_mostly_spent()
@@ -67,8 +67,8 @@
         {
             self.preempt_for(now, &preemptor, search);
         }
-        // The rest of the budget is shared regardless of urgency, so that urgent jobs whose searches find nothing
-        // do not starve the others.
+        // The rest of the operation budget is shared regardless of urgency, so that urgent jobs whose searches find
+        // nothing do not starve the others.
         preemptors.make_contiguous().sort_by_key(|preemptor| preemptor.last_searched_round);
         while !search.budget.is_spent()
             && let Some(preemptor) = preemptors.pop_front()
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The waiting jobs of a plan that may preempt other work. Also reviews whether each should keep waiting for
-    /// spot machines.
+    /// The waiting jobs of a plan that may preempt tasks of other jobs. Also reviews whether each should keep waiting
+    /// for spot machines.
     fn waiting_preemptors(
         &mut self,
         now: MonotonicTime,
@@ -104,8 +104,8 @@
         preemptors
     }
 
-    /// Stops provisioning spot machines for a job once its slack is less than its wait for one so far plus the
-    /// configured window (eq. 8 of the paper that [`crate::core::placement`] follows).
+    /// Stops provisioning spot machines for a job once the job's slack is less than its wait for a spot machine so far
+    /// plus the configured window (eq. 8 of the paper that [`crate::core::placement`] follows).
     fn review_spot_wait(&mut self, now: MonotonicTime, id: &JobId, view: &JobView, waiting: &Waiting) {
         let window_s = self.tuning.spot_window_s;
         let Some(job) = self.jobs.live.get_mut(id) else { return };
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Whether a waiting job may preempt other work.
+    /// Whether a waiting job may preempt tasks of other jobs: it is of at least high priority or within its team's
+    /// guarantee, and needs preemption to meet its start-time SLO, if it has one.
     fn may_preempt(&self, id: &JobId, view: &JobView, waiting: &Waiting) -> bool {
         let urgent = view.priority <= priority_number(Priority::High) || view.guaranteed;
         // A job that is expected to meet its start-time SLO without preemption does not preempt.
@@ -135,7 +136,8 @@
         let Some(job) = self.jobs.live.get_mut(&preemptor.id) else { return };
         job.last_preemption_search_round = self.rounds.count();
         if job.spec.kind == Kind::Gang {
-            // A gang cannot start in part, so work is preempted only if that frees capacity for all its tasks.
+            // A gang cannot start in part, so tasks of other jobs are preempted only if that frees capacity for all
+            // tasks of the gang.
             self.reserve_for_gang(now, search, &preemptor.id, PartialCapacity::Release);
         } else {
             let (id, tasks) = (&preemptor.id, preemptor.tasks);
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Calls [`Scheduler::preempt_tasks`] for all instance pools that the job permits.
+    /// Calls [`Scheduler::preempt_tasks`] for all instance pools that the job permits. Returns the number of tasks that
+    /// capacity was reserved for.
     pub(super) fn preempt_in_permitted_pools(
         &mut self,
         now: MonotonicTime,
@@ -157,8 +160,8 @@
         self.preempt_tasks(now, search, &PreemptionRequest { job: *id, target, tasks, pools })
     }
 
-    /// Stops work of lower priority where that frees capacity for tasks of a job, and reserves the capacity.
-    /// Returns the number of tasks that capacity was reserved for.
+    /// Stops less urgent tasks where that frees capacity for tasks of a job, and reserves the capacity. Returns the
+    /// number of tasks that capacity was reserved for.
     pub(super) fn preempt_tasks(
         &mut self,
         now: MonotonicTime,
@@ -178,7 +181,8 @@
             let preemptor = Preemptor { id, job, target: request.target };
             let Some(eviction) = self.eviction_for(now, preemptor, &machine, &zones) else { continue };
             if candidates.has_better_than(eviction.loss) {
-                // The loss has grown since the machine was queued, as its tasks or reservations have changed.
+                // The loss that stopping tasks on the machine would cause has grown since the machine was queued, as
+                // its tasks or reservations have changed.
                 candidates.push(eviction.loss, position);
                 continue;
             }
@@ -200,8 +204,8 @@
         self.reservations.len() >= MIN_RESERVATIONS + MAX_RESERVATIONS_PER_MACHINE * self.machines.known.len()
     }
 
-    /// The machines where stopping work frees capacity for a task of the job. At most [`MAX_EXAMINED_MACHINES`]
-    /// are examined, starting at a different one in each round; for a gang, all are.
+    /// The machines where stopping tasks frees capacity for a task of the job. At most [`MAX_EXAMINED_MACHINES`] are
+    /// examined, starting at a different one in each round; for a gang, all are.
     fn candidates_for(
         &self,
         now: MonotonicTime,
--- a/src/core/scheduler/preemption_index.rs
+++ b/src/core/scheduler/preemption_index.rs
@@ -1,5 +1,5 @@
-//! An index of the resources that preemption could free on each machine, by priority. It is built once for many
-//! jobs: checking a machine for a job takes a few comparisons, and its tasks are examined only if it may have
+//! An index of the resources that preemption could free on each machine, by priority. It is built once for many jobs:
+//! checking a machine for a job takes a few comparisons, and the machine's tasks are examined only if it may have
 //! enough capacity.
 
 use super::Scheduler;
@@ -11,20 +11,21 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Number of priorities; [`priority_number`] is below it.
+/// Number of job priorities; [`priority_number`] returns numbers below this one.
 const PRIORITIES: usize = 4;
-/// Operation budget of one search, per machine of the fleet.
+/// Number of operations that one search for tasks to preempt may perform, per machine of the fleet.
 const SEARCH_OPERATIONS_PER_MACHINE: u64 = 32;
-/// Operation budget of one search in a fleet of any size, in addition to that per machine.
+/// Number of operations that one search for tasks to preempt may perform in a fleet of any size, in addition to those
+/// per machine.
 const MIN_SEARCH_OPERATIONS: u64 = 16_384;
 
-/// The urgency of work that may preempt other work.
+/// How urgent a job is, which decides whose tasks it may preempt.
 #[derive(Clone, Copy)]
 pub(super) struct Urgency {
-    /// As given by [`priority_number`]; the lowest is the most urgent.
+    /// The job's priority as given by [`priority_number`]; the lowest number is the most urgent.
     pub(super) priority: usize,
-    /// Whether the work is within its team's guarantee, so that it may also preempt work of the same priority that is
-    /// beyond a guarantee.
+    /// Whether the job is within its team's guarantee, so that it may also preempt tasks of the same priority that are
+    /// beyond their team's guarantee.
     pub(super) guaranteed: bool,
 }
 
@@ -32,16 +33,17 @@
 pub(super) struct IndexedMachine {
     pub(super) id: MachineId,
     pub(super) pool: InstancePool,
-    /// Neither used nor reserved.
+    /// Resources of the machine that are neither used nor reserved.
     pub(super) free: Resources,
-    /// By priority, what would be free without the tasks of lower priority and the tasks already being stopped.
+    /// By priority of a preempting job, the resources that would be free without the machine's tasks of lower priority
+    /// and without those that are already being stopped.
     reclaimable: [Resources; PRIORITIES],
-    /// By priority, what its tasks that are beyond their team's guarantee use.
+    /// By priority, the resources that the machine's tasks beyond their team's guarantee use.
     over_guarantee: [Resources; PRIORITIES],
 }
 
 impl IndexedMachine {
-    /// Upper bound on what could become free for work of this urgency.
+    /// Upper bound on the resources of the machine that could become free for a job of this urgency.
     pub(super) fn reclaimable_by(&self, urgency: Urgency) -> Resources {
         let mut reclaimable = self.reclaimable[urgency.priority];
         if urgency.guaranteed {
@@ -51,7 +53,8 @@
     }
 }
 
-/// By priority, an upper bound on what preemption could free on any single machine of an instance pool.
+/// By priority of a preempting job, an upper bound on the resources that preemption could free on any single machine of
+/// an instance pool.
 #[derive(Default)]
 struct PoolReclaimable {
     for_any: [Resources; PRIORITIES],
@@ -118,17 +121,18 @@
         OperationBudget { total, left: total }
     }
 
-    /// Deducts the operations of a part of the search.
+    /// Deducts operations that the search has performed from its budget.
     pub(super) fn spend(&mut self, operations: u64) {
         self.left = self.left.saturating_sub(operations);
     }
 
-    /// Whether no operations are left.
+    /// Whether the search has used up its budget.
     pub(super) fn is_spent(&self) -> bool {
         self.left == 0
     }
 
-    /// Whether only the last quarter is left, which goes to the jobs that were searched for longest ago.
+    /// Whether less than a quarter of the search's budget remains. The last quarter goes to the jobs for which capacity
+    /// was searched for longest ago.
     pub(super) fn is_mostly_spent(&self) -> bool {
         self.left < self.total / 4
     }
@@ -147,7 +151,7 @@
         PreemptionSearch { index: None, budget: OperationBudget::new(machines) }
     }
 
-    /// The index, built on first use.
+    /// The preemption index, which is built on first use.
     pub(super) fn index(&mut self, scheduler: &Scheduler, now: MonotonicTime) -> &PreemptionIndex {
         self.index.get_or_insert_with(|| scheduler.build_preemption_index(now))
     }
@@ -164,7 +168,7 @@
     }
 }
 
-/// A machine where stopping work frees capacity. Ordered by the loss that this causes, then by machine id.
+/// A machine where stopping tasks frees capacity. Ordered by the loss that stopping them causes, then by machine id.
 #[derive(Clone, Copy, PartialEq)]
 struct PreemptionCandidate {
     loss: f64,
@@ -191,7 +195,7 @@
 pub(super) struct PreemptionCandidates(BinaryHeap<Reverse<PreemptionCandidate>>);
 
 impl PreemptionCandidates {
-    /// Adds the machine at a position of the index.
+    /// Adds the machine at a position of the index, where stopping tasks causes this loss in processor seconds.
     pub(super) fn push(&mut self, loss: f64, position: usize) {
         self.0.push(Reverse(PreemptionCandidate { loss, position }));
     }
@@ -201,7 +205,7 @@
         self.0.pop().map(|Reverse(candidate)| candidate.position)
     }
 
-    /// Whether some machine causes less loss than this.
+    /// Whether stopping tasks on some candidate machine causes less loss than this one.
     pub(super) fn has_better_than(&self, loss: f64) -> bool {
         self.0.peek().is_some_and(|Reverse(candidate)| candidate.loss < loss)
     }
@@ -226,7 +230,7 @@
         let mut over_guarantee = [Resources::default(); PRIORITIES];
         for (key, allocation) in machine.allocations.iter().filter(|(_, allocation)| !allocation.has_exited()) {
             let priority = priority_number(allocation.priority) as usize;
-            // Resources of tasks that are being stopped will soon be free for work of any priority.
+            // Resources of tasks that are being stopped will soon be free for jobs of any priority.
             let available_below = if allocation.stop_leeway_s.is_some() { PRIORITIES } else { priority };
             reclaimable[..available_below].iter_mut().for_each(|reclaimable| reclaimable.add(&allocation.need));
             if allocation.stop_leeway_s.is_none() && !self.quota.is_within_guarantee(&key.0.job) {
@@ -236,7 +240,7 @@
         Some(IndexedMachine { id: id.clone(), pool: machine.pool(), free, reclaimable, over_guarantee })
     }
 
-    /// How urgent a job's work is.
+    /// The priority of a job, and whether it is within its team's guarantee.
     pub(super) fn urgency(&self, id: &JobId, job: &Job) -> Urgency {
         Urgency { priority: priority_number(job.priority()) as usize, guaranteed: self.quota.is_within_guarantee(id) }
     }
--- a/src/core/scheduler/reservations.rs
+++ b/src/core/scheduler/reservations.rs
@@ -1,6 +1,6 @@
-//! Reservations of machine capacity for tasks of a job: capacity that work is being preempted for, or that a gang
-//! gathers until it has enough for all its tasks. Without a reservation, other work would take the capacity as soon
-//! as it is free, and would be preempted in turn.
+//! Reservations of machine capacity for tasks of a job: capacity that preemption frees for them, or that a gang gathers
+//! until it has enough for all its tasks. Without a reservation, tasks of other jobs would take the capacity as soon as
+//! it is free, and would be preempted in turn.
 
 use super::Scheduler;
 use crate::core::machine::{Machine, Resources};
@@ -12,13 +12,13 @@
 
 /// A reservation that is neither used nor renewed expires after this time.
 const RESERVATION_TTL: Millis = Millis(4_000);
-/// Limit on the reservations that one tick tries to use.
+/// Limit on the reservations for which one scheduler tick tries to start tasks.
 const MAX_RESERVATIONS_PER_TICK: usize = 2_048;
 
 /// Sequence number of a reservation. Reservations expire in the order in which they were made.
 type ReservationNumber = u64;
 
-/// Capacity reserved for one task.
+/// Capacity of a machine that is reserved for one task of a job.
 pub(super) struct Reservation {
     pub(super) machine: MachineId,
     pub(super) job: JobId,
@@ -33,7 +33,7 @@
     by_machine: BTreeMap<MachineId, BTreeSet<ReservationNumber>>,
     by_job: BTreeMap<JobId, BTreeSet<ReservationNumber>>,
     last_number: ReservationNumber,
-    /// The last job whose reservations a tick tried to use; the next tick starts after it.
+    /// The last job whose reservations a scheduler tick tried to use; the next tick starts after it.
     last_tried_job: Option<JobId>,
 }
 
@@ -70,8 +70,8 @@
         numbers.into_iter().flatten().filter_map(|number| self.by_number.get(number))
     }
 
-    /// Jobs with reservations, in the order of their ids, starting after `last` and wrapping around, until they
-    /// have `limit` reservations together. At least one job, if any has reservations.
+    /// Jobs with reservations, in the order of their ids, starting after `last` and wrapping around, until they have
+    /// `limit` reservations together. Returns at least one job if any has reservations.
     fn jobs_after(&self, last: Option<JobId>, limit: usize) -> Vec<JobId> {
         let from = last.map_or(Bound::Unbounded, Bound::Excluded);
         let later = self.by_job.range((from, Bound::Unbounded));
@@ -144,9 +144,9 @@
 /// Result of trying to use a job's reservations.
 #[derive(Clone, Copy, PartialEq)]
 enum ReservationUse {
-    /// The job no longer needs any of them.
+    /// The job no longer needs any of its reservations.
     Done,
-    /// The job keeps the remaining ones.
+    /// The job keeps its remaining reservations.
     Pending,
 }
 
