--- a/src/core/scheduler/catalog.rs
+++ b/src/core/scheduler/catalog.rs
@@ -4,7 +4,7 @@
 use crate::wire::MachineType;
 use std::collections::HashMap;
 
-/// Numbers of machine types, zones and images. They do not change during a leader's term.
+/// Numbers of machine types, zones and images. A number, once assigned, does not change during a leader's term.
 pub(super) struct Catalog {
     /// Machine types, by number.
     pub(super) types: Vec<MachineType>,
@@ -15,12 +15,12 @@
 }
 
 impl Catalog {
-    /// A catalog of these types and zones, without images.
+    /// Creates a catalog of these types and zones, without images.
     pub(super) fn new(types: Vec<MachineType>, zones: Vec<String>) -> Catalog {
         Catalog { types, zones, images: HashMap::new() }
     }
 
-    /// The numbers of a machine type and a zone; `None` if either is unknown.
+    /// The numbers of the machine type and the zone with these names. Returns `None` if either is unknown.
     pub(super) fn type_and_zone_numbers(&self, kind: &str, zone: &str) -> Option<(usize, u32)> {
         let kind = self.types.iter().position(|machine_type| machine_type.name == kind)?;
         let zone = self.zones.iter().position(|known| known == zone)?;
@@ -40,18 +40,18 @@
         self.types.len() - before
     }
 
-    /// The number of an image; `None` if none has been assigned.
+    /// The number of the image with this name. Returns `None` if no number has been assigned.
     pub(super) fn image_number(&self, image: &str) -> Option<u32> {
         self.images.get(image).copied()
     }
 
-    /// The number of an image, which is assigned if it has none.
+    /// The number of the image with this name. If the image has none, the next number is assigned.
     pub(super) fn assign_image_number(&mut self, image: &str) -> u32 {
         let next = self.images.len() as u32;
         *self.images.entry(image.to_string()).or_insert(next)
     }
 
-    /// Whether both numbers of a pool are known.
+    /// Whether the machine type and the zone of an instance pool are known.
     pub(super) fn has_pool(&self, pool: InstancePool) -> bool {
         pool.kind < self.types.len() && (pool.zone as usize) < self.zones.len()
     }
--- a/src/core/scheduler/consolidation.rs
+++ b/src/core/scheduler/consolidation.rs
@@ -9,18 +9,21 @@
 use crate::wire::Kind;
 use log::info;
 
-/// Minimum time between two searches for a replica to move. Each search moves at most one.
+/// Minimum time between two searches for a service replica to move to another machine. Each search moves at most one
+/// replica.
 const REPLICA_MOVE_INTERVAL: Millis = Millis(1_000);
-/// Replicas are only moved off machines whose utilization is below this.
+/// Service replicas are only moved off machines whose utilization (0 to 1) is below this.
 const MAX_SOURCE_UTILIZATION: f64 = 0.5;
-/// Operation budget of one search, per machine of the fleet. The next search continues where this one stopped.
+/// Limit on the machines that one search for a replica to move examines, per machine of the fleet; a machine counts
+/// each time that it is examined. A search that reaches the limit is continued by the next one.
 const OPERATIONS_PER_MACHINE: usize = 64;
-/// Operation budget of one search in a fleet of any size, in addition to that per machine.
+/// Limit on the machines that one search for a replica to move examines in a fleet of any size, in addition to those
+/// per machine.
 const MIN_OPERATIONS: usize = 16_384;
-/// Stands in for a processor or memory capacity below this, to avoid division by zero.
+/// Lower bound of a machine's number of processors and of its memory in GB, to avoid division by zero.
 const MIN_CAPACITY: f64 = 0.1;
 
-/// A machine with work on it, and its utilization.
+/// A machine with active tasks, and its utilization.
 struct LoadedMachine<'a> {
     id: &'a MachineId,
     machine: &'a Machine,
@@ -45,16 +48,16 @@
     sources_tried: usize,
 }
 
-/// State of the consolidation between searches.
+/// State of the consolidation of service replicas between two searches for a replica to move.
 pub(super) struct Consolidation {
     next_move_at: MonotonicTime,
-    /// Number of source machines that the next search skips, as the ones before it ran out of budget after trying
-    /// them.
+    /// Number of source machines that the next search skips, as the previous searches tried these machines in vain and
+    /// ran out of budget.
     sources_tried: usize,
 }
 
 impl Consolidation {
-    /// The first search may start now.
+    /// Creates the state in which the first search for a replica to move may start at `now`.
     pub(super) fn new(now: MonotonicTime) -> Consolidation {
         Consolidation { next_move_at: now, sources_tried: 0 }
     }
@@ -86,7 +89,7 @@
             |machine: &Machine| machine.is_schedulable(now, heartbeat_timeout) && machine.has_active_tasks();
         let machines = self.machines.known.iter().filter(|(_, machine)| is_loaded(machine));
         let mut loaded: Vec<LoadedMachine> = machines.map(|(id, machine)| self.loaded_machine(id, machine)).collect();
-        // Highest utilization first.
+        // Machines with the highest utilization come first.
         loaded.sort_by(|a, b| b.utilization.total_cmp(&a.utilization).then(b.id.cmp(a.id)));
         let mut sources: Vec<&LoadedMachine> =
             loaded.iter().filter(|source| self.is_consolidation_source(source)).collect();
--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -9,8 +9,8 @@
 use crate::wire::JobSpec;
 
 impl Scheduler {
-    /// Recomputes the inherited constraints of all jobs, and updates the priority of the allocations of jobs whose
-    /// priority has changed.
+    /// Recomputes the constraints that jobs inherit from their dependents, and updates the priority of the allocations
+    /// of jobs whose priority has changed.
     pub(super) fn update_inherited_constraints(&mut self, wall: WallTime) {
         let inherited = self.jobs.inherited(|job| self.job_timing(wall, job));
         for id in self.jobs.set_inherited(inherited) {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Mean image fetch rate of the machine types that a job permits, in GB per second. 1 if there is no such type or
-    /// the mean is zero.
+    /// Mean image fetch rate of the machine types that a job permits, in GB per second. Returns 1 if there is no such
+    /// type or the mean is zero.
     fn mean_fetch_rate(&self, spec: &JobSpec) -> f64 {
         let types = self.catalog.types.iter().filter(|machine_type| submissions::is_eligible_type(spec, machine_type));
         let rates = types.map(|machine_type| machine_type.fetch_gb_per_s);
--- a/src/core/scheduler/gpu_demand.rs
+++ b/src/core/scheduler/gpu_demand.rs
@@ -1,9 +1,10 @@
-//! Tracks the recent GPU demand of jobs, from which follows how many GPU machines work without GPUs may fill.
+//! Tracks the recent GPU demand of jobs, which determines how many GPU machines may be filled with tasks that need no
+//! GPUs.
 
 use crate::time::MonotonicTime;
 
-/// Time over which a past peak of the GPU demand decays: about one run of the work without GPUs that could use the
-/// GPU machines in the meantime.
+/// Seconds over which a past peak of the GPU demand decays: about the run time of the tasks without GPUs that could use
+/// the GPU machines in the meantime.
 const DEMAND_DECAY_S: f64 = 15.0;
 
 /// A peak value that decays towards the latest measurement.
@@ -11,8 +12,8 @@
 struct DecayingPeak(f64);
 
 impl DecayingPeak {
-    /// Adds a measurement: moves the value the fraction `decay` of the way down to it, or up to it if it is higher.
-    /// Returns the new value.
+    /// Adds a measurement: moves the value down by the fraction `decay` of the way to the measurement, or up to the
+    /// measurement if that is higher. Returns the new value.
     fn update(&mut self, measured: f64, decay: f64) -> f64 {
         self.0 = measured.max(self.0 + (measured - self.0) * decay);
         self.0
@@ -26,15 +27,15 @@
     updated_at: MonotonicTime,
 }
 
-/// GPUs beyond recent demand.
+/// Installed GPUs beyond recent demand.
 pub(super) struct SpareGpus {
     by_zone: Vec<f64>,
-    /// Sum of the zones minus the GPUs that tasks wait for, which may be in any zone.
+    /// Spare GPUs of all zones together, minus the GPUs that tasks recently waited for, which may be in any zone.
     total: f64,
 }
 
 impl GpuDemand {
-    /// State without any past demand.
+    /// Creates the state without any past demand.
     pub(super) fn new(zones: usize, now: MonotonicTime) -> GpuDemand {
         GpuDemand { in_use: vec![DecayingPeak::default(); zones], waiting: DecayingPeak::default(), updated_at: now }
     }
@@ -60,7 +61,7 @@
 }
 
 impl SpareGpus {
-    /// Takes this many GPUs of a zone. Returns false, and takes none, if fewer are spare.
+    /// Takes this many spare GPUs of a zone. Returns `false`, and takes none, if fewer are spare.
     pub(super) fn take(&mut self, zone: u32, gpus: f64) -> bool {
         let left = &mut self.by_zone[zone as usize];
         if left.min(self.total) < gpus {
--- a/src/core/scheduler/gpu_lending.rs
+++ b/src/core/scheduler/gpu_lending.rs
@@ -1,5 +1,5 @@
-//! GPU lending: decides which GPU machines may be filled with work without GPUs, and how much capacity has to be left
-//! for GPU jobs on the others.
+//! GPU lending: decides which GPU machines may be filled with tasks that need no GPUs, and how much capacity has to be
+//! kept free for GPU jobs on the others.
 
 use super::Scheduler;
 use super::gpu_demand::GpuDemand;
@@ -13,12 +13,13 @@
 /// Tolerance for rounding errors in sums of fractional resources.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What GPU jobs need on GPU machines, and which GPU machines are lent to other work.
+/// What GPU jobs need on GPU machines, and which GPU machines are lendable: tasks that need no GPUs may fill them.
 pub(super) struct GpuLending {
     /// By machine type, the most processors and the most memory that a task of a GPU job permitted there needs.
     pub(super) gpu_job_needs: Vec<Resources>,
     demand: GpuDemand,
-    /// GPU machines that work without GPUs may fill completely, as of the last round.
+    /// Ids of the GPU machines that may be filled completely with tasks that need no GPUs, as of the last planning
+    /// round.
     pub(super) lendable: BTreeSet<MachineId>,
 }
 
@@ -31,7 +32,7 @@
 }
 
 impl GpuLending {
-    /// State without any known GPU job and without lendable machines.
+    /// Creates the state in which no GPU job is known, and no GPU machine may be filled with tasks that need no GPUs.
     pub(super) fn new(types: usize, zones: usize, now: MonotonicTime) -> GpuLending {
         GpuLending {
             gpu_job_needs: vec![Resources::default(); types],
@@ -40,15 +41,15 @@
         }
     }
 
-    /// Whether work without GPUs may fill the machine completely, as of the last round.
+    /// Whether tasks that need no GPUs may fill the machine completely, as of the last planning round.
     pub(super) fn is_lendable(&self, id: &MachineId) -> bool {
         self.lendable.contains(id)
     }
 
-    /// Chooses the GPU machines that work without GPUs may fill completely: in each zone as many as recent GPU demand
-    /// leaves, starting with the machines that already run the most of such work. If any GPU machine could be filled as
-    /// soon as it is free, the next GPU job would preempt that work, which would then restart from the beginning each
-    /// time.
+    /// Chooses the GPU machines that tasks without GPUs may fill completely: in each zone as many as recent GPU demand
+    /// does not need, starting with the machines on which such tasks already use the most processors. If any GPU
+    /// machine could be filled as soon as it is free, the next GPU job would preempt these tasks, which would then
+    /// restart from the beginning each time.
     ///
     /// `waiting_gpus` is the number of GPUs that all startable tasks need.
     fn update_lendable(
@@ -78,8 +79,8 @@
         self.lendable = lendable.map(|idle| idle.id.clone()).collect();
     }
 
-    /// Resources that work of high priority without GPUs may still take on a GPU machine. The largest need of a GPU
-    /// job is always left, as GPU jobs do not preempt such work.
+    /// Resources of a GPU machine that tasks of high priority without GPUs may still take. The largest need of a GPU
+    /// job is always kept free, as GPU jobs do not preempt such tasks.
     pub(super) fn urgent_headroom(&self, machine: &Machine, machine_type: &MachineType) -> Resources {
         let mut headroom = Resources::of_type(machine_type);
         headroom.sub(&self.gpu_job_needs[machine.kind]);
@@ -90,8 +91,9 @@
         headroom
     }
 
-    /// Resources that work of lower priority without GPUs, which GPU jobs may preempt, may still take on a GPU
-    /// machine. Unless the machine is lendable or runs GPU work, the largest need of a GPU job is left.
+    /// Resources of a GPU machine that tasks of lower priority without GPUs may still take. GPU jobs may preempt such
+    /// tasks. The largest need of a GPU job is kept free, unless the machine runs a GPU task or is lendable, which
+    /// means that tasks without GPUs may fill it.
     pub(super) fn preemptible_headroom(
         &self,
         machine: &Machine,
@@ -107,9 +109,9 @@
         headroom
     }
 
-    /// Whether a task of the job takes no capacity of the machine that is kept free for GPU jobs, or is of a service,
-    /// which may take it. Planners keep to the headrooms, but as they plan independently, several of them may use the
-    /// same remaining capacity.
+    /// Whether a task of the job takes no capacity of the machine that is kept free for GPU jobs, or belongs to a
+    /// service, which may take such capacity. Planners keep to this limit, but as they plan independently, several of
+    /// them may use the same remaining capacity.
     pub(super) fn fits_headroom(
         &self,
         job: &Job,
@@ -131,8 +133,8 @@
 }
 
 impl Scheduler {
-    /// Updates the GPU machines that work without GPUs may fill completely, given the jobs with tasks that may
-    /// be placed now.
+    /// Updates which GPU machines may be filled completely with tasks that need no GPUs, given the jobs with tasks that
+    /// may be placed now.
     pub(super) fn update_lendable_gpu_machines(&mut self, now: MonotonicTime, plannable: &BTreeSet<JobId>) {
         let jobs = plannable.iter().filter_map(|id| self.jobs.live.get(id));
         let waiting_gpus: f64 = jobs.map(|job| job.startable_tasks() as f64 * job.spec.gpus).sum();
--- a/src/core/scheduler/job_table.rs
+++ b/src/core/scheduler/job_table.rs
@@ -8,26 +8,26 @@
 use crate::wire::JobSpec;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Limit on the ended jobs that are remembered, so that late messages about them are ignored.
+/// Limit on the ended jobs whose ids are kept, so that late messages about these jobs are ignored.
 const MAX_RECENTLY_TERMINATED: usize = 1024;
 
-/// Limit on the jobs in one lookup in the key-value store.
+/// Limit on the jobs whose outcomes are read in one lookup in the key-value store.
 const MAX_LOOKUPS: usize = 16;
 
-/// Delay until the next lookup after one that found nothing.
+/// Delay until the next lookup of job outcomes after one that found no ended job.
 const LOOKUP_RETRY_INTERVAL: Millis = Millis(500);
 
 /// The live jobs and their dependencies.
 ///
 /// The dependency graph holds the dependencies of exactly the live jobs. A job that has ended is not inserted again
-/// while it is remembered.
+/// while it is among the last [`MAX_RECENTLY_TERMINATED`] ended jobs.
 pub(super) struct JobTable {
     /// The live jobs by id. Only [`JobTable::insert`] adds jobs and only [`JobTable::terminate`] removes them.
     pub(super) live: BTreeMap<JobId, Job>,
     dependencies: DependencyGraph,
-    /// A lookup of the outcomes of dependencies is in flight.
+    /// Whether a lookup of the outcomes of dependencies is in flight.
     lookup_in_flight: bool,
-    /// No lookup starts before this time.
+    /// No lookup of the outcomes of dependencies starts before this time.
     next_lookup_at: MonotonicTime,
     /// The most recently ended jobs, oldest first.
     recently_terminated: VecDeque<JobId>,
@@ -37,14 +37,14 @@
 
 /// The effects of a job's end on the table.
 pub(super) struct Termination {
-    /// The removed job; `None` if it was not live here.
+    /// The removed job; `None` if the job that ended was not live in this table.
     pub(super) job: Option<Job>,
-    /// Whether live jobs depended on it and no longer do.
+    /// Whether live jobs depended on the ended job and no longer do.
     pub(super) released_dependents: bool,
 }
 
 impl JobTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(super) fn new(now: MonotonicTime) -> JobTable {
         JobTable {
             live: BTreeMap::new(),
@@ -100,8 +100,8 @@
         self.live.insert(id, job);
     }
 
-    /// Records the end of a job, which need not be live here. If it is done, its dependents no longer wait for it;
-    /// if it was cancelled, they have to be cancelled as well.
+    /// Records the end of a job, which need not be live in this table. If it is done, its dependents no longer wait for
+    /// it; if it was cancelled, they have to be cancelled as well.
     pub(super) fn terminate(&mut self, id: &JobId, outcome: JobOutcome) -> Termination {
         self.remember_terminated(id);
         let released_dependents = self.apply_outcome_to_dependents(id, outcome);
@@ -136,7 +136,7 @@
         released
     }
 
-    /// Whether a live job depends on this one.
+    /// Whether any live job depends on the job with this id.
     pub(super) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependencies.has_dependents(id)
     }
@@ -146,7 +146,8 @@
         self.dependencies.cascade_cancelled().filter_map(|id| Some((id, self.live.get(id)?)))
     }
 
-    /// Starts a lookup of the outcomes of dependencies and returns the jobs to look up. Empty if none is due.
+    /// Starts a lookup of the outcomes of dependencies and returns the jobs to look up. The list is empty if no lookup
+    /// is due.
     pub(super) fn start_lookup(&mut self, now: MonotonicTime) -> Vec<JobId> {
         if self.lookup_in_flight || now < self.next_lookup_at {
             return Vec::new();
@@ -164,13 +165,14 @@
         }
     }
 
-    /// The constraints that each job inherits from its dependents, given the timing of each live job.
+    /// The constraints (priority, deadlines and rank) that each job inherits from its dependents, given the timing of
+    /// each live job.
     pub(super) fn inherited(&self, timing: impl Fn(&Job) -> JobTiming) -> BTreeMap<JobId, InheritedConstraints> {
         self.dependencies.inherited_constraints(|id| self.live.get(id).map(&timing))
     }
 
-    /// Sets the inherited constraints of all live jobs; jobs missing from `inherited` inherit none. Returns the jobs
-    /// whose priority has changed.
+    /// Sets the constraints that live jobs inherit from their dependents; jobs missing from `inherited` inherit none.
+    /// Returns the jobs whose priority has changed.
     pub(super) fn set_inherited(&mut self, mut inherited: BTreeMap<JobId, InheritedConstraints>) -> Vec<JobId> {
         let mut changed = Vec::new();
         for (id, job) in &mut self.live {
@@ -183,8 +185,8 @@
         changed
     }
 
-    /// Live jobs that are missing from the list of jobs stored at `revision`. Jobs with a newer record do not count,
-    /// as they cannot be in the list.
+    /// Live jobs that are missing from the list of jobs stored at `revision`. Jobs whose record was stored after that
+    /// revision do not count, as they cannot be in the list.
     pub(super) fn missing_from(&self, listed: &BTreeSet<JobId>, revision: u64) -> Vec<JobId> {
         let missing = self.live.iter().filter(|(id, job)| !listed.contains(*id) && job.revision.0 <= revision);
         missing.map(|(id, _)| *id).collect()
--- a/src/core/scheduler/quota.rs
+++ b/src/core/scheduler/quota.rs
@@ -1,8 +1,8 @@
 //! Tracks each team's possible resource usage against its limit and its guarantee.
 //!
 //! A team's limit (`cpus_max`, `gpus_max` in the settings) is never exceeded: usage that is uncertain counts in full.
-//! Jobs within its guarantee (`cpus`, `gpus`) may preempt other work whatever their own priority, including work of
-//! equal priority that other teams run beyond their guarantees.
+//! Jobs within the team's guarantee (`cpus`, `gpus`) may preempt tasks of lower priority whatever their own priority,
+//! and also tasks of equal priority that other teams run beyond their guarantees.
 
 use crate::config::Team;
 use crate::core::jobs::Job;
@@ -19,14 +19,14 @@
 
 /// Resources that are possibly in use on all machines.
 pub(super) struct QuotaUsage {
-    /// By team number.
+    /// Resources that are possibly in use by each team's tasks, by team number.
     teams: Vec<Resources>,
-    /// Total capacity of all machines whose tasks are not fully known: they may be any team's.
+    /// Total capacity of all machines whose tasks are not fully known; the unknown tasks may be of any team.
     unreconciled: Resources,
 }
 
 impl QuotaUsage {
-    /// Sums up everything possibly in use; a machine that is not reconciled counts with its whole capacity.
+    /// Sums up all resources that are possibly in use; a machine that is not reconciled counts with its whole capacity.
     fn count(teams: usize, machines: &BTreeMap<MachineId, Machine>, types: &[MachineType]) -> QuotaUsage {
         let mut usage = QuotaUsage { teams: vec![Resources::default(); teams], unreconciled: Resources::default() };
         for machine in machines.values() {
@@ -48,15 +48,15 @@
     /// The teams by number, in the order of the settings.
     teams: Vec<Team>,
     team_names: Vec<String>,
-    /// Possible usage by team. Computed on demand, updated at each start, and discarded whenever a heartbeat may
-    /// have changed what is on a machine.
+    /// The resources that are possibly in use, or `None` if they must be summed up again. Computed on demand, updated
+    /// at each start, and discarded whenever a heartbeat may have changed what is on a machine.
     usage: Option<QuotaUsage>,
-    /// The jobs within their team's guarantee, as of the last round.
+    /// The jobs within their team's guarantee, as of the last planning round.
     pub(super) within_guarantee: BTreeSet<JobId>,
 }
 
 impl QuotaTracker {
-    /// A tracker without cached usage and without jobs within a guarantee.
+    /// Creates a tracker without cached usage and without jobs within a guarantee.
     pub(super) fn new(teams: &[Team]) -> QuotaTracker {
         let team_names = teams.iter().map(|team| team.name.clone()).collect();
         QuotaTracker { teams: teams.to_vec(), team_names, usage: None, within_guarantee: BTreeSet::new() }
@@ -67,20 +67,20 @@
         &self.team_names
     }
 
-    /// Discards the cached usage, as it may have changed other than by [`QuotaTracker::record_start`].
+    /// Discards the cached usage, as the actual usage may have changed other than by [`QuotaTracker::record_start`].
     pub(super) fn invalidate_usage(&mut self) {
         self.usage = None;
     }
 
-    /// Adds a task of the team that has been placed on a machine.
+    /// Adds the need of a team's task that has been placed on a machine to the cached usage.
     pub(super) fn record_start(&mut self, team: u32, need: &Resources) {
         if let Some(usage) = &mut self.usage {
             usage.teams[team as usize].add(need);
         }
     }
 
-    /// Whether the team's limit permits starting `tasks` more tasks with this need. An unknown team may not start
-    /// any.
+    /// Whether the team's limit permits starting `tasks` more tasks with this need. An unknown team may not start any
+    /// task.
     pub(super) fn fits(
         &mut self,
         team: u32,
@@ -118,7 +118,7 @@
         self.teams.iter().zip(&usage.teams).enumerate().map(headroom).collect()
     }
 
-    /// Whether the job was within its team's guarantee at the last round.
+    /// Whether the job was within its team's guarantee at the last planning round.
     pub(super) fn is_within_guarantee(&self, job: &JobId) -> bool {
         self.within_guarantee.contains(job)
     }
--- a/src/core/scheduler/scale_in.rs
+++ b/src/core/scheduler/scale_in.rs
@@ -12,15 +12,15 @@
 /// Limit on the machines in one termination request.
 const MAX_TERMINATIONS_PER_REQUEST: usize = 100;
 
-/// How long a machine of this type may be idle before it is retired. GPU machines boot slowly and are scarce, so
-/// they are kept longer.
+/// How long a machine of this type may be idle before it is retired, which means that it gets no new tasks and is
+/// terminated. GPU machines boot slowly and are scarce, so they are kept longer.
 pub(super) fn idle_timeout(tuning: &Tuning, machine_type: &MachineType) -> Millis {
     let factor = if machine_type.gpus > 0.0 { tuning.gpu_idle_factor } else { 1.0 };
     Millis::from_secs_f64(tuning.idle_s * factor)
 }
 
-/// Updates `idle_since` of a machine. Returns whether it has been idle for longer than `timeout` and has no orders
-/// queued or in flight.
+/// Updates the time since when a machine is idle. Returns whether the machine has been idle for longer than `timeout`
+/// and has no orders queued or in flight.
 pub(super) fn review_idleness(machine: &mut Machine, now: MonotonicTime, timeout: Millis) -> bool {
     if machine.has_active_tasks() || !machine.reconciled {
         machine.idle_since = None;
--- a/src/core/scheduler/scale_out.rs
+++ b/src/core/scheduler/scale_out.rs
@@ -11,13 +11,14 @@
 use log::{info, warn};
 use std::collections::BTreeMap;
 
-/// Limit on the machines in one request.
+/// Limit on the machines in one provisioning request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// Delay before a request whose result is unknown is sent again.
+/// Delay before a provisioning request whose result is unknown is sent again.
 const PROVISION_RETRY_INTERVAL: Millis = Millis(2_000);
 
-/// Tolerance for rounding errors when a load is rounded up to whole machines.
+/// Tolerance for rounding errors when the load requested for an instance pool, a sum of fractions of a machine, is
+/// rounded up to whole machines.
 const LOAD_TOLERANCE: f64 = 1e-6;
 
 impl Scheduler {
