--- a/benches/support/workload.rs
+++ b/benches/support/workload.rs
@@ -1,6 +1,6 @@
 //! The jobs and machine types that the benchmarks use.
 
-use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
+use wallstile::wire::{JobKind, JobSpec, MachineType, Priority};
 
 /// Number of tasks in each array.
 pub(crate) const ARRAY_TASKS: u32 = 200;
@@ -32,7 +32,7 @@
         id: format!("req-{number:06}"),
         class: if service { "feed" } else { "batch" }.into(),
         team: "team-b".into(),
-        kind: if service { Kind::Service } else { Kind::Array },
+        kind: if service { JobKind::Service } else { JobKind::Array },
         priority: if service { Priority::Prod } else { Priority::Normal },
         tasks: if service { 4 } else { ARRAY_TASKS },
         cpus: if service { 4.0 } else { 1.0 },
@@ -40,14 +40,14 @@
         memory_gb: 2.0,
         image: format!("img-{}", number % IMAGE_COUNT),
         image_gb: 1.0,
-        types: None,
+        allowed_types: None,
         zone: None,
         one_zone: false,
         spread: service,
-        spot: true,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        allows_spot: true,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: Some(60.0),
     }
 }
--- a/src/core/placement/candidates.rs
+++ b/src/core/placement/candidates.rs
@@ -2,7 +2,7 @@
 
 use super::TOLERANCE;
 use crate::core::machine::Resources;
-use crate::peer::{JobView, MachineView, PlanInput, ProvisionOffer, TypeView};
+use crate::peer::{JobView, MachineTypeView, MachineView, PlanInput, ProvisionOffer};
 
 /// Jobs of this priority number or a lower one (prod and high) are urgent: they are not preempted for GPU jobs.
 const MAX_URGENT_PRIORITY: u32 = 1;
@@ -16,9 +16,9 @@
     }
 }
 
-impl From<&TypeView> for Resources {
+impl From<&MachineTypeView> for Resources {
     /// The capacity of an empty machine of the type.
-    fn from(machine_type: &TypeView) -> Resources {
+    fn from(machine_type: &MachineTypeView) -> Resources {
         Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
 }
@@ -64,13 +64,13 @@
         let free = Resources { cpus: machine.free_cpus, gpus: machine.free_gpus, memory_gb: machine.free_memory_gb };
         Candidate {
             source: CandidateSource::Machine { index, key: machine.key },
-            type_index: machine.kind as usize,
+            type_index: machine.type_index as usize,
             zone: machine.zone,
             spot: machine.spot,
             up: machine.up,
-            headroom_applies: input.types[machine.kind as usize].gpus > TOLERANCE,
-            urgent_headroom: headroom(machine.urgent_cpus, machine.urgent_memory_gb),
-            preemptible_headroom: headroom(machine.preemptible_cpus, machine.preemptible_memory_gb),
+            headroom_applies: input.types[machine.type_index as usize].gpus > TOLERANCE,
+            urgent_headroom: headroom(machine.urgent_headroom_cpus, machine.urgent_headroom_memory_gb),
+            preemptible_headroom: headroom(machine.preemptible_headroom_cpus, machine.preemptible_headroom_memory_gb),
             capacity: free,
             requested: false,
             load: 0.0,
@@ -82,14 +82,14 @@
     pub(super) fn from_offer(input: &PlanInput, index: usize, offer: &ProvisionOffer) -> Candidate {
         Candidate {
             source: CandidateSource::Offer(index),
-            type_index: offer.kind as usize,
+            type_index: offer.type_index as usize,
             zone: offer.zone,
             spot: offer.spot,
             up: false,
             headroom_applies: false,
             urgent_headroom: Resources::default(),
             preemptible_headroom: Resources::default(),
-            capacity: Resources::from(&input.types[offer.kind as usize]),
+            capacity: Resources::from(&input.types[offer.type_index as usize]),
             requested: false,
             load: 0.0,
             priority: LOWEST_PRIORITY,
--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -4,7 +4,7 @@
 use super::candidates::{Candidate, CandidateSource, SearchScope};
 use super::{Estimate, TOLERANCE, log_normal_cdf};
 use crate::core::machine::Resources;
-use crate::peer::{JobView, MachineView, PlanInput, ProvisionOffer, TypeView};
+use crate::peer::{JobView, MachineTypeView, MachineView, PlanInput, ProvisionOffer};
 
 /// The cloud charges for at least this many seconds of a new machine.
 const MIN_BILLED_S: f64 = 60.0;
@@ -25,7 +25,7 @@
     if has_gpus
         && job.service
         && job.gpus <= TOLERANCE
-        && job.types.is_empty()
+        && job.allowed_types.is_empty()
         && (scope == SearchScope::WithoutGpus || !candidate.up)
     {
         return None;
@@ -43,7 +43,7 @@
     if !is_eligible(input, job, candidate, machine) {
         return None;
     }
-    let boot_s = machine.map_or(machine_type.boot_s, |machine| machine.ready_s);
+    let boot_s = machine.map_or(machine_type.boot_s, |machine| machine.ready_in_s);
     let fetch_s = fetch_s(job, machine_type, machine);
     let run_s = job.run_s * machine.map_or(1.0, |machine| machine.slowness.max(MIN_SLOWNESS));
     let start_s = boot_s + fetch_s;
@@ -66,9 +66,9 @@
     if !Resources::from(machine_type).covers(&Resources::from(job))
         || !allows_type(job, candidate.type_index as u32)
         || job.zone.is_some_and(|zone| zone != candidate.zone)
-        || (candidate.spot && !job.spot)
-        || (is_offer && (!job.may_scale_out || (candidate.spot && !job.new_spot)))
-        || machine.is_some_and(|machine| job.avoid.contains(&machine.key))
+        || (candidate.spot && !job.allows_spot)
+        || (is_offer && (!job.may_scale_out || (candidate.spot && !job.may_provision_spot)))
+        || machine.is_some_and(|machine| job.avoided_machines.contains(&machine.key))
     {
         return false;
     }
@@ -81,25 +81,25 @@
 }
 
 fn allows_type(job: &JobView, type_index: u32) -> bool {
-    job.types.is_empty() || job.types.contains(&type_index)
+    job.allowed_types.is_empty() || job.allowed_types.contains(&type_index)
 }
 
 fn is_suitable_offer_without_gpus(input: &PlanInput, job: &JobView, offer: &ProvisionOffer) -> bool {
-    let machine_type = &input.types[offer.kind as usize];
+    let machine_type = &input.types[offer.type_index as usize];
     machine_type.gpus <= TOLERANCE
-        && allows_type(job, offer.kind)
+        && allows_type(job, offer.type_index)
         && Resources::from(machine_type).covers(&Resources::from(job))
-        && (job.new_spot || !offer.spot)
+        && (job.may_provision_spot || !offer.spot)
 }
 
 /// Seconds that the machine needs, once it is up, to have the job's image.
-fn fetch_s(job: &JobView, machine_type: &TypeView, machine: Option<&MachineView>) -> f64 {
+fn fetch_s(job: &JobView, machine_type: &MachineTypeView, machine: Option<&MachineView>) -> f64 {
     let images = machine.map_or(&[][..], |machine| &machine.images);
     match images.iter().find(|image| image.image == job.image) {
-        Some(cached) => cached.ready_s,
+        Some(cached) => cached.ready_in_s,
         None => {
             // Fetches share the machine's bandwidth, so this one ends after those under way.
-            let others_s = images.iter().map(|image| image.ready_s).fold(0.0, f64::max);
+            let others_s = images.iter().map(|image| image.ready_in_s).fold(0.0, f64::max);
             others_s + job.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
         }
     }
@@ -108,13 +108,13 @@
 /// Cost of the task: the price of the fraction of the machine that it uses while its image is fetched and while it
 /// runs, plus its share of the boot time of a machine that is yet to be provisioned. In the paper each task has a
 /// machine of its own.
-fn cost(job: &JobView, candidate: &Candidate, machine_type: &TypeView, fetch_s: f64, run_s: f64) -> f64 {
+fn cost(job: &JobView, candidate: &Candidate, machine_type: &MachineTypeView, fetch_s: f64, run_s: f64) -> f64 {
     let fraction = machine_fraction(machine_type, job);
     let hourly_price = if candidate.spot { machine_type.spot_price } else { machine_type.price };
     // The tasks that share a new machine also share its boot time, or the rest of the minimum billing period if that is
     // longer.
     let boot_share_s = if candidate.offer().is_some() {
-        let tasks_per_machine = (1.0 / fraction.max(TOLERANCE)).floor().clamp(1.0, job.ready.max(1) as f64);
+        let tasks_per_machine = (1.0 / fraction.max(TOLERANCE)).floor().clamp(1.0, job.ready_tasks.max(1) as f64);
         machine_type.boot_s.max(MIN_BILLED_S - fetch_s - run_s) / tasks_per_machine
     } else {
         0.0
@@ -123,7 +123,7 @@
 }
 
 /// The fraction, 0 to 1, of an empty machine of the type that one task of the job uses: the largest over its resources.
-pub(super) fn machine_fraction(machine_type: &TypeView, job: &JobView) -> f64 {
+pub(super) fn machine_fraction(machine_type: &MachineTypeView, job: &JobView) -> f64 {
     let fraction = |capacity: f64, need: f64| if capacity > TOLERANCE { need / capacity } else { 0.0 };
     fraction(machine_type.cpus, job.cpus)
         .max(fraction(machine_type.gpus, job.gpus))
--- a/src/core/scheduler/dependencies.rs
+++ b/src/core/scheduler/dependencies.rs
@@ -26,11 +26,11 @@
 
     fn job_timing(&self, wall: WallTime, job: &Job) -> JobTiming {
         let spec = &job.spec;
-        let submitted_s = job.ages(wall).submitted_s;
+        let submitted_s = job.ages(wall).since_submission_s;
         JobTiming {
             priority: spec.priority,
             due_s: spec.deadline_s.map(|due_s| due_s - submitted_s),
-            slo_deadlines: self.settings.deadlines(&spec.class, spec.deadline_s, submitted_s),
+            slo_deadlines: self.settings.deadline_multiples(&spec.class, spec.deadline_s, submitted_s),
             run_s: self.jobs.expected_run_s(spec),
             transfer_s: spec.image_gb / self.mean_fetch_rate(spec),
         }
--- a/src/core/scheduler/plan_commit.rs
+++ b/src/core/scheduler/plan_commit.rs
@@ -8,7 +8,7 @@
 use crate::ids::{JobId, MachineId};
 use crate::peer::{JobView, Placement, PlanOutput};
 use crate::time::MonotonicTime;
-use crate::wire::{Kind, Priority};
+use crate::wire::{JobKind, Priority};
 use std::collections::BTreeMap;
 
 /// A placement of a plan. Its keys of a job and a machine are resolved in the planner view that the plan was made on.
@@ -43,8 +43,8 @@
         for placement in &plan.placements {
             let Some(planned) = PlannedPlacement::resolve(view, placement) else { continue };
             let Some(job) = self.jobs.live.get_mut(&planned.job.id) else { continue };
-            job.excess_cost += placement.extra;
-            if job.spec.kind == Kind::Gang {
+            job.excess_cost += placement.excess_cost;
+            if job.spec.kind == JobKind::Gang {
                 gangs.entry(placement.job).or_default().push((planned.machine.clone(), planned.tasks));
                 continue;
             }
@@ -128,7 +128,7 @@
         let fetch_s = self.image_fetch_s(now, &job.spec, machine);
         let slo_s = self.settings.start_slo_s(&job.spec.class, view.guaranteed);
         // For services the job's age doesn't count: the SLO also applies to replicas that replace lost ones.
-        let age_s = if job.spec.kind == Kind::Service { 0.0 } else { view.age_s };
+        let age_s = if job.spec.kind == JobKind::Service { 0.0 } else { view.age_s };
         job.priority() <= Priority::High && slo_s.is_some_and(|slo_s| age_s < slo_s && age_s + fetch_s > slo_s)
     }
 }
--- a/src/core/scheduler/planner_view/machines.rs
+++ b/src/core/scheduler/planner_view/machines.rs
@@ -97,14 +97,14 @@
         let age_s = (now - machine.created_at).as_secs_f64();
         let image = |(image, _): &(u32, f64)| ImageView {
             image: *image,
-            ready_s: machine.image_ready_in_s(*image, now).unwrap_or(0.0),
+            ready_in_s: machine.image_ready_in_s(*image, now).unwrap_or(0.0),
         };
         MachineView {
-            kind: machine.kind as u32,
+            type_index: machine.kind as u32,
             zone: machine.zone,
             spot: machine.spot,
             up: readiness == Readiness::Schedulable,
-            ready_s: match readiness {
+            ready_in_s: match readiness {
                 Readiness::Schedulable => 0.0,
                 Readiness::Registering => REGISTRATION_DELAY_S,
                 Readiness::Booting => (machine_type.boot_s - age_s).max(MIN_REMAINING_BOOT_S),
@@ -116,10 +116,10 @@
             images: machine.images.iter().map(image).collect(),
             // The slowness is rounded, so that machines with a small difference compare as equal.
             slowness: (machine.slowness * SLOWNESS_STEPS).round().max(1.0) / SLOWNESS_STEPS,
-            urgent_cpus: urgent.cpus,
-            urgent_memory_gb: urgent.memory_gb,
-            preemptible_cpus: preemptible.cpus,
-            preemptible_memory_gb: preemptible.memory_gb,
+            urgent_headroom_cpus: urgent.cpus,
+            urgent_headroom_memory_gb: urgent.memory_gb,
+            preemptible_headroom_cpus: preemptible.cpus,
+            preemptible_headroom_memory_gb: preemptible.memory_gb,
             ..Default::default()
         }
     }
@@ -129,15 +129,15 @@
         for request in self.provisioner.requests() {
             let machine_type = &self.catalog.types[request.pool.kind];
             let view = MachineView {
-                kind: request.pool.kind as u32,
+                type_index: request.pool.kind as u32,
                 zone: request.pool.zone,
                 spot: request.pool.spot,
-                ready_s: machine_type.boot_s,
+                ready_in_s: machine_type.boot_s,
                 free_cpus: machine_type.cpus,
                 free_gpus: machine_type.gpus,
                 free_memory_gb: machine_type.memory_gb,
-                preemptible_cpus: machine_type.cpus,
-                preemptible_memory_gb: machine_type.memory_gb,
+                preemptible_headroom_cpus: machine_type.cpus,
+                preemptible_headroom_memory_gb: machine_type.memory_gb,
                 slowness: 1.0,
                 ..Default::default()
             };
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -1,13 +1,13 @@
 //! Tests of planning: the jobs that get capacity, and the machines that are considered.
 
 use super::*;
-use crate::peer::{JobView, MachineView, PlanInput, TypeView, VERSION};
+use crate::peer::{JobView, MachineTypeView, MachineView, PlanInput, VERSION};
 
 #[test]
 fn largest_gang_starts_while_smaller_gangs_keep_arriving() {
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
-    let gang = |number: u32, tasks: u32| spec(&format!("req-{number:06}"), Kind::Gang, tasks, 8.0);
+    let gang = |number: u32, tasks: u32| spec(&format!("req-{number:06}"), JobKind::Gang, tasks, 8.0);
     for number in 1..=8 {
         harness.submit(200, gang(number, 1));
     }
@@ -28,7 +28,7 @@
             harness
                 .workers
                 .values_mut()
-                .for_each(|worker| SchedulerHarness::exit_task(worker, task, attempt, Cause::Done));
+                .for_each(|worker| SchedulerHarness::exit_task(worker, task, attempt, ExitCause::Done));
         }
         harness.run(2_000);
         if harness.running_count(&large) == 6 {
@@ -43,12 +43,13 @@
 fn work_within_a_guarantee_preempts_work_beyond_guarantees() {
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
-    let beyond = harness.submit(200, spec("req-000001", Kind::Array, 2, 8.0));
+    let beyond = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
     harness.run(2_000);
     assert_eq!(harness.running_count(&beyond), 2);
     // team-a's guarantee of 8 CPUs covers exactly one machine.
-    let within = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000002", Kind::Array, 1, 8.0) });
-    let exceeding = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000003", Kind::Array, 1, 8.0) });
+    let within = harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000002", JobKind::Array, 1, 8.0) });
+    let exceeding =
+        harness.submit(200, JobSpec { team: "team-a".into(), ..spec("req-000003", JobKind::Array, 1, 8.0) });
     harness.run(2_000);
     assert_eq!(
         (harness.running_count(&within), harness.running_count(&exceeding), harness.running_count(&beyond)),
@@ -60,14 +61,14 @@
 fn image_fetch_counts_as_late_start_of_a_lost_replica_however_old_its_service_is() {
     let mut harness = SchedulerHarness::new(1);
     harness.run(2_000);
-    let feed = |id: &str, kind: Kind| JobSpec {
+    let feed = |id: &str, kind: JobKind| JobSpec {
         class: "feed".into(),
         priority: Priority::Prod,
         image_gb: 20.0,
         ..spec(id, kind, 1, 9.0)
     };
-    let service = harness.submit(200, feed("req-000001", Kind::Service));
-    let array = harness.submit(200, feed("req-000002", Kind::Array));
+    let service = harness.submit(200, feed("req-000001", JobKind::Service));
+    let array = harness.submit(200, feed("req-000002", JobKind::Array));
     let machine = MachineId::parse("m-000000").unwrap();
     // Fetching the image takes 20 s and the class's start-time objective is 3 s. Both jobs are older than that.
     let old = JobView { age_s: 100.0, ..JobView::default() };
@@ -85,9 +86,9 @@
 fn partitioned_view_gives_each_booting_machine_to_one_planner() {
     // Guards against several planners that count on the same booting machines, so that too few are provisioned. With
     // five planners, a fleet of 1,300 machines took 100 s to start instead of 30 s.
-    let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| TypeView { cpus, gpus, ..Default::default() });
-    let machine = |key: u32| MachineView { key, kind: key % 2, up: key < 10, ..Default::default() };
-    let job = |key: u32, gpus: f64| JobView { key, ready: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
+    let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| MachineTypeView { cpus, gpus, ..Default::default() });
+    let machine = |key: u32| MachineView { key, type_index: key % 2, up: key < 10, ..Default::default() };
+    let job = |key: u32, gpus: f64| JobView { key, ready_tasks: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
     let input = PlanInput {
         version: VERSION,
         types: kinds.to_vec(),
@@ -101,7 +102,7 @@
     assert_eq!(booting.iter().collect::<BTreeSet<_>>().len(), 30, "each booting machine is in one part");
     assert_eq!(booting.len(), 30);
     let booting_count = |part: usize, kind: u32| {
-        parts[part].machines.iter().filter(|machine| !machine.up && machine.kind == kind).count()
+        parts[part].machines.iter().filter(|machine| !machine.up && machine.type_index == kind).count()
     };
     assert!(
         booting_count(0, 0).abs_diff(booting_count(2, 0)) <= 1 && booting_count(1, 0) == 0,
@@ -145,7 +146,7 @@
         scheduler.gpus.lendable.len()
     };
     assert_eq!(lendable_count(&mut scheduler, MonotonicTime(0), &BTreeSet::new()), 4, "no job needs GPUs");
-    let mut gang = spec("req-000001", Kind::Gang, 3, 1.0);
+    let mut gang = spec("req-000001", JobKind::Gang, 3, 1.0);
     gang.gpus = scheduler.catalog.types[gpu].gpus;
     let id = JobId::parse(&gang.id).unwrap();
     scheduler.on_job_accepted(
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -8,7 +8,7 @@
 
 /// A machine type.
 #[derive(Clone, PartialEq, Message)]
-pub struct TypeView {
+pub struct MachineTypeView {
     /// Number of CPUs.
     #[prost(double, tag = "1")]
     pub cpus: f64,
@@ -40,7 +40,7 @@
     pub image: u32,
     /// Seconds until it is fetched; 0 if it is in the cache.
     #[prost(double, tag = "2")]
-    pub ready_s: f64,
+    pub ready_in_s: f64,
 }
 
 /// A machine that tasks may be placed on: an existing one, or one that has been requested from the cloud.
@@ -51,7 +51,7 @@
     pub key: u32,
     /// Index of its machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "2")]
-    pub kind: u32,
+    pub type_index: u32,
     /// Index of its zone.
     #[prost(uint32, tag = "3")]
     pub zone: u32,
@@ -63,7 +63,7 @@
     pub up: bool,
     /// Expected time until tasks can start on it, in seconds; 0 if they can now.
     #[prost(double, tag = "6")]
-    pub ready_s: f64,
+    pub ready_in_s: f64,
     /// Seconds since it was provisioned, rounded down to a multiple of 30 s.
     #[prost(double, tag = "7")]
     pub age_s: f64,
@@ -85,16 +85,16 @@
     /// Only for a GPU machine: how many CPUs urgent jobs without GPUs may use. Such jobs aren't preempted for GPU jobs,
     /// so they are limited in order to leave enough capacity for those.
     #[prost(double, tag = "13")]
-    pub urgent_cpus: f64,
-    /// See [`MachineView::urgent_cpus`]; in GB.
+    pub urgent_headroom_cpus: f64,
+    /// See [`MachineView::urgent_headroom_cpus`]; in GB.
     #[prost(double, tag = "14")]
-    pub urgent_memory_gb: f64,
+    pub urgent_headroom_memory_gb: f64,
     /// Only for a GPU machine: how many CPUs other jobs without GPUs may use. They can be preempted for GPU jobs.
     #[prost(double, tag = "15")]
-    pub preemptible_cpus: f64,
-    /// See [`MachineView::preemptible_cpus`]; in GB.
+    pub preemptible_headroom_cpus: f64,
+    /// See [`MachineView::preemptible_headroom_cpus`]; in GB.
     #[prost(double, tag = "16")]
-    pub preemptible_memory_gb: f64,
+    pub preemptible_headroom_memory_gb: f64,
 }
 
 /// The number of a job's tasks in a zone.
@@ -126,7 +126,7 @@
     pub gang: bool,
     /// Number of tasks to place.
     #[prost(uint32, tag = "5")]
-    pub ready: u32,
+    pub ready_tasks: u32,
     /// Number of all tasks of the job.
     #[prost(uint32, tag = "6")]
     pub tasks: u32,
@@ -147,7 +147,7 @@
     pub image_gb: f64,
     /// Indices of the allowed machine types in [`PlanInput::types`]; empty if all are allowed.
     #[prost(uint32, repeated, tag = "12")]
-    pub types: Vec<u32>,
+    pub allowed_types: Vec<u32>,
     /// Index of the only allowed zone; `None` if all are allowed.
     #[prost(uint32, optional, tag = "13")]
     pub zone: Option<u32>,
@@ -159,12 +159,12 @@
     pub spread: bool,
     /// Whether its tasks may be placed on spot machines.
     #[prost(bool, tag = "16")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Whether spot machines may be provisioned for it. It is false in the two cases in which the paper falls back to
     /// on-demand machines: for tasks whose spot machines were reclaimed, and once the job has waited too long for spot
     /// machines.
     #[prost(bool, tag = "17")]
-    pub new_spot: bool,
+    pub may_provision_spot: bool,
     /// Expected run time of a task, in seconds. For a service it is the configured horizon.
     #[prost(double, tag = "18")]
     pub run_s: f64,
@@ -177,13 +177,13 @@
     pub age_s: f64,
     /// Total cost of its earlier placements beyond that of the cheapest candidate.
     #[prost(double, tag = "21")]
-    pub overspent: f64,
+    pub excess_cost: f64,
     /// Number of its tasks that are already placed, by zone.
     #[prost(message, repeated, tag = "22")]
     pub placed: Vec<ZoneCount>,
     /// Keys of machines that its tasks must not be placed on.
     #[prost(uint32, repeated, tag = "23")]
-    pub avoid: Vec<u32>,
+    pub avoided_machines: Vec<u32>,
     /// Whether it fits into its team's guarantee, together with those of the team's jobs that come before it.
     #[prost(bool, tag = "24")]
     pub guaranteed: bool,
@@ -201,7 +201,7 @@
     pub missed_slos: u32,
     /// The part of its rank that is due to the jobs that depend on it (paper, eq. 1), in seconds.
     #[prost(double, tag = "29")]
-    pub dependents_s: f64,
+    pub dependents_rank_s: f64,
 }
 
 /// The part of a team's quota that is not in use.
@@ -223,7 +223,7 @@
 pub struct ProvisionOffer {
     /// Index of the pool's machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "1")]
-    pub kind: u32,
+    pub type_index: u32,
     /// Index of the pool's zone.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
@@ -232,7 +232,7 @@
     pub spot: bool,
     /// Maximum number of machines to provision.
     #[prost(uint32, tag = "4")]
-    pub most: u32,
+    pub max_count: u32,
 }
 
 /// The leader's request to a controller to plan a shard's jobs in a round.
@@ -249,7 +249,7 @@
     pub round: u64,
     /// All machine types, to which other fields refer by index.
     #[prost(message, repeated, tag = "4")]
-    pub types: Vec<TypeView>,
+    pub types: Vec<MachineTypeView>,
     /// Machines that tasks may be placed on.
     #[prost(message, repeated, tag = "5")]
     pub machines: Vec<MachineView>,
@@ -264,7 +264,7 @@
     pub offers: Vec<ProvisionOffer>,
     /// Batch size: the maximum number of tasks to place on machines that are up.
     #[prost(uint32, tag = "9")]
-    pub batch: u32,
+    pub batch_size: u32,
     /// How much more than the cheapest candidate a task may cost on average, as a fraction, 0 to 1, of the difference
     /// in cost between the most expensive and the cheapest one (B in the paper).
     #[prost(double, tag = "10")]
@@ -291,7 +291,7 @@
     pub count: u32,
     /// Total cost of these tasks beyond that of the cheapest candidate.
     #[prost(double, tag = "4")]
-    pub extra: f64,
+    pub excess_cost: f64,
 }
 
 /// A request for capacity on new machines. The leader adds up the loads for each instance pool; one machine serves a
@@ -300,7 +300,7 @@
 pub struct ScaleOutRequest {
     /// Index of the machine type in [`PlanInput::types`].
     #[prost(uint32, tag = "1")]
-    pub kind: u32,
+    pub type_index: u32,
     /// Index of the zone.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
@@ -317,7 +317,7 @@
 
 /// Tasks of a job that have to wait.
 #[derive(Clone, PartialEq, Message)]
-pub struct Waiting {
+pub struct WaitingTasks {
     /// Key of the job in the view.
     #[prost(uint32, tag = "1")]
     pub job: u32,
@@ -326,14 +326,14 @@
     pub count: u32,
     /// Whether some of them wait for a spot machine that is not up yet.
     #[prost(bool, tag = "3")]
-    pub on_spot: bool,
+    pub waits_for_spot: bool,
     /// The latest expected finish of those that wait for a machine to come up, in seconds from now; 0 if there are
     /// none.
     #[prost(double, tag = "4")]
     pub finish_s: f64,
     /// The latest expected start of those that wait for a machine to come up, in seconds from now; 0 if there are none.
     #[prost(double, tag = "5")]
-    pub ready_s: f64,
+    pub start_s: f64,
 }
 
 /// The plan that a controller returns for a [`PlanInput`].
@@ -356,5 +356,5 @@
     pub scale_out: Vec<ScaleOutRequest>,
     /// Tasks that have to wait.
     #[prost(message, repeated, tag = "6")]
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<WaitingTasks>,
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -44,7 +44,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
     /// All machine types.
-    pub builds: Vec<MachineType>,
+    #[serde(rename = "builds")]
+    pub types: Vec<MachineType>,
 }
 
 /// A request for machines of one instance pool (PROTOCOL, "POST /machines").
@@ -56,7 +57,7 @@
     pub name: String,
     /// Name of the machine type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone to provision in.
     #[serde(rename = "quay")]
     pub zone: String,
@@ -64,20 +65,22 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// Maximum number of machines to provision, 50 or less.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub count: u32,
 }
 
 /// Names of machines: the response to a [`ProvisionRequest`], and the body of a termination request (at most 100).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
-    pub plinths: Vec<String>,
+    #[serde(rename = "plinths")]
+    pub names: Vec<String>,
 }
 
 /// Phase of a machine in the cloud's list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListPhase {
+pub enum MachinePhase {
     /// Not up yet. Some machines never come up.
     Starting,
     /// Up, or failed only recently.
@@ -96,7 +99,7 @@
     pub endpoint: Option<String>,
     /// Name of its machine type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     #[serde(rename = "quay")]
     pub zone: String,
@@ -104,7 +107,7 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// Its phase.
-    pub phase: ListPhase,
+    pub phase: MachinePhase,
     /// Seconds between the request that provisioned it and the time that the list describes.
     #[serde(default)]
     pub age_s: f64,
@@ -114,7 +117,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineList {
     /// The machines, ordered by name, which is the order of their creation.
-    pub plinths: Vec<ListedMachine>,
+    #[serde(rename = "plinths")]
+    pub machines: Vec<ListedMachine>,
     /// Whether there are more pages.
     #[serde(default)]
     pub has_next: bool,
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -4,7 +4,7 @@
 
 /// Kind of a job, which determines how its tasks run together (`shape` in PROTOCOL).
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Array,
@@ -43,7 +43,7 @@
     pub team: String,
     /// Kind of the job.
     #[serde(rename = "shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority of the job (PROTOCOL, "Preemption").
     #[serde(rename = "rank")]
     pub priority: Priority,
@@ -66,7 +66,7 @@
     pub image_gb: f64,
     /// Names of the allowed machine types; `None` if all are allowed.
     #[serde(rename = "builds", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub allowed_types: Option<Vec<String>>,
     /// The only allowed zone; `None` if all are allowed.
     #[serde(rename = "quay", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -78,16 +78,16 @@
     pub spread: bool,
     /// Whether its tasks may run on spot machines.
     #[serde(rename = "loaner")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// The user's estimate of a task's run time, not including the image fetch, in seconds; 0 for services.
     #[serde(rename = "expect_s")]
-    pub estimate_s: f64,
+    pub estimated_run_s: f64,
     /// Run time between two checkpoints of a task, in seconds. 0 means that tasks write no checkpoints.
     #[serde(rename = "mark_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// Deadline in seconds after the submission; `None` if the job has none.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -104,7 +104,8 @@
     /// All tasks are done. This phase is final.
     Done,
     /// The job was cancelled. This phase is final.
-    Aborted,
+    #[serde(rename = "aborted")]
+    Cancelled,
 }
 
 /// The status of a job (PROTOCOL, "GET /api/jobs/{id}").
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -16,7 +16,8 @@
     /// The task is running.
     Running,
     /// The task was ordered to stop and is saving a checkpoint.
-    Flushing,
+    #[serde(rename = "flushing")]
+    SavingCheckpoint,
     /// The task has exited, for the reason in [`TaskStatus::cause`].
     Exited,
 }
@@ -24,7 +25,7 @@
 /// Why a task has exited, or was refused by the worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// The task completed successfully.
     Done,
     /// The task was stopped by an order.
@@ -59,16 +60,16 @@
     pub phase: TaskPhase,
     /// Why the task has exited; `None` if it hasn't.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether a stopped task saved its progress; `None` if the worker doesn't report it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kept: Option<bool>,
+    #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
+    pub progress_saved: Option<bool>,
 }
 
 impl TaskStatus {
     /// Whether the task has completed successfully.
     pub fn is_done(&self) -> bool {
-        self.phase == TaskPhase::Exited && self.cause == Some(Cause::Done)
+        self.phase == TaskPhase::Exited && self.cause == Some(ExitCause::Done)
     }
 }
 
@@ -89,7 +90,7 @@
     pub endpoint: String,
     /// Name of the machine type.
     #[serde(rename = "build")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "quay")]
     pub zone: String,
--- a/tests/golden/settings.rs
+++ b/tests/golden/settings.rs
@@ -8,9 +8,9 @@
 
 #[test]
 fn controller_settings_are_read() {
-    let Settings { name, listen, peer_listen, peers, services, cluster: _ } = settings();
+    let Settings { name, listen_addr, peer_listen_addr, peers, services, cluster: _ } = settings();
     assert_eq!(name, "plinth-0");
-    let addresses = [listen, peer_listen, services.cloud, services.store].map(|address| address.to_string());
+    let addresses = [listen_addr, peer_listen_addr, services.cloud, services.store].map(|address| address.to_string());
     assert_eq!(addresses, ["10.0.0.1:8080", "10.0.0.1:8081", "10.2.0.2:8443", "10.2.0.1:2379"]);
     let peer = |peer: &Peer| (peer.name.clone(), peer.zone.clone(), peer.addr.to_string());
     let expected = [
@@ -24,10 +24,13 @@
 fn team_and_objective_settings_are_read() {
     let cluster = settings().cluster;
     assert_eq!(cluster.zones, ["a", "b"]);
-    let team = |team: &Team| (team.name.clone(), [team.cpus, team.cpus_max, team.gpus, team.gpus_max]);
+    let team =
+        |team: &Team| (team.name.clone(), [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus]);
     let teams: Vec<_> = cluster.teams.iter().map(team).collect();
     assert_eq!(teams, [("team-a".to_string(), [8.0, 40.0, 2.0, 6.0]), ("team-b".to_string(), [0.0; 4])]);
-    let fields = |objective: &Objective| (objective.kind, objective.class.clone(), objective.within_s, objective.times);
+    let fields = |objective: &Objective| {
+        (objective.kind, objective.class.clone(), objective.within_s, objective.deadline_factor)
+    };
     let objectives: Vec<_> = cluster.objectives.iter().map(fields).collect();
     let expected =
         [(ObjectiveKind::Deadline, "feed".to_string(), 3.5, 1.5), (ObjectiveKind::Guarantee, String::new(), 0.0, 1.0)];
@@ -56,13 +59,13 @@
         spot_median_s: 5401.0,
         spot_sigma: 1.5,
         spot_window_s: 11.0,
-        idle_s: 21.0,
+        idle_timeout_s: 21.0,
         gpu_idle_factor: 2.5,
         service_horizon_s: 601.0,
         batch_min: 65.0,
         batch_max: 1025.0,
-        round_ms: 151.0,
-        user_requests: 66.0,
+        min_round_interval_ms: 151.0,
+        max_user_requests: 66.0,
         gang_reservation_wait_s: 121.0,
     };
     assert_eq!(Tuning::parse(include_str!("operators.xml")).expect("the sample is valid"), expected);
