--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -32,18 +32,19 @@
 
 /// Resources, times (in seconds) and costs that differ by no more than this are treated as equal.
 const TOLERANCE: f64 = 1e-6;
-/// A round places at most this many batches of tasks on machines that are not up yet.
+/// A planning round places at most this many batches of tasks on machines that are not up yet; the input of the round
+/// sets how many tasks are in a batch.
 const MAX_PENDING_BATCHES: u32 = 8;
-/// A planner input is rejected if one of its offers is for more machines than this.
+/// A planner input is rejected if one of its offers to provision machines is for more machines than this.
 const MAX_MACHINES_PER_OFFER: u32 = 1_000;
 
 /// How many more tasks the current round may place.
 struct RoundBudget {
-    /// Tasks that can still be placed on machines that are up.
+    /// Number of tasks that the round may still place on machines that are up.
     immediate: u32,
-    /// Tasks that can still be placed on machines that are not up yet. Such placements start nothing; they determine
-    /// how many machines are requested. They have a separate limit because, if they counted against the batch, a
-    /// long queue would request machines for only one batch per round.
+    /// Number of tasks that the round may still place on machines that are not up yet. Such placements start nothing;
+    /// they determine how many machines are requested. Their limit is separate from `immediate`: with a common limit,
+    /// a long queue would request machines for only one batch per round.
     pending: u32,
 }
 
@@ -57,9 +58,9 @@
     }
 }
 
-/// Plans one round: placements, scale-out requests and waiting tasks.
+/// Plans one round: which tasks are placed on which machines, which machines to request, and which tasks wait.
 ///
-/// The plan is empty if the input refers to a machine type that it doesn't list, or exceeds a limit.
+/// The plan is empty if `input` refers to a machine type that it doesn't list, or exceeds a limit.
 pub fn plan(input: &PlanInput) -> PlanOutput {
     plan_metered(input, &OperationMeter::default())
 }
@@ -79,8 +80,8 @@
     for class in classes {
         let members = jobs.iter().copied().filter(|job| UrgencyClass::of(job) == class);
         let mut active: Vec<JobProgress> = members.map(|job| planner.start_job(job)).collect();
-        // The paper doesn't say which job is first. Here jobs that can still meet their deadline come first, the one
-        // with the least time left leading; late jobs follow, oldest first.
+        // The paper doesn't say which job is first. In this planner, jobs that can still meet their deadline come
+        // first, in ascending order of the time until their deadline; late jobs follow, oldest first.
         active.sort_by(|a, b| a.turn_order().partial_cmp(&b.turn_order()).unwrap_or(Ordering::Equal));
         place_round_robin(&mut planner, &mut active, &mut budget);
         for progress in active {
@@ -91,8 +92,8 @@
     output
 }
 
-/// Places one task (or one gang) of each job in turn, as in the paper's lines 7 to 9, until the budget is used up or
-/// no job has tasks left. All tasks of a job are identical, so any of them has the job's highest rank (eq. 1).
+/// Places one task (or one gang) of each job in turn, as in the paper's lines 7 to 9, until the round's budget of tasks
+/// is used up or no job has tasks to place. All tasks of a job are identical and so have the same rank (paper, eq. 1).
 fn place_round_robin(planner: &mut Planner, active: &mut [JobProgress], budget: &mut RoundBudget) {
     let mut placed_any = true;
     while placed_any {
@@ -115,8 +116,8 @@
     }
 }
 
-/// Whether every machine type that the input refers to is listed in it, and its counts are within the limits.
-/// Inputs from peers aren't trusted.
+/// Whether a planner input lists every machine type that it refers to, and its numbers of machines are within the
+/// limits. Checked because inputs from peers aren't trusted.
 fn is_consistent(input: &PlanInput) -> bool {
     let types = input.types.len() as u32;
     input.machines.iter().all(|machine| machine.kind < types)
--- a/src/core/placement/candidates.rs
+++ b/src/core/placement/candidates.rs
@@ -1,12 +1,12 @@
-//! Candidates: machines that tasks can be placed on, with the capacity that is left on them in a planning round.
+//! Candidates: machines that tasks can be placed on, with the capacity that is still free on them in a planning round.
 
 use super::TOLERANCE;
 use crate::core::machine::Resources;
 use crate::peer::{JobView, MachineView, PlanInput, ProvisionOffer, TypeView};
 
-/// Jobs of this priority number or a lower one (prod and high) are urgent: they are not preempted for GPU jobs.
+/// Jobs whose priority number is at most this (prod and high) are urgent: they are not preempted for GPU jobs.
 const MAX_URGENT_PRIORITY: u32 = 1;
-/// A priority number that is less urgent than that of any job.
+/// A priority number (0 is the most urgent) that is less urgent than that of any job.
 const LOWEST_PRIORITY: u32 = 9;
 
 impl From<&JobView> for Resources {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Where a candidate comes from.
+/// Whether a candidate is a machine that exists or is requested, or one that an offer allows to provision.
 #[derive(Clone, Copy)]
 pub(super) enum CandidateSource {
     /// A machine of the planner input, which may still be booting, with its index and its key there.
@@ -35,30 +35,33 @@
 /// A machine that tasks can be placed on: an existing or requested one, or one that an offer allows to provision.
 pub(super) struct Candidate {
     pub(super) source: CandidateSource,
-    /// Index of its machine type in the planner input.
+    /// Index of the candidate's machine type in the planner input.
     pub(super) type_index: usize,
     pub(super) zone: u32,
     pub(super) spot: bool,
-    /// Tasks that are placed on it can start now.
+    /// Whether the machine is up, so that tasks placed on it can start now.
     pub(super) up: bool,
-    /// It is a GPU machine of the planner input, on which jobs without GPUs are limited to the two headrooms below.
+    /// Whether the candidate is a GPU machine of the planner input. Jobs without GPUs may use only `urgent_headroom` or
+    /// `preemptible_headroom` of such a machine.
     headroom_applies: bool,
-    /// How much of the capacity urgent jobs without GPUs may use.
+    /// Capacity of a GPU machine that urgent jobs without GPUs may still use.
     urgent_headroom: Resources,
-    /// How much of the capacity other jobs without GPUs may use.
+    /// Capacity of a GPU machine that jobs without GPUs that aren't urgent may still use.
     preemptible_headroom: Resources,
-    /// Resources that are not allocated.
+    /// The machine's resources that are not allocated to any task.
     capacity: Resources,
-    /// Only for a machine of an offer: this round has placed a task on it, so it is to be provisioned.
+    /// Whether this round has placed a task on the machine, so that it is to be provisioned. Used only for a machine of
+    /// an offer.
     pub(super) requested: bool,
-    /// Only for a machine of an offer: the fraction of it, 0 to 1, that the tasks placed on it use together.
+    /// The fraction of the machine, 0 to 1, that the tasks placed on it use together. Used only for a machine of an
+    /// offer.
     pub(super) load: f64,
-    /// Only for a machine of an offer: the most urgent priority of the tasks placed on it.
+    /// The most urgent priority number of the tasks placed on the machine. Used only for a machine of an offer.
     pub(super) priority: u32,
 }
 
 impl Candidate {
-    /// The candidate for an existing or requested machine, which has this index in the input.
+    /// The candidate for an existing or requested machine, which has this index among the machines of the input.
     pub(super) fn from_machine(input: &PlanInput, index: usize, machine: &MachineView) -> Candidate {
         let headroom = |cpus: f64, memory_gb: f64| Resources { cpus, gpus: 0.0, memory_gb };
         let free = Resources { cpus: machine.free_cpus, gpus: machine.free_gpus, memory_gb: machine.free_memory_gb };
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The candidate for one machine of an offer, which has this index in the input.
+    /// The candidate for one machine of an offer, where the offer has this index in the input.
     pub(super) fn from_offer(input: &PlanInput, index: usize, offer: &ProvisionOffer) -> Candidate {
         Candidate {
             source: CandidateSource::Offer(index),
@@ -96,7 +99,7 @@
         }
     }
 
-    /// The index of the offer that it comes from, if it does.
+    /// The index of the offer that the candidate belongs to. Returns `None` for an existing or requested machine.
     pub(super) fn offer(&self) -> Option<usize> {
         match self.source {
             CandidateSource::Machine { .. } => None,
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Whether it has enough capacity for one more task of the job within the search scope.
+    /// Whether the candidate has enough free capacity for one more task of the job, where `scope` says how much of a
+    /// GPU machine a job without GPUs may use.
     pub(super) fn fits(&self, job: &JobView, scope: SearchScope) -> bool {
         let need = Resources::from(job);
         let headroom = if is_urgent(job) { &self.urgent_headroom } else { &self.preemptible_headroom };
@@ -112,12 +116,13 @@
             && (scope == SearchScope::All || !self.is_limited_to_headroom(job) || headroom.covers(&need))
     }
 
-    /// Whether the job may use only the headroom: it needs no GPU, and this is a GPU machine.
+    /// Whether the job may use only a part (headroom) of the candidate: the job needs no GPU, and the candidate is a
+    /// GPU machine.
     fn is_limited_to_headroom(&self, job: &JobView) -> bool {
         self.headroom_applies && job.gpus <= TOLERANCE
     }
 
-    /// Allocates the capacity for one task of the job.
+    /// Deducts the resources of one task of the job from the candidate's free capacity, and from the headroom.
     pub(super) fn allocate(&mut self, job: &JobView) {
         let need = Resources::from(job);
         self.capacity.sub(&need);
@@ -146,18 +151,18 @@
     job.priority <= MAX_URGENT_PRIORITY
 }
 
-/// How far a job without GPUs may use GPU machines, in order of increasing width.
+/// How far a job without GPUs may use GPU machines, from the narrowest to the widest scope.
 ///
 /// A service on a GPU machine keeps that machine running indefinitely and blocks GPU jobs from it, so a service starts
-/// with the narrowest scope. It gets a wider one only when no machine that is up has capacity for it otherwise, because
-/// services take precedence over all other work. Other jobs always have [`SearchScope::Headroom`]. This rule is
-/// not from the paper.
+/// with the narrowest scope. A service gets a wider scope only if no machine that is up has capacity for it within the
+/// present one, because services take precedence over all other jobs. Other jobs always have
+/// [`SearchScope::Headroom`]. This rule is not from the paper.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 pub(super) enum SearchScope {
-    /// No GPU machines.
+    /// The job may use no GPU machines.
     WithoutGpus,
-    /// Also GPU machines, within their headroom.
+    /// The job may also use GPU machines, each up to the headroom that the planner input states for such jobs.
     Headroom,
-    /// Also GPU machines, up to their whole capacity.
+    /// The job may also use GPU machines, up to their whole capacity.
     All,
 }
--- a/src/core/placement/estimates.rs
+++ b/src/core/placement/estimates.rs
@@ -13,8 +13,9 @@
 /// Lower bound on a machine's slowness, the factor by which tasks run longer on it.
 const MIN_SLOWNESS: f64 = 0.1;
 
-/// Like [`estimate`], within the job's search scope: a service that needs no GPU and doesn't restrict its machine types
-/// uses no GPU machine in [`SearchScope::WithoutGpus`], and in wider scopes only those that are up.
+/// Like [`estimate`], but also returns `None` for a GPU machine outside the job's search scope: a service that needs no
+/// GPU and doesn't restrict its machine types uses no GPU machine in [`SearchScope::WithoutGpus`], and in wider scopes
+/// only GPU machines that are up.
 pub(super) fn estimate_in_scope(
     input: &PlanInput,
     job: &JobView,
@@ -33,7 +34,8 @@
     estimate(input, job, candidate)
 }
 
-/// Estimates one task of the job on the candidate. Returns `None` if the job may not be placed there.
+/// Estimates finish time, cost and reliability of one task of the job on the candidate. Returns `None` if the job may
+/// not be placed there.
 pub(super) fn estimate(input: &PlanInput, job: &JobView, candidate: &Candidate) -> Option<Estimate> {
     let machine_type = &input.types[candidate.type_index];
     let machine = match candidate.source {
@@ -58,8 +60,8 @@
     Some(Estimate { finish_s, start_s, cost, reliability, spot: candidate.spot })
 }
 
-/// Whether the job's constraints allow the candidate, regardless of what runs there. They concern the machine's size,
-/// type, zone and pricing model, the machines that the job avoids, and the offers that it may use.
+/// Whether the job's constraints allow the candidate, whatever tasks are on it. The constraints concern the machine's
+/// size, type, zone and pricing model, the machines that the job avoids, and the offers that it may use.
 fn is_eligible(input: &PlanInput, job: &JobView, candidate: &Candidate, machine: Option<&MachineView>) -> bool {
     let machine_type = &input.types[candidate.type_index];
     let is_offer = candidate.offer().is_some();
@@ -92,22 +94,22 @@
         && (job.new_spot || !offer.spot)
 }
 
-/// Seconds that the machine needs, once it is up, to have the job's image.
+/// Seconds that the machine needs, once it is up, until it has the job's image: 0 if the image is cached there.
 fn fetch_s(job: &JobView, machine_type: &TypeView, machine: Option<&MachineView>) -> f64 {
     let images = machine.map_or(&[][..], |machine| &machine.images);
     match images.iter().find(|image| image.image == job.image) {
         Some(cached) => cached.ready_s,
         None => {
-            // Fetches share the machine's bandwidth, so this one ends after those under way.
+            // Image fetches share the machine's bandwidth, so the fetch for this task ends after those in progress.
             let others_s = images.iter().map(|image| image.ready_s).fold(0.0, f64::max);
             others_s + job.image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
         }
     }
 }
 
-/// Cost of the task: the price of the fraction of the machine that it uses while its image is fetched and while it
-/// runs, plus its share of the boot time of a machine that is yet to be provisioned. In the paper each task has a
-/// machine of its own.
+/// Cost of one task of the job: the price of the fraction of the machine that the task uses while its image is fetched
+/// and while it runs, plus the task's share of the boot time of a machine that is yet to be provisioned. In the paper
+/// each task has a machine of its own.
 fn cost(job: &JobView, candidate: &Candidate, machine_type: &TypeView, fetch_s: f64, run_s: f64) -> f64 {
     let fraction = machine_fraction(machine_type, job);
     let hourly_price = if candidate.spot { machine_type.spot_price } else { machine_type.price };
@@ -122,7 +124,8 @@
     hourly_price / 3600.0 * (fraction * (fetch_s + run_s) + boot_share_s)
 }
 
-/// The fraction, 0 to 1, of an empty machine of the type that one task of the job uses: the largest over its resources.
+/// The fraction, 0 to 1, of an empty machine of the type that one task of the job uses: that of the resource (CPUs,
+/// GPUs or memory) of which the task uses the largest fraction.
 pub(super) fn machine_fraction(machine_type: &TypeView, job: &JobView) -> f64 {
     let fraction = |capacity: f64, need: f64| if capacity > TOLERANCE { need / capacity } else { 0.0 };
     fraction(machine_type.cpus, job.cpus)
--- a/src/core/placement/formulas.rs
+++ b/src/core/placement/formulas.rs
@@ -3,12 +3,13 @@
 use super::TOLERANCE;
 use crate::peer::ZoneCount;
 
-/// The expected outcome of running one task of a job on a candidate, whether or not the candidate has capacity left.
+/// The expected outcome of running one task of a job on a candidate machine, whether or not the machine has free
+/// capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Estimate {
-    /// Expected finish, in seconds from now (the paper's finish time, FT).
+    /// Expected finish of the task, in seconds from now (the paper's finish time, FT).
     pub(super) finish_s: f64,
-    /// Expected start of the run, in seconds from now.
+    /// Expected time at which the task starts to run, after the machine is up and has the image, in seconds from now.
     pub(super) start_s: f64,
     /// Cost of the task, in the currency of the cloud's prices.
     pub(super) cost: f64,
@@ -27,7 +28,7 @@
     0.5 * (1.0 + libm::erf((lifetime_s.ln() - mu) / (sigma * std::f64::consts::SQRT_2)))
 }
 
-/// The time by which a task should finish, in seconds from now: its sub-deadline (paper, eq. 3).
+/// The task's sub-deadline, by which it should finish, in seconds from now (paper, eq. 3).
 ///
 /// `due_s` is the deadline of its job, which already leaves time for the jobs that depend on it. On a spot machine the
 /// sub-deadline is earlier by one run time, so that the task can be restarted elsewhere if the machine is reclaimed.
@@ -63,8 +64,8 @@
 
 /// Whether a task should no longer wait for spot machines to be provisioned (paper, eq. 8).
 ///
-/// This is so once the slack between its expected finish and its sub-deadline is less than the time it has waited plus
-/// a window (w in the paper). All arguments are in seconds.
+/// The wait is over once the slack between the task's expected finish and its sub-deadline is less than the time that
+/// the task has waited plus a window (w in the paper). All arguments are in seconds.
 pub fn spot_wait_is_over(sub_deadline_s: f64, finish_s: f64, waited_s: f64, window_s: f64) -> bool {
     sub_deadline_s - finish_s < waited_s + window_s
 }
--- a/src/core/placement/job_progress.rs
+++ b/src/core/placement/job_progress.rs
@@ -1,6 +1,6 @@
 //! The state of one job within a planning round.
 //!
-//! A candidate is feasible for a job if the job may be placed there, the candidate has capacity left for one more task
+//! A candidate is feasible for a job if the job may be placed there, the candidate has free capacity for one more task
 //! and the zone rules allow its zone. "Paper" is the publication that [`super`] cites.
 
 use super::candidates::{Candidate, SearchScope};
@@ -13,12 +13,13 @@
 
 /// Sort key for the order in which jobs take turns, lowest first.
 ///
-/// Jobs that can still meet their deadline come first, those with the least time left leading. Late jobs follow, oldest
-/// first. Ties go to the job with the highest rank (paper, eq. 1). The rest of this order is not from the paper.
+/// Jobs that can still meet their deadline come first, in ascending order of the time until the deadline. Late jobs
+/// follow, oldest first. Of equal jobs, the one with the highest rank (paper, eq. 1) is first. Only the rank is from
+/// the paper.
 #[derive(PartialEq, PartialOrd)]
 pub(super) struct TurnOrder {
     is_late: bool,
-    /// Seconds until the deadline, or for a late job its age as a negative number.
+    /// Seconds until the job's deadline, or for a late job its age in seconds as a negative number.
     time_left_s_or_minus_age_s: f64,
     minus_rank_s: f64,
     job: u32,
@@ -28,36 +29,38 @@
 #[derive(Default)]
 struct PlacedTasks {
     count: u32,
-    /// What they cost in total beyond the cheapest candidate.
+    /// What these tasks cost in total above the cheapest candidate, in the currency of the cloud's prices.
     excess_cost: f64,
 }
 
 /// The state of one job within a planning round.
 pub(super) struct JobProgress<'a> {
     job: &'a JobView,
-    /// By candidate index; `None` if the job may not be placed on the candidate.
+    /// The estimate of one task of the job on each candidate, by candidate index. `None` if the job may not be placed
+    /// on the candidate.
     estimates: Vec<Option<Estimate>>,
     tasks_left: u32,
     cheapest_cost: f64,
-    /// What the rest of the job may cost in total beyond the cheapest candidate (the paper's spare budget).
+    /// What the job's tasks that have not been placed may cost in total above the cheapest candidate (the paper's spare
+    /// budget), in the currency of the cloud's prices.
     spare_budget: f64,
-    /// Deadline in seconds from now.
+    /// The job's deadline, in seconds from now.
     due_s: f64,
     /// How many of the job's tasks are in each zone, including those chosen in this round.
     zone_counts: Vec<ZoneCount>,
-    /// By machine key: the tasks that start now.
+    /// The tasks that the round has placed on machines that are up, so that they start now; by machine key.
     placed: BTreeMap<u32, PlacedTasks>,
-    /// The tasks that can't start now.
+    /// The job's tasks that can't start now, as they wait for a machine or have no feasible candidate.
     waiting: Waiting,
     /// The job's rank in seconds (paper, eq. 1).
     rank_s: f64,
     ranking: CandidateRanking,
-    /// Widened when no machine within it is both up and feasible.
+    /// Which GPU machines the job may use. Widened when no machine within the scope is both up and feasible.
     scope: SearchScope,
 }
 
 impl<'a> JobProgress<'a> {
-    /// Estimates the job's tasks on all candidates.
+    /// Creates the job's state at the start of a round, with an estimate of one of its tasks on every candidate.
     pub(super) fn new(input: &PlanInput, candidates: &[Candidate], job: &'a JobView) -> JobProgress<'a> {
         let scope = if job.service { SearchScope::WithoutGpus } else { SearchScope::Headroom };
         let estimates: Vec<Option<Estimate>> =
@@ -69,11 +72,12 @@
             .filter(|estimate| estimate.cost <= cheapest_cost + TOLERANCE)
             .map(|estimate| estimate.finish_s)
             .fold(f64::INFINITY, f64::min);
-        // The average execution time in eq. 1 is the average finish time over the candidates.
+        // For the average execution time in eq. 1 of the paper, the average finish time over the candidates is used.
         let known_count = known().count().max(1) as f64;
         let rank_s = known().map(|estimate| estimate.finish_s).sum::<f64>() / known_count + job.dependents_s;
-        // The budget beyond the cheapest candidate is B x (highest cost - cheapest cost) for each of the job's tasks,
-        // less what earlier placements have spent of it. This formula for several tasks is not from the paper.
+        // The spare budget is B x (highest cost - cheapest cost) for each of the job's tasks, where B is the setting
+        // `budget_share`, less what earlier placements have spent of it. This formula for several tasks is not from the
+        // paper.
         let spare_budget = if cheapest_cost.is_finite() {
             (input.budget_share * (highest_cost - cheapest_cost) * job.tasks as f64 - job.overspent).max(0.0)
         } else {
@@ -117,12 +121,12 @@
         self.tasks_left > 0
     }
 
-    /// How many tasks of the round's budget one turn uses: one, or all of a gang.
+    /// How many tasks one turn of the job deducts from the round's budget: one, or all tasks of a gang.
     pub(super) fn tasks_per_turn(&self) -> u32 {
         if self.job.gang { self.job.tasks } else { 1 }
     }
 
-    /// How many tasks the next turn places, either all of them or none.
+    /// Number of tasks that the job's next turn tries to place: it places all of them or none.
     pub(super) fn tasks_in_next_turn(&self) -> u32 {
         if self.job.gang { self.tasks_left } else { 1 }
     }
@@ -141,7 +145,7 @@
         zone_allowed(self.job.spread, self.job.one_zone, self.job.tasks, &self.zone_counts, candidate.zone)
     }
 
-    /// Whether any feasible candidate is up.
+    /// Whether a machine that is up is feasible for one more task of the job.
     fn has_feasible_machine_up(&mut self, candidates: &[Candidate], meter: &OperationMeter) -> bool {
         if !self.ranking.is_current() {
             self.rank_candidates(candidates, meter);
@@ -152,8 +156,8 @@
         })
     }
 
-    /// Lets a service without GPUs use GPU machines, within their headroom at first, if no other machine that is up is
-    /// feasible.
+    /// Lets a service that needs no GPU use GPU machines if no other machine that is up is feasible: first up to their
+    /// headroom for such jobs, then up to their whole capacity.
     pub(super) fn widen_scope(&mut self, input: &PlanInput, candidates: &[Candidate], meter: &OperationMeter) {
         if !self.job.service || self.job.gpus > TOLERANCE {
             return;
@@ -191,7 +195,8 @@
         best
     }
 
-    /// Whether a candidate that the job may be placed on has capacity left and is in a zone that is allowed now.
+    /// Whether the candidate, on which the job may be placed, has free capacity for one more of the job's tasks and is
+    /// in a zone where one more of them is allowed.
     fn is_feasible(&self, candidates: &[Candidate], index: usize) -> bool {
         self.has_capacity(candidates, index) && self.allows_zone(&candidates[index])
     }
@@ -222,11 +227,11 @@
         }
     }
 
-    /// Ranks a newly added machine of an offer directly after the previous machine of the same offer, as both are
-    /// equivalent.
+    /// Ranks a machine of an offer, which has just been added to the candidates, directly after the previous machine of
+    /// the same offer, as both are equivalent.
     fn rank_new_candidate(&mut self, candidates: &[Candidate], index: usize, meter: &OperationMeter) {
         meter.add_comparisons(1);
-        // Other jobs may have used up its capacity, and capacity only shrinks within a round.
+        // Other jobs may have used up the new candidate's capacity, and capacity only shrinks within a round.
         if !self.has_capacity(candidates, index) {
             return;
         }
@@ -245,21 +250,22 @@
         }
     }
 
-    /// Restricts the search for a one-zone gang to one zone, by counting a task there.
+    /// Restricts the search for a one-zone gang to one zone, by counting one of its tasks as placed in that zone.
     pub(super) fn restrict_to_zone(&mut self, zone: u32) {
         self.zone_counts = vec![ZoneCount { zone, count: 1 }];
         self.ranking.invalidate();
     }
 
-    /// Resets the zone counts after a failed turn to those at the start of the round. The tasks placed in earlier turns
-    /// need not count any more, as the job gets no further turn; a gang has none.
+    /// Resets the numbers of tasks in each zone, after a turn that placed nothing, to those at the start of the round.
+    /// The tasks placed in earlier turns of the round needn't be included, as the job gets no further turn. A gang has
+    /// no earlier turns.
     pub(super) fn undo_turn(&mut self) {
         self.zone_counts = self.job.placed.clone();
         self.ranking.invalidate();
     }
 
-    /// Records that a task is placed on the candidate and reduces the spare budget (paper, line 17). `machine` is the
-    /// machine's key if the task starts now, or `None` if it waits for machines to come up.
+    /// Records that a task is placed on the candidate, and reduces the spare budget (paper, line 17). `machine` is the
+    /// machine's key if the task starts now, or `None` if the task waits for machines to come up.
     pub(super) fn record_task(&mut self, candidate: &Candidate, index: usize, machine: Option<u32>) {
         let estimate = self.estimates[index].unwrap_or(Estimate {
             finish_s: 0.0,
--- a/src/core/placement/job_selection.rs
+++ b/src/core/placement/job_selection.rs
@@ -1,12 +1,13 @@
-//! Chooses the jobs that a planning round considers, and divides them into classes that are planned in order.
+//! Chooses the jobs that a planning round considers, and divides them into classes that are planned one after the
+//! other.
 
 use crate::peer::{JobView, PlanInput};
 
-/// Limit on the estimates that a round starts with, of which there is one for each pair of a job and a candidate.
+/// Limit on the number of estimates with which a planning round starts: one for each pair of a job and a candidate.
 pub(super) const MAX_ESTIMATES: usize = 65_536;
-/// A round may consider this many jobs, however many candidates there are.
+/// A planning round may always consider this many jobs, however many candidates there are.
 pub(super) const MIN_JOBS_PER_ROUND: usize = 24;
-/// A round considers at most this many jobs.
+/// A planning round considers at most this many jobs, however few candidates there are.
 const MAX_JOBS_PER_ROUND: usize = 256;
 
 /// The class of a job within a round. Classes are planned one after the other, in ascending order.
@@ -27,7 +28,7 @@
     }
 }
 
-/// The jobs that this round considers.
+/// The jobs that the planning round considers.
 ///
 /// Each job is compared with every candidate, so the number of jobs is limited where there are many candidates. Then
 /// three quarters of the jobs are the most urgent ones, and the remaining places rotate through all other jobs from
--- a/src/core/placement/planner.rs
+++ b/src/core/placement/planner.rs
@@ -12,15 +12,15 @@
 /// The outcome of a job's turn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum TurnOutcome {
-    /// The task or gang is placed on machines that are up, and starts now.
+    /// The job's next task, or the whole gang, is placed on machines that are up, and starts now.
     Placed,
-    /// The task or gang is placed, but waits for machines that aren't up yet.
+    /// The job's next task, or the whole gang, is placed, but waits for machines that aren't up yet.
     Pending,
-    /// No candidate is feasible, or the team's quota doesn't allow more.
+    /// Nothing is placed: no candidate is feasible for the job, or its team's quota doesn't allow more tasks.
     NoCandidate,
 }
 
-/// What is left of a team's quota in this round.
+/// The resources that a team may still allocate in this round before it reaches its quota.
 #[derive(Clone, Copy)]
 struct RemainingQuota {
     cpus: f64,
@@ -39,14 +39,14 @@
     /// The machines of the input in its order, then one machine of each offer, then further machines of offers, one
     /// added whenever the previous one of the offer is first used.
     candidates: Vec<Candidate>,
-    /// By offer index: how many machines of the offer may still be added to the candidates.
+    /// How many machines of each offer may still be added to the candidates, by offer index.
     offered_machines_left: Vec<u32>,
-    /// By team index; teams that are absent have no limit.
+    /// The rest of each team's quota, by team index. A team that is absent has no limit.
     team_quotas: BTreeMap<u32, RemainingQuota>,
 }
 
 impl<'a> Planner<'a> {
-    /// The machine type indices in `input` must be valid.
+    /// Creates the state at the start of a round. Every machine type index in `input` must be valid.
     pub(super) fn new(input: &'a PlanInput, meter: &'a OperationMeter) -> Planner<'a> {
         let machines = input.machines.iter().enumerate();
         let teams = input.teams.iter();
@@ -68,7 +68,7 @@
         &self.candidates
     }
 
-    /// Adds one machine of the offer to the candidates, unless all its machines have been added.
+    /// Adds one more machine of the offer to the candidates, unless all machines of the offer have been added.
     fn add_candidate_of_offer(&mut self, offer: usize) {
         if self.offered_machines_left[offer] == 0 {
             return;
@@ -77,13 +77,13 @@
         self.candidates.push(Candidate::from_offer(self.input, offer, &self.input.offers[offer]));
     }
 
-    /// Starts the job's part in the round by estimating its tasks on all candidates.
+    /// Creates the job's state for this round, with an estimate of one of its tasks on every candidate.
     pub(super) fn start_job(&self, job: &'a JobView) -> JobProgress<'a> {
         self.meter.add_comparisons(self.candidates.len());
         JobProgress::new(self.input, &self.candidates, job)
     }
 
-    /// The machines to provision: those of offers on which tasks are placed.
+    /// The machines to provision: the machines of offers on which this round has placed tasks.
     pub(super) fn scale_out_requests(&self) -> Vec<ScaleOutRequest> {
         let requested = self.candidates.iter().filter(|candidate| candidate.requested);
         requested
@@ -157,8 +157,8 @@
         None
     }
 
-    /// Places a one-zone gang by trying each zone in turn. Without this, the best candidate for the first task decides
-    /// the zone, which may lack capacity for the whole gang.
+    /// Places a one-zone gang by trying each zone in turn. If the best candidate for the first task decided the zone,
+    /// that zone might lack capacity for the whole gang.
     fn choose_zone_by_zone(&mut self, progress: &mut JobProgress, tasks: u32) -> Option<Vec<usize>> {
         let mut zones: Vec<u32> = self.candidates.iter().map(|candidate| candidate.zone).collect();
         zones.sort_unstable();
@@ -169,7 +169,8 @@
         })
     }
 
-    /// Records a placement for each chosen candidate if all of them are up; otherwise all the tasks wait.
+    /// Records the placement of one task on each chosen candidate. If any of these machines isn't up, all the tasks
+    /// wait.
     fn record(&mut self, progress: &mut JobProgress, chosen: &[usize]) -> TurnOutcome {
         let job = progress.job();
         let all_up = chosen.iter().all(|index| self.candidates[*index].up);
--- a/src/core/placement/ranking.rs
+++ b/src/core/placement/ranking.rs
@@ -1,35 +1,36 @@
 //! The feasible candidates of a job in descending order of quality.
 //!
-//! A candidate is feasible if the job may be placed there, the candidate has capacity left for one more task and the
+//! A candidate is feasible if the job may be placed there, the candidate has free capacity for one more task and the
 //! zone rules allow its zone. "Paper" is the publication that [`super`] cites.
 
 use super::{Estimate, TOLERANCE, quality};
 
 #[derive(Clone, Copy)]
 struct RankedCandidate {
-    /// Index in the planner's list of candidates.
+    /// Index of the candidate in the planner's list of candidates.
     index: usize,
     cost: f64,
-    /// Whether it passes the deadline filter (paper, line 12).
+    /// Whether the candidate passes the deadline filter (paper, line 12).
     in_time: bool,
 }
 
 /// The feasible candidates of a job, best first.
 ///
 /// The tasks of a job are identical, so the candidates aren't compared anew for each task, but only when the round
-/// first reaches the job and again whenever none is left that passes both filters. In between, an earlier comparison
-/// stays valid because capacity, budget and time only shrink within a round.
+/// first reaches the job and again whenever no feasible candidate passes both the cost and the deadline filter any
+/// more. Until then the earlier comparison stays valid, because capacity, budget and time only shrink within a round.
 #[derive(Default)]
 pub(super) struct CandidateRanking {
     ranked: Vec<RankedCandidate>,
     cheapest_cost: f64,
-    /// No candidate before this position in `ranked` is still feasible and passes both filters.
+    /// No candidate before this position in `ranked` is still feasible and passes both the cost and the deadline
+    /// filter.
     passing_from: usize,
     /// No candidate before this position in `ranked` is still feasible.
     feasible_from: usize,
-    /// No candidate passed both filters when the candidates were last compared.
+    /// Whether no candidate passed both the cost and the deadline filter when the candidates were last compared.
     none_passes: bool,
-    /// If false, the candidates must be compared anew before the ranking is used.
+    /// Whether the ranking may be used. If false, the candidates must be compared anew first.
     is_current: bool,
 }
 
@@ -83,7 +84,8 @@
         self.none_passes
     }
 
-    /// The best candidate that is still feasible and passes both filters.
+    /// The index of the best candidate that is still feasible and passes both the cost and the deadline filter. Returns
+    /// `None` if there is none.
     pub(super) fn best_passing(&mut self, spare_budget: f64, is_feasible: impl Fn(usize) -> bool) -> Option<usize> {
         let found = self.position(self.passing_from, |candidate| {
             self.passes_filters(candidate, spare_budget) && is_feasible(candidate.index)
@@ -92,14 +94,15 @@
         found.map(|position| self.ranked[position].index)
     }
 
-    /// The best candidate that is still feasible, whether or not it passes the filters.
+    /// The index of the best candidate that is still feasible, whether or not it passes the cost and deadline filters.
+    /// Returns `None` if there is none.
     pub(super) fn best_feasible(&mut self, is_feasible: impl Fn(usize) -> bool) -> Option<usize> {
         let found = self.position(self.feasible_from, |candidate| is_feasible(candidate.index));
         self.feasible_from = found.unwrap_or(self.ranked.len());
         found.map(|position| self.ranked[position].index)
     }
 
-    /// Whether any candidate that may still be feasible meets the condition.
+    /// Whether any candidate that may still be feasible meets the condition, which is given the candidate's index.
     pub(super) fn any(&self, condition: impl Fn(usize) -> bool) -> bool {
         self.position(self.feasible_from, |candidate| condition(candidate.index)).is_some()
     }
@@ -109,7 +112,7 @@
     }
 
     /// Inserts a new candidate directly after the last one for which `is_equal` holds. Returns how many candidates
-    /// were examined to find that one. If there is none, invalidates the ranking and returns `None`.
+    /// were examined to find that last one. If `is_equal` holds for none, invalidates the ranking and returns `None`.
     pub(super) fn insert_after_equal(
         &mut self,
         index: usize,
@@ -129,7 +132,8 @@
     }
 }
 
-/// The minima and maxima of finish time and cost over the candidates. The other fields are unused.
+/// The minima (first estimate) and maxima (second) of finish time and cost over the candidates. The other fields of
+/// both estimates are unused.
 fn extremes(feasible: &[(usize, &Estimate)]) -> (Estimate, Estimate) {
     let unbounded =
         Estimate { finish_s: f64::INFINITY, cost: f64::INFINITY, start_s: 0.0, reliability: 0.0, spot: false };
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -50,7 +50,7 @@
 #[test]
 fn log_normal_cdf_matches_tables_of_the_normal_distribution() {
     let mu = 5400f64.ln();
-    // Tables of the normal distribution: 0.5 at the median, 0.1587 one sigma below it.
+    // By the tables of the normal distribution, the probability is 0.5 at the median and 0.1587 one sigma below it.
     assert!((log_normal_cdf(5400.0, mu, 1.0) - 0.5).abs() < 1e-9);
     assert!((log_normal_cdf(5400.0 / 1f64.exp(), mu, 1.0) - 0.158_655).abs() < 1e-5);
     assert_eq!(log_normal_cdf(0.0, mu, 1.0), 0.0);
@@ -64,16 +64,18 @@
     view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 1 }];
     let meter = OperationMeter::default();
     let planner = Planner::new(&view, &meter);
-    // Up: fetches 1 GB at 0.5 GB/s, then runs for 36 s, on a quarter of a machine at 1.0 per hour.
+    // A machine that is up: the task fetches 1 GB at 0.5 GB/s, then runs for 36 s, on a quarter of the machine, which
+    // costs 1.0 per hour.
     let up = estimate(&view, &view.jobs[0], &planner.candidates()[0]).unwrap();
     assert_eq!((up.finish_s, up.start_s, up.reliability), (38.0, 2.0, 1.0));
     assert!((up.cost - 0.25 * 38.0 / 3600.0).abs() < 1e-12);
-    // Booting spot machine: starts 12 s later, at a third of the price, and may be reclaimed.
+    // A spot machine that is booting: the task starts 12 s later, at a third of the price, and the machine may be
+    // reclaimed.
     let boot = estimate(&view, &view.jobs[0], &planner.candidates()[1]).unwrap();
     assert_eq!(boot.finish_s, 50.0);
     assert!((boot.cost - 0.25 * 38.0 / 3600.0 / 3.0).abs() < 1e-12);
     assert!((boot.reliability - (1.0 - log_normal_cdf(50.0, view.spot_mu, 1.0))).abs() < 1e-12);
-    // Offered machine: the only task on it is charged for the whole boot time.
+    // A machine of an offer: the only task on the machine is charged for the whole boot time.
     let new = estimate(&view, &view.jobs[0], &planner.candidates()[2]).unwrap();
     assert_eq!(new.finish_s, 68.0);
     assert!((new.cost - (0.25 * 38.0 + 30.0) / 3600.0).abs() < 1e-12);
@@ -90,14 +92,15 @@
 #[test]
 fn sub_deadline_on_spot_is_one_run_time_earlier_and_limits_the_wait_for_spot_machines() {
     assert_eq!((sub_deadline(100.0, 30.0, true), sub_deadline(100.0, 30.0, false)), (70.0, 100.0));
-    // Sub-deadline at 70 s, finish at 50 s: 20 s of slack, compared with a wait of 8 s or 11 s plus a window of 10 s.
+    // With a sub-deadline at 70 s and a finish at 50 s, the slack is 20 s. The wait is over if that is less than the
+    // time waited, 8 s or 11 s, plus a window of 10 s.
     assert!(!spot_wait_is_over(70.0, 50.0, 8.0, 10.0));
     assert!(spot_wait_is_over(70.0, 50.0, 11.0, 10.0));
 }
 
 #[test]
 fn cost_filter_holds_until_the_budget_is_spent() {
-    // Two machine types, one at five times the price. The expensive machine already has the image.
+    // Of the two machine types, one has five times the price. Only the expensive machine already has the image.
     let mut expensive = machine(1, 8.0);
     expensive.kind = 1;
     expensive.images = vec![ImageView { image: 0, ready_s: 0.0 }];
@@ -130,8 +133,8 @@
 
 #[test]
 fn turn_order_prefers_the_higher_rank_among_jobs_with_the_same_time_left() {
-    // Capacity for one task. Both jobs are due at the same time, but the dependents of one take longer, which gives it
-    // the higher rank (eq. 1).
+    // The only machine has capacity for one task. Both jobs are due at the same time, but the dependents of one job
+    // take longer, which gives that job the higher rank (equation 1 of the paper that `core::placement` cites).
     let job_followed_by =
         |key: u32, dependents_s: f64| JobView { slo_deadline_s: Some(80.0), dependents_s, ..job(key, 1) };
     let placed = |jobs: Vec<JobView>| placements(&plan(&input(vec![machine(0, 2.0)], jobs)));
@@ -148,13 +151,13 @@
 
 #[test]
 fn scale_out_requests_for_a_long_queue_exceed_the_batch() {
-    // One machine is up and four of the 40 tasks fit on a machine: a batch of 4 starts.
+    // One machine is up, and four tasks fit on it. Of the job's 40 tasks, a batch of 4 starts.
     let mut view = input(vec![machine(0, 8.0)], vec![job(0, 40)]);
     view.batch = 4;
     view.offers = vec![ProvisionOffer { kind: 0, zone: 0, spot: false, most: 50 }];
     let out = plan(&view);
     assert_eq!(placements(&out), [(0, 0, 4)]);
-    // The tasks that wait request machines, for up to eight batches of them.
+    // Machines are requested for the tasks that can't start now, up to eight batches of tasks.
     view.jobs[0].ready = 36;
     view.machines.clear();
     assert_eq!(plan(&view).scale_out.len(), 8, "32 tasks at 8 CPUs a machine");
@@ -176,7 +179,7 @@
 
 #[test]
 fn one_zone_gang_is_placed_in_a_zone_with_capacity_for_all_of_it() {
-    // The best candidate for a single task is in zone 0, which lacks capacity for all three.
+    // The best candidate for a single task is in zone 0, where the machines lack capacity for all three tasks.
     let (mut a, mut b) = (machine(0, 4.0), machine(1, 8.0));
     (a.zone, b.zone) = (0, 1);
     a.images = vec![ImageView { image: 0, ready_s: 0.0 }];
