--- a/src/core/cancellations.rs
+++ b/src/core/cancellations.rs
@@ -10,8 +10,8 @@
 /// Maximum number of cancellations kept. This many fit in one message between controllers.
 pub const MAX_CANCELLATIONS: usize = 4_096;
 
-/// The confirmed cancellations, ordered by the store revision that cancelled the job. Complete only after a
-/// certain revision.
+/// The cancellations that were confirmed to users, ordered by the store revision that cancelled the job. The
+/// cancellations up to a certain revision may be missing: see `complete_after`.
 #[derive(Default)]
 pub struct ConfirmedCancellations {
     /// `confirmed` holds every cancellation after this revision that this process, or an earlier one at the same
@@ -22,13 +22,13 @@
 }
 
 impl ConfirmedCancellations {
-    /// Sets the first store revision that this process has seen. No cancellation that an earlier process at the
-    /// same address has confirmed can be newer than it. Later calls do nothing.
+    /// Sets the store revision that this process read first after it started. Any cancellation that an earlier
+    /// process at the same address confirmed has this revision or a lower one. Only the first call has an effect.
     pub fn set_first_revision(&mut self, revision: Revision) {
         self.complete_after.get_or_insert(revision);
     }
 
-    /// Whether the first store revision was set by [`Self::set_first_revision`].
+    /// Whether [`Self::set_first_revision`] was called: this process has read the store's revision since it started.
     pub fn is_first_revision_known(&self) -> bool {
         self.complete_after.is_some()
     }
@@ -38,13 +38,15 @@
         self.confirmed.insert((revision, id));
         while self.confirmed.len() > MAX_CANCELLATIONS {
             if let Some((oldest, _)) = self.confirmed.pop_first() {
-                // `confirmed` is complete only after the newest revision that was removed.
+                // A cancellation of revision `oldest` was dropped to stay within the limit, so `confirmed` lists
+                // all cancellations only for the revisions after `oldest`.
                 self.complete_after = self.complete_after.map(|complete_after| complete_after.max(oldest));
             }
         }
     }
 
-    /// All confirmed cancellations after a revision, oldest first. Returns `None` if they are not completely known.
+    /// The jobs of all cancellations after `revision` that were confirmed to users, oldest first. Returns `None` if
+    /// some of these cancellations may be missing here.
     pub fn since(&self, revision: Revision) -> Option<Vec<JobId>> {
         self.complete_after.filter(|complete_after| *complete_after <= revision)?;
         Some(self.confirmed.iter().filter(|(at, _)| *at > revision).map(|(_, id)| *id).collect())
--- a/src/core/election.rs
+++ b/src/core/election.rs
@@ -22,30 +22,30 @@
 
 /// The key that the leader owns. Its value is a [`LeaderRecord`].
 pub const LEADER_KEY: &str = "ctl/leader";
-/// Written together with the first leader's key and never removed: marks that the cluster has had a leader.
+/// Key that marks that the cluster has had a leader. Written together with the first leader's key, never removed.
 pub const INITIALIZED_KEY: &str = "ctl/founded";
 
-/// Names the successor of a leader that hands over. The key is attached to a lease of [`SUCCESSOR_BACKOFF`];
-/// while it exists, the other controllers don't stand for election. Controllers that the leader can't reach
-/// learn of the hand-over from this key.
+/// Key under which a leader that hands over stores the name of its successor. The key is attached to a lease of
+/// [`SUCCESSOR_BACKOFF`]; while it exists, the other controllers don't stand for election. Controllers that the
+/// leader can't reach learn of the hand-over from this key.
 pub const SUCCESSOR_KEY: &str = "ctl/heir";
 
-/// How long the other controllers don't stand for election after a hand-over to a successor.
+/// How long the controllers that aren't the named successor don't stand for election after a leader hands over.
 pub const SUCCESSOR_BACKOFF: Millis = Millis(2_000);
 
-/// A leader hands over only if at least this many machines are suspected. With fewer, the machines themselves are more
-/// likely to have failed.
+/// A leader hands over only if it suspects at least this many machines of having failed. With fewer, the machines
+/// themselves are more likely to have failed than the leader's network.
 const MIN_SUSPECTED_TO_HAND_OVER: usize = 2;
-/// A leader hands over only if at least one in this many machines is suspected.
+/// A leader hands over only if it suspects at least one in this many of all machines of having failed.
 const MACHINES_PER_SUSPECTED_MACHINE: usize = 12;
 
 /// Whether a leader should hand over to a peer because its workers can't reach it.
 ///
-/// That is so if the leader suspects many of its machines, and at least two thirds as many suspected
-/// machines have sent heartbeats to its peers: these machines are alive.
+/// That is so if the leader suspects many of its machines of having failed, but at least two thirds of those
+/// have sent heartbeats to its peers and so are alive.
 ///
-/// `suspected` and `redirected` are the numbers of machines in these two groups, `machines` is the
-/// number of all machines.
+/// `suspected` is the number of suspected machines, `redirected` the number of those that have sent heartbeats to
+/// peers, and `machines` the number of all machines.
 pub fn should_hand_over(suspected: usize, redirected: usize, machines: usize) -> bool {
     suspected >= MIN_SUSPECTED_TO_HAND_OVER
         && suspected * MACHINES_PER_SUSPECTED_MACHINE >= machines
@@ -67,34 +67,34 @@
 /// A leader's lease, and how long the leader may act under it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderLease {
-    /// The term that the leader was elected for.
+    /// The term for which the controller was elected leader: the store's revision of the leader's key.
     pub term: Term,
-    /// The lease in the key-value store.
+    /// The lease in the key-value store to which the leader's key is attached.
     pub id: LeaseId,
     /// No other controller can lead before this moment.
     expires_at: MonotonicTime,
     /// Until this moment, the leader's last read of the live jobs is recent enough to act on.
     read_expires_at: MonotonicTime,
-    /// The leader has read all changes of live jobs up to this revision.
+    /// The store's revision up to which the leader has read all changes of live jobs.
     pub read_through: Revision,
 }
 
 /// A follower's pledge not to stand for election, given to a leader to which the store is unavailable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pledge {
-    /// How long the follower will not stand for election.
+    /// How long the follower will not stand for election, counted from when it gives the pledge.
     pub duration: Millis,
     /// Cancellations that the follower has confirmed to users and that the leader can't have read.
     pub cancelled: Vec<JobId>,
 }
 
-/// Why a controller doesn't give a pledge.
+/// Why a controller refuses to pledge to a leader that it won't stand for election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PledgeRefusal {
-    /// The store serves this controller, which may therefore learn of changes that the leader can't read.
+    /// The store serves this controller, which may therefore confirm cancellations that the leader can't read.
     #[error("the store is available to this controller")]
     StoreAvailable,
-    /// The store may still commit this controller's own candidacy.
+    /// This controller has stood for election itself, and the store may still commit its candidacy.
     #[error("this controller's own candidacy is pending")]
     CandidacyPending,
     /// This controller holds a leader's lease itself.
@@ -112,27 +112,28 @@
 /// The election state of one controller. All moments are on its own clock.
 pub struct Election {
     lease_ttl: Millis,
-    /// How long after a read of the live jobs a leader may act on it.
+    /// How long a leader may act after it has requested the live jobs from the store; every read starts this anew.
     read_ttl: Millis,
     pledge_duration: Millis,
     /// This controller has pledged not to stand for election before this moment.
     pledged_until: MonotonicTime,
-    /// A leader has named another controller as its successor, so this one doesn't stand for election until then.
+    /// This controller doesn't stand for election before this moment, because a leader has named another controller
+    /// as its successor.
     backoff_until: MonotonicTime,
-    /// The store may still commit a candidacy that this controller has sent.
+    /// Whether the store may still commit a candidacy that this controller has sent.
     candidacy_pending: bool,
-    /// The last request to the store was refused or not answered.
+    /// Whether the store refused or didn't answer this controller's last request.
     store_unavailable: bool,
     lease: Option<LeaderLease>,
-    /// The last term that this process has led for.
+    /// The last term for which this process was the leader.
     last_term: Term,
 }
 
 impl Election {
     /// The state of a controller process that has just started.
     ///
-    /// `lease_ttl` is the time to live of the leader's lease and the duration of a pledge; `read_ttl` is
-    /// how long after a read of the live jobs a leader may act on it.
+    /// `lease_ttl` is the time to live of the leader's lease and the duration of a pledge; `read_ttl` is how long a
+    /// leader may act after it has requested the live jobs from the store.
     pub fn new(lease_ttl: Millis, read_ttl: Millis) -> Election {
         Election {
             lease_ttl,
@@ -147,17 +148,17 @@
         }
     }
 
-    /// Records that the store has served a request.
+    /// Records that the store has served a request of this controller.
     pub fn store_served(&mut self) {
         self.store_unavailable = false;
     }
 
-    /// Records that the store has refused a request or has not answered it.
+    /// Records that the store has refused a request of this controller or has not answered it.
     pub fn store_failed(&mut self) {
         self.store_unavailable = true;
     }
 
-    /// Whether the last request to the store was refused or not answered.
+    /// Whether the store has refused or not answered this controller's last request.
     pub fn is_store_unavailable(&self) -> bool {
         self.store_unavailable
     }
@@ -179,18 +180,20 @@
         self.backoff_until = now + SUCCESSOR_BACKOFF;
     }
 
-    /// Records that a candidacy is about to be sent; until it is settled, the store may commit it at any time.
+    /// Records that the transaction that makes this controller the leader is about to be sent to the store. Until
+    /// [`Self::candidacy_settled`] is called, the store may commit this candidacy at any time.
     pub fn candidacy_sent(&mut self) {
         self.candidacy_pending = true;
     }
 
-    /// Records that the candidacy was answered, or that its lease has ended so that it can't be committed any more.
+    /// Records that the store answered the candidacy, or that the lease that the candidacy names has ended, so that
+    /// the store can't commit the candidacy any more.
     pub fn candidacy_settled(&mut self) {
         self.candidacy_pending = false;
     }
 
     /// Records that this controller has become the leader of a term. `requested_at` is a moment before the
-    /// request for the lease was sent; the lease is counted from there.
+    /// request for the lease was sent; the lease's time to live is counted from that moment.
     pub fn elected(&mut self, term: Term, lease: LeaseId, requested_at: MonotonicTime) {
         self.lease = Some(LeaderLease {
             term,
@@ -203,30 +206,32 @@
         self.candidacy_pending = false;
     }
 
-    /// Records that the lease was renewed by a request sent at `requested_at`. A late answer to an earlier
-    /// request changes nothing.
+    /// Records that the store renewed the leader's lease on a request sent at `requested_at`. A late answer to an
+    /// earlier request doesn't shorten the lease.
     pub fn renewed(&mut self, requested_at: MonotonicTime) {
         if let Some(lease) = &mut self.lease {
             lease.expires_at = lease.expires_at.max(requested_at + self.lease_ttl.minus_clock_drift());
         }
     }
 
-    /// Records that all changes of live jobs up to the revision are in the cluster state; they were
-    /// requested at `requested_at` and have been read by `now`.
+    /// Records that this leader's cluster state contains all changes of live jobs up to the store's `revision`. The
+    /// changes were requested from the store at `requested_at` and have been read by `now`.
     pub fn live_jobs_read(&mut self, requested_at: MonotonicTime, now: MonotonicTime, revision: Revision) {
         if let Some(lease) = &mut self.lease {
             lease.read_expires_at = lease.read_expires_at.max(requested_at + self.read_ttl);
-            // After the expiry another controller may lead, so the revision may be of a later term. A peer
-            // that led for that term and has restarted since doesn't know that it did; given such a
-            // revision, it could pledge to this outdated leader.
+            // After the lease has expired, another controller may have led, and `revision` may be of that later
+            // term. A peer that led for that term and has restarted since doesn't know that it did. It pledges only
+            // to a leader that has read everything from before its restart, which `read_through` must not claim for
+            // this outdated leader.
             if now < lease.expires_at {
                 lease.read_through = lease.read_through.max(revision);
             }
         }
     }
 
-    /// Extends the lease, as every peer has pledged and the cancellations sent with the pledges are in the
-    /// cluster state. Each pledge began after `requested_at`; `shortest` is the duration of the shortest.
+    /// Extends the lease, after every peer has pledged not to stand for election and the cancellations sent with the
+    /// pledges have been applied to the cluster state. Each pledge began after `requested_at`; `shortest` is the
+    /// duration of the shortest pledge.
     pub fn extend_on_pledges(&mut self, requested_at: MonotonicTime, shortest: Millis) {
         if let Some(lease) = &mut self.lease {
             lease.expires_at = lease.expires_at.max(requested_at + shortest.minus_clock_drift());
@@ -244,15 +249,17 @@
         self.lease
     }
 
-    /// The term under which this controller may act as leader now, by sending orders and answers. `None` if
-    /// it doesn't lead, its lease has expired or its last read of the live jobs is too old.
+    /// The term under which this controller may act as leader now, by sending orders and answers. Returns `None` if
+    /// this controller doesn't lead, its lease has expired or its last read of the live jobs is too old.
     pub fn active_term(&self, now: MonotonicTime) -> Option<Term> {
         self.lease.filter(|lease| now < lease.expires_at.min(lease.read_expires_at)).map(|lease| lease.term)
     }
 
-    /// Gives a pledge to the leader of a term, to which the store is unavailable and which has read all
-    /// changes of live jobs up to `read_through`. `confirmed` are the cancellations that this controller
-    /// has confirmed to users.
+    /// Promises the leader of `term`, to which the store is unavailable, not to stand for election for the time to
+    /// live of a leader's lease. Returns the reason if this controller can't give this pledge.
+    ///
+    /// The leader has read all changes of live jobs up to `read_through`. `confirmed` are the cancellations that this
+    /// controller has confirmed to users; the pledge contains those that the leader can't have read.
     pub fn pledge_to(
         &mut self,
         now: MonotonicTime,
--- a/src/core/election/tests.rs
+++ b/src/core/election/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(leader.active_term(MonotonicTime(14_000)), None);
     leader.renewed(MonotonicTime(12_000));
     assert_eq!(leader.active_term(MonotonicTime(15_900)), Some(Term(7)));
-    // A late answer to an earlier renewal changes nothing.
+    // A late answer to a renewal request that was sent earlier doesn't shorten the lease.
     leader.renewed(MonotonicTime(11_000));
     assert_eq!(leader.active_term(MonotonicTime(15_900)), Some(Term(7)));
     leader.step_down();
@@ -98,7 +98,8 @@
     );
     assert_eq!(request_pledge(&mut follower, &confirmed, 12), Ok(vec![job(2), job(3)]));
     assert_eq!(request_pledge(&mut follower, &confirmed, 13), Ok(vec![job(3)]));
-    // Beyond MAX_CANCELLATIONS the oldest are dropped, so the list is complete only from a later revision on.
+    // Of more than MAX_CANCELLATIONS cancellations the oldest are dropped, so that the list is complete only from a
+    // later revision on.
     for n in 0..MAX_CANCELLATIONS as u64 {
         confirmed.record(job(100 + n), Revision(100 + n));
     }
@@ -110,7 +111,7 @@
 fn leader_acts_only_on_recent_reads() {
     let mut leader = election();
     leader.elected(Term(7), LeaseId(1), MonotonicTime(10_000));
-    // The lease is renewed, but the live jobs aren't read.
+    // The leader renews its lease, but doesn't read the live jobs, so that it may not act any more.
     for t in 10..40 {
         leader.renewed(MonotonicTime(t * 1_000));
     }
@@ -119,7 +120,7 @@
     leader.live_jobs_read(MonotonicTime(29_000), MonotonicTime(30_000), Revision(30));
     assert_eq!(leader.active_term(MonotonicTime(30_100)), Some(Term(7)));
     assert_eq!(leader.lease().unwrap().read_through, Revision(30));
-    // After the lease has expired, the revision may be of a later term.
+    // After the lease has expired, the revision of a read may be of a later leader's term and is not recorded.
     leader.live_jobs_read(MonotonicTime(49_000), MonotonicTime(50_000), Revision(50));
     assert_eq!(leader.lease().unwrap().read_through, Revision(30));
 }
--- a/src/core/election_simulation/controllers.rs
+++ b/src/core/election_simulation/controllers.rs
@@ -10,28 +10,28 @@
 const ROUND_TRIP_MS: u64 = 30;
 
 pub(super) struct Controller {
-    /// When this process started; its clock counts from there.
+    /// When this process started, in simulated time. The process's own clock shows 0 at that time.
     pub(super) started_at: u64,
     pub(super) election: Election,
     pub(super) cancellations: ConfirmedCancellations,
-    /// This process is suspended until this time.
+    /// Simulated time until which this process is suspended.
     pub(super) frozen_until: u64,
-    /// The store refuses this controller's requests until this time.
+    /// Simulated time until which the store refuses this controller's requests.
     pub(super) refused_until: u64,
-    /// This controller is disconnected from its peers until this time.
+    /// Simulated time until which this controller is disconnected from its peers.
     pub(super) partitioned_until: u64,
-    /// This controller's watch of the live jobs delivers no events until this time.
+    /// Simulated time until which this controller's watch of the live jobs delivers no events.
     pub(super) watch_stalled_until: u64,
     next_election_step_at: u64,
     next_read_at: u64,
     /// The cancelled jobs that this controller knows of as leader.
     pub(super) known_cancelled: BTreeSet<JobId>,
-    /// This controller has read the live jobs since it was elected.
+    /// Whether this controller has read the live jobs since it was elected.
     pub(super) is_loaded: bool,
 }
 
 impl Controller {
-    /// A new controller process.
+    /// A controller process that has just started, at this time of the simulation.
     pub(super) fn started_at(started_at: u64) -> Controller {
         Controller {
             started_at,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The time on this process's clock at a time of the simulation.
+    /// The time that this process's own clock shows at the simulated time `at`.
     pub(super) fn clock(&self, at: u64) -> MonotonicTime {
         MonotonicTime(at.saturating_sub(self.started_at))
     }
@@ -130,7 +130,7 @@
         }
         let requested_at = controller.clock(now.saturating_sub(ROUND_TRIP_MS));
         match self.leader_key {
-            // An earlier process of this controller led, so its lease is revoked.
+            // The leader's key belongs to an earlier process of this controller, whose lease is therefore revoked.
             Some(LeaderKey { controller: holder, lease }) if holder == index => {
                 self.leases.remove(&lease);
                 self.leader_key = None;
--- a/src/core/election_simulation/faults.rs
+++ b/src/core/election_simulation/faults.rs
@@ -26,15 +26,17 @@
         if self.chance(0.001) {
             self.controllers[random_index].frozen_until = now + self.rng.random_range(500..30_000);
         }
-        // Restarts are more frequent while the store refuses a controller: the others then confirm cancellations that
-        // the refused one can't read, and a restarted process has no record of those that its predecessor confirmed.
+        // Restarts are more frequent while the store refuses a controller: the other controllers then confirm
+        // cancellations that this one can't read, and a restarted process has no record of the cancellations that its
+        // predecessor confirmed.
         let outage = now < self.outage_until;
         if self.chance(if refused_alone && !outage { 0.012 } else { 0.001 }) {
             self.restart(random_index);
         }
     }
 
-    /// The store starts to refuse a single controller, usually the leader. An outage for all often follows soon.
+    /// The store starts to refuse the requests of a single controller, usually the leader. Often it refuses those of
+    /// all controllers soon after.
     fn refuse_one_controller(&mut self, leader_index: usize, random_index: usize) {
         let refused_index = if self.chance(0.8) { leader_index } else { random_index };
         self.controllers[refused_index].refused_until = self.now + self.rng.random_range(1_000..20_000);
--- a/src/core/election_simulation/mail.rs
+++ b/src/core/election_simulation/mail.rs
@@ -5,7 +5,7 @@
 /// A follower's pledge: its duration, and the cancellations confirmed to users that the leader can't have read.
 type Pledge = (Millis, Vec<JobId>);
 
-/// The followers' answers to a leader that has requested pledges.
+/// The followers' answers to a leader that has requested pledges not to stand for election.
 pub(super) struct PledgeAnswer {
     due_at: u64,
     leader: usize,
--- a/src/core/election_simulation/mod.rs
+++ b/src/core/election_simulation/mod.rs
@@ -1,10 +1,10 @@
-//! Simulation of the leader election: several controllers stand for election, extend the leader's lease on
-//! pledges and send cancellations along with them, against a simple model of the key-value store, the users and
-//! one worker for each job. After every step it checks that at most one controller has an active term, and that
-//! the tasks of cancelled jobs end in time.
+//! Simulation of the leader election: several controllers stand for election, extend the leader's lease on the
+//! peers' pledges not to stand for election, and send cancellations along with these pledges. The key-value store,
+//! the users and one worker for each job are simple models. After every step the simulation checks that at most one
+//! controller has an active term, and that the tasks of cancelled jobs end in time.
 //!
 //! A run depends on its seed only. Random numbers are drawn in the order of the code, so reordering code that
-//! draws them changes the runs.
+//! draws random numbers changes the runs.
 
 mod checks;
 mod controllers;
@@ -47,12 +47,12 @@
 struct ElectionSimulation {
     rng: StdRng,
     now: u64,
-    /// The store's latest revision.
+    /// The latest revision of the simulated store.
     revision: u64,
     leader_key: Option<LeaderKey>,
-    /// The leases in the store, with the time when each ends.
+    /// The leases in the store, by id, each with the simulated time when it ends.
     leases: BTreeMap<u64, u64>,
-    /// The store refuses all requests until this time.
+    /// Simulated time until which the store refuses the requests of all controllers.
     outage_until: u64,
     controllers: Vec<Controller>,
     workers: Vec<Worker>,
@@ -60,14 +60,14 @@
     cancelled: BTreeMap<JobId, u64>,
     /// The store's answers to cancellations that have not yet arrived at the controller.
     cancellation_answers: Vec<CancellationAnswer>,
-    /// The jobs whose cancellation was confirmed to a user, with the time of the first confirmation.
+    /// The jobs whose cancellation was confirmed to a user, each with the simulated time of the first confirmation.
     confirmed: BTreeMap<JobId, u64>,
     pledge_answers: Vec<PledgeAnswer>,
-    /// How many times a leader's lease was extended on pledges.
+    /// How many times a leader extended its lease because all peers had pledged not to stand for election.
     extension_count: u64,
-    /// How many cancellations a leader has learned from pledges and had not read from the store before.
+    /// Number of cancellations that a leader learned from its peers' pledges and had not read from the store before.
     learned_from_pledges_count: u64,
-    /// The highest term that has been active.
+    /// The highest term in which a controller was allowed to act as leader.
     last_active_term: u64,
 }
 
@@ -99,7 +99,7 @@
             self.now += STEP_INTERVAL_MS;
             self.step_leases();
             self.inject_faults();
-            // Cancellations are more frequent while the store refuses a controller, as they may then be missed.
+            // Cancellations are more frequent while the store refuses a controller, as that one may then miss them.
             let probability = if self.is_any_controller_refused() { 0.1 } else { 0.02 };
             if self.chance(probability) {
                 self.cancel_as_user();
--- a/src/core/election_simulation/store.rs
+++ b/src/core/election_simulation/store.rs
@@ -6,7 +6,7 @@
     pub(super) fn step_leases(&mut self) {
         let now = self.now;
         if now < self.outage_until {
-            // After an outage, every lease has its full time to live again.
+            // When an outage ends, the store gives every lease its full time to live again.
             let earliest_end = self.outage_until + LEADER_LEASE_TTL_MS;
             self.leases.values_mut().for_each(|end| *end = (*end).max(earliest_end));
             return;
--- a/src/core/election_simulation/tests.rs
+++ b/src/core/election_simulation/tests.rs
@@ -12,8 +12,8 @@
         learned += simulation.learned_from_pledges_count;
         confirmed += simulation.confirmed.len();
     }
-    // Guards against a simulation that doesn't exercise the protocol: leaders must have extended their leases and
-    // learned cancellations from pledges.
+    // Guards against a simulation that doesn't exercise the protocol: leaders must have extended their leases on the
+    // peers' pledges not to stand for election, and learned cancellations from these pledges.
     assert!(
         extended > 1_000 && learned > 100 && confirmed > 1_000,
         "extended={extended} learned={learned} confirmed={confirmed}"
--- a/src/core/election_simulation/workers.rs
+++ b/src/core/election_simulation/workers.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
-/// Time after which a worker that got no answer tries the next controller.
+/// Time after which a worker whose heartbeat was not answered sends it to the next controller.
 const HEARTBEAT_RETRY_INTERVAL_MS: u64 = 1_000;
 
 pub(super) struct Worker {
     pub(super) job: JobId,
     /// The controller to which this worker sends its heartbeats.
     controller: usize,
-    /// The highest term under which a heartbeat was answered; answers of lower terms are ignored.
+    /// The highest term under which a controller answered this worker's heartbeat; answers of lower terms are ignored.
     fencing_token: u64,
-    /// When the latest answered heartbeat was sent; the worker's lease counts from there.
+    /// When the worker sent its latest answered heartbeat, in simulated time. The worker's lease begins at that time.
     lease_renewed_at: u64,
     next_heartbeat_at: u64,
-    /// The task is still running.
+    /// Whether the worker's task is still running.
     pub(super) is_running: bool,
 }
 
