--- a/src/core/allocation.rs
+++ b/src/core/allocation.rs
@@ -5,15 +5,15 @@
 use crate::time::MonotonicTime;
 use crate::wire::{Priority, TaskPhase};
 
-/// A task and the number of one of its starts.
+/// A task and the number of one attempt to run it.
 pub type TaskAttempt = (TaskId, Attempt);
 
 /// A run order of which it isn't known yet whether the worker has carried it out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingRun {
-    /// The fencing token that the order carries.
+    /// The fencing token that the run order carries.
     pub token: FencingToken,
-    /// The worker has answered the order, so if a later task list lacks the task, the task is gone.
+    /// Whether the worker has answered the run order. If a task list after that lacks the task, the task is gone.
     pub answered: bool,
 }
 
@@ -22,35 +22,36 @@
 pub struct Allocation {
     /// The resources that the task uses; zero if its job is unknown or has ended.
     pub need: Resources,
-    /// Index of the job's team. `None` if the job is unknown or has ended: the task is known only from a task list.
+    /// Index of the job's team in the settings. `None` if the job is unknown or has ended, so that the task is known
+    /// only from a worker's task list.
     pub team: Option<u32>,
-    /// Priority of the job when the task was placed.
+    /// Priority that the task's job had when the task was placed.
     pub priority: Priority,
-    /// The phase that the worker listed last; `None` if it has not listed the task yet.
+    /// The phase of the task in the worker's latest task list. `None` if the worker has not listed the task yet.
     pub phase: Option<TaskPhase>,
-    /// The run order that was sent; `None` if none was sent or the worker has listed the task since.
+    /// The run order that was sent for the task. `None` if none was sent or the worker has listed the task since.
     pub pending_run: Option<PendingRun>,
     /// The number of the last task list of its machine that contained the task.
     pub last_task_list: u64,
-    /// When the allocation was made.
+    /// When the scheduler placed the task on the machine, or learned of the task from a task list.
     pub placed_at: MonotonicTime,
     /// When the worker first listed the task as running.
     pub running_since: Option<MonotonicTime>,
-    /// The leader has known of the task from its start, without a gap in the heartbeats. Otherwise its run time can't
-    /// be measured: missing heartbeats would make it appear too long.
+    /// Whether the leader has known of the task from its start, without a gap in the machine's heartbeats. Otherwise
+    /// the run time can't be measured: missing heartbeats would make it appear too long.
     pub fully_observed: bool,
     /// Seconds that the task may take to write a checkpoint, if it has been ordered to stop; otherwise `None`.
     pub stop_leeway_s: Option<f64>,
-    /// Index of its image in the scheduler's catalog; `u32::MAX` if unknown.
+    /// Index of the task's image in the scheduler's catalog; `u32::MAX` if unknown.
     pub image: u32,
-    /// Expected time to fetch the image, in seconds.
+    /// Expected time to fetch the task's image to the machine, in seconds.
     pub fetch_s: f64,
-    /// Expected run time, in seconds.
+    /// Expected run time of the task, in seconds.
     pub run_s: f64,
 }
 
 impl Allocation {
-    /// Whether the worker has listed it as exited.
+    /// Whether the worker has listed the task as exited.
     pub fn has_exited(&self) -> bool {
         self.phase == Some(TaskPhase::Exited)
     }
--- a/src/core/completion_bitmap.rs
+++ b/src/core/completion_bitmap.rs
@@ -15,18 +15,18 @@
 use serde_json::Value;
 use std::ops::Range;
 
-/// Chunks of bitmaps that need more than one are numbered by this base plus the index of their first task.
-/// Earlier versions numbered chunks from 0, which stays below the base: a job has at most [`MAX_TASKS`] tasks,
-/// and so fewer chunks.
+/// If a bitmap needs several chunks, each is numbered by this base plus the index of its first task. Earlier
+/// versions numbered chunks from 0; their numbers are below the base, as a job has at most [`MAX_TASKS`] tasks
+/// and fewer chunks than tasks.
 const CHUNK_NUMBER_BASE: u32 = MAX_TASKS;
 
-/// Minimum number of tasks in a chunk, however small the store's limit on values is.
+/// Minimum number of tasks in a chunk of a bitmap, however small the store's limit on the size of values is.
 const MIN_TASKS_PER_CHUNK: u32 = 64;
 
-/// How bitmaps are split into chunks.
+/// How completion bitmaps are split into chunks: by this version, and by an earlier one whose chunks are still read.
 #[derive(Clone, Copy, Debug)]
 pub struct BitmapLayout {
-    /// Number of tasks in a chunk.
+    /// Number of tasks in a chunk that this version writes.
     tasks_per_chunk: u32,
     /// Number of tasks in a chunk that an earlier version wrote.
     legacy_tasks_per_chunk: u32,
@@ -35,13 +35,14 @@
 /// The position of one chunk in a job's bitmap. It holds no bits itself: its methods are given the job's bitmap.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BitmapChunk {
-    /// Identifies the chunk among those of its job, as part of its key.
+    /// The number in the chunk's key, which identifies the chunk among those of its job.
     number: u32,
     /// The indices of the tasks that the chunk covers.
     tasks: Range<usize>,
 }
 
-/// The number of tasks in a chunk whose base64 text, at 6 tasks per byte, takes half of the limit on values.
+/// The number of tasks in a chunk whose base64 text, at 6 tasks per byte, takes half of the store's limit on the
+/// size of a value.
 fn tasks_per_chunk(max_value_kb: f64) -> u32 {
     ((max_value_kb * 1024.0 * 0.5) as u32 * 6).clamp(MIN_TASKS_PER_CHUNK, MAX_TASKS)
 }
@@ -67,8 +68,8 @@
         (0..tasks).step_by(self.tasks_per_chunk as usize).map(chunk).collect()
     }
 
-    /// Adds the done tasks of a stored chunk to a bitmap, skipping those beyond the bitmap's length. Returns
-    /// false if the value cannot be decoded.
+    /// Adds the done tasks of a chunk that was read from the store to a bitmap, skipping those beyond the bitmap's
+    /// length. Returns false if the chunk's value cannot be decoded.
     pub fn read_chunk(&self, bitmap: &mut FixedBitSet, number: u32, value: &Value) -> bool {
         let Some(bytes) = value.as_str().and_then(|text| STANDARD.decode(text).ok()) else {
             return false;
--- a/src/core/completion_bitmap/tests.rs
+++ b/src/core/completion_bitmap/tests.rs
@@ -13,7 +13,8 @@
     bitmap
 }
 
-/// Chunks as earlier versions wrote them: numbered from 0, with a size that follows from the limit in force.
+/// The chunks of a bitmap as earlier versions wrote them: numbered from 0, with a size that follows from the store's
+/// limit on values at that time.
 fn chunks_of_earlier_version(bitmap: &FixedBitSet, max_value_kb: f64) -> Vec<Value> {
     let size = ((max_value_kb * 1024.0 * 0.5) as usize * 6).clamp(64, 100_000);
     let chunk = |first: usize| {
@@ -29,7 +30,7 @@
 #[test]
 fn bitmaps_are_read_back_from_their_chunks() {
     let bitmap = large_bitmap();
-    // With an announced lower limit, chunks must fit that limit before it is in force.
+    // Once the store has announced a lower limit on values, chunks must fit it even before it is in force.
     for (layout, max_bytes) in
         [(BitmapLayout::new(&limits(8.0, None)), 8 * 1024), (BitmapLayout::new(&limits(8.0, Some(2.0))), 2 * 1024)]
     {
--- a/src/core/cost.rs
+++ b/src/core/cost.rs
@@ -8,20 +8,20 @@
 /// is a measure of the work done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OperationCounts {
-    /// Jobs examined.
+    /// Number of times that the core examined a job.
     pub jobs: u64,
-    /// Machines examined.
+    /// Number of times that the core examined a machine.
     pub machines: u64,
-    /// Allocations (tasks on machines) examined.
+    /// Number of times that the core examined an allocation, which is a task on a machine.
     pub tasks: u64,
-    /// Reservations examined.
+    /// Number of times that the core examined a reservation of machines for a gang.
     pub reservations: u64,
     /// Comparisons of a job with a candidate, which is a machine that a planner may place its tasks on.
     pub comparisons: u64,
 }
 
 impl OperationCounts {
-    /// The sum of all counts.
+    /// Number of operations of all kinds.
     pub fn total(&self) -> u64 {
         self.jobs + self.machines + self.tasks + self.reservations + self.comparisons
     }
@@ -45,37 +45,37 @@
     }
 }
 
-/// Counts operations as they are done.
+/// Counts the operations of the core while it handles inputs, as a measure of its work.
 #[derive(Default)]
 pub struct OperationMeter(Cell<OperationCounts>);
 
 impl OperationMeter {
-    /// The counts so far.
+    /// The operations counted since this meter was created.
     pub fn read(&self) -> OperationCounts {
         self.0.get()
     }
 
-    /// Counts examined jobs.
+    /// Adds the number of jobs that the core has just examined.
     pub fn add_jobs(&self, count: usize) {
         self.update(|counts| counts.jobs += count as u64);
     }
 
-    /// Counts examined machines.
+    /// Adds the number of machines that the core has just examined.
     pub fn add_machines(&self, count: usize) {
         self.update(|counts| counts.machines += count as u64);
     }
 
-    /// Counts examined allocations.
+    /// Adds the number of allocations (tasks on machines) that the core has just examined.
     pub fn add_tasks(&self, count: usize) {
         self.update(|counts| counts.tasks += count as u64);
     }
 
-    /// Counts examined reservations.
+    /// Adds the number of reservations for gangs that the core has just examined.
     pub fn add_reservations(&self, count: usize) {
         self.update(|counts| counts.reservations += count as u64);
     }
 
-    /// Counts comparisons of a job with a candidate.
+    /// Adds the number of comparisons of a job with a candidate machine that a planner has just made.
     pub fn add_comparisons(&self, count: usize) {
         self.update(|counts| counts.comparisons += count as u64);
     }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -16,12 +16,12 @@
 /// The dependencies of all live jobs, and the live jobs that have to be cancelled because of them.
 #[derive(Default)]
 pub struct DependencyGraph {
-    /// The live dependents of each job that has any.
+    /// For each job on which live jobs depend: these live jobs.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Dependencies that are not known to be live and whose outcome is not known either: they have to be looked
-    /// up in the key-value store.
+    /// Jobs on which live jobs depend and of which it is not known whether they are live, done or cancelled. They
+    /// have to be looked up in the key-value store.
     unresolved: BTreeSet<JobId>,
-    /// The last job that was returned for lookup; the next batch starts after it.
+    /// The last job that [`Self::next_unresolved`] returned. Its next call starts with the job after this one.
     last_looked_up: Option<JobId>,
     /// Live jobs that have to be cancelled because a direct or transitive dependency was cancelled.
     cascade_cancelled: BTreeSet<JobId>,
@@ -32,11 +32,11 @@
 pub struct JobTiming {
     /// The job's own priority.
     pub priority: Priority,
-    /// Seconds left until the job's deadline. `None` if it has no deadline.
+    /// Seconds from now until the job's deadline. `None` if the job has no deadline.
     pub due_s: Option<f64>,
-    /// Seconds left until each of the job's SLO deadlines.
+    /// Seconds from now until each time by which an SLO requires progress of the job.
     pub slo_deadlines: Vec<f64>,
-    /// Expected run time of one task, in seconds.
+    /// Expected run time of one task of the job, in seconds.
     pub run_s: f64,
     /// Expected time from the end of a dependency to the start of the job, in seconds: the paper's
     /// communication time.
@@ -46,10 +46,10 @@
 /// The constraints that a job inherits from its direct and transitive dependents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InheritedConstraints {
-    /// The priority of the most urgent dependent.
+    /// The priority of the most urgent job among the direct and transitive dependents.
     pub priority: Priority,
-    /// Latest finish with which all dependents can still meet their deadlines (paper, eq. 3), in seconds from
-    /// now. `None` if no dependent has a deadline.
+    /// Latest finish of the job, in seconds from now, with which all its dependents can still meet their deadlines
+    /// (paper, eq. 3). `None` if no dependent has a deadline.
     pub due_s: Option<f64>,
     /// The dependents' SLO deadlines, less the time that the dependents need, in seconds from now. Ascending,
     /// without duplicates, at most `MAX_SLO_DEADLINES`.
@@ -60,8 +60,8 @@
 }
 
 impl DependencyGraph {
-    /// Adds a live job. Dependencies for which `is_live` returns false have to be looked up. A job that depends
-    /// on one that is to be cancelled has to be cancelled too.
+    /// Adds a live job. Its dependencies for which `is_live` returns false have to be looked up in the key-value
+    /// store. If one of its dependencies has to be cancelled, so has the job.
     pub fn add(&mut self, id: JobId, depends_on: &BTreeSet<JobId>, is_live: impl Fn(&JobId) -> bool) {
         self.unresolved.remove(&id);
         for dependency in depends_on {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Removes a job that is not live any more. `depends_on` are the dependencies that it still had.
+    /// Removes a job that is not live any more. `depends_on` are the dependencies that the job was still waiting for.
     pub fn remove(&mut self, id: &JobId, depends_on: &BTreeSet<JobId>) {
         self.cascade_cancelled.remove(id);
         for dependency in depends_on {
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Records the outcome of a job, live or not. Returns the dependents that no longer wait for it: all if it
-    /// was done, otherwise an empty set. If it was cancelled, its dependents have to be cancelled as well; if its
-    /// outcome is unknown, it has to be looked up.
+    /// Records how a job has ended, whether or not the graph contains it as a live job. Returns the dependents that
+    /// no longer wait for the job: all if the job was done, otherwise none. If it was cancelled, its dependents have
+    /// to be cancelled as well; if its outcome is unknown, it has to be looked up in the key-value store.
     pub fn record_outcome(&mut self, id: &JobId, outcome: JobOutcome) -> BTreeSet<JobId> {
         let Some(dependents) = self.dependents.get(id) else { return BTreeSet::new() };
         match outcome {
@@ -132,7 +132,8 @@
         self.dependents.contains_key(id)
     }
 
-    /// The next dependencies to look up, at most `limit`. Successive calls cycle through all that are unresolved.
+    /// The next jobs whose outcome is to be looked up in the key-value store, at most `limit`. Successive calls cycle
+    /// through all jobs on which live jobs depend and whose state is not known.
     pub fn next_unresolved(&mut self, limit: usize) -> Vec<JobId> {
         let (later, earlier): (Vec<JobId>, Vec<JobId>) =
             self.unresolved.iter().partition(|id| Some(**id) > self.last_looked_up);
@@ -142,7 +143,7 @@
     }
 
     /// The constraints that each job inherits from its dependents, given the timing of each live job. Dependents
-    /// that have to be cancelled are left out.
+    /// that have to be cancelled pass on no constraints.
     pub fn inherited_constraints(
         &self,
         job_timing: impl Fn(&JobId) -> Option<JobTiming>,
@@ -161,12 +162,12 @@
         inherited_by_job
     }
 
-    /// All jobs that have or are dependents, in topological order: each after its dependents.
+    /// All jobs that have dependents or are dependents, ordered so that each job comes after its dependents.
     fn dependents_first(&self) -> Vec<JobId> {
         let mut order = Vec::new();
         let mut seen = BTreeSet::new();
-        // Depth-first search with an explicit stack, as recursion could overflow on long chains. The flag says
-        // that all dependents of the job have been visited.
+        // Depth-first search with an explicit stack, as recursion could overflow the call stack on long chains of
+        // dependents. The flag of an entry says that all dependents of its job have been visited.
         let mut stack: Vec<(JobId, bool)> = self.dependents.keys().map(|id| (*id, false)).collect();
         while let Some((id, dependents_visited)) = stack.pop() {
             if dependents_visited {
@@ -186,7 +187,7 @@
     }
 }
 
-/// The earliest of the given SLO deadlines, ascending, without duplicates, at most `MAX_SLO_DEADLINES`.
+/// The earliest `MAX_SLO_DEADLINES` of the given SLO deadlines, in ascending order, without duplicates.
 fn earliest(mut slo_deadlines: Vec<f64>) -> Vec<f64> {
     slo_deadlines.sort_by(f64::total_cmp);
     slo_deadlines.dedup();
@@ -200,8 +201,8 @@
         InheritedConstraints { priority: Priority::Low, due_s: None, slo_deadlines: Vec::new(), rank_s: 0.0 }
     }
 
-    /// The constraints that a job passes to its dependencies: those that it inherits itself combined with its own
-    /// timing, moved ahead by the time that the job needs.
+    /// The constraints that a job passes to its dependencies: the constraints that the job inherits itself (`self`)
+    /// combined with its own timing, with all deadlines earlier by the time that the job needs.
     fn propagate(self, job_timing: &JobTiming) -> InheritedConstraints {
         let transfer_and_run_s = job_timing.run_s + job_timing.transfer_s;
         let due_s = self.due_s.into_iter().chain(job_timing.due_s).reduce(f64::min);
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Combines the constraints from two dependents by taking the stricter value of each.
+    /// Combines the constraints that a job inherits from two of its dependents, by taking the stricter value of each.
     fn merge(self, other: InheritedConstraints) -> InheritedConstraints {
         let slo_deadlines = earliest([self.slo_deadlines, other.slo_deadlines].concat());
         InheritedConstraints {
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -10,8 +10,8 @@
     numbers.iter().map(|n| id(*n)).collect()
 }
 
-/// Reference model: each job's dependencies and its outcome, if it has ended. Everything else is recomputed
-/// from these on each query.
+/// Reference model of the dependency graph: each job's dependencies, and its outcome if the job has ended. All else is
+/// recomputed from these on each query.
 #[derive(Default)]
 struct Model {
     jobs: Vec<(BTreeSet<JobId>, Option<JobOutcome>)>,
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -11,17 +11,17 @@
 use fixedbitset::FixedBitSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// How long a failure on a machine counts when deciding whether the job itself is at fault. Longer than the
+/// How long a task's failure on a machine is taken as a sign that the job itself is at fault. Longer than the
 /// longest backoff between two attempts of a failing job, so that consecutive failures are counted together.
 const FAILURE_WINDOW: Millis = Millis(150_000);
 
 /// A job whose tasks failed on this many machines within `FAILURE_WINDOW` is considered at fault itself.
 const MIN_FAILED_MACHINES: usize = 2;
 
-/// Maximum number of classes whose run times are tracked. Further classes use the submitter's estimate.
+/// Maximum number of job classes whose run times are tracked. Jobs of further classes use the submitter's estimate.
 const MAX_CLASSES: usize = 256;
 
-/// Weight of a new observation in the moving average of a class, 0 to 1.
+/// Weight, 0 to 1, of the latest task in a job class's moving average of run time divided by estimate.
 const RATIO_SMOOTHING: f64 = 0.05;
 
 /// Lower bound on an observed ratio of run time to estimate; limits the effect of outliers.
@@ -42,7 +42,7 @@
 
 /// A job that is neither done nor cancelled.
 pub struct Job {
-    /// The job's description, as submitted.
+    /// The job's description, as the user submitted it.
     pub spec: JobSpec,
     /// The key-value store's revision of the job's live record.
     pub revision: Revision,
@@ -57,27 +57,27 @@
     pub inherited: Option<InheritedConstraints>,
     /// Index of the job's team in the settings.
     pub team: u32,
-    /// Tasks that are done, by index.
+    /// Indices of the tasks that have ended successfully, as reported by workers or read from the key-value store.
     done: FixedBitSet,
-    /// Tasks that are done according to the key-value store, by index.
+    /// Indices of the tasks that are done according to the completion bitmap in the key-value store.
     durably_done: FixedBitSet,
-    /// Number of tasks that are done.
+    /// Number of the job's tasks that are done.
     pub done_count: u32,
-    /// Tasks waiting to be placed: neither done nor possibly on a machine.
+    /// Indices of the tasks waiting to be placed: neither done nor possibly on a machine.
     pub ready: BTreeSet<u32>,
-    /// Ready tasks whose last attempt was lost because its spot machine was reclaimed.
+    /// Indices of the ready tasks whose last attempt was lost because the cloud reclaimed its spot machine.
     pub reclaimed: BTreeSet<u32>,
     /// The machines and attempts where each task may be running, by task index. A task has more than one entry
     /// only while a new leader cannot yet tell which of two heartbeats is the later one.
     pub placed: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     /// The current attempt of a gang; set while any of its tasks may be on a machine.
     pub gang: Option<GangRun>,
-    /// Whether the write of the job's terminal record is in flight.
+    /// Whether a write that ends the job in the key-value store, by storing its terminal record, is in flight.
     pub finishing: bool,
-    /// Whether a write of the completion bitmap is in flight.
+    /// Whether a write of the job's completion bitmap to the key-value store is in flight.
     bitmap_write_in_flight: bool,
-    /// What the job's placements have cost above the cheapest candidates, in the currency of the cloud's
-    /// prices. Deducted from the job's spare budget in later rounds.
+    /// What the job's placements have cost above the cheapest candidate machines, in the currency of the cloud's
+    /// prices. Later planning rounds deduct this from the amount that the job may spend above the cheapest machines.
     pub excess_cost: f64,
     /// Number of completed tasks with a known run time, and the sum of their run times in seconds.
     pub run_time_totals: (u32, f64),
@@ -85,14 +85,14 @@
     pub failure_count: u32,
     /// Machines on which tasks of the job have failed, with the time of the latest failure.
     pub last_failure_by_machine: BTreeMap<MachineId, MonotonicTime>,
-    /// No task of the job is placed before this time: backoff after failures or a lack of capacity.
+    /// No task of the job is placed before this time, as a backoff after failures or a lack of capacity.
     pub pause_until: MonotonicTime,
     /// Since when the job has had a task waiting for a spot machine that is not running yet. `None` if it has no such
     /// task.
     pub spot_wait_since: Option<MonotonicTime>,
-    /// Whether the job has waited too long for spot machines; none are provisioned for it any more.
+    /// Whether the job has waited too long for spot machines, so that none are provisioned for it any more.
     pub no_new_spot: bool,
-    /// The last round in which the scheduler tried to preempt other work for this job.
+    /// Number of the last planning round in which the scheduler looked for tasks to preempt for this job.
     pub last_preemption_search_round: u64,
 }
 
@@ -133,14 +133,15 @@
         !self.depends_on.is_empty()
     }
 
-    /// The job's ages at `wall`: since its submission, from which its deadline counts, and since it could start,
-    /// from which its other objectives count (0 while it waits for dependencies).
+    /// The job's two ages at the wall-clock time `wall`: since the job was submitted, on which its deadline is based,
+    /// and since it could start, on which its other SLOs are based. The second is 0 while the job waits for
+    /// dependencies.
     pub fn ages(&self, wall: WallTime) -> JobAges {
         let startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
         JobAges { submitted_s: wall.seconds_since(self.submitted), startable_s }
     }
 
-    /// Number of tasks that could be started now.
+    /// Number of the job's tasks that wait to be placed; 0 while the job waits for dependencies.
     pub fn startable_tasks(&self) -> usize {
         if self.is_waiting() { 0 } else { self.ready.len() }
     }
@@ -151,7 +152,7 @@
         self.inherited.as_ref().map_or(own, |inherited| inherited.priority.min(own))
     }
 
-    /// Marks a task as done. Its machine may still report it.
+    /// Marks a task as done. The machine that ran the task may still list it in later heartbeats.
     pub fn set_done(&mut self, index: u32) {
         if !self.done.put(index as usize) {
             self.done_count += 1;
@@ -160,7 +161,7 @@
         self.reclaimed.remove(&index);
     }
 
-    /// Whether all tasks are done.
+    /// Whether all tasks of the job are done.
     pub fn all_done(&self) -> bool {
         self.done_count == self.spec.tasks
     }
@@ -210,23 +211,24 @@
         !broken && !self.done.contains(task.index as usize)
     }
 
-    /// The tasks that are done, by index.
+    /// Indices of the tasks that have ended successfully, as reported by workers or read from the key-value store.
     pub fn done(&self) -> &FixedBitSet {
         &self.done
     }
 
-    /// The tasks that are done according to the key-value store, by index.
+    /// Indices of the tasks that are done according to the completion bitmap in the key-value store.
     pub fn durably_done(&self) -> &FixedBitSet {
         &self.durably_done
     }
 
-    /// Whether a task is done according to the key-value store.
+    /// Whether a task is done according to the completion bitmap in the key-value store.
     pub fn is_durably_done(&self, index: u32) -> bool {
         self.durably_done.contains(index as usize)
     }
 
-    /// Loads a stored chunk of the completion bitmap: `read` adds the chunk's tasks to the bitmap that it is
-    /// given, and these tasks are marked as done. Returns what `read` returns: whether the chunk was readable.
+    /// Loads a chunk of the job's completion bitmap from the key-value store: `read` adds the chunk's done tasks to the
+    /// bitmap that it is given, and these tasks are marked as done. Returns what `read` returns: whether the chunk
+    /// was readable.
     pub fn load_bitmap(&mut self, read: impl FnOnce(&mut FixedBitSet) -> bool) -> bool {
         let readable = read(&mut self.durably_done);
         let done: Vec<usize> = self.durably_done.ones().collect();
@@ -236,19 +238,19 @@
         readable
     }
 
-    /// Whether the completion bitmap has changes to write and no write of it is in flight. Never the case for a
-    /// job whose tasks are all done: its terminal record is written instead.
+    /// Whether the job's completion bitmap has changes to write and no write of the bitmap is in flight. Always false
+    /// for a job whose tasks are all done, as its terminal record is written instead.
     pub fn has_unsaved_bitmap(&self) -> bool {
         self.done_count > 0 && !self.all_done() && !self.bitmap_write_in_flight && self.durably_done != self.done
     }
 
-    /// Marks a write of the completion bitmap as in flight; no other may start until it has ended.
+    /// Marks a write of the job's completion bitmap as in flight; no other such write may start until this one ends.
     pub fn start_bitmap_write(&mut self) {
         self.bitmap_write_in_flight = true;
     }
 
-    /// Ends the write of the completion bitmap. `durably_done` is the bitmap as it is stored now, or `None`
-    /// if the write failed.
+    /// Records that the write of the job's completion bitmap has ended. `durably_done` is the bitmap that the
+    /// key-value store now has, or `None` if the write failed.
     pub fn finish_bitmap_write(&mut self, durably_done: Option<FixedBitSet>) {
         self.bitmap_write_in_flight = false;
         if let Some(durably_done) = durably_done {
@@ -256,15 +258,16 @@
         }
     }
 
-    /// Whether the job itself, rather than the machines, is presumed to cause its failures: no task was ever
-    /// done, and tasks failed on several machines within `FAILURE_WINDOW`. Older failures do not count, as
-    /// they may have been caused by faulty machines.
+    /// Whether the job itself, rather than the machines, is presumed to cause its failures: none of its tasks is
+    /// done, and tasks failed on several machines within `FAILURE_WINDOW`. Older failures are ignored, as faulty
+    /// machines may have caused them.
     pub fn is_at_fault(&self, now: MonotonicTime) -> bool {
         let recent = self.last_failure_by_machine.values().filter(|failed_at| now - **failed_at < FAILURE_WINDOW);
         self.done_count == 0 && recent.count() >= MIN_FAILED_MACHINES
     }
 
-    /// Whether the job must not be placed on a machine because it failed there within the quarantine period.
+    /// Whether the job must not be placed on a machine, because a task of the job failed there within the quarantine
+    /// period.
     pub fn avoids(&self, id: &MachineId, now: MonotonicTime) -> bool {
         self.last_failure_by_machine.get(id).is_some_and(|failed_at| now - *failed_at < QUARANTINE_PERIOD)
     }
@@ -278,12 +281,13 @@
 /// Corrects the submitters' run time estimates by the run times measured for each class of jobs.
 #[derive(Default)]
 pub struct ClassRunTimes {
-    /// The moving average of run time divided by estimate, by class.
+    /// The moving average of measured run time divided by the submitter's estimate, by job class.
     ratios: HashMap<String, f64>,
 }
 
 impl ClassRunTimes {
-    /// Records that a task of the class ran for `actual_s` seconds, with an estimate of `estimate_s` seconds.
+    /// Records that a task of a job of this class ran for `actual_s` seconds, where the submitter had estimated
+    /// `estimate_s` seconds.
     pub fn record(&mut self, class: &str, estimate_s: f64, actual_s: f64) {
         if estimate_s <= 0.0 || actual_s <= 0.0 {
             return;
@@ -296,7 +300,8 @@
         }
     }
 
-    /// The expected run time of a task in seconds: the estimate, corrected by the class's average ratio.
+    /// The expected run time of a task of a job of this class, in seconds: the submitter's estimate times the class's
+    /// moving average of measured run time divided by estimate. The estimate itself if no task of the class was timed.
     pub fn expected_run_s(&self, class: &str, estimate_s: f64) -> f64 {
         estimate_s * self.ratios.get(class).copied().unwrap_or(1.0)
     }
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -26,10 +26,11 @@
 /// A machine isn't considered slow before this many tasks have been measured on it.
 const MIN_SLOWNESS_SAMPLES: u32 = 5;
 
-/// A single task counts as at most this many times as slow, or as fast, as the average of its job.
+/// A single task enters a machine's slowness as at most this many times as slow, or as fast, as the average of its
+/// job; this limits the effect of outliers.
 const MAX_SLOWDOWN_RATIO: f64 = 10.0;
 
-/// An image fetch that takes longer than expected is assumed to need this many seconds more.
+/// An image fetch that has taken longer than expected is assumed to end this many seconds from now.
 const MIN_REMAINING_FETCH_S: f64 = 0.2;
 
 /// Prefix of the keys of machine records, `fleet/ID`. A record is written before its machine gets its first order.
@@ -43,24 +44,24 @@
 /// The record of a machine in the key-value store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Address at which its worker receives orders.
+    /// Address at which the machine's worker receives orders.
     pub endpoint: String,
-    /// Name of its machine type.
+    /// Name of the machine's type in the cloud's list of machine types.
     pub kind: String,
-    /// Name of its zone.
+    /// Name of the machine's zone.
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
 /// Whether the machine's record is in the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registration {
-    /// There is no record, so the machine gets no orders.
+    /// The key-value store has no record of the machine, which therefore gets no orders.
     Unregistered,
-    /// The record is being written.
+    /// A write of the machine's record to the key-value store is in flight.
     InFlight,
-    /// The record is stored.
+    /// The key-value store has the machine's record.
     Registered,
 }
 
@@ -69,10 +70,10 @@
 pub struct HeartbeatRoute(usize);
 
 impl HeartbeatRoute {
-    /// The worker sends them to the leader itself.
+    /// The worker sends its heartbeats to the leader itself.
     pub const DIRECT: HeartbeatRoute = HeartbeatRoute(0);
 
-    /// They are relayed by the peer with this index in the settings.
+    /// The worker's heartbeats are relayed by the peer of this index in the settings.
     pub fn via_peer(index: usize) -> HeartbeatRoute {
         HeartbeatRoute(index + 1)
     }
@@ -80,77 +81,86 @@
 
 /// A machine that may exist, as far as this leader knows.
 pub struct Machine {
-    /// Address at which its worker receives orders; empty until it is known.
+    /// Address at which the machine's worker receives orders. Empty until the address is known.
     pub endpoint: String,
-    /// Index of its machine type in the scheduler's catalog.
+    /// Index of the machine's type in the scheduler's catalog.
     pub kind: usize,
-    /// Index of its zone in the scheduler's catalog.
+    /// Index of the machine's zone in the scheduler's catalog.
     pub zone: u32,
-    /// It is a spot machine, which the cloud may reclaim.
+    /// Whether this is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// This leader has received a heartbeat from it, or an answer to orders.
+    /// Whether this leader has received a heartbeat from the machine, or an answer to orders.
     pub up: bool,
-    /// When this leader added it to the cluster state, or earlier if the cloud's list states its age.
+    /// When this leader added the machine to the cluster state, or earlier if the cloud's list states the machine's
+    /// age.
     pub created_at: MonotonicTime,
-    /// Whether its record is in the key-value store.
+    /// Whether the machine's record is in the key-value store.
     pub registration: Registration,
-    /// The latest known agent epoch of its worker; 0 if none is known.
+    /// The latest known agent epoch of the machine's worker; 0 if none is known.
     pub agent_epoch: AgentEpoch,
-    /// When this leader first received a message of the agent epoch. A worker begins each epoch with a full lease, and
-    /// did so before this time. So the lease has expired one lease after this time even if no heartbeat of the epoch
-    /// was answered.
+    /// When this leader first received a message of the worker's current agent epoch. The worker began this epoch, with
+    /// a full lease, before this time. So the lease ends at the latest one lease time after this time, if no
+    /// heartbeat of the epoch was answered.
     pub agent_epoch_first_heard: MonotonicTime,
-    /// Sequence number of the latest message that was applied, within the agent epoch.
+    /// Sequence number, within the worker's agent epoch, of its latest message that this leader has applied.
     pub sequence: SequenceNumber,
-    /// Agent epoch and sequence number of the latest heartbeat. Answers to orders have sequence numbers too, but are
-    /// not heartbeats.
+    /// Agent epoch and sequence number of the worker's latest heartbeat. Answers to orders have sequence numbers too,
+    /// but are not heartbeats.
     pub latest_heartbeat_position: (AgentEpoch, SequenceNumber),
-    /// When the latest heartbeat that was answered came in. Duplicates of earlier heartbeats don't count.
+    /// When this leader received the latest of the machine's heartbeats that it answered. Duplicates of earlier
+    /// heartbeats are ignored.
     pub last_heartbeat_at: MonotonicTime,
-    /// The route of the latest heartbeat that this leader answered; `None` before the first.
+    /// How the latest heartbeat that this leader answered arrived from the machine. `None` before the first one.
     pub route: Option<HeartbeatRoute>,
-    /// Its lease has expired by this leader's clock, which ends the agent epoch. Messages of that epoch that arrive
-    /// later are stale.
+    /// Whether the worker's lease has expired by this leader's clock, which ends the worker's agent epoch. Messages of
+    /// that epoch that arrive later are stale.
     pub lease_expired: bool,
-    /// It has sent a message with this leader's token, which shows that this leader's responses reach it.
+    /// Whether the worker has sent a message with this leader's fencing token, which shows that this leader's responses
+    /// reach the worker.
     pub token_acknowledged: bool,
-    /// Since when its heartbeats have been answered without the worker acknowledging its current token. Its messages
-    /// arrive, but responses may not reach it.
+    /// Since when this leader has answered the worker's heartbeats without the worker acknowledging its current fencing
+    /// token. The worker's messages arrive, but the leader's responses may not reach the worker.
     pub unacknowledged_since: Option<MonotonicTime>,
-    /// Every task that may be on it is in `allocations`: it has sent a message with this leader's token, has never been
-    /// sent an order, or is proven empty.
+    /// Whether every task that may be on the machine is in `allocations`. So it is once the worker has sent a message
+    /// with this leader's fencing token, and if the machine has never been sent an order or is proven empty.
     pub reconciled: bool,
-    /// The fence in its fencing tokens. It is raised to make the worker refuse orders that were sent before.
+    /// The number in the machine's fencing tokens that is raised within a term, to make the worker refuse all orders
+    /// that were sent before.
     pub fence: u64,
-    /// Orders were not answered, so the fence was raised; no orders are sent until the worker acknowledges it.
+    /// Whether `fence` was raised because orders were not answered, and the worker has not acknowledged the new value
+    /// yet. Until then no orders are sent.
     pub awaits_fence_ack: bool,
-    /// The request that carries the orders under way to it; no other orders are sent directly meanwhile.
+    /// The request with orders that is in flight to the machine's worker. While there is one, no other orders are sent
+    /// to the worker directly.
     pub orders_in_flight: Option<RequestId>,
-    /// Orders that have not been sent yet.
+    /// Orders for the machine's worker that have not been sent yet.
     pub outbox: Vec<Order>,
-    /// The tasks that may be on it.
+    /// The task attempts that may be on the machine.
     pub allocations: BTreeMap<TaskAttempt, Allocation>,
-    /// How many task lists from its worker have been applied, from heartbeats and from answers to orders.
+    /// Number of task lists of the machine's worker that have been applied, from heartbeats and from answers to orders.
     pub task_lists_applied: u64,
-    /// The cloud has announced that it will reclaim the machine.
+    /// Whether the cloud has announced that it will reclaim this spot machine.
     pub spot_notice: bool,
-    /// Consecutive task failures on it that were not attributed to the tasks' jobs.
+    /// Number of consecutive task failures on the machine that were not attributed to the tasks' jobs.
     pub consecutive_failures: u32,
-    /// It gets no new tasks before this time.
+    /// The machine gets no new tasks before this time, because it failed tasks or is much slower than others.
     pub quarantined_until: MonotonicTime,
-    /// It is to be terminated. It never gets tasks again, because a termination may take effect at any time.
+    /// Whether the machine is to be terminated. Once set, the machine never gets tasks again, because a termination
+    /// request may take effect at any time.
     pub retiring: bool,
-    /// A termination request to the cloud is under way.
+    /// Whether a request to the cloud to terminate the machine is in flight.
     pub termination_in_flight: bool,
-    /// No termination is requested before this time.
+    /// No termination of the machine is requested from the cloud before this time.
     pub terminate_after: MonotonicTime,
-    /// Since when no task has been on it. `None` if a task may be on it, or no review has found it idle yet.
+    /// Since when no task has been on the machine. `None` if a task may be on it, or the scheduler's periodic review of
+    /// the machines has not found it idle yet.
     pub idle_since: Option<MonotonicTime>,
-    /// The images in its cache, as far as this leader can tell: index and size in GB, least recently used first.
+    /// The images in the machine's cache, as far as this leader can tell: index in the scheduler's catalog and size in
+    /// GB, least recently used first.
     pub images: VecDeque<(u32, f64)>,
-    /// How many times as long as the average of their job its tasks run.
+    /// How many times as long tasks run on this machine as the average task of their job: a moving average.
     pub slowness: f64,
-    /// How many tasks `slowness` is based on.
+    /// Number of tasks on this machine on which `slowness` is based.
     pub slowness_samples: u32,
 }
 
@@ -194,8 +204,8 @@
         }
     }
 
-    /// Advances the agent epoch and sequence number to those of a message, which must be newer than all before. Returns
-    /// whether the message acknowledges a raised fence that was awaited.
+    /// Advances the agent epoch and sequence number to those of a message of the worker, which must be newer than all
+    /// earlier ones. Returns whether the message acknowledges a raised `fence` for which this leader was waiting.
     pub fn advance_sequence(&mut self, now: MonotonicTime, heartbeat: &Heartbeat, term: Term) -> bool {
         if heartbeat.agent_epoch > self.agent_epoch || self.sequence == SequenceNumber(0) {
             self.agent_epoch_first_heard = now;
@@ -234,12 +244,12 @@
         self.allocations.iter().filter(|(_, allocation)| is_gone(allocation)).map(|(key, _)| *key).collect()
     }
 
-    /// The instance pool that it belongs to.
+    /// The instance pool (machine type, zone and pricing model) to which the machine belongs.
     pub fn pool(&self) -> InstancePool {
         InstancePool { kind: self.kind, zone: self.zone, spot: self.spot }
     }
 
-    /// The resources allocated to tasks that may be on it and haven't exited.
+    /// The resources allocated to tasks that may be on the machine and haven't exited.
     pub fn used(&self) -> Resources {
         let mut used = Resources::default();
         for allocation in self.allocations.values().filter(|allocation| !allocation.has_exited()) {
@@ -248,19 +258,20 @@
         used
     }
 
-    /// The resources that are not allocated. `machine_type` must be the machine's own type.
+    /// The machine's resources that no task uses. `machine_type` must be the machine's own type.
     pub fn free(&self, machine_type: &MachineType) -> Resources {
         let mut free = Resources::of_type(machine_type);
         free.sub(&self.used());
         free
     }
 
-    /// Whether a task that hasn't exited may be on it.
+    /// Whether a task that hasn't exited may be on the machine.
     pub fn has_active_tasks(&self) -> bool {
         self.allocations.values().any(|allocation| !allocation.has_exited())
     }
 
-    /// Whether a task of a job that is unknown or has ended may be on it, so that its resource usage isn't known.
+    /// Whether a task of a job that is unknown or has ended may be on the machine, so that the resources in use aren't
+    /// known.
     pub fn has_unknown_usage(&self) -> bool {
         self.allocations.values().any(|allocation| allocation.team.is_none() && !allocation.has_exited())
     }
@@ -329,7 +340,7 @@
         self.allocations.iter().filter_map(stop_order).collect()
     }
 
-    /// Adds an order to the outbox unless it is there already.
+    /// Adds an order to those that are to be sent to the worker, unless the same order is among them already.
     pub fn queue_order(&mut self, order: Order) {
         if !self.outbox.contains(&order) {
             self.outbox.push(order);
--- a/src/core/overload.rs
+++ b/src/core/overload.rs
@@ -2,10 +2,11 @@
 
 use crate::time::{Millis, MonotonicTime};
 
-/// A leader whose ticks are late by at least this much on average is overloaded: heartbeats wait, and lease renewals
-/// are about to fail.
+/// A leader whose regular ticks are late by at least this much on average is overloaded: heartbeats wait, and lease
+/// renewals are about to fail.
 const OVERLOAD_LAG: Millis = Millis(400);
-/// How many consecutive samples, about one per second, must be at or above the limit. A burst of work ends sooner.
+/// Number of consecutive samples of the lag, about one per second, that must be at least `OVERLOAD_LAG` before the
+/// leader hands over. A short burst of load ends sooner.
 const MIN_OVERLOADED_SAMPLES: u32 = 3;
 /// Minimum time between two hand-overs of one controller. Where all controllers are overloaded, frequent hand-overs
 /// would only add to the load.
@@ -14,14 +15,14 @@
 /// Detects overload of one controller while it leads.
 #[derive(Default)]
 pub struct OverloadDetector {
-    /// Consecutive samples that were at or above the limit.
+    /// Number of consecutive samples of the lag, up to the latest one, that were at least `OVERLOAD_LAG`.
     overloaded_samples: u32,
     /// When this controller last handed over because of overload.
     handed_over_at: Option<MonotonicTime>,
 }
 
 impl OverloadDetector {
-    /// Records a sample of the average tick lag. Returns whether the leader should hand over now.
+    /// Records a sample of how late the leader's ticks are on average. Returns whether the leader should hand over now.
     pub fn record_lag(&mut self, now: MonotonicTime, lag: Millis) -> bool {
         if lag < OVERLOAD_LAG {
             self.overloaded_samples = 0;
--- a/src/core/provisioning.rs
+++ b/src/core/provisioning.rs
@@ -20,11 +20,11 @@
 pub struct PendingProvision {
     /// The pool of the requested machines.
     pub pool: InstancePool,
-    /// How many machines are requested.
+    /// Number of machines that this request asks for.
     pub count: u32,
-    /// The request has been sent and its result is not in yet.
+    /// Whether the request has been sent and its result has not arrived yet.
     in_flight: bool,
-    /// When to send the request next, unless it is in flight.
+    /// When to send the request, or send it again. Not used while the request is in flight.
     next_attempt_at: MonotonicTime,
 }
 
@@ -33,39 +33,39 @@
 struct Backoff {
     /// No machines are requested from the pool before this time.
     until: MonotonicTime,
-    /// Length of the current backoff; it is doubled if the next request is refused as well.
+    /// Length of this backoff. The next one is twice as long if the cloud lacks capacity again soon after this one.
     delay: Millis,
 }
 
-/// Length of the backoff after the first refusal.
+/// Length of a pool's backoff after the cloud first lacked capacity for a request.
 const INITIAL_BACKOFF: Millis = Millis(5_000);
-/// Upper bound on the remaining backoff once a machine of the pool is gone.
+/// Upper bound on the rest of a pool's backoff once a machine of the pool is gone, which frees capacity in the cloud.
 const CAPACITY_FREED_BACKOFF: Millis = Millis(1_000);
-/// Upper bound on the length of a backoff.
+/// Upper bound on the length of a pool's backoff, which doubles while the cloud lacks capacity.
 const MAX_BACKOFF: Millis = Millis(40_000);
-/// Limit on the requests that have no final answer yet.
+/// Maximum number of requests to the cloud without a final answer, over all pools.
 const MAX_REQUESTS: usize = 16;
 
 /// Tracks the pending requests for machines and the backoff of each pool.
 #[derive(Default)]
 pub struct Provisioner {
     backoffs: BTreeMap<InstancePool, Backoff>,
-    /// By request name. A request whose result is unknown is repeated under the same name until it is answered, as the
-    /// cloud carries out each name only once.
+    /// The requests without a final answer, by the name under which they are sent. A request whose result is unknown is
+    /// sent again under the same name: the cloud carries out only one request of each name.
     requests: BTreeMap<String, PendingProvision>,
-    /// How many requests this leader has made.
+    /// Number of requests that this leader has created, from which the name of the next one is made.
     request_count: u64,
 }
 
 impl Provisioner {
-    /// Whether machines may be requested from the pool, which is not the case during its backoff.
+    /// Whether machines may be requested from the pool now: the pool is not in a backoff after a lack of capacity.
     pub fn may_request(&self, pool: InstancePool, now: MonotonicTime) -> bool {
         self.backoffs.get(&pool).is_none_or(|backoff| backoff.until <= now)
     }
 
     /// Records that the cloud refused a request or provisioned fewer machines than requested, and starts a backoff of
-    /// the pool. It is twice as long as the previous backoff, up to a limit, if that ended less than its own length
-    /// ago.
+    /// the pool. The backoff is twice as long as the previous one, up to `MAX_BACKOFF`, if the time since the previous
+    /// one ended is shorter than that one was.
     pub fn on_refused(&mut self, pool: InstancePool, now: MonotonicTime) {
         let delay = match self.backoffs.get(&pool) {
             Some(backoff) if now - backoff.until < backoff.delay => Millis((backoff.delay.0 * 2).min(MAX_BACKOFF.0)),
@@ -87,15 +87,15 @@
         }
     }
 
-    /// Adds a request for `count` machines, which is due at once. Its name contains the term, so it differs from the
-    /// names of other leaders' requests.
+    /// Adds a request for `count` machines, to be sent by the next call of [`Self::start_due`]. The request's name
+    /// contains the leader's term, so that it differs from the names of other leaders' requests.
     pub fn request(&mut self, term: Term, pool: InstancePool, count: u32, now: MonotonicTime) {
         self.request_count += 1;
         let name = format!("w{term}-{}", self.request_count);
         self.requests.insert(name, PendingProvision { pool, count, in_flight: false, next_attempt_at: now });
     }
 
-    /// Marks the requests that are due as in flight, and returns them with their names.
+    /// The requests that are to be sent now, with their names. Marks them as in flight.
     pub fn start_due(&mut self, now: MonotonicTime) -> Vec<(String, PendingProvision)> {
         let due = self.requests.iter_mut().filter(|(_, request)| !request.in_flight && request.next_attempt_at <= now);
         let start = |(name, request): (&String, &mut PendingProvision)| {
@@ -105,7 +105,7 @@
         due.map(start).collect()
     }
 
-    /// The request of this name, unless it has had its final answer or never existed.
+    /// The request of this name. Returns `None` if the cloud has given its final answer, or no request has this name.
     pub fn get(&self, name: &str) -> Option<PendingProvision> {
         self.requests.get(name).copied()
     }
@@ -118,17 +118,17 @@
         }
     }
 
-    /// Removes a request that has had its final answer.
+    /// Removes a request to which the cloud has given its final answer.
     pub fn close(&mut self, name: &str) {
         self.requests.remove(name);
     }
 
-    /// The requests without a final answer, ordered by name.
+    /// The requests to which the cloud has given no final answer, ordered by name.
     pub fn requests(&self) -> impl Iterator<Item = &PendingProvision> {
         self.requests.values()
     }
 
-    /// Whether the limit on pending requests allows one more.
+    /// Whether fewer than `MAX_REQUESTS` requests have no final answer, so that another one may be added.
     pub fn has_request_slot(&self) -> bool {
         self.requests.len() < MAX_REQUESTS
     }
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -33,7 +33,7 @@
     vec![Precondition { key: live_key(id), revision: 0 }, Precondition { key: terminal_key(id), revision: 0 }]
 }
 
-/// The precondition that a job is still live and that its record has not changed since this revision.
+/// The precondition that a job is still live and its live record still has the given revision of the store.
 pub fn live_precondition(id: &JobId, revision: Revision) -> Precondition {
     Precondition { key: live_key(id), revision: revision.0 }
 }
@@ -52,7 +52,7 @@
 pub struct LiveRecord {
     /// When the job was submitted.
     pub submitted_at: WallTime,
-    /// The job's description, as submitted.
+    /// The job's description, as the user submitted it.
     pub spec: JobSpec,
     /// The jobs that must be done before any task of this one may start.
     pub depends_on: Vec<JobId>,
@@ -74,7 +74,8 @@
     depends_on: Vec<JobId>,
 }
 
-/// Whether a stored live record has dependencies. Does not deserialize the record.
+/// Whether the job of a live record depends on other jobs. `stored` is the JSON of the record, which is not
+/// deserialized.
 pub fn has_dependencies(stored: &Value) -> bool {
     stored.get("waiting").is_some()
 }
@@ -104,12 +105,12 @@
 /// The record of a job that is done or cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TerminalRecord {
-    /// `Done` or `Aborted`.
+    /// How the job ended: `Done`, or `Aborted` if it was cancelled.
     pub phase: JobPhase,
-    /// Number of tasks that the job had.
+    /// Total number of tasks of the job, done or not.
     pub tasks: u32,
-    /// When the job was done, from which the ages of its dependents count. Absent for cancelled jobs and in
-    /// records of earlier versions.
+    /// When the job was done. A dependent could start only then, so its age is measured from this time. Absent for
+    /// cancelled jobs and in records of earlier versions.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at: Option<WallTime>,
 }
@@ -142,11 +143,12 @@
 /// How a job has ended, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobOutcome {
-    /// All its tasks were done, at this time if its terminal record has one.
+    /// All tasks of the job are done. Holds the time when they were, or `None` if the job's terminal record has none.
     Done(Option<WallTime>),
-    /// It was cancelled, by a user or because a job that it depends on was cancelled.
+    /// The job was cancelled, by a user or because a job that it depends on was cancelled.
     Cancelled,
-    /// It was either done or cancelled: the watch reports only that its live record was deleted.
+    /// The job has ended, done or cancelled: the watch of the key-value store reports only that its live record was
+    /// deleted.
     Unknown,
 }
 
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -1,4 +1,5 @@
-//! Tests that versions can read each other's records, or ignore those that they must not act on.
+//! Tests that different versions of the program can read each other's records, or ignore records that they must not
+//! act on.
 
 use super::*;
 use serde_json::json;
--- a/src/core/resources.rs
+++ b/src/core/resources.rs
@@ -2,18 +2,18 @@
 
 use crate::wire::{JobSpec, MachineType};
 
-/// A requirement counts as covered if it exceeds the available amount by no more than this, because sums of fractional
-/// amounts have rounding errors.
+/// An amount is still enough for a requirement that exceeds it by no more than this, because sums of fractional amounts
+/// have rounding errors.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// An amount of each resource.
+/// An amount of processors, GPUs and memory: what a machine has, what is free on it, or what tasks need.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// Number of processors; may be fractional.
     pub cpus: f64,
     /// Number of GPUs.
     pub gpus: f64,
-    /// Memory in GB.
+    /// Amount of memory, in GB.
     pub memory_gb: f64,
 }
 
--- a/src/core/shards.rs
+++ b/src/core/shards.rs
@@ -10,18 +10,18 @@
 /// Key of the stored assignment: a JSON object that maps the name of each team to that of its controller.
 pub const SHARDS_KEY: &str = "ctl/shares";
 
-/// A controller that has not responded for longer than this is not asked for plans.
+/// The leader doesn't ask a controller for plans if the controller has not responded for longer than this.
 const UNRESPONSIVE_TIMEOUT: Millis = Millis(2_500);
-/// A controller that has not responded for longer than this has its teams reassigned to others.
+/// The leader reassigns the teams of a controller to others if the controller has not responded for longer than this.
 const FAILOVER_TIMEOUT: Millis = Millis(8_000);
-/// Minimum time between two rebalances.
+/// Minimum time between two runs of the rebalancing of teams over the controllers.
 const REBALANCE_INTERVAL: Millis = Millis(10_000);
-/// Weight of a team without load, in tasks, so that idle teams are distributed evenly too.
+/// Added to the load of every team, in tasks, so that teams without ready tasks are distributed evenly too.
 const BASE_WEIGHT: f64 = 0.5;
-/// Weight of the latest measurement in a team's moving average of the load, 0 to 1.
+/// Weight, 0 to 1, of the latest measurement in a team's moving average of the load.
 const LOAD_SMOOTHING: f64 = 0.1;
-/// A team is moved because of load only if the most and the least loaded controller differ by more than this, in
-/// tasks.
+/// A team is moved because of load only if the loads of the most and the least loaded controller differ by more than
+/// this many tasks.
 const MIN_LOAD_GAP: f64 = 1.0;
 /// A team is moved because of load only if the most loaded controller has more than this many times the load of
 /// the least loaded one.
@@ -46,9 +46,9 @@
     /// The time of the last response of each other controller. `None` if it has never responded, or has not responded
     /// since it left a plan request unanswered.
     last_response_at: BTreeMap<String, Option<MonotonicTime>>,
-    /// The controller that each team is assigned to.
+    /// Name of the controller that each team is assigned to, by team index.
     owners: BTreeMap<u32, String>,
-    /// Moving average of the number of ready tasks in the planned jobs of each team.
+    /// Moving average of the number of ready tasks in a planned job of a team, by team index.
     loads: BTreeMap<u32, f64>,
     rebalanced_at: MonotonicTime,
 }
@@ -104,13 +104,14 @@
         self.last_response_at.get(controller).is_some_and(|at| at.is_some_and(|at| now - at <= within))
     }
 
-    /// The peer that plans for a team. `None` if the leader plans for it itself.
+    /// The name of the peer that plans for a team. Returns `None` if the leader plans for the team itself.
     pub fn planner_for(&self, team: u32, now: MonotonicTime) -> Option<&str> {
         let owner = self.owners.get(&team)?;
         self.has_responded_within(owner, now, UNRESPONSIVE_TIMEOUT).then_some(owner.as_str())
     }
 
-    /// Adds an observation, the number of ready tasks of a job in this round, to the team's average load.
+    /// Adds an observation to the team's average load: the number of ready tasks of one of its jobs in a planning
+    /// round.
     pub fn record_load(&mut self, team: u32, ready: u32) {
         let load = self.loads.entry(team).or_default();
         *load += LOAD_SMOOTHING * (f64::from(ready) - *load);
@@ -139,8 +140,8 @@
         moves
     }
 
-    /// Adds the weights of the teams of responsive controllers to `loads`, and moves each other team to the
-    /// controller that is the least loaded by then.
+    /// Adds the weights of the teams that belong to responsive controllers to `loads`. Then assigns each team of an
+    /// unresponsive controller to the controller with the lowest load so far, and returns these moves.
     fn moves_from_unresponsive(&self, loads: &mut ControllerLoads) -> Vec<ShardMove> {
         let orphaned: Vec<(&u32, &String)> =
             self.owners.iter().filter(|(team, owner)| !loads.add_load(owner, self.weight(**team))).collect();
@@ -169,7 +170,7 @@
     }
 }
 
-/// The load of each controller that teams may be assigned to. Never empty, as it always has the leader.
+/// The load, in tasks, of each controller that teams may be assigned to, by its name. Always contains the leader.
 struct ControllerLoads(BTreeMap<String, f64>);
 
 impl ControllerLoads {
@@ -180,7 +181,8 @@
         ControllerLoads(responsive.chain([&assignment.leader]).map(|name| (name.clone(), 0.0)).collect())
     }
 
-    /// Adds to the load of a controller. Returns false if teams may not be assigned to it.
+    /// Adds `weight`, in tasks, to the load of a controller. Returns false if teams may not be assigned to that
+    /// controller.
     fn add_load(&mut self, controller: &str, weight: f64) -> bool {
         self.0.get_mut(controller).map(|load| *load += weight).is_some()
     }
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Upper bound on each quantity in a job's description, in the unit of its field.
+/// Upper bound on each number in a job's description (such as CPUs, GB or seconds), in the unit of its field.
 const MAX_QUANTITY: f64 = 1e9;
 /// Maximum length of a name in a job's description, in bytes.
 const MAX_NAME_BYTES: usize = 200;
@@ -27,7 +27,7 @@
     Unsatisfiable(#[from] UnsatisfiableSubmission),
 }
 
-/// What part of a submission cannot be parsed or is out of range.
+/// Why the body of a submission cannot be accepted: a part of it cannot be parsed or is out of range.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum MalformedSubmission {
     /// The body is not JSON; holds the parser's message.
@@ -36,10 +36,10 @@
     /// The body is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// The id is missing or not a string.
+    /// The job's `id` is missing or not a string.
     #[error("id is missing")]
     MissingId,
-    /// The id is not a valid job id.
+    /// The `id` is a string, but not of the form of a job id.
     #[error("id has not the form req-000000")]
     InvalidId,
     /// A field is missing or of the wrong type; holds the parser's message.
@@ -99,9 +99,9 @@
 /// that was accepted before is answered by the job's status, even if the rest of the body is invalid.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ParsedSubmission {
-    /// The job's id.
+    /// The valid id of the job in the body, known even if the submission is refused.
     pub id: JobId,
-    /// The submission, or why it is refused.
+    /// The parsed description and dependencies of the job, or why they are refused.
     pub submission: Result<Submission, SubmissionError>,
 }
 
@@ -127,7 +127,7 @@
         serde_json::from_value(value).map_err(|error| MalformedSubmission::Dependencies(error.to_string()))?;
     let mut depends_on = BTreeSet::new();
     for name in names.unwrap_or_default() {
-        // No job with an invalid id was ever accepted.
+        // A dependency's id that is invalid counts as unknown, as no job with an invalid id was ever accepted.
         let id = JobId::parse(&name).ok_or(UnsatisfiableSubmission::DependencyNeverAccepted(name))?;
         depends_on.insert(id);
     }
--- a/src/core/submissions/tests.rs
+++ b/src/core/submissions/tests.rs
@@ -46,7 +46,7 @@
         assert!(matches!(parsed, Err(SubmissionError::Malformed(_))), "{field}={value}");
         submission.as_object_mut().unwrap().remove(field);
         let parsed = parse(&submission).unwrap().submission;
-        // Only an optional field may be absent.
+        // Of all fields of a submission, only the optional `due_s` may be absent.
         assert_eq!(parsed.is_ok(), field == "due_s", "without {field}");
     }
     for id in [json!("job-000412"), json!("req-1/2"), json!(7), json!(null)] {
@@ -73,7 +73,7 @@
     assert!(!is_satisfiable(&|spec| spec.cpus = 17.0));
     assert!(!is_satisfiable(&|spec| spec.zone = Some("b".into())));
     assert!(!is_satisfiable(&|spec| spec.types = Some(vec!["h1".into()])));
-    // Team-a is limited to 40 CPUs. All tasks of a gang count at once, those of an array one by one.
+    // Team-a is limited to 40 CPUs. A gang needs the CPUs of all its tasks at the same time, an array those of one.
     assert!(!is_satisfiable(&|spec| spec.tasks = 6));
     assert!(is_satisfiable(&|spec| (spec.tasks, spec.kind) = (6, Kind::Array)));
     // A spread gang allows half of its tasks in a zone, so it cannot run in the only zone there is.
