--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The core logic of the scheduler, without input and output: it uses no sockets, files or clocks. Callers pass in
-//! events with their times, and get back the messages to send, the records to write and the answers to give.
+//! The core logic of the scheduler, without input and output: this module uses no sockets, files or clocks. Callers
+//! pass in events with their times, and get back the messages to send, the records to write and the answers to give.
 
 pub mod allocation;
 pub mod cancellations;
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -2,7 +2,7 @@
 
 use super::node::Node;
 
-/// The limit on concurrent requests is reached.
+/// Error: this controller already serves as many users' requests concurrently as it may.
 pub(super) struct TooManyRequests;
 
 /// A slot for one user's request, which is released when this value is dropped.
--- a/src/net/cloud.rs
+++ b/src/net/cloud.rs
@@ -1,5 +1,5 @@
-//! Client of the cloud's API. It keeps to the cloud's rate limit, and gives other calls priority over listing
-//! machines.
+//! Client of the cloud's API. The client keeps to the cloud's rate limit, and gives all other calls priority over
+//! listing machines.
 
 use super::http::{HttpClient, HttpError};
 use crate::core::scheduler::ProvisionOutcome;
@@ -18,7 +18,7 @@
     /// The HTTP request failed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// A status other than 200.
+    /// The cloud responded with a status other than 200.
     #[error("unexpected status {0}")]
     Status(u16),
     /// The request can't be encoded, or the response can't be decoded.
@@ -26,21 +26,21 @@
     Message(#[from] serde_json::Error),
 }
 
-/// A client of the cloud at one address. It spaces its calls so that they stay below the cloud's rate limit.
+/// A client of the cloud at one address, which spaces its calls so that they stay below the cloud's rate limit.
 pub struct CloudClient {
     addr: String,
-    /// Average time between two calls at the full rate.
+    /// Average time between two calls if the client makes as many calls as it may.
     interval: Millis,
-    /// When the next call may be sent; in the past if the rate was not used up.
+    /// When the next call may be sent. In the past if the client has lately made fewer calls than it may.
     next_call_at: Mutex<MonotonicTime>,
 }
 
 /// Fraction of the cloud's rate limit that this client uses.
 const RATE_LIMIT_SHARE: f64 = 0.8;
-/// Unused calls of the last 500 ms may be made in one burst.
+/// The calls that the rate limit allowed within this time and that were not made may be made in one burst.
 const BURST_WINDOW: Millis = Millis(500);
 const REQUEST_TIMEOUT: Millis = Millis(4_000);
-/// A call that would have to wait longer than this for the rate limit fails at once.
+/// A call that would have to wait longer than this for the rate limit fails immediately instead of waiting.
 const MAX_QUEUE_DELAY: Millis = Millis(5_000);
 
 impl CloudClient {
@@ -50,8 +50,8 @@
         CloudClient { addr, interval, next_call_at: Mutex::new(MonotonicTime(0)) }
     }
 
-    /// Waits until the rate limit allows a call. Fails at once if an urgent call would have to wait longer than
-    /// `MAX_QUEUE_DELAY`, or another call would have to wait at all.
+    /// Waits until the rate limit allows a call. Fails immediately if an urgent call would have to wait longer than
+    /// `MAX_QUEUE_DELAY`, or if a call that isn't urgent would have to wait at all.
     async fn wait_for_rate_limit(&self, now: MonotonicTime, urgent: bool) -> Result<(), CloudError> {
         let at = {
             let mut next_call_at = self.next_call_at.lock().unwrap_or_else(|e| e.into_inner());
@@ -74,7 +74,7 @@
         Ok(types.builds)
     }
 
-    /// Requests new machines.
+    /// Requests new machines from the cloud.
     pub async fn provision(
         &self,
         http: &HttpClient,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Terminates machines. After an error it is unknown which of them were terminated.
+    /// Terminates the machines of these names. After an error it is unknown which of them were terminated.
     pub async fn terminate(&self, http: &HttpClient, now: MonotonicTime, names: Vec<String>) -> Result<(), CloudError> {
         let body = serde_json::to_vec(&MachineNames { plinths: names })?;
         self.wait_for_rate_limit(now, true).await?;
--- a/src/net/dependency_check.rs
+++ b/src/net/dependency_check.rs
@@ -1,6 +1,6 @@
 //! Checks whether a direct or transitive dependency of a waiting job was cancelled. The leader cancels the dependents
-//! of a cancelled job. Until it has done so, or while there is no leader, no controller may report them to users as
-//! live.
+//! of a cancelled job. Until the leader has done so, or while there is no leader, no controller may report these
+//! dependents to users as live.
 
 use super::linearizable_reads::{ReadError, StoredJob, read_job, with_read_timeout};
 use super::node::Node;
@@ -11,27 +11,27 @@
 use std::collections::HashMap;
 use std::pin::Pin;
 
-/// Maximum number of cached checks. When it is reached, the cache is cleared.
+/// Maximum number of jobs whose check is cached. When this number is reached, the cache is cleared.
 const MAX_CACHED_CHECKS: usize = 8_192;
 /// Maximum age of a cached check, as a fraction of the setting `cancel_s`: the time after a confirmed cancellation in
 /// which the job's tasks must be gone.
 const MAX_CHECK_AGE_SHARE: f64 = 0.25;
-/// Maximum length of a chain of dependencies that is followed, as each step costs a read. Cancellations further away
-/// are propagated only by the leader.
+/// Maximum length of a chain of dependencies that a check follows, as each step costs a read of the store. Only the
+/// leader propagates a cancellation to jobs that are further away from the cancelled job.
 const MAX_DEPTH: u32 = 64;
 
 /// The status of a job as a dependency of other jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DependencyStatus {
-    /// It is done.
+    /// The job is done.
     Done,
-    /// It may still become done.
+    /// The job hasn't ended and may still become done.
     Live,
-    /// It runs until it is cancelled, so it is never done.
+    /// The job is a service, which runs until it is cancelled and so is never done.
     Service,
-    /// It was cancelled, or a job that it depends on was.
+    /// The job was cancelled, or a job that it depends on directly or transitively was.
     Cancelled,
-    /// It was never accepted.
+    /// The store has no record of the job, so it was never accepted.
     Absent,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl DependencyCheckCache {
-    /// Returns the time of the job's check, or `None` if there is none or it is older than `max_age`.
+    /// Returns the time of the job's cached check. Returns `None` if no check is cached or it is older than `max_age`.
     fn get(&self, id: &JobId, now: MonotonicTime, max_age: Millis) -> Option<MonotonicTime> {
         self.checked_at.get(id).copied().filter(|at| now - *at <= max_age)
     }
@@ -56,10 +56,10 @@
     }
 }
 
-/// The result of checking a job.
+/// The result of checking a job and its dependencies.
 struct CheckResult {
     status: DependencyStatus,
-    /// When the oldest read that `status` is based on began.
+    /// When the oldest of the reads on which `status` is based began.
     read_at: MonotonicTime,
 }
 
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -22,13 +22,13 @@
 const POLL_INTERVAL: Millis = Millis(350);
 /// Time for the store to delete the key of a revoked lease.
 const REVOKE_DELAY: Millis = Millis(20);
-/// A controller that was not elected tries again after a random part of this time.
+/// Upper bound on the random time that a controller that was not elected waits before it tries again.
 const MAX_CANDIDACY_BACKOFF_MS: u64 = 200;
 const RENEW_TIMEOUT: Millis = Millis(900);
-/// If a renewal takes longer than this, the next one follows after [`SLOW_RENEWAL_BACKOFF`].
+/// If a renewal of the leader's lease takes longer than this, the next one follows after [`SLOW_RENEWAL_BACKOFF`].
 const SLOW_RENEWAL_THRESHOLD: Millis = Millis(1_000);
 const SLOW_RENEWAL_BACKOFF: Millis = Millis(100);
-/// Number of renewals within the lease's time to live.
+/// Number of times that the leader renews its lease within the lease's time to live.
 const RENEWALS_PER_TTL: u64 = 6;
 const PROBE_TIMEOUT: Millis = Millis(700);
 const EXTENSION_TIMEOUT: Millis = Millis(800);
@@ -55,7 +55,7 @@
     }
 }
 
-/// When [`run`] reads the leader's key again: after [`POLL_INTERVAL`] or at once.
+/// When [`run`] reads the leader's key again: after [`POLL_INTERVAL`] or without delay.
 enum Next {
     Wait,
     ReadAgain,
@@ -63,11 +63,11 @@
 
 /// State that a controller that doesn't lead keeps between two reads of the leader's key.
 struct Follower {
-    /// The cluster has had a leader. Assumed until the store shows that it has not.
+    /// Whether the cluster has had a leader. Assumed to be true until the store shows that it is not.
     initialized: bool,
-    /// The leader's key belonged to an earlier process of this controller, whose lease was revoked just now. A
-    /// new process then needn't wait for a pledge to end: pledges are given to the owner of the key, so that process
-    /// has none to keep.
+    /// Whether the leader's key belonged to an earlier process of this controller, whose lease was revoked just now. In
+    /// that case this process needn't wait as long as a pledge lasts before it stands for election: a controller
+    /// pledges only to the owner of the key, so the earlier process has given no pledge that is still binding.
     predecessor_held_key: bool,
 }
 
@@ -77,8 +77,8 @@
         node.lock().leader_name = record.as_ref().map(|record| record.node.clone());
         self.predecessor_held_key = false;
         let Some(own) = record.filter(|record| record.node == node.settings.name) else { return Next::Wait };
-        // An earlier process of this controller led. Only one process runs at an address at a time, so its lease
-        // can be revoked. If a candidacy of that process is committed late, its key is found here as well;
+        // An earlier process of this controller led. Only one process runs at an address at a time, so that process's
+        // lease can be revoked. If a candidacy of that process is committed late, this code finds its key as well;
         // messages of that process that arrive late have a lower term than those of the next leader.
         info!("revoking the leader lease of an earlier process of this controller");
         let revoked = node.track_store(node.kv.revoke_lease(&node.http, own.lease)).await;
@@ -111,8 +111,8 @@
     }
 }
 
-/// Records the first store revision that this process sees: from there on it knows all cancellations that this
-/// controller has confirmed to users.
+/// Records the store revision that this process reads first after its start: this process knows all cancellations
+/// after that revision that this controller has confirmed to users.
 async fn record_first_revision(node: &Node) {
     if !node.lock().cancellations.is_first_revision_known()
         && let Ok(revision) = node.track_store(node.kv.current_revision(&node.http)).await
@@ -121,7 +121,7 @@
     }
 }
 
-/// Asks the peers whether the store serves them and who leads, as the store doesn't serve this controller.
+/// Asks the peers whether the store serves them and who leads. Called while the store doesn't serve this controller.
 async fn probe_peers(node: &Arc<Node>) {
     let responses = peers::broadcast_heartbeat(node, &peers::new_heartbeat(node), PROBE_TIMEOUT).await;
     node.lock().store_health.record_peer_responses(&responses);
@@ -142,7 +142,7 @@
     {
         let now = node.now();
         let mut state = node.lock();
-        // This controller may have given a pledge while it waited for the lease.
+        // While this controller waited for the lease, it may have pledged to a leader not to stand for election.
         if !state.election.can_stand_for_election(now, false) {
             return None;
         }
@@ -175,8 +175,9 @@
     }
 }
 
-/// Settles a candidacy to which the store gave no result: waits until the leader's key shows that it was committed,
-/// or until its lease is revoked, so that it can't be committed any more. Returns the term in the first case.
+/// Settles a candidacy to which the store gave no result: waits until the leader's key shows that the candidacy was
+/// committed, or until its lease is revoked, so that it can't be committed any more. Returns the term in the first
+/// case, otherwise `None`.
 async fn settle_unknown_candidacy(node: &Node, lease: LeaseId, record: &LeaderRecord) -> Option<Term> {
     loop {
         let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await;
@@ -192,7 +193,7 @@
     }
 }
 
-/// Runs the leader loop and keeps the lease, until the lease is lost or this controller hands over.
+/// Runs the leader loop and keeps the leader's lease, until the lease is lost or this controller hands over.
 async fn lead(node: &Arc<Node>, leader_lease: LeaderLease, record: LeaderRecord) {
     let term = leader_lease.term;
     info!("elected leader: term={term}");
@@ -208,8 +209,8 @@
     leader_task.abort();
 }
 
-/// Renews the lease, or extends it on pledges while the store is unavailable. Returns when the lease has ended or
-/// this controller has handed over.
+/// Renews the leader's lease regularly. While the store is unavailable, extends the lease on the peers' pledges not to
+/// stand for election instead. Returns when the lease has ended or this controller has handed over.
 async fn keep_lease(node: &Arc<Node>, leader_lease: LeaderLease) {
     let mut was_active = true;
     let mut extended = false;
@@ -226,8 +227,9 @@
             Err(e) => {
                 warn!("could not renew the leader lease: term={} error={e}", leader_lease.term);
                 // The store may serve other controllers, which may confirm cancellations that this one can't
-                // read. If the latest extension succeeded, the store served no peer at that time; this is taken
-                // to hold until the peers have been asked again.
+                // read. Peers pledge only while the store doesn't serve them, so if the lease was last extended on
+                // the pledges of all peers, the store served none of them. That is taken to hold until
+                // `extend_lease` has asked the peers again.
                 set_in_doubt(&mut node.lock(), !extended);
                 extended = extend_lease(node, leader_lease.term).await;
                 set_in_doubt(&mut node.lock(), !extended);
@@ -257,8 +259,8 @@
     if is_slow { SLOW_RENEWAL_BACKOFF } else { Millis(node.settings.leader_lease_ttl().0 / RENEWALS_PER_TTL) }
 }
 
-/// Sets whether users may have been told of cancellations that this leader doesn't know. While they may, the
-/// scheduler starts no tasks.
+/// Sets whether other controllers may have confirmed cancellations to users of which this leader doesn't know. While
+/// `in_doubt` is true, the scheduler starts no tasks.
 fn set_in_doubt(state: &mut NodeState, in_doubt: bool) {
     if let Some(scheduler) = &mut state.scheduler {
         scheduler.set_in_doubt(in_doubt);
@@ -276,12 +278,12 @@
         state.scheduler.take().map_or(Revision(leader_lease.term.0), |scheduler| scheduler.fence_revision())
     };
     let heartbeat = PeerHeartbeat { successor, ..peers::new_heartbeat(node) };
-    // A peer that can't be reached from here reads the successor's name from the store.
+    // A peer that this controller can't reach reads the successor's name from the store.
     let _ = tokio::join!(
         peers::broadcast_heartbeat(node, &heartbeat, HAND_OVER_TIMEOUT),
         node.track_store(write_successor_key(node, fence_revision, &heartbeat.successor))
     );
-    // If this request fails, the lease ends after its time to live.
+    // If this request to revoke the lease fails, the lease ends after its time to live.
     let _ = node.track_store(node.kv.revoke_lease(&node.http, leader_lease.id)).await;
 }
 
@@ -293,15 +295,15 @@
         mutations: vec![Mutation::Put { key: SUCCESSOR_KEY.into(), value: json!(successor), lease: Some(lease.0) }],
     };
     match node.kv.commit(&node.http, &transaction).await {
-        // On a conflict there is already another leader.
+        // On a conflict, the leader's key has changed or is gone, so another controller may lead already.
         Ok(_) | Err(CommitError::Conflict(_)) => Ok(()),
         Err(CommitError::Store(error)) => Err(error),
     }
 }
 
 /// Extends the lease of a leader to which the store is unavailable, if every peer pledges not to stand for
-/// election. A peer does so only if the store is unavailable to it too, and sends along the cancellations that this
-/// leader can't have read. Returns whether the lease was extended.
+/// election. A peer pledges only if the store is unavailable to that peer too, and sends along the cancellations that
+/// this leader can't have read. Returns whether the lease was extended.
 async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
     let requested_at = node.now();
     let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
@@ -327,7 +329,8 @@
     extended
 }
 
-/// A peer's pledge. `None` if the peer doesn't pledge or the names of its cancelled jobs can't be parsed.
+/// Extracts a peer's pledge not to stand for election from its response. Returns `None` if the peer doesn't pledge or
+/// the names of its cancelled jobs can't be parsed.
 fn parse_pledge(response: &PeerHeartbeatResponse) -> Option<Pledge> {
     let duration = Some(Millis(response.pledge_ms)).filter(|duration| *duration > Millis(0))?;
     Some(Pledge { duration, cancelled: peers::parse_job_ids(&response.cancelled)? })
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -26,7 +26,7 @@
     /// The request is invalid and was not sent.
     #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// No response within the time limit; the request may have been carried out.
+    /// No response arrived within the request's time limit; the request may have been carried out.
     #[error("request timed out")]
     Timeout,
     /// The response exceeds the size limit; the request may have been carried out.
@@ -71,7 +71,7 @@
     }
 }
 
-/// A connection that holds its permit until it closes.
+/// A connection that holds one permit of the connection limit until it closes.
 struct LimitedConnection {
     io: TokioIo<TcpStream>,
     _permit: OwnedSemaphorePermit,
@@ -115,8 +115,8 @@
 pub struct HttpClient {
     client: Client<LimitedConnector, Full<Bytes>>,
     permits: Arc<Semaphore>,
-    /// With fewer free permits than this, connections are closed after use instead of kept alive. Otherwise idle
-    /// connections to many hosts would use up the permits.
+    /// If fewer further connections than this are allowed, connections are closed after use instead of kept alive.
+    /// Otherwise idle connections to many hosts would use up the connection limit.
     min_free_for_keep_alive: usize,
 }
 
@@ -124,10 +124,10 @@
 /// How long an idle connection is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_IDLE_PER_HOST: usize = 4;
-/// Lower bound for the connection limit: with fewer connections the controller can't work.
+/// Lower bound for the number of connections that a client may open: with fewer the controller can't do its work.
 const MIN_CONNECTIONS: usize = 4;
-/// Maximum size of a response. The store and the cloud return lists of jobs and machines in pages. The response to a
-/// watch may exceed the limit; the keys are then listed again.
+/// Maximum size of a response in bytes. The store and the cloud return lists of jobs and machines in pages. The
+/// response to a watch of the store may exceed the limit; in that case the client lists the watched keys again.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 impl HttpClient {
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Starts hosts that answer every request and keep connections open. Returns their addresses, and the numbers of
-/// connections that are open now and that were open at most.
+/// Starts hosts that answer every request and keep connections open. Returns the hosts' addresses, and the number of
+/// connections open now and the highest number open so far, over all hosts.
 async fn start_hosts(count: usize) -> (Vec<String>, Arc<std::sync::Mutex<(usize, usize)>>) {
     let open = Arc::new(std::sync::Mutex::new((0, 0)));
     let mut addrs = Vec::new();
@@ -63,7 +63,7 @@
     for addr in &addrs {
         assert_eq!(call(addr).await.unwrap(), 200);
     }
-    // Concurrent requests don't exceed the limit either.
+    // Concurrent requests don't exceed the limit on open connections either.
     let results = tokio::join!(call(&addrs[0]), call(&addrs[1]), call(&addrs[2]), call(&addrs[3]));
     assert!(<[_; 4]>::from(results).into_iter().all(|result| result.is_ok_and(|status| status == 200)));
     let max_open = open.lock().unwrap().1;
--- a/src/net/input_latency.rs
+++ b/src/net/input_latency.rs
@@ -10,11 +10,11 @@
 use std::fmt::{self, Write};
 use std::time::Duration;
 
-/// An input that takes at least this long is logged on its own.
+/// An input that the core takes at least this long to handle is logged in a line of its own.
 const SLOW_INPUT_THRESHOLD: Duration = Duration::from_millis(250);
 /// Minimum time between two log lines about slow inputs.
 const SLOW_INPUT_LOG_INTERVAL: Millis = Millis(1_000);
-/// Longest duration that the histograms record, in microseconds. Longer ones are clamped to it.
+/// Longest duration that the histograms record, in microseconds. Longer durations are recorded as this one.
 const MAX_RECORDED_MICROS: u64 = 600_000_000;
 
 /// The kind of an input that the core handles.
@@ -22,15 +22,15 @@
 pub enum InputKind {
     /// The scheduler's regular tick.
     Tick,
-    /// A batch of heartbeats of workers.
+    /// A batch of workers' heartbeats.
     Heartbeats,
     /// A plan that a peer has returned for a round of this leader.
     Plan,
     /// Planning a shard for a leader that is another controller.
     PlanForPeer,
-    /// Results of orders, writes and look-ups, and changes reported by watches or peers.
+    /// Results of orders, store writes and look-ups, and changes reported by watches or peers.
     Result,
-    /// Loading the stored cluster state on becoming leader.
+    /// Loading the cluster state from the key-value store after this controller has become leader.
     Load,
 }
 
@@ -47,14 +47,14 @@
     }
 }
 
-/// The longest input since the last summary.
+/// The input that took longest to handle since the last summary.
 struct LongestInput {
     input_kind: InputKind,
     duration: Duration,
     operation_counts: OperationCounts,
 }
 
-/// Durations of inputs since the last summary.
+/// How long the core took to handle each kind of input since the last summary.
 pub struct InputLatency {
     histograms: BTreeMap<InputKind, Histogram<u64>>,
     longest: Option<LongestInput>,
@@ -72,7 +72,8 @@
 }
 
 impl InputLatency {
-    /// Records an input that was received at `now` and has just been handled. Logs it if it was slow.
+    /// Records an input that was received at `now` and has just been handled, which took `duration`. Logs slow inputs,
+    /// at most one line per interval.
     pub fn record(
         &mut self,
         now: MonotonicTime,
--- a/src/net/kv.rs
+++ b/src/net/kv.rs
@@ -1,6 +1,6 @@
 //! Client of the key-value store.
 //!
-//! It only encodes requests and decodes responses. Callers track whether the store serves this controller; see
+//! The client only encodes requests and decodes responses. Callers track whether the store serves this controller; see
 //! [`Node::track_store`](super::node::Node::track_store).
 
 use super::http::{HttpClient, HttpError};
@@ -46,29 +46,29 @@
 /// Why a transaction isn't known to be committed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CommitError {
-    /// Not committed: the revisions of these keys differ from those in the preconditions.
+    /// The transaction was not committed: the revisions of these keys differ from those in its preconditions.
     #[error("revisions of {0:?} differ from the preconditions")]
     Conflict(Vec<String>),
-    /// The store returned no result. Some of these errors leave open whether the transaction was committed; see
+    /// The store returned no result for the transaction. Some of these errors leave open whether it was committed; see
     /// [`KvError`].
     #[error(transparent)]
     Store(#[from] KvError),
 }
 
-/// All entries whose keys have a given prefix.
+/// The result of listing all entries of the store whose keys have a given prefix.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// The entries in key order.
+    /// The entries, in ascending order of their keys.
     pub entries: Vec<KeyValue>,
-    /// The store's revision at the first page. A watch must start from it so as to miss no change.
+    /// The store's revision when the first page was read. A watch that starts from this revision misses no change.
     pub revision: Revision,
 }
 
-/// Time limit of a request, unless another constant or an argument of the method limits it.
+/// Time limit of a request to the store, unless the method has an argument or another constant for it.
 const REQUEST_TIMEOUT: Millis = Millis(1_200);
-/// Time limit of one page of a listing.
+/// Time limit of the request for one page of a listing.
 const PAGE_TIMEOUT: Millis = Millis(3_000);
-/// How much longer than its blocking time a watch may take.
+/// How much longer a watch request may take than the time for which it asks the store to wait for a change.
 const WATCH_TIMEOUT_MARGIN: Millis = Millis(2_000);
 
 /// A client of the key-value store at one address.
@@ -137,7 +137,8 @@
                 return Err(KvError::Status(status));
             }
             let page: RangeResponse = parse(&body)?;
-            // The pages are read at different revisions. A watch from the first one delivers all later changes again.
+            // The pages are read at different revisions. A watch from the first page's revision delivers again all
+            // changes that later pages contain already.
             let revision = *revision.get_or_insert(Revision(page.revision));
             let has_more = page.has_next && !page.entries.is_empty();
             entries.extend(page.entries);
@@ -193,8 +194,8 @@
 
     /// Watches keys with the prefix for changes after revision `since`. The store waits up to `block` for a change.
     ///
-    /// Returns `None` if `since` is too old for the store or the changes exceed the maximum response size. The keys must
-    /// then be listed again.
+    /// Returns `None` if `since` is too old for the store or the changes exceed the maximum response size. The keys
+    /// must then be listed again.
     pub async fn watch(
         &self,
         http: &HttpClient,
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -30,8 +30,8 @@
 pub(super) use effects::perform_effect;
 pub use machine_types::{MACHINE_TYPES_KEY, poll_machine_types};
 
-/// Does the leader's work for a term, until the future is aborted or this controller no longer leads for the term.
-/// `net::election` renews the lease meanwhile.
+/// Loads the cluster state and runs the scheduler for a term, until the future is aborted or this controller no longer
+/// leads for the term. Meanwhile `net::election` renews the leader's lease.
 pub async fn run(node: Arc<Node>, term: Term, record: LeaderRecord) {
     let Some(read_through) = loading::load_scheduler(&node, term, record).await else { return };
     tokio::join!(
@@ -47,7 +47,7 @@
     node.lock().election.lease().is_some_and(|lease| lease.term == term)
 }
 
-/// Gives the scheduler its regular ticks while this controller leads for the term.
+/// Calls the scheduler at regular intervals while this controller leads for the term.
 async fn run_ticks(node: &Arc<Node>, term: Term) {
     while still_leads(node, term) {
         let (now, wall) = (node.now(), node.wall_time());
@@ -56,11 +56,11 @@
     }
 }
 
-/// Gives the scheduler an input and starts to perform the effects that it requests. Returns the result of
+/// Gives the scheduler an input and starts to perform the effects that the scheduler requests. Returns the result of
 /// `input`.
 ///
-/// Returns `None` if this controller may not act as leader now or hasn't loaded the cluster state. The scheduler
-/// then gets no input, so that it requests no effects.
+/// Returns `None` if this controller may not act as leader now or hasn't loaded the cluster state. In that case the
+/// scheduler gets no input, so that it requests no effects.
 pub fn step<T>(node: &Arc<Node>, input_kind: InputKind, input: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
     let now = node.now();
     let (result, term, effects) = {
@@ -98,16 +98,16 @@
     Some(result)
 }
 
-/// Gives a scheduler an input. Returns the result, the time that it took and the operations that it
-/// counted.
+/// Gives a scheduler an input. Returns the result of `input`, the time that the call took and the operations that the
+/// scheduler counted meanwhile.
 fn measure<T>(scheduler: &mut Scheduler, input: impl FnOnce(&mut Scheduler) -> T) -> (T, Duration, OperationCounts) {
     let (started_at, before) = (Instant::now(), scheduler.operation_counts());
     let result = input(scheduler);
     (result, started_at.elapsed(), scheduler.operation_counts().since(&before))
 }
 
-/// Gives the scheduler, if there is one, the result of an effect, even after the lease has expired: recording a
-/// result sends nothing.
+/// Gives the scheduler, if there is one, the result of an effect. Does so even after the leader's lease has expired, as
+/// recording a result sends nothing.
 fn notify_scheduler(node: &Node, notify: impl FnOnce(&mut Scheduler, MonotonicTime)) {
     let now = node.now();
     step_measured(&mut node.lock(), now, InputKind::Result, |scheduler| notify(scheduler, now));
--- a/src/net/leader_loop/cloud_watch.rs
+++ b/src/net/leader_loop/cloud_watch.rs
@@ -7,8 +7,8 @@
 use crate::time::Millis;
 use std::sync::Arc;
 
-/// Bounds of the interval between two requests for the list; within them, the interval is half the time by which the
-/// list may lag behind.
+/// Bounds on the interval between two requests for the cloud's list of machines. Within these bounds, the interval is
+/// half the time by which the list may lag behind.
 const MIN_LIST_INTERVAL: Millis = Millis(2_000);
 const MAX_LIST_INTERVAL: Millis = Millis(10_000);
 /// Prices are requested once per this many polls of the list, first at the second poll.
--- a/src/net/leader_loop/effects.rs
+++ b/src/net/leader_loop/effects.rs
@@ -22,7 +22,8 @@
 ///
 /// This process may have been suspended after the scheduler requested the effect. Orders, commits and requests to
 /// the cloud are therefore sent only if this controller may still act as leader of the term. A refresh of the fence
-/// needs no such check, as its precondition names the key's revision.
+/// (rewriting the leader's key to give it a new revision) needs no such check, as its precondition names the key's
+/// revision.
 pub(in crate::net) async fn perform_effect(node: Arc<Node>, term: Term, effect: Effect) {
     let now = node.now();
     let is_term_active = node.lock().election.active_term(now) == Some(term);
@@ -106,7 +107,8 @@
     if let Ok(revision) = node.commit(transaction).await {
         return Some(revision);
     }
-    // This write may have been committed although it gave no result, and so may an earlier attempt.
+    // The write may have been committed although the store returned no result, and so may an earlier attempt. Whether
+    // one was committed is seen from the key.
     let row = node.track_store(node.kv.get(&node.http, LEADER_KEY)).await.ok()??;
     let matches_row = |mutation: &Mutation| matches!(mutation, Mutation::Put { value, .. } if *value == row.value);
     transaction.mutations.iter().any(matches_row).then_some(Revision(row.revision))
--- a/src/net/leader_loop/live_jobs.rs
+++ b/src/net/leader_loop/live_jobs.rs
@@ -11,10 +11,10 @@
 use log::debug;
 use std::sync::Arc;
 
-/// Longest time for which the store may hold a watch request open until there is a change.
+/// Longest time that a watch request on the live jobs asks the store to wait for a change.
 const MAX_WATCH_BLOCK: Millis = Millis(3_000);
-/// The longest watch request as a fraction of the time for which a read may be acted on. Several responses must fit
-/// into that time.
+/// Longest time that a watch request asks the store to wait for a change, as a fraction of the time for which the
+/// leader may act on a read of the live jobs. Several responses must fit into that time.
 const WATCH_BLOCK_SHARE: f64 = 0.25;
 const WATCH_RETRY_BACKOFF: Millis = Millis(200);
 const LIST_RETRY_BACKOFF: Millis = Millis(300);
@@ -49,7 +49,8 @@
     }
 }
 
-/// Gives the scheduler the changes up to the revision `read_through`. Returns false if there is no scheduler.
+/// Gives the scheduler changes of live jobs, which are complete up to the revision `read_through`. Returns false if
+/// there is no scheduler.
 fn apply_changes(node: &Node, requested_at: MonotonicTime, read_through: Revision, changes: WatchResponse) -> bool {
     let now = node.now();
     let mut state = node.lock();
@@ -75,8 +76,8 @@
     }
 }
 
-/// Reads all live jobs, because there are too many changes to watch or the store no longer keeps them. Returns the
-/// revision from which to continue the watch.
+/// Reads all live jobs anew, because there are too many changes for one response to a watch or the store no longer
+/// keeps these changes. Returns the revision from which to continue the watch.
 async fn resync(node: &Node) -> Result<Revision, KvError> {
     let requested_at = node.now();
     let live = node.track_store(node.kv.list(&node.http, LIVE_PREFIX)).await?;
--- a/src/net/leader_loop/loading.rs
+++ b/src/net/leader_loop/loading.rs
@@ -14,7 +14,7 @@
 use log::debug;
 use std::sync::Arc;
 
-/// Number of stored records that a new leader loads in one step.
+/// Number of records that a new leader loads into its scheduler before it lets other inputs be handled.
 const RECORDS_PER_STEP: usize = 250;
 const RETRY_BACKOFF: Millis = Millis(150);
 
@@ -43,7 +43,8 @@
     Some(revision)
 }
 
-/// Reads the stored state. Returns with it the revision up to which it contains the changes of live jobs.
+/// Reads the cluster state from the key-value store. Returns the state, and the revision up to which it contains the
+/// changes of live jobs.
 async fn read_stored_state(node: &Node) -> Result<(StoredState, Revision), KvError> {
     let live = node.kv.list(&node.http, LIVE_PREFIX).await?;
     let bitmaps = node.kv.list(&node.http, BITMAP_PREFIX).await?.entries;
@@ -52,8 +53,8 @@
     Ok((StoredState { live: live.entries, bitmaps, machines, shards }, live.revision))
 }
 
-/// Loads the stored state into a new scheduler part by part, so that lease renewals, user requests and heartbeats are
-/// handled in between.
+/// Loads the state read from the key-value store into a new scheduler part by part, so that lease renewals, user
+/// requests and heartbeats are handled in between.
 async fn load_in_steps(node: &Node, scheduler: &mut Scheduler, stored: StoredState) {
     for part in stored.into_parts(RECORDS_PER_STEP) {
         let now = node.now();
--- a/src/net/leader_loop/machine_types.rs
+++ b/src/net/leader_loop/machine_types.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// The key under which the first leader stores the machine types. It is written only once.
+/// The key under which the first leader stores the cloud's machine types. The key is written only once.
 pub const MACHINE_TYPES_KEY: &str = "ctl/kinds";
 const STORE_POLL_INTERVAL: Millis = Millis(400);
 const CLOUD_RETRY_BACKOFF: Millis = Millis(500);
@@ -46,7 +46,9 @@
                 preconditions: vec![Precondition { key: MACHINE_TYPES_KEY.into(), revision: 0 }],
                 mutations: vec![Mutation::put(MACHINE_TYPES_KEY, json!(types))],
             };
-            // If this write fails, this leader still knows the machine types; a later leader requests them again.
+            // If this write fails, this leader still knows the machine types, and a later leader requests them from the
+            // cloud
+            // again.
             let _ = node.commit(&transaction).await;
             node.lock().machine_types = Some(types);
             continue;
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
-/// The interval while the peers' responses suggest that workers can't reach this controller.
+/// Interval between two heartbeats to the peers while their responses suggest that workers can't reach this controller.
 const RECHECK_INTERVAL: Millis = Millis(300);
 const HEARTBEAT_TIMEOUT: Millis = Millis(800);
 
@@ -33,8 +33,9 @@
     info!("stopped sending leader heartbeats to peers: term={term}");
 }
 
-/// The leader's heartbeat, with the task counts of live jobs, which the peers show to users that poll a job, and the
-/// suspected machines. Returns with it the number of machines that should send heartbeats.
+/// The leader's heartbeat to its peers, and the number of machines that should send heartbeats. The heartbeat contains
+/// the task counts of live jobs, which the peers show to users that poll a job, and the machines that the leader
+/// suspects of having failed.
 fn leader_heartbeat(node: &Node, term: Term) -> (PeerHeartbeat, usize) {
     let mut heartbeat = PeerHeartbeat { leading: true, term: term.0, ..peers::new_heartbeat(node) };
     let mut machines = 0;
@@ -74,9 +75,9 @@
 /// Names a successor if the peers' responses show repeatedly that workers can't reach this controller, and records for
 /// the scheduler which peers have responded.
 ///
-/// A single detection is not enough unless at least half of all machines are suspected: workers that have just lost
-/// contact with the leader try other controllers for a moment. `detections` is the number of detections in a row so
-/// far; the new number is returned.
+/// A single detection is not enough unless the leader suspects at least half of all machines of having failed: workers
+/// that have just lost contact with the leader try other controllers for a moment. `detections` is the number of
+/// consecutive earlier calls that detected this; the number including this call is returned.
 fn detect_unreachable_leader(
     node: &Node,
     responses: &[Option<PeerHeartbeatResponse>],
--- a/src/net/linearizable_reads.rs
+++ b/src/net/linearizable_reads.rs
@@ -1,4 +1,5 @@
-//! Linearizable reads of jobs from the key-value store, for users' requests, and recording of the outcomes found.
+//! Linearizable reads of jobs from the key-value store, for users' requests, and recording of how these jobs have
+//! ended.
 
 use super::kv::KvError;
 use super::node::Node;
@@ -23,7 +24,7 @@
     /// The store hasn't responded for so long that users' requests fail without asking it.
     #[error("the key-value store is unreachable")]
     StoreUnreachable,
-    /// The read exceeded its time limit.
+    /// Reading the job took longer than the time limit for users' requests.
     #[error("read of the key-value store exceeded {} ms", READ_TIMEOUT.0)]
     Timeout,
     /// A request to the store failed.
@@ -32,14 +33,14 @@
     /// The terminal record of the job can't be decoded.
     #[error("terminal record of {id} can't be decoded: {source}")]
     UnreadableRecord {
-        /// The job.
+        /// The job whose terminal record can't be decoded.
         id: JobId,
-        /// The decoding error.
+        /// Why the record can't be decoded.
         source: serde_json::Error,
     },
 }
 
-/// Time limit of a read. Users wait 2 s for the response to a poll.
+/// Time limit of reading a job for a user's request. Shorter than the 2 s that users wait for the response to a poll.
 const READ_TIMEOUT: Millis = Millis(1_400);
 
 /// Reads the current state of a job, within the time limit for users' requests.
@@ -47,8 +48,8 @@
     with_read_timeout(node, read_job(node, id)).await
 }
 
-/// Runs `reads`, and fails if they exceed the time limit for users' requests. Fails at once while the store is
-/// unreachable.
+/// Awaits `reads`, and fails if these reads of the store exceed the time limit for users' requests. Fails immediately,
+/// without reading, while the store is unreachable.
 pub(super) async fn with_read_timeout<T>(
     node: &Node,
     reads: impl Future<Output = Result<T, ReadError>>,
@@ -60,7 +61,7 @@
 }
 
 /// Reads the current state of a job, without a time limit. A job changes from live to terminal and never back, so
-/// reading the live key before the terminal key can't miss it.
+/// reading the live key before the terminal key can't miss the job.
 pub(super) async fn read_job(node: &Node, id: &JobId) -> Result<StoredJob, ReadError> {
     let cached = node.lock().outcome_cache.get(id);
     if let Some(record) = cached {
@@ -78,9 +79,10 @@
     Ok(StoredJob::Terminal(record))
 }
 
-/// Records how a job has ended. Must be called before a user is told of it, for two reasons: if this controller leads,
-/// its scheduler must act on the outcome even while its watch of the live jobs lags, and a leader that can't read the
-/// store learns of cancellations only from the pledges of the controllers that have confirmed them.
+/// Records how a job has ended. Must be called before a user is told of the outcome, for two reasons: if this
+/// controller leads, its scheduler must act on the outcome even while its watch of the live jobs lags, and a leader
+/// that can't read the store learns of cancellations only from the controllers that have confirmed them, along with
+/// their pledges not to stand for election.
 pub fn record_outcome(node: &Node, id: &JobId, record: TerminalRecord, revision: Revision) {
     let mut state = node.lock();
     state.outcome_cache.insert(id, record);
--- a/src/net/load_log.rs
+++ b/src/net/load_log.rs
@@ -18,7 +18,7 @@
 fn log_load(node: &Node) {
     let now = node.now();
     let mut state = node.lock();
-    // Without any input nothing has changed since the last lines.
+    // Without any input nothing has changed since the load was last logged.
     let Some(summary) = state.input_latency.take_summary() else { return };
     info!("inputs: {summary}");
     let (heartbeats, requests) = (state.heartbeat_relay.waiting_count(), state.user_requests_in_progress);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! Network I/O and timers around the core. This module makes no scheduling decisions: those are made by the
-//! leader's scheduler in `core::scheduler`.
+//! Network I/O and timers around the core. This module makes no scheduling decisions: the leader's scheduler in
+//! `core::scheduler` does.
 //!
 //! - Clients: `kv` (key-value store), `cloud` and `peers` (other controllers), all built on `http`.
 //! - Services: `user_api` with `admission`, `linearizable_reads` and `dependency_check`; `heartbeats` with
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -1,7 +1,7 @@
 //! What all asynchronous tasks of a controller process share: its settings, its clients and, behind one mutex, its
 //! state.
 //!
-//! Most parts of the state are types with modules of their own; [`NodeState`] only combines them.
+//! Most parts of the state are types with modules of their own; [`NodeState`] only combines these parts.
 
 use super::cloud::CloudClient;
 use super::dependency_check::DependencyCheckCache;
@@ -43,7 +43,7 @@
     pub kv: KvClient,
     /// Client of the cloud provider.
     pub cloud: CloudClient,
-    /// Distinguishes this process from earlier ones at the same address.
+    /// Number that distinguishes this process from earlier ones at the same address.
     pub incarnation: u64,
     /// Wakes the asynchronous task that relays workers' heartbeats to the leader.
     pub relay_wakeup: RelayWakeup,
@@ -55,17 +55,17 @@
 pub struct NodeState {
     /// This controller's state in the leader election.
     pub election: Election,
-    /// The scheduler; only while this controller leads and has loaded the cluster state.
+    /// The scheduler. `None` unless this controller leads and has loaded the cluster state.
     pub scheduler: Option<Scheduler>,
-    /// The name of the leader, as last read from the store.
+    /// The name of the leader, as last read from the store. `None` if no leader is known.
     pub leader_name: Option<String>,
-    /// The machine types that the cloud offers, once known.
+    /// The machine types that the cloud offers. `None` until this controller has read them.
     pub machine_types: Option<Vec<MachineType>>,
     /// Outcomes of jobs that are known to have ended.
     pub outcome_cache: OutcomeCache,
     /// The cancellations that this process has confirmed to users.
     pub cancellations: ConfirmedCancellations,
-    /// Jobs that were found not to depend on a cancelled job, with the time of the check.
+    /// Jobs that were found not to depend on a cancelled job, each with the time of this check.
     pub dependency_check_cache: DependencyCheckCache,
     /// The leader's latest task counts of its live jobs, shown to users that poll a job.
     pub live_job_counts: HashMap<JobId, JobCount>,
@@ -75,15 +75,16 @@
     pub store_health: StoreHealth,
     /// Workers that have sent heartbeats here while another controller led.
     pub redirected_workers: RedirectedWorkers,
-    /// Machines that the leader suspects of having failed, from its latest heartbeat.
+    /// Machines that the leader suspects of having failed, by its latest heartbeat to this controller.
     pub suspected_machines: HashSet<String>,
-    /// While leading: the peer to which this controller hands over next.
+    /// The name of the peer to which this leader is about to hand over. `None` if no hand-over is due.
     pub successor: Option<String>,
     /// Workers' heartbeats that wait to be relayed to the leader.
     pub heartbeat_relay: HeartbeatRelay,
-    /// Limits the log lines on messages of peers that can't be decoded, are too large or of another version.
+    /// Limits the rate of log lines about messages of peers that can't be decoded, are too large or are of another
+    /// protocol version.
     pub bad_messages: RateLimitedLog,
-    /// While this controller can't reach the leader: the peers that can.
+    /// The peers through which this controller can relay heartbeats while it can't reach the leader itself.
     pub relay_routes: RelayRoutes,
     /// While leading: distributes workers over the peers that relay heartbeats.
     pub heartbeat_balancer: HeartbeatBalancer,
@@ -125,7 +126,7 @@
     }
 }
 
-/// Minimum interval between two log lines on bad messages of peers.
+/// Minimum interval between two log lines about invalid messages of peers.
 const BAD_MESSAGES_LOG_INTERVAL: Millis = Millis(10_000);
 
 impl Node {
@@ -161,14 +162,14 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Awaits a request to the store and records its result with [`Node::record_store_result`].
+    /// Awaits a request to the store, and records with [`Node::record_store_result`] whether the store served it.
     pub async fn track_store<T>(&self, call: impl Future<Output = Result<T, KvError>>) -> Result<T, KvError> {
         let result = call.await;
         self.record_store_result(result.as_ref().err());
         result
     }
 
-    /// Commits a transaction and records the result with [`Node::record_store_result`].
+    /// Commits a transaction to the store, and records with [`Node::record_store_result`] whether the store served it.
     pub async fn commit(&self, transaction: &Transaction) -> Result<Revision, CommitError> {
         let result = self.kv.commit(&self.http, transaction).await;
         self.record_store_result(match &result {
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Whether the store has not responded for so long that user requests should fail at once instead of waiting for
-    /// it. The election keeps sending requests.
+    /// Whether the store has not responded for so long that user requests should fail immediately instead of waiting
+    /// for the store. The leader election keeps sending requests to the store.
     pub fn is_store_unreachable(&self) -> bool {
         let now = self.now();
         self.lock().store_health.is_unreachable(now)
--- a/src/net/peer_service.rs
+++ b/src/net/peer_service.rs
@@ -61,7 +61,8 @@
 }
 
 /// Gives a leader that the store doesn't serve a pledge not to stand for election, if the rules of the election allow
-/// it. The response then contains the pledge's duration and the cancellations that the leader can't have read.
+/// one. In that case, the response contains the pledge's duration and the cancellations that the leader can't have
+/// read.
 fn grant_pledge(
     state: &mut NodeState,
     now: MonotonicTime,
@@ -75,8 +76,8 @@
     }
 }
 
-/// Plans a shard for a leader, which checks every placement before it applies it. Returns `None` if the message can't
-/// be decoded or is of another protocol version.
+/// Plans the jobs of a shard (a set of teams) for a leader. The leader checks every placement of the returned plan
+/// before applying it. Returns `None` if the message can't be decoded or is of another protocol version.
 pub fn respond_to_plan_request(node: &Node, body: &Bytes) -> Option<Vec<u8>> {
     let input = PlanInput::decode(body.as_ref()).ok().filter(|input| input.version == VERSION)?;
     let (now, started, meter) = (node.now(), Instant::now(), OperationMeter::default());
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -9,15 +9,15 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// Path for heartbeats between controllers.
+/// HTTP path for heartbeats between controllers.
 pub const HEARTBEAT_PATH: &str = "/peer/hello";
-/// Path on which a leader requests plans of its peers.
+/// HTTP path on which a leader requests plans from its peers.
 pub const PLAN_PATH: &str = "/peer/plan";
-/// Path on which a leader takes batches of workers' heartbeats from the peers that relay them.
+/// HTTP path on which a leader receives batches of workers' heartbeats from the peers that relay them.
 pub const HEARTBEAT_BATCH_PATH: &str = "/peer/reports";
 
 const CANCELLATION_NOTIFICATION_TIMEOUT: Millis = Millis(800);
-/// Longer than the scheduler waits for a plan: it discards a plan that arrives later.
+/// Time limit of a request for a plan. Longer than the scheduler waits for plans; it discards those that arrive later.
 const PLAN_TIMEOUT: Millis = Millis(400);
 
 /// Creates a heartbeat with this controller's name and protocol version, and all other fields empty.
@@ -37,8 +37,8 @@
     PeerHeartbeatResponse::decode(body).ok().filter(|response| response.version == VERSION)
 }
 
-/// Sends a heartbeat to all peers concurrently. Returns one element for each peer, in the order of the settings. An
-/// element is `None` if its peer sent no valid response in time.
+/// Sends a heartbeat to all peers concurrently. Returns the peers' responses, in the order of the peers in the
+/// settings, with `None` for a peer that sent no valid response in time.
 pub async fn broadcast_heartbeat(
     node: &Arc<Node>,
     heartbeat: &PeerHeartbeat,
@@ -69,8 +69,9 @@
     names.iter().map(|name| JobId::parse(name)).collect()
 }
 
-/// Notifies the leader of a confirmed cancellation, without waiting for a response. This only saves the leader from
-/// starting tasks of the job: a lost notification does no harm, as the leader also watches the live jobs.
+/// Notifies the leader that a user's cancellation of a job was confirmed, without waiting for a response. The
+/// notification only saves the leader from starting tasks of the job in the meantime: losing it does no harm, as the
+/// leader also watches the live jobs in the store.
 pub fn notify_leader_of_cancellation(node: &Arc<Node>, id: &JobId) {
     let leader = node.lock().leader_name.clone();
     let Some(peer) = node.settings.peers.iter().find(|peer| Some(&peer.name) == leader.as_ref()) else { return };
--- a/src/net/rate_limited_log.rs
+++ b/src/net/rate_limited_log.rs
@@ -17,7 +17,8 @@
         RateLimitedLog { interval, unlogged: 0, last_logged_at: None }
     }
 
-    /// Counts an event. If a log line is due, returns the number of events since the last one, including this event.
+    /// Counts an event. If a log line is due, returns the number of events since the last log line, including this one.
+    /// Otherwise returns `None`.
     pub fn record(&mut self, now: MonotonicTime) -> Option<u64> {
         self.unlogged += 1;
         if self.last_logged_at.is_some_and(|at| now - at < self.interval) {
@@ -27,7 +28,7 @@
         Some(std::mem::take(&mut self.unlogged))
     }
 
-    /// Number of events since the last log line.
+    /// Number of events counted since the last log line was due.
     #[cfg(test)]
     pub(super) fn unlogged(&self) -> u64 {
         self.unlogged
--- a/src/net/round_robin/tests.rs
+++ b/src/net/round_robin/tests.rs
@@ -17,6 +17,6 @@
     let mut round_robin = RoundRobin::default();
     assert_eq!(round_robin.current::<u32>(&[]), None);
     (0..3).for_each(|_| round_robin.advance());
-    // Three turns have been taken, so the item is that at index 3 modulo the list's length.
+    // Three turns have been taken, so the current item is the one at index 3 modulo the list's length.
     assert_eq!((round_robin.current(&[10, 11]), round_robin.current(&[10, 11, 12])), (Some(&11), Some(&10)));
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -12,15 +12,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Maximum size of the body of a submission, as specified in PROTOCOL.
+/// Maximum size of the body of a submission in bytes, as specified in PROTOCOL.
 const MAX_SUBMISSION_BYTES: usize = 64 * 1024;
-/// Maximum size of a worker's heartbeat, which lists all its tasks.
+/// Maximum size in bytes of a worker's heartbeat, which lists all tasks of the worker.
 const MAX_HEARTBEAT_BYTES: usize = 4 * MAX_SUBMISSION_BYTES;
-/// Maximum size of a peer's request body. The input of a plan for a few thousand machines, with their cached images,
-/// takes 1 to 2 MB. A larger body is rejected and logged, and the leader plans that shard itself.
+/// Maximum size in bytes of a peer's request body. The input of a plan for a few thousand machines, with their cached
+/// images, takes 1 to 2 MB. A larger body is rejected and logged, and the leader plans that shard itself.
 const MAX_PEER_BODY_BYTES: usize = 16 << 20;
 
-/// An endpoint of this controller: a path with its method.
+/// An HTTP endpoint of this controller: a path with its method.
 #[derive(Clone, Copy)]
 enum Route {
     Submit,
@@ -131,7 +131,7 @@
     RouteHandler { node: node.clone(), route }
 }
 
-/// The routes for users, workers and the load balancer.
+/// The HTTP routes of the address that serves users, workers and the load balancer.
 pub fn public_router(node: &Arc<Node>) -> Router {
     Router::new()
         .push(Router::with_path("healthz").get(route_handler(node, Route::Health)))
@@ -144,7 +144,7 @@
         .push(Router::with_path("v1/report").post(route_handler(node, Route::Heartbeat)))
 }
 
-/// The routes for peer controllers.
+/// The HTTP routes of the address that serves peer controllers.
 pub fn internal_router(node: &Arc<Node>) -> Router {
     Router::new()
         .push(Router::with_path(&peers::HEARTBEAT_PATH[1..]).post(route_handler(node, Route::PeerHeartbeat)))
@@ -160,8 +160,8 @@
     reason: String,
 }
 
-/// Serves at most `max_connections` connections at once. Further connections are not accepted until one closes, so that
-/// the load balancer and the workers turn to another controller.
+/// Serves at most `max_connections` connections at the same time. Further connections are not accepted until one
+/// closes, so that the load balancer and the workers turn to another controller.
 pub async fn serve(addr: SocketAddr, router: Router, max_connections: usize) -> Result<(), ServeError> {
     let error = |reason: String| ServeError { addr, reason };
     let listener = TcpListener::new(addr).try_bind().await.map_err(|e| error(e.to_string()))?;
--- a/src/net/store_health.rs
+++ b/src/net/store_health.rs
@@ -4,7 +4,7 @@
 use crate::peer::PeerHeartbeatResponse;
 use crate::time::{Millis, MonotonicTime};
 
-/// A failure of the store counts only once it has lasted longer than this; shorter ones are left to retries.
+/// A failure of the store has an effect on users only once it has lasted longer than this; retries bridge shorter ones.
 const FAILURE_GRACE_PERIOD: Millis = Millis(1_500);
 
 /// The results of the latest requests to the store, and the peers' latest responses.
@@ -24,10 +24,10 @@
     leader_reported_by_peers: Option<String>,
 }
 
-/// What the result of a request shows about the store.
+/// What the result of a request shows about the availability of the key-value store to this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreAvailability {
-    /// The store serves this controller: it responded, though perhaps with an error other than a refusal.
+    /// The store serves this controller: the store responded, though perhaps with an error other than a refusal.
     Available,
     /// The store responded that it doesn't serve this controller (status 503).
     Refused,
@@ -47,7 +47,7 @@
 }
 
 impl StoreHealth {
-    /// Records the result of a request to the store.
+    /// Records what the result of a request at `now` shows about the store.
     pub fn record(&mut self, now: MonotonicTime, availability: StoreAvailability) {
         match availability {
             StoreAvailability::Available => {
@@ -73,7 +73,7 @@
         self.leader_reported_by_peers = responses.iter().flatten().find_map(leader);
     }
 
-    /// Whether the last request was not served: the store refused it or didn't respond.
+    /// Whether the store refused this controller's last request or didn't respond to it.
     pub fn is_unavailable(&self) -> bool {
         self.not_served_since.is_some()
     }
@@ -83,8 +83,8 @@
         self.leader_reported_by_peers.as_ref()
     }
 
-    /// Whether the store hasn't responded for so long that a user's request should fail at once instead of waiting for
-    /// it.
+    /// Whether the store hasn't responded for so long that a user's request should fail immediately instead of waiting
+    /// for the store.
     pub fn is_unreachable(&self, now: MonotonicTime) -> bool {
         is_persistent(self.unreachable_since, now)
     }
--- a/src/net/user_api.rs
+++ b/src/net/user_api.rs
@@ -1,9 +1,9 @@
 //! The API for users: submission, polling and cancellation of jobs, and the load balancer's health check.
 //!
-//! Every controller serves it. Whether a job exists, and whether and how it has ended, comes from a committed
-//! transaction or a linearizable read, so no response is older in this than an earlier one of any controller. Whether a
-//! live job is queued or running, and its task counts, come from the leader's latest peer heartbeat and may be some
-//! seconds old.
+//! Every controller serves this API. Whether a job exists, and whether and how it has ended, comes from a committed
+//! transaction or a linearizable read, so in this respect no response is older than an earlier response of any
+//! controller. Whether a live job is queued or running, and its task counts, come from the leader's latest heartbeat to
+//! its peers and may be some seconds old.
 
 mod cancellation;
 mod commit;
--- a/src/net/user_api/cancellation.rs
+++ b/src/net/user_api/cancellation.rs
@@ -11,10 +11,10 @@
 use crate::wire::{KeyValue, Transaction};
 use std::sync::Arc;
 
-/// Maximum number of attempts to cancel a job whose record changes concurrently.
+/// Maximum number of attempts to cancel a job, if its record in the store is changed concurrently.
 const MAX_CANCEL_ATTEMPTS: usize = 3;
 
-/// Cancels a job at a user's request. If the job has ended already, it is left unchanged and the reply tells its outcome.
+/// Cancels a job at a user's request. If the job has ended already, it isn't changed and the reply tells its outcome.
 pub async fn cancel(node: &Arc<Node>, id: &str) -> Reply {
     let (id, _admission) = match admit_for_job(node, id) {
         Ok(admitted) => admitted,
@@ -28,8 +28,8 @@
     }
 }
 
-/// Cancels a job, given the `live/` entry that the caller has just read. If the job has ended since, the reply tells its
-/// outcome.
+/// Cancels a job, given the `live/` entry that the caller has just read. If the job has ended since, the reply tells
+/// its outcome.
 pub(super) async fn cancel_live_job(node: &Arc<Node>, id: &JobId, mut entry: KeyValue) -> Reply {
     for _ in 0..MAX_CANCEL_ATTEMPTS {
         // A record that can't be decoded may have been written by a later version, and is never overwritten.
@@ -47,7 +47,7 @@
                 peers::notify_leader_of_cancellation(node, id);
                 return Reply::terminal(id, record);
             }
-            // The job is done, was cancelled concurrently, or its record was rewritten: read it again.
+            // The job is done, was cancelled concurrently, or its record was rewritten: the job is read again.
             Err(CommitFailure::PreconditionFailed) => {}
             Err(CommitFailure::StoreUnreachable) => break,
         }
--- a/src/net/user_api/polls.rs
+++ b/src/net/user_api/polls.rs
@@ -10,8 +10,8 @@
 use crate::wire::KeyValue;
 use std::sync::Arc;
 
-/// Parses the id of a request about one job and admits the request. Returns the reply as the error if the id is invalid,
-/// the job's outcome is cached, or the limit on concurrent requests is reached.
+/// Parses the id of a request about one job and admits the request. Returns the reply as the error if the id is
+/// invalid, the job's outcome is cached, or the limit on concurrent requests is reached.
 pub(super) fn admit_for_job<'a>(node: &'a Node, id: &str) -> Result<(JobId, Admission<'a>), Reply> {
     let id = JobId::parse(id).ok_or_else(Reply::no_such_job)?;
     let outcome = node.lock().outcome_cache.get(&id);
@@ -30,7 +30,7 @@
     describe(node, &id, Reply::no_such_job()).await
 }
 
-/// Reads a job from the key-value store and describes it. Returns the reply `absent` if there is no such job.
+/// Reads a job from the key-value store and returns the reply with its status, or `absent` if there is no such job.
 pub(super) async fn describe(node: &Arc<Node>, id: &JobId, absent: Reply) -> Reply {
     match look_up_job(node, id).await {
         Ok(StoredJob::Terminal(record)) => Reply::terminal(id, record),
@@ -40,8 +40,8 @@
     }
 }
 
-/// Describes a job, given the `live/` entry that the caller has just read. If a job that it depends on was cancelled,
-/// cancels the job first, so that no controller reports it as live.
+/// Returns the reply with the status of a live job, given its `live/` entry, which the caller has just read. If a job
+/// on which it depends was cancelled, cancels the job first, so that no controller reports the job as live.
 async fn describe_live_job(node: &Arc<Node>, id: &JobId, entry: KeyValue) -> Reply {
     match dependency_check::depends_on_cancelled(node, id, &entry).await {
         Ok(false) => {
--- a/src/net/user_api/reply.rs
+++ b/src/net/user_api/reply.rs
@@ -18,18 +18,18 @@
 }
 
 impl Reply {
-    /// A job's phase, with its task counts if they are given.
+    /// A reply with a job's phase, and the numbers of its tasks that are done and running if they are given.
     fn job(status: u16, id: &JobId, phase: JobPhase, done: Option<u32>, running: Option<u32>) -> Reply {
         let body = json!(JobStatus { id: &id.to_string(), phase, done, running }).to_string();
         Reply { status, body, retry_after: None }
     }
 
-    /// Status 201: the submitted job is stored.
+    /// Status 201: the submitted job was accepted and is in the key-value store.
     pub(super) fn accepted(id: &JobId, phase: JobPhase) -> Reply {
         Reply::job(201, id, phase, None, None)
     }
 
-    /// Status 200: a job that hasn't ended, with the leader's counts of its tasks.
+    /// Status 200: a job that hasn't ended, with the leader's latest numbers of its tasks that are done and running.
     pub(super) fn live(id: &JobId, done: u32, running: u32) -> Reply {
         let phase = if running > 0 { JobPhase::Running } else { JobPhase::Queued };
         Reply::job(200, id, phase, Some(done), Some(running))
@@ -41,7 +41,7 @@
         Reply::job(200, id, record.phase, done, Some(0))
     }
 
-    /// An error with its message.
+    /// A reply with this status whose JSON has the message in the field `error`.
     pub fn error(status: u16, message: &str) -> Reply {
         Reply { status, body: json!({ "error": message }).to_string(), retry_after: None }
     }
@@ -67,7 +67,7 @@
         Reply::unavailable("machine types are not known yet")
     }
 
-    /// Status 503: the stored record of the job can't be decoded; a later version may have written it.
+    /// Status 503: the job's record in the key-value store can't be decoded; a later version may have written it.
     pub(super) fn unreadable_record() -> Reply {
         Reply::unavailable("the job's record can't be read")
     }
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// Why a submission isn't accepted. It becomes the reply only if the job isn't stored already.
+/// Why a submission isn't accepted. Used as the reply only if the key-value store doesn't have the job already.
 #[derive(Debug, thiserror::Error)]
 enum NotAccepted {
     /// The submission is invalid; retrying it is of no use.
@@ -46,16 +46,16 @@
     }
 }
 
-/// The record to store for an accepted job.
+/// The record of an accepted job that is to be written to the key-value store.
 enum Accepted {
     /// The JSON of the live record of a job that is to run.
     Live(Value),
-    /// The terminal record of a job that is cancelled at once, as it depends on a cancelled job.
+    /// The terminal record of a job that is cancelled on submission, as it depends on a cancelled job.
     Cancelled(TerminalRecord),
 }
 
-/// Validates a submission and stores its job. If a job with this id exists already, the reply describes that job
-/// instead, whatever the rest of the body contains.
+/// Validates a submission and writes its job to the key-value store. If a job with this id exists already, the reply
+/// tells that job's status instead, whatever the rest of the body contains.
 pub async fn submit(node: &Arc<Node>, body: &[u8]) -> Reply {
     let _admission = match Admission::try_acquire(node) {
         Ok(admission) => admission,
@@ -79,13 +79,14 @@
     }
 }
 
-/// Validates a submission against the cluster and the stored jobs, and creates the record to store.
+/// Validates a submission against the cluster and the jobs in the key-value store. Returns the record to be written.
 async fn validate(node: &Node, submission: Submission) -> Result<Accepted, NotAccepted> {
     let Submission { spec, depends_on } = submission;
     let types = node.lock().machine_types.clone().ok_or(NotAccepted::MachineTypesUnknown)?;
     check_satisfiable(&spec, &node.settings.cluster.teams, &types)?;
     let mut record = LiveRecord { submitted_at: node.wall_time(), spec, depends_on };
-    // The limit applies to the record with all dependencies, including those that are done and won't be stored.
+    // The limit on the size of a value applies to the record with all dependencies, including those that are done and
+    // won't be in the record that is written.
     let value = json!(record);
     if value.to_string().len() > node.settings.cluster.store.value_bytes() {
         return Err(UnsatisfiableSubmission::RecordTooLarge.into());
@@ -102,14 +103,14 @@
 
 /// The dependencies of a submitted job that are not done.
 enum Dependencies {
-    /// No dependency is cancelled. Contains those that are not done yet.
+    /// No dependency is cancelled. Contains the dependencies that are not done yet.
     Live(Vec<JobId>),
     /// At least one dependency is cancelled.
     Cancelled,
 }
 
-/// Checks all dependencies. It doesn't stop at a cancelled one, as a later one that was never accepted or is a service
-/// makes the submission invalid, which takes precedence.
+/// Checks all dependencies of a submitted job, also those after a cancelled one: if any dependency was never accepted
+/// or is a service, the submission is invalid, which takes precedence over cancelling the job.
 async fn check_dependencies(node: &Node, depends_on: &[JobId]) -> Result<Dependencies, NotAccepted> {
     let mut live = Vec::new();
     let mut any_cancelled = false;
@@ -127,7 +128,7 @@
     Ok(if any_cancelled { Dependencies::Cancelled } else { Dependencies::Live(live) })
 }
 
-/// Stores an accepted job, and only then returns the reply that confirms it.
+/// Writes an accepted job to the key-value store, and only then returns the reply that confirms the submission.
 async fn store_job(node: &Arc<Node>, id: &JobId, accepted: Accepted) -> Reply {
     let (key, value) = match &accepted {
         Accepted::Live(value) => (live_key(id), value.clone()),
