--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -67,7 +67,8 @@
     fn load(&mut self, recorded: usize) {
         let record_of = |worker: &Worker| {
             let heartbeat = &worker.heartbeat;
-            let (endpoint, kind, zone) = (heartbeat.endpoint.clone(), heartbeat.kind.clone(), heartbeat.zone.clone());
+            let (endpoint, kind, zone) =
+                (heartbeat.endpoint.clone(), heartbeat.machine_type.clone(), heartbeat.zone.clone());
             let record = MachineRecord { endpoint, kind, zone, spot: heartbeat.spot };
             KeyValue {
                 key: format!("{MACHINE_PREFIX}{}", heartbeat.machine),
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -137,8 +137,8 @@
     /// and since it could start, on which its other SLOs are based. The second is 0 while the job waits for
     /// dependencies.
     pub fn ages(&self, wall: WallTime) -> JobAges {
-        let startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
-        JobAges { submitted_s: wall.seconds_since(self.submitted), startable_s }
+        let since_startable_s = if self.is_waiting() { 0.0 } else { wall.seconds_since(self.startable_at) };
+        JobAges { since_submission_s: wall.seconds_since(self.submitted), since_startable_s }
     }
 
     /// Number of the job's tasks that wait to be placed; 0 while the job waits for dependencies.
@@ -274,7 +274,7 @@
 
     /// Whether the job's tasks write checkpoints, from which they resume after a stop.
     pub fn writes_checkpoints(&self) -> bool {
-        self.spec.checkpoint_s > 0.0
+        self.spec.checkpoint_interval_s > 0.0
     }
 }
 
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -105,7 +105,7 @@
 /// The record of a job that is done or cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TerminalRecord {
-    /// How the job ended: `Done`, or `Aborted` if it was cancelled.
+    /// How the job ended: `Done` or `Cancelled`.
     pub phase: JobPhase,
     /// Total number of tasks of the job, done or not.
     pub tasks: u32,
@@ -123,7 +123,7 @@
 
     /// Creates the record of a cancelled job.
     pub fn cancelled(tasks: u32) -> TerminalRecord {
-        TerminalRecord { phase: JobPhase::Aborted, tasks, at: None }
+        TerminalRecord { phase: JobPhase::Cancelled, tasks, at: None }
     }
 
     /// Whether the job was done rather than cancelled.
@@ -135,7 +135,7 @@
     pub fn outcome(&self) -> JobOutcome {
         match self.phase {
             JobPhase::Done => JobOutcome::Done(self.at),
-            JobPhase::Queued | JobPhase::Running | JobPhase::Aborted => JobOutcome::Cancelled,
+            JobPhase::Queued | JobPhase::Running | JobPhase::Cancelled => JobOutcome::Cancelled,
         }
     }
 }
--- a/src/core/scheduler/heartbeats/tests.rs
+++ b/src/core/scheduler/heartbeats/tests.rs
@@ -21,7 +21,7 @@
     Heartbeat {
         machine: "m-000001".into(),
         endpoint: "worker".into(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: AgentEpoch(1),
@@ -45,12 +45,12 @@
         attempt: Attempt(1),
         phase: TaskPhase::Running,
         cause: None,
-        kept: None,
+        progress_saved: None,
     };
     let unknown = HeartbeatRejection::UnknownPool { kind: "other".into(), zone: "a".into() };
     let cases = [
         (Heartbeat { machine: "m/1".into(), ..first_heartbeat() }, HeartbeatRejection::MalformedName),
-        (Heartbeat { kind: "other".into(), ..first_heartbeat() }, unknown),
+        (Heartbeat { machine_type: "other".into(), ..first_heartbeat() }, unknown),
         (Heartbeat { tasks: vec![listed], ..first_heartbeat() }, HeartbeatRejection::NoRecord { tasks: 1 }),
     ];
     for (heartbeat, expected) in cases {
@@ -96,7 +96,7 @@
         attempt: Attempt(1),
         phase: TaskPhase::Running,
         cause: None,
-        kept: None,
+        progress_saved: None,
     };
     let excess = MAX_ORDERS_PER_MESSAGE + 1;
     for tasks in [MAX_ORDERS_PER_MESSAGE, excess] {
--- a/src/core/scheduler/planner_view.rs
+++ b/src/core/scheduler/planner_view.rs
@@ -12,7 +12,7 @@
 use crate::core::machine::{Machine, Resources};
 use crate::core::provisioning::InstancePool;
 use crate::ids::{JobId, MachineId};
-use crate::peer::{PlanInput, ProvisionOffer, TypeView, VERSION, ZoneCount};
+use crate::peer::{MachineTypeView, PlanInput, ProvisionOffer, VERSION, ZoneCount};
 use crate::time::{MonotonicTime, WallTime};
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -58,8 +58,9 @@
             JobContext { now, wall, plannable: &plannable, keys: &keys, backlog_s: self.backlog_s(machines.cpus_up) };
         let (job_views, jobs) = self.job_views(&context);
         // The batch grows with the load.
-        let ready: u32 = job_views.iter().map(|job| job.ready).sum();
-        let batch = (ready / BATCHES_PER_BACKLOG).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
+        let ready: u32 = job_views.iter().map(|job| job.ready_tasks).sum();
+        let batch_size =
+            (ready / BATCHES_PER_BACKLOG).clamp(self.tuning.batch_min as u32, self.tuning.batch_max as u32);
         let input = PlanInput {
             version: VERSION,
             term: self.term.0,
@@ -69,7 +70,7 @@
             jobs: job_views,
             teams,
             offers,
-            batch,
+            batch_size,
             budget_share: self.tuning.budget_share,
             spot_mu: self.spot_lifetimes.mu(),
             spot_sigma: self.spot_lifetimes.sigma(),
@@ -121,10 +122,10 @@
                     let requested = self.provisioner.requests().any(|request| request.pool == pool);
                     if self.provisioner.may_request(pool, now) && !requested && self.provisioner.has_request_slot() {
                         offers.push(ProvisionOffer {
-                            kind: kind as u32,
+                            type_index: kind as u32,
                             zone: zone as u32,
                             spot,
-                            most: MAX_MACHINES_PER_OFFER,
+                            max_count: MAX_MACHINES_PER_OFFER,
                         });
                     }
                 }
@@ -134,8 +135,8 @@
     }
 }
 
-fn type_view(machine_type: &MachineType) -> TypeView {
-    TypeView {
+fn type_view(machine_type: &MachineType) -> MachineTypeView {
+    MachineTypeView {
         cpus: machine_type.cpus,
         gpus: machine_type.gpus,
         memory_gb: machine_type.memory_gb,
--- a/src/core/scheduler/planner_view/jobs.rs
+++ b/src/core/scheduler/planner_view/jobs.rs
@@ -7,7 +7,7 @@
 use crate::ids::{JobId, MachineId};
 use crate::peer::JobView;
 use crate::time::{MonotonicTime, WallTime};
-use crate::wire::{JobSpec, Kind, Priority};
+use crate::wire::{JobKind, JobSpec, Priority};
 use std::collections::{BTreeSet, HashMap};
 
 /// Jobs of normal and low priority cause scaling out only if the backlog would take longer than this.
@@ -62,11 +62,11 @@
             let image = self.catalog.assign_image_number(&job.spec.image);
             let base = JobView { image, ..self.job_view(context, id, job) };
             if base.gang || ready.reclaimed == 0 || ready.reclaimed == ready.all {
-                let new_spot = base.new_spot && ready.reclaimed == 0;
-                push(*id, JobView { ready: ready.all, new_spot, ..base }, ready.reclaimed > 0);
+                let may_provision_spot = base.may_provision_spot && ready.reclaimed == 0;
+                push(*id, JobView { ready_tasks: ready.all, may_provision_spot, ..base }, ready.reclaimed > 0);
             } else {
-                push(*id, JobView { ready: ready.all - ready.reclaimed, ..base.clone() }, false);
-                push(*id, JobView { ready: ready.reclaimed, new_spot: false, ..base }, true);
+                push(*id, JobView { ready_tasks: ready.all - ready.reclaimed, ..base.clone() }, false);
+                push(*id, JobView { ready_tasks: ready.reclaimed, may_provision_spot: false, ..base }, true);
             }
         }
         (views, planned)
@@ -74,7 +74,7 @@
 
     /// The tasks of a job that may be placed now; `None` if there are none.
     fn ready_tasks(&self, id: &JobId, job: &Job) -> Option<ReadyTasks> {
-        let gang = job.spec.kind == Kind::Gang;
+        let gang = job.spec.kind == JobKind::Gang;
         if gang && (job.gang.is_some() || !job.placed.is_empty()) {
             return None;
         }
@@ -89,7 +89,7 @@
 
     fn job_view(&self, context: &JobContext, id: &JobId, job: &Job) -> JobView {
         let spec = &job.spec;
-        let service = spec.kind == Kind::Service;
+        let service = spec.kind == JobKind::Service;
         let guaranteed = self.quota.is_within_guarantee(id);
         let ages = job.ages(context.wall);
         let run_s = match service {
@@ -101,28 +101,28 @@
         JobView {
             team: job.team,
             priority: priority_number(job.priority()),
-            gang: spec.kind == Kind::Gang,
+            gang: spec.kind == JobKind::Gang,
             tasks: spec.tasks,
             cpus: spec.cpus,
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
             image_gb: spec.image_gb,
-            types: self.allowed_types(spec),
+            allowed_types: self.allowed_types(spec),
             zone: spec.zone.as_ref().map(|zone| self.zone_index(zone)),
             one_zone: spec.one_zone,
             spread: spec.spread,
-            spot: spec.spot,
-            new_spot: spec.spot && !job.no_new_spot,
+            allows_spot: spec.allows_spot,
+            may_provision_spot: spec.allows_spot && !job.no_new_spot,
             run_s,
             due_s,
             slo_deadline_s,
-            dependents_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
+            dependents_rank_s: job.inherited.as_ref().map_or(0.0, |inherited| inherited.rank_s),
             missed_slos: if service { 0 } else { missed },
             service,
-            age_s: ages.startable_s,
-            overspent: job.excess_cost,
+            age_s: ages.since_startable_s,
+            excess_cost: job.excess_cost,
             placed: zone_counts(job, &self.machines.known),
-            avoid: if at_fault { Vec::new() } else { avoided_machines(job, context) },
+            avoided_machines: if at_fault { Vec::new() } else { avoided_machines(job, context) },
             guaranteed,
             may_scale_out: !at_fault && (job.priority() <= Priority::High || context.backlog_s > SCALE_OUT_BACKLOG_S),
             ..Default::default()
@@ -134,9 +134,10 @@
         let spec = &job.spec;
         // A start-time SLO that can still be met counts as a deadline one run time later.
         let start_slo_s = self.settings.start_slo_s(&spec.class, guaranteed);
-        let start_due_s =
-            start_slo_s.filter(|slo_s| *slo_s > ages.startable_s).map(|slo_s| slo_s - ages.startable_s + run_s);
-        let own_deadline_s = spec.deadline_s.map(|deadline_s| deadline_s - ages.submitted_s);
+        let start_due_s = start_slo_s
+            .filter(|slo_s| *slo_s > ages.since_startable_s)
+            .map(|slo_s| slo_s - ages.since_startable_s + run_s);
+        let own_deadline_s = spec.deadline_s.map(|deadline_s| deadline_s - ages.since_submission_s);
         let inherited_due_s = job.inherited.as_ref().and_then(|inherited| inherited.due_s);
         let mut slo_deadlines = self.settings.slo_deadlines(&spec.class, spec.deadline_s, ages, run_s);
         slo_deadlines.extend(job.inherited.iter().flat_map(|inherited| &inherited.slo_deadlines));
@@ -151,7 +152,7 @@
     /// Indices of the machine types that a job is restricted to; empty if it may use any. If none of them is
     /// known, the result is [`UNKNOWN_INDEX`], which matches no machine.
     fn allowed_types(&self, spec: &JobSpec) -> Vec<u32> {
-        let Some(names) = &spec.types else { return Vec::new() };
+        let Some(names) = &spec.allowed_types else { return Vec::new() };
         let index_of =
             |name: &String| self.catalog.types.iter().position(|known| known.name == *name).map(|index| index as u32);
         let known: Vec<u32> = names.iter().filter_map(index_of).collect();
--- a/src/core/scheduler/planner_view/partition.rs
+++ b/src/core/scheduler/planner_view/partition.rs
@@ -29,8 +29,8 @@
             partitions.iter().map(total).collect()
         };
         MachineAssigner {
-            cpu_demand: demand(|job| f64::from(job.ready) * job.cpus, false),
-            gpu_demand: demand(|job| f64::from(job.ready) * job.gpus, true),
+            cpu_demand: demand(|job| f64::from(job.ready_tasks) * job.cpus, false),
+            gpu_demand: demand(|job| f64::from(job.ready_tasks) * job.gpus, true),
             assigned_for_cpus: vec![1.0; partitions.len()],
             assigned_for_gpus: vec![1.0; partitions.len()],
         }
@@ -68,7 +68,7 @@
         partition.machines.extend(up[first..].iter().chain(&up[..first]).map(|machine| (*machine).clone()));
     }
     for machine in not_up {
-        let has_gpus = input.types.get(machine.kind as usize).is_some_and(|machine_type| machine_type.gpus > 0.0);
+        let has_gpus = input.types.get(machine.type_index as usize).is_some_and(|machine_type| machine_type.gpus > 0.0);
         if let Some(index) = assigner.next_partition(assigner.work_for(has_gpus)) {
             partitions[index].machines.push(machine.clone());
         }
@@ -89,7 +89,7 @@
         jobs,
         teams,
         offers: input.offers.clone(),
-        batch: input.batch,
+        batch_size: input.batch_size,
         budget_share: input.budget_share,
         spot_mu: input.spot_mu,
         spot_sigma: input.spot_sigma,
--- a/src/core/scheduler/quota/tests.rs
+++ b/src/core/scheduler/quota/tests.rs
@@ -4,13 +4,13 @@
 use crate::core::scheduler::tests::machine_types;
 use crate::ids::{Attempt, Revision, TaskId, Term};
 use crate::time::{MonotonicTime, WallTime};
-use crate::wire::{JobSpec, Kind, Priority, TaskPhase};
+use crate::wire::{JobKind, JobSpec, Priority, TaskPhase};
 
 const LIMITED: u32 = 0;
 const UNBOUNDED: u32 = 1;
 
-fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
-    Team { name: name.into(), cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 }
+fn team(name: &str, guaranteed_cpus: f64, max_cpus: f64) -> Team {
+    Team { name: name.into(), guaranteed_cpus, max_cpus, guaranteed_gpus: 0.0, max_gpus: 0.0 }
 }
 
 fn tracker() -> QuotaTracker {
@@ -58,7 +58,7 @@
         id: "req-000001".into(),
         class: "any".into(),
         team: "limited".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
         cpus: 1.0,
@@ -66,14 +66,14 @@
         memory_gb: 1.0,
         image: "img".into(),
         image_gb: 1.0,
-        types: None,
+        allowed_types: None,
         zone: None,
         one_zone: false,
         spread: false,
-        spot: false,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        allows_spot: false,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     };
     Job::new(LiveRecord { submitted_at: WallTime(submitted), spec, depends_on: Vec::new() }, Revision(1), team)
--- a/src/core/scheduler/tests/digest/worker.rs
+++ b/src/core/scheduler/tests/digest/worker.rs
@@ -18,7 +18,7 @@
         let kind = kind.into();
         let heartbeat = Heartbeat {
             endpoint: index.to_string(),
-            kind,
+            machine_type: kind,
             zone: zone.into(),
             spot,
             ..SchedulerHarness::idle_heartbeat(index)
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn machine_row(&self) -> KeyValue {
-        let Heartbeat { endpoint, kind, zone, spot, .. } = self.heartbeat.clone();
+        let Heartbeat { endpoint, machine_type: kind, zone, spot, .. } = self.heartbeat.clone();
         let value = json!(MachineRecord { endpoint, kind, zone, spot });
         KeyValue { key: format!("{MACHINE_PREFIX}{}", self.heartbeat.machine), value, revision: 1 }
     }
@@ -83,7 +83,7 @@
                 status.phase = TaskPhase::Running;
                 self.next_phase_at.insert(key, now + run_time * slowness);
             } else if !services.contains(&key.0.job) {
-                let cause = if faulty || key.1.0.is_multiple_of(17) { Cause::Error } else { Cause::Done };
+                let cause = if faulty || key.1.0.is_multiple_of(17) { ExitCause::Error } else { ExitCause::Done };
                 (status.phase, status.cause) = (TaskPhase::Exited, Some(cause));
             }
         }
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -61,12 +61,12 @@
         let (now, worker) = (self.now, &self.workers[index]);
         let machine_type = &self.types[worker.type_index];
         let zone = &machine_type.zones[worker.zone_index];
-        assert!(!worker.spot || spec.spot, "{task} starts on a spot machine, which its job doesn't permit");
+        assert!(!worker.spot || spec.allows_spot, "{task} starts on a spot machine, which its job doesn't permit");
         assert!(
             spec.zone.as_ref().is_none_or(|wanted| wanted == zone),
             "{task} starts in a zone that its job doesn't permit"
         );
-        let types = spec.types.as_ref();
+        let types = spec.allowed_types.as_ref();
         assert!(
             types.is_none_or(|types| types.contains(&machine_type.name)),
             "{task} starts on a machine type that its job doesn't permit"
@@ -102,7 +102,7 @@
         }
         let team = self.settings.cluster.teams.iter().find(|team| team.name == spec.team).unwrap();
         assert!(
-            team.cpus_max == 0.0 || used_cpus <= team.cpus_max + 1e-6,
+            team.max_cpus == 0.0 || used_cpus <= team.max_cpus + 1e-6,
             "team {} uses {used_cpus} CPUs, over its limit, at {now} ms",
             team.name
         );
@@ -141,6 +141,6 @@
     /// Ids of the live jobs, except for services, which never end by themselves.
     pub(super) fn unfinished_jobs(&self) -> Vec<String> {
         let live = self.store.keys().filter_map(|key| key.strip_prefix(LIVE_PREFIX).and_then(JobId::parse));
-        live.filter(|id| self.specs[id].kind != Kind::Service).map(|id| id.to_string()).collect()
+        live.filter(|id| self.specs[id].kind != JobKind::Service).map(|id| id.to_string()).collect()
     }
 }
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Team;
 use crate::ids::JobId;
-use crate::wire::{JobSpec, Kind, MachineType};
+use crate::wire::{JobKind, JobSpec, MachineType};
 use serde_json::Value;
 use std::collections::BTreeSet;
 
@@ -140,9 +140,9 @@
         ("gpus", spec.gpus),
         ("ram_gb", spec.memory_gb),
         ("pull_gb", spec.image_gb),
-        ("expect_s", spec.estimate_s),
-        ("mark_s", spec.checkpoint_s),
-        ("stow_s", spec.save_s),
+        ("expect_s", spec.estimated_run_s),
+        ("mark_s", spec.checkpoint_interval_s),
+        ("stow_s", spec.checkpoint_save_s),
         ("due_s", spec.deadline_s.unwrap_or(0.0)),
     ];
     for (field, quantity) in quantities {
@@ -174,16 +174,16 @@
     }
     // All tasks of a gang run at the same time, so a gang that must be spread over zones needs at least two; a job
     // that must stay in one zone has only one.
-    if spec.kind == Kind::Gang
+    if spec.kind == JobKind::Gang
         && spec.spread
         && spec.tasks > 1
         && (spec.one_zone || allowed_zones(spec, types).len() < 2)
     {
         return Err(UnsatisfiableSubmission::SpreadOverOneZone);
     }
-    let tasks_at_once = if spec.kind == Kind::Array { 1.0 } else { spec.tasks as f64 };
+    let tasks_at_once = if spec.kind == JobKind::Array { 1.0 } else { spec.tasks as f64 };
     let exceeds = |per_task: f64, limit: f64| limit > 0.0 && per_task * tasks_at_once > limit + ROUNDING_TOLERANCE;
-    if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
+    if exceeds(spec.cpus, team.max_cpus) || exceeds(spec.gpus, team.max_gpus) {
         return Err(UnsatisfiableSubmission::BeyondTeamLimit);
     }
     Ok(())
@@ -199,7 +199,7 @@
 
 /// Whether a job allows a machine type, and an empty machine of that type is large enough for one of its tasks.
 pub fn is_eligible_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
-    spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
+    spec.allowed_types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
         && spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
         && spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
         && spec.memory_gb <= machine_type.memory_gb + ROUNDING_TOLERANCE
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -307,8 +307,13 @@
 async fn extend_lease(node: &Arc<Node>, term: Term) -> bool {
     let requested_at = node.now();
     let read_through = node.lock().election.lease().map_or(0, |lease| lease.read_through.0);
-    let heartbeat =
-        PeerHeartbeat { asks_extension: true, leading: true, term: term.0, read_through, ..peers::new_heartbeat(node) };
+    let heartbeat = PeerHeartbeat {
+        requests_lease_extension: true,
+        leading: true,
+        term: term.0,
+        read_through,
+        ..peers::new_heartbeat(node)
+    };
     let responses = peers::broadcast_heartbeat(node, &heartbeat, EXTENSION_TIMEOUT).await;
     let pledges: Vec<Option<Pledge>> = responses.iter().map(|response| parse_pledge(response.as_ref()?)).collect();
     let mut state = node.lock();
@@ -333,5 +338,5 @@
 /// the names of its cancelled jobs can't be parsed.
 fn parse_pledge(response: &PeerHeartbeatResponse) -> Option<Pledge> {
     let duration = Some(Millis(response.pledge_ms)).filter(|duration| *duration > Millis(0))?;
-    Some(Pledge { duration, cancelled: peers::parse_job_ids(&response.cancelled)? })
+    Some(Pledge { duration, cancelled: peers::parse_job_ids(&response.cancelled_jobs)? })
 }
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -25,7 +25,8 @@
         let (heartbeat, machines) = leader_heartbeat(node, term);
         let responses = peers::broadcast_heartbeat(node, &heartbeat, HEARTBEAT_TIMEOUT).await;
         record_relay_peers(node, &responses);
-        detections = detect_unreachable_leader(node, &responses, heartbeat.suspected.len(), machines, detections);
+        detections =
+            detect_unreachable_leader(node, &responses, heartbeat.suspected_machines.len(), machines, detections);
         hand_over_if_overloaded(node, &responses);
         let delay = if detections > 0 { RECHECK_INTERVAL } else { HEARTBEAT_INTERVAL };
         tokio::time::sleep(delay.to_std()).await;
@@ -42,10 +43,10 @@
     let mut state = node.lock();
     let now = node.now();
     if let Some(scheduler) = &state.scheduler {
-        heartbeat.counts = scheduler.live_job_counts();
-        (heartbeat.suspected, machines) = scheduler.suspected_machines(now);
+        heartbeat.live_job_counts = scheduler.live_job_counts();
+        (heartbeat.suspected_machines, machines) = scheduler.suspected_machines(now);
     }
-    state.set_live_job_counts(&heartbeat.counts);
+    state.set_live_job_counts(&heartbeat.live_job_counts);
     (heartbeat, machines)
 }
 
@@ -56,7 +57,7 @@
     let Some(scheduler) = state.scheduler.as_ref().filter(|scheduler| scheduler.has_led_for_lease(now)) else { return };
     let lag = scheduler.lag();
     let candidates = peers::responding_peers(node, responses)
-        .filter(|(_, response)| response.store_ok && response.relays_heartbeats);
+        .filter(|(_, response)| response.store_available && response.relays_heartbeats);
     let candidates: Vec<&Peer> = candidates.map(|(peer, _)| peer).collect();
     let Some(peer) = candidates.choose(&mut rand::rng()) else { return };
     if state.overload.record_lag(now, lag) {
@@ -93,9 +94,9 @@
     let mut successor: Option<(usize, &str)> = None;
     for (peer, response) in peers::responding_peers(node, responses) {
         scheduler.mark_peer_responsive(now, &peer.name);
-        redirected.extend(response.redirected.iter().map(String::as_str));
-        if response.store_ok {
-            successor = successor.max(Some((response.redirected.len(), &peer.name)));
+        redirected.extend(response.redirected_machines.iter().map(String::as_str));
+        if response.store_available {
+            successor = successor.max(Some((response.redirected_machines.len(), &peer.name)));
         }
     }
     let Some((1.., name)) = successor else { return 0 };
--- a/src/net/user_api/submission.rs
+++ b/src/net/user_api/submission.rs
@@ -88,7 +88,7 @@
     // The limit on the size of a value applies to the record with all dependencies, including those that are done and
     // won't be in the record that is written.
     let value = json!(record);
-    if value.to_string().len() > node.settings.cluster.store.value_bytes() {
+    if value.to_string().len() > node.settings.cluster.store.max_value_bytes() {
         return Err(UnsatisfiableSubmission::RecordTooLarge.into());
     }
     match check_dependencies(node, &record.depends_on).await? {
--- a/tests/golden/values.rs
+++ b/tests/golden/values.rs
@@ -2,7 +2,7 @@
 //! that a test fails if two fields are swapped.
 
 use wallstile::ids::{JobId, TaskId};
-use wallstile::wire::{JobSpec, Kind, MachineType, Priority};
+use wallstile::wire::{JobKind, JobSpec, MachineType, Priority};
 
 pub(crate) fn job_id() -> JobId {
     parse_job_id("req-000412")
@@ -23,7 +23,7 @@
         id: "req-000412".into(),
         class: "train".into(),
         team: "team-a".into(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::High,
         tasks: 17,
         cpus: 2.5,
@@ -31,14 +31,14 @@
         memory_gb: 24.25,
         image: "image-7".into(),
         image_gb: 6.5,
-        types: Some(vec!["g8".into(), "h16".into()]),
+        allowed_types: Some(vec!["g8".into(), "h16".into()]),
         zone: Some("a".into()),
         one_zone: true,
         spread: false,
-        spot: true,
-        estimate_s: 321.5,
-        checkpoint_s: 45.0,
-        save_s: 8.75,
+        allows_spot: true,
+        estimated_run_s: 321.5,
+        checkpoint_interval_s: 45.0,
+        checkpoint_save_s: 8.75,
         deadline_s: Some(900.0),
     }
 }
@@ -46,13 +46,13 @@
 /// A job without its optional fields.
 pub(crate) fn sparse_job() -> JobSpec {
     JobSpec {
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Low,
-        types: None,
+        allowed_types: None,
         zone: None,
         one_zone: false,
         spread: true,
-        spot: true,
+        allows_spot: true,
         deadline_s: None,
         ..full_job()
     }
