--- a/benches/core.rs
+++ b/benches/core.rs
@@ -3,8 +3,8 @@
 //!     cargo bench --bench core -- [MACHINES [SECONDS]]
 //!
 //! Simulated machines send heartbeats and run services and arrays of short tasks. Jobs are submitted slightly faster
-//! than the machines can run them. To compare two versions, take the ratio of their figures on the same host, or count
-//! instructions with `perf stat -e instructions:u`.
+//! than the machines can run them. To compare two versions, take the ratio of their processing times on the
+//! same host, or count instructions with `perf stat -e instructions:u`.
 
 use hdrhistogram::Histogram;
 
@@ -26,7 +26,7 @@
     let mut fleet = Fleet::new(machines, 0);
     let histogram = || Histogram::<u64>::new(3).expect("three significant digits are supported");
     let (mut heartbeats, mut ticks, mut effect_results) = (histogram(), histogram(), histogram());
-    // Jobs ask for slightly more than the machines can run, so that some tasks always wait.
+    // The jobs' demand for processors slightly exceeds the machines' capacity, so that some tasks always wait.
     let interval_ms = (f64::from(ARRAY_TASKS) * TASK_RUN_MS as f64 / fleet_cpus(machines) * 0.95).max(1.0) as u64;
     let (mut jobs, mut max_operations) = (0u64, 0u64);
     while fleet.now_ms < seconds * 1_000 {
--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -1,11 +1,12 @@
-//! Measures how the scheduler's work for a single input grows with the number of machines, in operations rather than
-//! time:
+//! Measures how the cost of a single input to the scheduler grows with the number of machines. The cost is counted in
+//! operations rather than time:
 //!
 //!     cargo bench --bench growth -- [MACHINES...]
 //!
-//! Jobs ask for three times the capacity. In the scenario `urgent` the machines are full of work that these jobs may
-//! preempt; in `waiting` the machines are empty, as after all worker leases have expired. The exponent of the growth is
-//! computed from the first and the last number of machines; 1 is linear growth. Printed durations depend on the host.
+//! The jobs together require three times the processors of all machines. In the scenario `urgent` the machines are full
+//! of tasks that these jobs may preempt; in `waiting` the machines are empty, as after all worker leases have expired.
+//! The exponent of the growth is computed from the first and the last number of machines; 1 is linear growth. Printed
+//! durations depend on the host.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -21,20 +22,22 @@
 use worker::fleet_cpus;
 use workload::job;
 
-/// Numbers of machines to run if none are given on the command line.
+/// Numbers of machines to measure if none are given on the command line.
 const DEFAULT_SIZES: [usize; 5] = [500, 1_000, 2_000, 4_000, 6_000];
-/// Number of tasks in each array.
+/// Number of tasks in each array job.
 const TASKS_PER_ARRAY: u32 = 32;
-/// Processors of each task.
+/// Processors that each task requires.
 const CPUS_PER_TASK: f64 = 2.0;
-/// Processors that the jobs ask for, as a multiple of the capacity.
+/// Processors that all jobs require together, as a multiple of the machines' processors.
 const DEMAND_FACTOR: f64 = 3.0;
 /// Simulated time for which a scenario is measured.
 const MEASURED_MS: u64 = 4_000;
-/// Simulated time before the measurement, in which the machines register and, in `urgent`, are filled with tasks.
+/// Simulated time before the measurement, in which the machines register and, in scenario `urgent`, are filled with
+/// tasks.
 const FILL_MS: u64 = 12_000;
 
-/// The maximum of operations and of processing time over inputs of one kind.
+/// The maximum of operations and the maximum of processing time over all inputs of one kind. The two may come from
+/// different inputs.
 #[derive(Default)]
 struct Peak {
     operations: OperationCounts,
@@ -50,10 +53,10 @@
     }
 }
 
-/// Runs a scenario with the given number of machines and returns the peaks of the measured time.
+/// A function that simulates a scenario with the given number of machines and returns the peaks of the measured time.
 type Scenario = fn(usize) -> Peaks;
 
-/// The peaks over the ticks and over the heartbeats.
+/// The peaks of the scheduler's ticks and of its processing of heartbeats.
 struct Peaks {
     tick: Peak,
     heartbeat: Peak,
@@ -91,7 +94,8 @@
     }
 }
 
-/// Returns arrays that ask for `demand` times the processors of all machines, with job numbers from `first` on.
+/// Returns array jobs that together require `demand` times the processors of all machines. Their job numbers begin at
+/// `first`.
 fn arrays(machines: usize, demand: f64, first: u64, priority: Priority) -> impl Iterator<Item = JobSpec> {
     let count = (fleet_cpus(machines) * demand / (f64::from(TASKS_PER_ARRAY) * CPUS_PER_TASK)).ceil() as u64;
     (first..first + count).map(move |number| JobSpec {
@@ -104,7 +108,7 @@
     })
 }
 
-/// Runs the simulation until the given time and returns the peaks of its inputs.
+/// Advances the simulation to the given time and returns the peaks of the ticks and heartbeats on the way.
 fn run_until(fleet: &mut Fleet, until_ms: u64) -> Peaks {
     let mut peaks = Peaks { tick: Peak::default(), heartbeat: Peak::default() };
     while fleet.now_ms < until_ms {
@@ -119,7 +123,7 @@
     peaks
 }
 
-/// Full machines get jobs of a higher priority, so the scheduler searches for tasks to preempt.
+/// Scenario in which full machines get jobs of a higher priority, so the scheduler searches for tasks to preempt.
 fn urgent(machines: usize) -> Peaks {
     let mut fleet = Fleet::new(machines, machines);
     arrays(machines, 1.0, 1, Priority::Low).for_each(|spec| fleet.submit(spec));
@@ -128,7 +132,7 @@
     run_until(&mut fleet, FILL_MS + MEASURED_MS)
 }
 
-/// Empty machines get all jobs at once.
+/// Scenario in which all jobs are submitted at the same time while the machines are empty.
 fn waiting(machines: usize) -> Peaks {
     let mut fleet = Fleet::new(machines, machines);
     run_until(&mut fleet, FILL_MS);
--- a/benches/load.rs
+++ b/benches/load.rs
@@ -27,16 +27,17 @@
 use worker::{HEARTBEAT_INTERVAL_MS, TASK_RUN_MS, Worker, fleet_cpus};
 use workload::{ARRAY_TASKS, job};
 
-/// The end of a task causes a heartbeat only if the worker's previous heartbeat was sent at least this long ago.
+/// Minimum time between a worker's previous heartbeat and one that is sent early because a task has ended.
 const MIN_HEARTBEAT_GAP_MS: u64 = 500;
 /// Interval at which each worker ends its due tasks and checks whether to send a heartbeat.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Time before the measurement, until the machines are full and tasks end as often as they start.
+/// Time before the measurement, in which the machines fill and reach the state in which tasks end as often as they
+/// start.
 const WARM_UP: Duration = Duration::from_millis(TASK_RUN_MS + 10_000);
-/// Interval at which a user polls the status of a job.
+/// Interval at which a simulated user polls the status of a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The controller process. It is killed when this is dropped, so that it doesn't outlive the benchmark.
+/// The controller process. Dropping this value kills the process, so that it doesn't outlive the benchmark.
 struct Controller(Child);
 
 impl Drop for Controller {
@@ -53,7 +54,7 @@
         Controller(child.expect("the program starts"))
     }
 
-    /// Returns the processor time that the process has used so far, in nanoseconds.
+    /// Returns the processor time that the controller process has used so far, in nanoseconds.
     fn processor_time_ns(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.0.id())).expect("the process runs");
         text.split(' ').next().and_then(|field| field.parse().ok()).expect("the first field is a number of nanoseconds")
@@ -72,7 +73,8 @@
     settings.to_string()
 }
 
-/// Sends the heartbeats of a worker, one at a time with an HTTP client of its own, and executes the orders received.
+/// Sends the heartbeats of a worker, one at a time with an HTTP client of the worker's own, and lets the worker execute
+/// the orders in the responses.
 async fn send_heartbeats(worker: Arc<Mutex<Worker>>, controller: SocketAddr, counts: Arc<RequestCounts>) {
     let http = HttpClient::new(4);
     let started = tokio::time::Instant::now();
@@ -99,8 +101,8 @@
     }
 }
 
-/// Submits slightly more work than the machines can run, and polls the status of each job until it is done, at most 40
-/// times.
+/// Submits jobs that need slightly more processors than the machines have, and polls the status of each job until the
+/// job is done, at most 40 times.
 async fn submit_jobs(controller: SocketAddr, machines: usize, counts: Arc<RequestCounts>) {
     let http = Arc::new(HttpClient::new(64));
     let interval_ms = f64::from(ARRAY_TASKS) * TASK_RUN_MS as f64 / fleet_cpus(machines) * 0.95;
--- a/benches/support/fakes.rs
+++ b/benches/support/fakes.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 use wallstile::wire::{DirectOrders, MachineTypes, Mutation, Transaction};
 
-/// Numbers of requests so far: heartbeats and user requests sent to the controller, and the orders and store requests
-/// received from it.
+/// Numbers of requests so far: heartbeats and user requests sent to the controller, and orders and store requests that
+/// the controller has sent.
 #[derive(Default)]
 pub(crate) struct RequestCounts {
     pub(crate) heartbeats: AtomicU64,
@@ -38,9 +38,9 @@
 /// An in-memory key-value store.
 #[derive(Default)]
 pub(crate) struct FakeStore {
-    /// The value and the revision of each key.
+    /// The value of each key and the store revision at which the value was written.
     entries: BTreeMap<String, (Value, u64)>,
-    /// All changes, oldest first: the key and the encoded watch event.
+    /// All changes of the store, oldest first: the changed key and the encoded watch event.
     log: Vec<(String, Value)>,
     revision: u64,
 }
@@ -81,8 +81,8 @@
         json!({"rows": rows, "has_next": false, "epoch": self.revision})
     }
 
-    /// Returns the changes of keys with a prefix after revision `since`, among the last 1000 changes of the store.
-    /// Returns `None` if there are none.
+    /// Returns the changes of keys with the given prefix after revision `since`, out of the last 1000 changes of the
+    /// store. Returns `None` if there are no such changes.
     fn changes(&self, prefix: &str, since: u64) -> Option<Value> {
         let is_requested =
             |(key, event): &&(String, Value)| key.starts_with(prefix) && event["stamp"].as_u64() > Some(since);
@@ -91,7 +91,7 @@
         (!log.is_empty()).then(|| json!({"epoch": self.revision, "log": log}))
     }
 
-    /// Returns the status and the body of the response to a request.
+    /// Returns the HTTP status and the body of the response to a request.
     fn respond(&mut self, method: &str, path: &str, query: &str, body: &[u8]) -> (u16, Value) {
         match (method, path) {
             ("POST", "commit") => match serde_json::from_slice(body) {
@@ -115,7 +115,7 @@
     query.split('&').find_map(|parameter| parameter.strip_prefix(name)).unwrap_or_default()
 }
 
-/// Returns an address on loopback with a port that is free now.
+/// Returns an address on loopback with a port that no process uses at the moment.
 pub(crate) fn free_addr() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
--- a/benches/support/fleet.rs
+++ b/benches/support/fleet.rs
@@ -23,7 +23,7 @@
     EffectResult,
 }
 
-/// An input to the scheduler, with the time and the operations that processing it took.
+/// An input to the scheduler, with the processing time and the number of operations that the input took.
 pub(crate) struct Observation {
     pub(crate) input: Input,
     pub(crate) duration: Duration,
@@ -34,19 +34,20 @@
 pub(crate) struct Fleet {
     pub(crate) scheduler: Scheduler,
     pub(crate) workers: Vec<Worker>,
-    /// Milliseconds since the leader was elected.
+    /// Simulated time, in milliseconds since the leader was elected.
     pub(crate) now_ms: u64,
     /// Number of commits that the scheduler has requested.
     pub(crate) commits: u64,
     /// Revision of the key-value store at the last submission.
     revision: u64,
-    /// Observations of the current step.
+    /// Observations of the inputs of the current simulation step.
     observations: Vec<Observation>,
 }
 
 impl Fleet {
-    /// Creates a fleet of which an earlier leader has recorded the first `recorded` machines. These may get tasks once
-    /// they have sent a heartbeat, the others only after their records are written, which the store's limits slow down.
+    /// Creates a fleet in which an earlier leader has recorded the first `recorded` machines in the store. Recorded
+    /// machines may get tasks once they have sent a heartbeat. The others may get tasks only after the leader has
+    /// written their records, which the store's limits slow down.
     pub(crate) fn new(machines: usize, recorded: usize) -> Fleet {
         let settings = Settings::parse(include_str!("../../tests/settings.json")).expect("the sample is valid");
         let record = LeaderRecord { node: settings.name.clone(), incarnation: 1, lease: LeaseId(1) };
@@ -63,7 +64,7 @@
         fleet
     }
 
-    /// Loads the state that an earlier leader has stored, with records of the first `recorded` machines.
+    /// Lets the leader load the state that an earlier leader has stored, with records of the first `recorded` machines.
     fn load(&mut self, recorded: usize) {
         let record_of = |worker: &Worker| {
             let heartbeat = &worker.heartbeat;
@@ -88,8 +89,8 @@
         self.scheduler.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
-    /// Advances the time by one tick, delivers the tick and the heartbeats that are due, and performs the resulting
-    /// effects. Returns an observation of each input.
+    /// Advances the simulated time by one tick interval, passes the tick and the due heartbeats to the scheduler, and
+    /// performs the resulting effects. Returns an observation of each input.
     pub(crate) fn step(&mut self) -> Vec<Observation> {
         self.now_ms += TICK_INTERVAL.0;
         let (now, wall) = (MonotonicTime(self.now_ms), WallTime(self.now_ms));
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Passes an input to the scheduler and records its processing time and operations.
+    /// Passes an input to the scheduler and records the input's processing time and number of operations.
     fn observe<T>(&mut self, input: Input, process: impl FnOnce(&mut Scheduler) -> T) -> T {
         let (counts_before, started) = (self.scheduler.operation_counts(), Instant::now());
         let output = process(&mut self.scheduler);
--- a/benches/support/worker.rs
+++ b/benches/support/worker.rs
@@ -6,30 +6,31 @@
 
 /// Run time of each task.
 pub(crate) const TASK_RUN_MS: u64 = 20_000;
-/// Interval between regular heartbeats.
+/// Interval between a worker's regular heartbeats.
 pub(crate) const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
 /// One in this many machines is of the large type.
 const LARGE_EVERY: usize = 8;
 const SMALL_CPUS: f64 = 8.0;
 const LARGE_CPUS: f64 = 64.0;
 
-/// The processors of all machines of a simulated fleet.
+/// Returns the total number of processors of a simulated fleet of `machines` machines.
 pub(crate) fn fleet_cpus(machines: usize) -> f64 {
     (0..machines).map(|index| if index.is_multiple_of(LARGE_EVERY) { LARGE_CPUS } else { SMALL_CPUS }).sum()
 }
 
 pub(crate) struct Worker {
-    /// The contents of the next heartbeat, but for the sequence number, which [`Worker::next_heartbeat`] increments.
+    /// The contents of the worker's next heartbeat, except for the sequence number, which [`Worker::next_heartbeat`]
+    /// increments.
     pub(crate) heartbeat: Heartbeat,
-    /// The end time of each running task attempt, in milliseconds.
+    /// Simulated time at which each running task attempt ends, in milliseconds.
     end_times_ms: BTreeMap<(TaskId, Attempt), u64>,
-    /// When the next regular heartbeat is due, in milliseconds.
+    /// Simulated time at which the worker's next regular heartbeat is due, in milliseconds.
     pub(crate) next_heartbeat_at_ms: u64,
 }
 
 impl Worker {
-    /// Creates the worker of machine number `index` in a fleet of `machines`. The regular heartbeats of a fleet are
-    /// spread evenly over the interval.
+    /// Creates the worker of machine number `index` in a fleet of `machines`. The regular heartbeats of the fleet's
+    /// workers are spread evenly over the heartbeat interval.
     pub(crate) fn new(index: usize, machines: usize, endpoint: String) -> Worker {
         let heartbeat = Heartbeat {
             machine: format!("m-{index:06}"),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Executes orders. The next heartbeats carry the largest fencing token received with orders.
+    /// Executes orders from the leader. Later heartbeats carry the largest fencing token that has come with orders.
     pub(crate) fn execute(&mut self, now_ms: u64, token: FencingToken, orders: &[Order]) {
         self.heartbeat.token = self.heartbeat.token.max(token);
         for order in orders {
@@ -80,13 +81,13 @@
         }
     }
 
-    /// Returns the next heartbeat, which is also the response to orders.
+    /// Returns the worker's next heartbeat, which also serves as the response to orders.
     pub(crate) fn next_heartbeat(&mut self) -> Heartbeat {
         self.heartbeat.sequence = SequenceNumber(self.heartbeat.sequence.0 + 1);
         self.heartbeat.clone()
     }
 
-    /// Ends the tasks whose run time has passed. Returns whether any task has ended.
+    /// Ends all running tasks whose run time is over. Returns whether any task has ended.
     pub(crate) fn end_due_tasks(&mut self, now_ms: u64) -> bool {
         let mut changed = false;
         for status in self.heartbeat.tasks.iter_mut().filter(|status| status.phase != TaskPhase::Exited) {
--- a/benches/support/workload.rs
+++ b/benches/support/workload.rs
@@ -2,7 +2,7 @@
 
 use wallstile::wire::{JobKind, JobSpec, MachineType, Priority};
 
-/// Number of tasks in each array.
+/// Number of tasks in each array job.
 pub(crate) const ARRAY_TASKS: u32 = 200;
 /// One in this many jobs is a service.
 const SERVICE_EVERY: u64 = 10;
--- a/src/core/scheduler/tests.rs
+++ b/src/core/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler in single situations, with simulated workers that respond at once.
+//! Tests of the scheduler in single situations, with simulated workers that respond immediately.
 
 mod dependencies;
 mod digest;
@@ -23,29 +23,30 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// A scheduler with workers that respond at once, a store that commits everything, and a cloud without capacity.
-/// Tests inject faults through the fields.
+/// A scheduler with workers that respond immediately, a store that commits everything, and a cloud without capacity for
+/// new machines. Tests inject faults through the fields.
 struct SchedulerHarness {
     scheduler: Scheduler,
-    /// Milliseconds since the first leader was elected.
+    /// Simulated time, in milliseconds since the first leader was elected.
     now: u64,
-    /// The state of each worker by its endpoint, in the form of its latest heartbeat.
+    /// The state of each worker, by the worker's endpoint, in the form of its latest heartbeat.
     workers: BTreeMap<String, Heartbeat>,
-    /// Workers that neither responses to heartbeats nor orders reach.
+    /// Endpoints of workers that neither heartbeat responses nor orders reach.
     inbound_partitioned: BTreeSet<String>,
-    /// Machines whose termination the scheduler has requested.
+    /// Names of the machines that the scheduler has asked the cloud to terminate.
     terminated: BTreeSet<String>,
-    /// Workers whose heartbeats are lost, while orders still reach them.
+    /// Endpoints of workers whose heartbeats are lost, while orders still reach them.
     outbound_partitioned: BTreeSet<String>,
     /// Whether requests to the cloud to terminate machines fail.
     cloud_refuses_terminations: bool,
-    /// If set, transactions get no response and are collected here instead of being applied.
+    /// If set, transactions are collected in this list instead of being applied, and the leader gets no response to
+    /// them.
     unanswered_transactions: Option<Vec<Transaction>>,
-    /// Transactions that the store has applied.
+    /// Transactions that the store has applied, oldest first.
     committed: Vec<Transaction>,
-    /// Operation counts of the tick with the most operations so far.
+    /// Operation counts of the tick with the most operations since the last reset of this field.
     max_tick_operations: OperationCounts,
-    /// Contents of the key-value store: each value with the revision at which it was written.
+    /// Contents of the key-value store: the value of each key and the store revision at which the value was written.
     store: BTreeMap<String, (Value, u64)>,
     /// Term of the current leader.
     term: Term,
@@ -58,7 +59,7 @@
     LeaderRecord { node: "plinth-0".into(), incarnation: 1, lease: LeaseId(7) }
 }
 
-/// Two machine types, without and with GPUs, both offered in two zones.
+/// Returns two machine types, one without and one with GPUs, both offered in the same two zones.
 pub(super) fn machine_types() -> Vec<MachineType> {
     let machine_type = |name: &str, gpus: f64| MachineType {
         name: name.into(),
@@ -100,14 +101,14 @@
     }
 }
 
-/// The stored record of a machine that an earlier leader has registered.
+/// Returns the stored record of a machine that an earlier leader has registered.
 fn machine_row(index: usize) -> KeyValue {
     let record = MachineRecord { endpoint: format!("w{index}"), kind: "plain".into(), zone: "a".into(), spot: false };
     KeyValue { key: format!("fleet/m-{index:06}"), value: json!(record), revision: 1 }
 }
 
 impl SchedulerHarness {
-    /// A newly elected leader, with machines that an earlier one has registered.
+    /// Creates a harness with a newly elected leader and machines that an earlier leader has registered.
     fn new(machines: usize) -> SchedulerHarness {
         let tuning = Tuning { gang_reservation_wait_s: 30.0, idle_timeout_s: 600.0, ..Tuning::default() };
         let mut leader =
@@ -135,7 +136,7 @@
         }
     }
 
-    /// The heartbeat of a worker that has just started and has no tasks.
+    /// Returns the heartbeat of a worker that has just started and has no tasks.
     fn idle_heartbeat(index: usize) -> Heartbeat {
         Heartbeat {
             machine: format!("m-{index:06}"),
@@ -155,7 +156,7 @@
         self.submit_with_dependencies(revision, spec, &[])
     }
 
-    /// Submits a job that depends on others, and reports it to the leader.
+    /// Stores the live record of a job that depends on others, and reports the job to the leader.
     fn submit_with_dependencies(&mut self, revision: u64, spec: JobSpec, depends_on: &[JobId]) -> JobId {
         let depends_on = depends_on.to_vec();
         let id = JobId::parse(&spec.id).unwrap();
@@ -165,12 +166,12 @@
         id
     }
 
-    /// Deletes a job's live record as a cancellation does. The leader is not notified.
+    /// Deletes a job's live record, as a user's cancellation does. The leader is not notified.
     fn cancel(&mut self, id: &JobId) {
         self.store.remove(&live_key(id));
     }
 
-    /// Returns how the job has ended according to the store, or `None` if it has not ended.
+    /// Returns the outcome in the job's stored terminal record, or `None` if the job has not ended.
     fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
         let (record, _) = self.store.get(&terminal_key(id))?;
         Some(serde_json::from_value::<TerminalRecord>(record.clone()).unwrap().outcome())
@@ -191,7 +192,7 @@
         self.committed.push(transaction);
     }
 
-    /// Replaces the leader by a new one, which loads the stored cluster state.
+    /// Replaces the leader by a new leader, which loads the stored cluster state.
     fn change_leader(&mut self) {
         self.term.0 += 1_000_000;
         let rows = |prefix: &str| -> Vec<KeyValue> {
@@ -247,8 +248,8 @@
         }
     }
 
-    /// Sends a worker's next heartbeat. If the response reaches the worker, it executes the orders in it. Returns
-    /// whether the leader responded.
+    /// Sends a worker's next heartbeat. If the leader's response reaches the worker, the worker executes the orders in
+    /// the response. Returns whether the leader responded.
     fn send_heartbeat(&mut self, name: &str) -> bool {
         let Some(heartbeat) = self.workers.get_mut(name) else { return false };
         heartbeat.sequence.0 += 1;
@@ -261,7 +262,8 @@
         response.is_some()
     }
 
-    /// Simulates `ms` milliseconds: ticks of the leader, heartbeats, and the leader's effects.
+    /// Advances the simulated time by `ms` milliseconds: ticks the leader, sends heartbeats, and performs the leader's
+    /// effects.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -341,20 +343,20 @@
         OrdersResult::Executed(heartbeat.clone())
     }
 
-    /// Completes the first task that a worker lists.
+    /// Makes the first task that a worker lists exit as done.
     fn finish_first_task(&mut self, name: &str) {
         let heartbeat = self.workers.get_mut(name).expect("a worker of the harness");
         let first = heartbeat.tasks[0].clone();
         SchedulerHarness::exit_task(heartbeat, first.task, first.attempt, ExitCause::Done);
     }
 
-    /// The first worker that lists a task.
+    /// Returns the endpoint of the first worker that lists a task.
     fn first_busy_worker(&self) -> String {
         let first_busy = self.workers.iter().find(|(_, heartbeat)| !heartbeat.tasks.is_empty());
         first_busy.map(|(name, _)| name.clone()).expect("some worker is busy")
     }
 
-    /// Number of running tasks of a job.
+    /// Returns the number of running tasks of a job, as the workers list them.
     fn running_count(&self, id: &JobId) -> usize {
         let of_job = |status: &&TaskStatus| status.task.is_some_and(|task| task.job == *id);
         let statuses = self.workers.values().flat_map(|heartbeat| &heartbeat.tasks).filter(of_job);
--- a/src/core/scheduler/tests/digest.rs
+++ b/src/core/scheduler/tests/digest.rs
@@ -1,5 +1,5 @@
-//! Digest of the outputs of a leader with a fixed fleet and a fixed sequence of jobs, and its operation counts. A
-//! change that is meant to preserve the behavior must not change either.
+//! Digest of the outputs of a leader whose initial machines and sequence of submitted jobs never vary, and the leader's
+//! operation counts. A change that is meant to preserve the behavior must change neither the digest nor the counts.
 
 mod worker;
 
@@ -9,22 +9,23 @@
 use crate::core::simulation::digest::Digest;
 use crate::peer::PlanInput;
 
-/// Number of machines at the start.
+/// Number of machines that exist at the start of the run.
 const MACHINE_COUNT: usize = 300;
-/// How many of them an earlier leader has registered. The others are unknown to the leader.
+/// Number of initial machines that an earlier leader has registered. The others are unknown to the leader.
 const REGISTERED_COUNT: usize = 290;
 const SIMULATED_MS: u64 = 100_000;
 const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
 const BOOT_TIME_MS: u64 = 10_000;
-/// Interval at which the cloud's list of machines is read.
+/// Interval at which the leader gets the cloud's list of machines.
 const LIST_INTERVAL_MS: u64 = 10_000;
 /// Interval at which jobs are submitted, until [`LAST_JOB_MS`].
 const JOB_INTERVAL_MS: u64 = 250;
 const LAST_JOB_MS: u64 = 75_000;
-/// Time at which the first spot machine is reclaimed.
+/// Simulated time at which the first spot machine is reclaimed.
 const FIRST_RECLAMATION_MS: u64 = 30_000;
 
-/// How many effects of each kind were carried out. The counts decide which of them get an unusual result.
+/// Numbers of effects of each kind carried out so far. They decide which effects get an unusual result, such as a lost
+/// response.
 #[derive(Default)]
 struct EffectCounts {
     orders: u64,
@@ -33,12 +34,14 @@
     plans: u64,
 }
 
-/// A leader, and the simulated workers, store, cloud, peers and users that it interacts with.
+/// A leader and the simulated workers, store, cloud, peers and users that it interacts with. Nothing in the simulation
+/// is random.
 struct FixedFleet {
     leader: Scheduler,
     now: u64,
     revision: u64,
-    /// The workers by the number of their machine. An entry is `None` if the machine has been terminated or reclaimed.
+    /// The workers, indexed by the number of their machine. An entry is `None` if the machine has been terminated or
+    /// reclaimed.
     workers: Vec<Option<SimulatedWorker>>,
     services: BTreeSet<JobId>,
     outcomes: BTreeMap<JobId, JobOutcome>,
@@ -67,7 +70,8 @@
         }
     }
 
-    /// The spec of a job. The specs repeat after ten jobs, except for the id and the image.
+    /// Returns the spec of the job with the given number. The specs repeat after ten jobs, except for the id and the
+    /// image.
     fn job(number: u64) -> JobSpec {
         let id = format!("req-{number:06}");
         let basic = |kind: JobKind, tasks: u32, cpus: f64| JobSpec {
@@ -96,7 +100,8 @@
         }
     }
 
-    /// The dependencies of a job: up to two earlier jobs of the same group of ten, but no services, as these never end.
+    /// Returns the dependencies of the job with the given number: up to two earlier jobs of the same group of ten, but
+    /// no services, as services never end.
     fn dependencies(number: u64) -> Vec<JobId> {
         let before = |distance: u64| JobId::parse(&format!("req-{:06}", number - distance)).unwrap();
         match number % 10 {
@@ -120,7 +125,8 @@
         self.leader.on_job_accepted(&id, &record, Revision(self.revision));
     }
 
-    /// Reports a cancelled job to the leader. For jobs with odd numbers the outcome is unknown.
+    /// Cancels a job and reports its end to the leader. For jobs with odd numbers the report leaves the outcome
+    /// unknown.
     fn cancel(&mut self, number: u64) {
         let id = JobId::parse(&format!("req-{number:06}")).unwrap();
         if self.outcomes.contains_key(&id) {
@@ -145,7 +151,8 @@
         }
     }
 
-    /// Reclaims some spot machines. Their heartbeats announce the reclamation from 6 s before it.
+    /// Reclaims some spot machines, at staggered times. Each machine's heartbeats announce the reclamation from 6 s
+    /// before it.
     fn reclaim_spot_machines(&mut self) {
         for index in (0..MACHINE_COUNT).step_by(35) {
             let reclaimed_at = FIRST_RECLAMATION_MS + index as u64 * 100;
@@ -159,7 +166,7 @@
         }
     }
 
-    /// Sends the heartbeats that are due, a third of them through a peer.
+    /// Sends the heartbeats of all workers for which one is due. A third of the workers send theirs through a peer.
     fn send_heartbeats(&mut self) {
         let now = self.now;
         for (index, worker) in self.workers.iter_mut().enumerate() {
@@ -179,7 +186,8 @@
         }
     }
 
-    /// Passes the cloud's machine list to the leader. It also contains a machine that never sends a heartbeat.
+    /// Passes the cloud's list of machines to the leader. The list also contains a machine that never sends a
+    /// heartbeat.
     fn send_machine_list(&mut self) {
         if !self.now.is_multiple_of(LIST_INTERVAL_MS) {
             return;
@@ -261,7 +269,8 @@
         }
     }
 
-    /// Lets a worker execute orders, except that some get no response and some are rejected.
+    /// Lets a worker execute the leader's orders. Some orders get no response and some are rejected; a worker executes
+    /// neither.
     fn execute_orders(&mut self, endpoint: &str, body: &DirectOrders) -> OrdersResult {
         self.effect_counts.orders += 1;
         let index: usize = endpoint.parse().expect("worker number");
@@ -314,7 +323,8 @@
         name
     }
 
-    /// Plans as a peer. The plan reaches the leader at once; some requests fail.
+    /// Computes the plan that the leader has requested from a peer. The leader gets the plan without delay; some
+    /// requests fail.
     fn plan_as_peer(&mut self, node: &str, input: &PlanInput) {
         self.effect_counts.plans += 1;
         let plan = (!self.effect_counts.plans.is_multiple_of(13)).then(|| placement::plan(input));
@@ -332,7 +342,7 @@
     println!("ended_jobs={} workers={}", fleet.outcomes.len(), fleet.workers.iter().flatten().count());
     let expected_operations =
         OperationCounts { jobs: 44_083, machines: 718_359, tasks: 281_168, reservations: 642, comparisons: 83_142 };
-    // In the order of `Digest::counts`.
+    // Expected numbers of outputs of each kind, in the order of `Digest::counts`.
     assert_eq!(counts, [3421, 281, 7, 89, 33, 32, 554, 512, 13242, 0]);
     assert_eq!(operations, expected_operations);
     assert_eq!(fleet.digest.value(), 0x2274_5ee1_d7e3_b1b3);
--- a/src/core/scheduler/tests/digest/worker.rs
+++ b/src/core/scheduler/tests/digest/worker.rs
@@ -1,14 +1,14 @@
-//! Simulated workers of the fixed fleet.
+//! Simulated workers of the digest test, which behave the same in every run.
 
 use super::*;
 
 /// A worker whose tasks proceed through their phases by themselves.
 pub(super) struct SimulatedWorker {
-    /// Number of its machine.
+    /// Number of the worker's machine.
     index: usize,
-    /// Its state, in the form of its latest heartbeat.
+    /// The worker's state, in the form of its latest heartbeat.
     pub(super) heartbeat: Heartbeat,
-    /// When each task attempt enters its next phase.
+    /// Simulated time at which each task attempt on the worker enters its next phase, in milliseconds.
     next_phase_at: BTreeMap<TaskAttempt, u64>,
     pub(super) next_heartbeat_at: u64,
 }
@@ -26,7 +26,8 @@
         SimulatedWorker { index, heartbeat, next_phase_at: BTreeMap::new(), next_heartbeat_at }
     }
 
-    /// One of the [`MACHINE_COUNT`] workers at the start, with a mix of machine types, zones and spot machines.
+    /// Creates the worker with the given number, out of the [`MACHINE_COUNT`] workers that exist at the start of the
+    /// run. Machine types, zones and spot machines are mixed.
     pub(super) fn initial(index: usize) -> SimulatedWorker {
         let kind = match index {
             _ if index.is_multiple_of(10) => "gpu",
@@ -60,17 +61,17 @@
         }
     }
 
-    /// Whether all tasks fail on this machine.
+    /// Returns whether all tasks fail on this machine.
     fn is_faulty(&self) -> bool {
         self.index % 40 == 7
     }
 
-    /// Factor by which tasks take longer on this machine.
+    /// Returns the factor by which tasks take longer on this machine than on a normal one.
     fn slowness(&self) -> u64 {
         if self.index % 40 == 23 { 5 } else { 1 }
     }
 
-    /// Moves tasks to their next phase when it is due. Services never end.
+    /// Moves each task whose next phase is due to that phase. Tasks of services never end.
     pub(super) fn step(&mut self, now: u64, services: &BTreeSet<JobId>) {
         let (faulty, slowness) = (self.is_faulty(), self.slowness());
         for status in &mut self.heartbeat.tasks {
--- a/src/core/scheduler/tests/leaders.rs
+++ b/src/core/scheduler/tests/leaders.rs
@@ -1,12 +1,13 @@
-//! Tests of leader changes, the write queue, and a leader in doubt about the state of the store.
+//! Tests of leader changes, of the queue of writes to the store, and of a leader that can't be sure of the store's
+//! latest state.
 
 use super::*;
 
 #[test]
 fn new_leader_does_not_suspect_machines_that_have_not_sent_heartbeats_to_it() {
-    // Guards against a new leader that suspects every machine from which it has got no heartbeat within 3 s of the
-    // start of its term. Peers redirect the workers of suspected machines to the next controller, so most workers
-    // missed the leader and lost their tasks.
+    // Guards against a new leader that suspects every machine from which no heartbeat has arrived within 3 s of the
+    // start of the leader's term. Peers redirect the workers of suspected machines to the next controller, so the
+    // heartbeats of most workers missed the leader and these workers lost their tasks.
     let mut harness = SchedulerHarness::new(3);
     let suspected = |harness: &SchedulerHarness| harness.scheduler.suspected_machines(MonotonicTime(harness.now)).0;
     harness.workers.retain(|name, _| name == "w0");
@@ -60,7 +61,7 @@
 
 #[test]
 fn quota_counts_all_resources_of_an_unreconciled_machine() {
-    // team-a may use 40 CPUs. 32 are in use when the leader changes and the heartbeats of one machine stop.
+    // The quota of team-a is 40 CPUs. The team uses 32 when the leader changes and the heartbeats of one machine stop.
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
     let of_team_a = |spec: JobSpec| JobSpec { team: "team-a".into(), ..spec };
@@ -70,7 +71,7 @@
     let silent = harness.first_busy_worker();
     harness.outbound_partitioned.insert(silent.clone());
     harness.change_leader();
-    // The job is cancelled, but its tasks on the silent machine still count.
+    // The job is cancelled, but its tasks on the machine without heartbeats still count against the quota.
     harness.cancel(&full);
     harness.scheduler.on_job_terminated(&full, JobOutcome::Cancelled);
     let term = harness.term.0;
@@ -82,7 +83,7 @@
         "{} tasks run besides the one on the silent machine",
         harness.running_count(&next)
     );
-    // After its lease has expired, the silent machine is known to run nothing.
+    // After the lease of the machine without heartbeats has expired, the leader knows that no tasks run there.
     harness.workers.get_mut(&silent).unwrap().tasks.clear();
     harness.run(12_000);
     assert_eq!(harness.running_count(&next), 5);
@@ -102,7 +103,8 @@
     harness.outbound_partitioned.insert(name.clone());
     harness.change_leader();
     harness.run(1_000);
-    // The delayed heartbeat is the first one of its machine at the new leader. Its empty task list is outdated.
+    // The delayed heartbeat is the first one that the new leader gets from the machine. Its empty task list is
+    // outdated.
     let mut late = delayed.clone();
     late.sequence.0 += 1;
     let _ = harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &late);
@@ -110,7 +112,7 @@
     assert_eq!(harness.running_count(&id), 2, "no task is started a second time");
     let machine = MachineId::parse(&delayed.machine).unwrap();
     assert!(!harness.scheduler.machines.known[&machine].reconciled);
-    // The same heartbeat is rejected once newer ones of its machine have arrived.
+    // The delayed heartbeat is rejected once the machine's newer heartbeats have arrived.
     harness.outbound_partitioned.clear();
     harness.run(2_000);
     assert!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), &late).is_err());
@@ -122,7 +124,7 @@
 
 #[test]
 fn one_zone_job_stays_in_its_zone_while_lost_tasks_may_run_there() {
-    // Four machines are in zone a, one is in zone b.
+    // Of the five machines, four are in zone a and one is in zone b.
     let mut harness = SchedulerHarness::new(5);
     let in_zone_b = MachineRecord { endpoint: "w4".into(), kind: "plain".into(), zone: "b".into(), spot: false };
     harness.store.insert("fleet/m-000004".into(), (json!(in_zone_b), 1));
@@ -138,14 +140,15 @@
         harness.workers.values().filter(runs_tasks).map(|worker| worker.zone.clone()).collect()
     };
     assert_eq!(zones(&harness).len(), 1);
-    // The heartbeats of all machines with its tasks but one stop. Tasks that may still run there bind the other tasks
-    // to the zone.
+    // The heartbeats of all machines that run tasks of the job stop, except for one machine. As long as those tasks may
+    // still run, the job's other tasks may start only in the same zone.
     let busy: Vec<String> =
         harness.workers.iter().filter(|(_, worker)| !worker.tasks.is_empty()).map(|(name, _)| name.clone()).collect();
     harness.outbound_partitioned.extend(busy.iter().skip(1).cloned());
     harness.run(4_000);
     assert_eq!(zones(&harness).len(), 1);
-    // The leader changes before any lease expires, and the new leader gets no heartbeat from any of them.
+    // The leader changes before the lease of any such machine expires, and the new leader gets no heartbeat from any of
+    // the machines with tasks of the job.
     harness.outbound_partitioned.extend(busy);
     harness.change_leader();
     harness.run(4_000);
@@ -154,7 +157,7 @@
 
 #[test]
 fn done_tasks_stay_done_across_a_leader_change() {
-    // The leader changes between the ends of two tasks.
+    // One of the job's two tasks ends before the leader changes, the other after that.
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
     let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 8.0));
@@ -173,7 +176,7 @@
     harness.finish_first_task("w1");
     harness.run(1_000);
     assert_eq!(harness.store[&terminal_key].0["phase"], "done");
-    // No task of the ended job is started again.
+    // No task of the job is started again after the job has ended.
     harness.run(1_000);
     assert_eq!(harness.running_count(&id), 0);
 }
@@ -187,8 +190,8 @@
     harness.unanswered_transactions = Some(Vec::new());
     harness.finish_first_task("w0");
     harness.run(1_000);
-    // The transaction is conditional on the live record's revision, so it fails after a cancellation, however late
-    // it is applied.
+    // The transaction that records the job as done has the revision of the live record as a precondition. A
+    // cancellation deletes the live record, so after that the transaction fails, however late it reaches the store.
     let completion = &harness.unanswered_transactions.as_ref().unwrap()[0];
     let precondition = completion.preconditions.iter().find(|precondition| precondition.key == live_key(&id)).unwrap();
     assert_eq!(precondition.revision, 200);
--- a/src/core/scheduler/tests/machines.rs
+++ b/src/core/scheduler/tests/machines.rs
@@ -40,8 +40,8 @@
 
 #[test]
 fn failure_detection_is_lenient_while_ticks_are_late() {
-    // Guards against an overloaded leader that terminates machines whose heartbeats it hasn't processed yet. A
-    // controller at a third of its speed terminated 50 of them.
+    // Guards against an overloaded leader that terminates machines because it hasn't processed their heartbeats yet. A
+    // controller at a third of its usual speed terminated 50 such machines.
     let mut harness = SchedulerHarness::new(6);
     harness.run(2_000);
     for _ in 0..8 {
@@ -50,7 +50,7 @@
         harness.run(TICK_INTERVAL.0);
     }
     assert!(harness.scheduler.lag() >= Millis(250) && harness.terminated.is_empty());
-    // All heartbeats but one machine's arrive again, and ticks are on time.
+    // The leader ticks on time again, and the heartbeats of all machines but one arrive.
     harness.outbound_partitioned = BTreeSet::from(["w0".into()]);
     harness.run(2_500);
     assert!(harness.scheduler.lag() < Millis(50));
@@ -59,8 +59,8 @@
 
 #[test]
 fn failure_detection_is_lenient_while_a_relay_is_lost() {
-    // Guards against machines terminated because their heartbeats went through a peer that is cut off. In a partition
-    // between two zones, a leader terminated 82 such machines.
+    // Guards against terminating machines because the peer that relays their heartbeats is cut off from the leader. In
+    // a partition between two zones, a leader terminated 82 such machines.
     let mut harness = SchedulerHarness::new(16);
     harness.run(2_000);
     let via_peer: BTreeSet<String> = ["w0", "w1", "w2", "w3"].map(String::from).into();
@@ -79,7 +79,8 @@
     assert!(harness.terminated.is_empty(), "the workers have time to find another controller");
     harness.outbound_partitioned.clear();
     harness.run(1_000);
-    // If other heartbeats over the same route still arrive, the machines have more likely failed.
+    // If other heartbeats over the same route still arrive, the machines whose heartbeats stop have more likely failed
+    // themselves.
     harness.outbound_partitioned = via_peer;
     harness.run(9_000);
     assert_eq!(harness.terminated.len(), 4);
@@ -87,7 +88,8 @@
 
 #[test]
 fn failure_detection_allows_one_lease_to_machines_that_never_sent_heartbeats_to_a_new_leader() {
-    // Without any heartbeat the leader doesn't know over which route the heartbeats of a machine would arrive.
+    // The leader has got no heartbeat of a machine, so it doesn't know over which route (direct or through a peer) the
+    // machine's heartbeats would arrive.
     let mut harness = SchedulerHarness::new(16);
     harness.outbound_partitioned = ["w0", "w1", "w2", "w3"].map(String::from).into();
     harness.run(13_000);
@@ -96,9 +98,10 @@
 
 #[test]
 fn lease_of_an_agent_epoch_counts_from_its_first_message() {
-    // Guards against a lease counted from the last heartbeat of the previous agent epoch. A worker restarted, its new
-    // agent epoch became known from its response to an order, and its heartbeats were lost. The lease was then taken
-    // as expired too early, and a task was started a second time while the first attempt still ran.
+    // Guards against a lease counted from the last heartbeat of the previous agent epoch. A worker restarted, the
+    // leader learned the new agent epoch from the worker's response to an order, and the worker's heartbeats were lost.
+    // The leader took the lease as expired too early and started a task a second time while the first attempt still
+    // ran.
     let mut harness = SchedulerHarness::new(2);
     harness.cloud_refuses_terminations = true;
     harness.run(2_000);
@@ -151,7 +154,7 @@
 fn duplicate_heartbeat_of_a_terminated_machine_places_no_task() {
     let mut harness = SchedulerHarness::new(2);
     let old = harness.submit(50, spec("req-000001", JobKind::Array, 2, 1.0));
-    // The machine was terminated by an earlier leader, so its record has been deleted.
+    // The sender of the heartbeat, machine 7, was terminated by an earlier leader, so its record has been deleted.
     let mut duplicate = SchedulerHarness::idle_heartbeat(7);
     duplicate.sequence = SequenceNumber(9);
     let attempt = Attempt::new(Term(40), 1);
@@ -174,7 +177,8 @@
 fn duplicate_heartbeat_does_not_reconcile_a_machine() {
     let mut harness = SchedulerHarness::new(2);
     let old = harness.submit(50, spec("req-000001", JobKind::Array, 2, 1.0));
-    // The duplicate reaches a new leader before any current heartbeat of the machine. Its task list is outdated.
+    // The duplicate of an old heartbeat reaches a new leader before any current heartbeat of the machine. Its task list
+    // is outdated.
     let mut duplicate = SchedulerHarness::idle_heartbeat(0);
     (duplicate.sequence, duplicate.token) = (SequenceNumber(3), FencingToken::new(Term(40), 0));
     harness.workers.remove("w0");
@@ -198,8 +202,9 @@
 
 #[test]
 fn retiring_machine_still_gets_stop_orders() {
-    // Guards against responses without orders to a machine that is being retired. While the cloud refused terminations,
-    // such responses renewed the machine's lease, and a cancelled task went on running there.
+    // Guards against heartbeat responses without orders to a machine that the leader is having terminated. While the
+    // cloud refused terminations, such responses renewed the machine's lease, and a cancelled task went on running
+    // there.
     let mut harness = SchedulerHarness::new(2);
     harness.cloud_refuses_terminations = true;
     harness.run(2_000);
@@ -223,7 +228,7 @@
     let id = harness.submit(200, spec("req-000001", JobKind::Array, 2, 1.0));
     harness.run(2_000);
     assert_eq!(harness.running_count(&id), 2);
-    // Another order to the machine is in flight.
+    // Another order is sent to the machine, which does not respond to it.
     harness.submit(201, spec("req-000002", JobKind::Array, 1, 1.0));
     let mut ordered = false;
     for _ in 0..40 {
@@ -235,7 +240,7 @@
     harness.scheduler.on_job_terminated(&id, JobOutcome::Cancelled);
     harness.send_heartbeat("w0");
     assert_eq!(harness.running_count(&id), 0);
-    // If the response is lost, the next one repeats the stop orders.
+    // If a heartbeat response with stop orders is lost, the next response repeats these orders.
     let stops =
         |response: &HeartbeatResponse| response.orders.iter().filter(|o| matches!(o, Order::Stop { .. })).count();
     let heartbeat = harness.workers.get_mut("w0").unwrap();
@@ -244,7 +249,7 @@
     }
     heartbeat.sequence.0 += 1;
     assert_eq!(harness.scheduler.on_heartbeat(MonotonicTime(harness.now), heartbeat).as_ref().map(stops), Ok(2));
-    // The response to a heartbeat that a later message has overtaken contains them as well.
+    // The response to a heartbeat that arrives after a newer message of the worker contains the stop orders as well.
     heartbeat.sequence.0 += 5;
     harness
         .scheduler
@@ -266,7 +271,8 @@
     harness.outbound_partitioned.insert(silent.clone());
     harness.run(9_000);
     assert_eq!(harness.running_count(&id), 2, "its task may still run, so it is not started again");
-    // Its agent epoch ends. Orders still reach the worker, but they are for the agent epoch that has ended.
+    // The agent epoch of the worker without heartbeats ends. Orders still reach the worker, but it rejects them,
+    // because they are for the agent epoch that has ended.
     let worker = harness.workers.get_mut(&silent).unwrap();
     (worker.agent_epoch, worker.sequence) = (AgentEpoch(2), SequenceNumber(0));
     worker.tasks.clear();
@@ -277,8 +283,9 @@
 
 #[test]
 fn quarantine_of_machines_that_failed_tasks_ends() {
-    // Guards against failures that count forever: a gang whose tasks had failed on two machines was permanently
-    // presumed to be at fault, and an array could never again use the only machines that fit it.
+    // Guards against failures of tasks that are held against a job or a machine forever: a gang whose tasks had failed
+    // on two machines was permanently presumed to be at fault, and an array could never again use the only machines
+    // that fit its tasks.
     let mut harness = SchedulerHarness::new(2);
     harness.run(2_000);
     let id = harness.submit(200, spec("req-000001", JobKind::Array, 4, 4.0));
--- a/src/core/scheduler/tests/operation_bounds.rs
+++ b/src/core/scheduler/tests/operation_bounds.rs
@@ -1,16 +1,17 @@
-//! Bounds on the number of operations for a single input. At production size one planning round blocked a leader for
-//! over a minute, in which it renewed no lease and answered no requests (docs/incidents/production-overload.md).
+//! Bounds on the number of operations for a single input to the scheduler. At production size one planning round
+//! blocked a leader for over a minute, in which the leader renewed no lease and answered no requests
+//! (docs/incidents/production-overload.md).
 
 use super::*;
 use crate::core::placement;
 
-/// Maximum number of operations for one input to the core, however much work is waiting.
+/// Returns the maximum number of operations allowed for one input to the scheduler, however many tasks wait to start.
 fn operation_bound(machines: usize, jobs: usize, tasks: usize) -> u64 {
     (400 * machines + 20 * jobs + 10 * tasks + 40_000) as u64
 }
 
-/// Fills all machines with preemptible work and then submits urgent work for several times their capacity. Returns
-/// the maximum of operations in a tick after that.
+/// Fills all machines with preemptible tasks, then submits jobs of higher priority for several times the machines'
+/// capacity. Returns the number of operations of the most expensive tick after that.
 fn max_tick_operations_under_urgent_overload(machines: usize) -> u64 {
     let mut harness = SchedulerHarness::new(machines);
     harness.run(2_000);
@@ -38,7 +39,7 @@
 
 #[test]
 fn round_with_all_work_waiting_has_a_bounded_cost() {
-    // All leases have expired, so a new leader finds empty machines and all jobs waiting.
+    // As after an outage in which all worker leases have expired: the machines are empty and all jobs wait to start.
     let machines = 200;
     let jobs = 1_000;
     let mut harness = SchedulerHarness::new(machines);
@@ -53,8 +54,8 @@
     assert!(operations <= bound, "one tick took {operations} operations, bound {bound}");
 }
 
-/// Maximum factor by which the operations of a tick may grow when machines and work double: 2 for linear growth, plus a
-/// margin.
+/// Maximum factor by which the operations of a tick may grow when the numbers of machines, jobs and tasks double: 2 for
+/// linear growth, plus a margin.
 const MAX_GROWTH: f64 = 2.4;
 
 #[test]
@@ -72,8 +73,8 @@
     harness.run(2_000);
     harness.submit(200, JobSpec { priority: Priority::Low, ..spec("req-000001", JobKind::Array, 800, 1.0) });
     harness.run(4_000);
-    // All machines are in one zone, so half of the tasks of each spread service can never run. The failing searches for
-    // them exceed the budget of a round.
+    // All machines are in one zone, so half of the tasks of each spread service can never run. The futile searches for
+    // tasks to preempt on behalf of these services exceed the operation budget of a planning round.
     for number in 0..300 {
         let service = spec(&format!("req-{:06}", 100 + number), JobKind::Service, 2, 1.0);
         harness.submit(300, JobSpec { priority: Priority::Prod, spread: true, ..service });
--- a/src/core/scheduler/tests/planning.rs
+++ b/src/core/scheduler/tests/planning.rs
@@ -1,4 +1,4 @@
-//! Tests of planning: the jobs that get capacity, and the machines that are considered.
+//! Tests of planning: which jobs get capacity, and which machines each planner considers.
 
 use super::*;
 use crate::peer::{JobView, MachineTypeView, MachineView, PlanInput, VERSION};
@@ -15,7 +15,7 @@
     let large = harness.submit(200, gang(100, 6));
     let mut started_at = None;
     for number in 0..60 {
-        // Every 2 s another small gang is submitted, and the one that has run longest ends.
+        // Every 2 s another gang of one task is submitted, and the running gang that started first ends.
         harness.submit(200, gang(200 + number, 1));
         let running = harness
             .workers
@@ -70,7 +70,8 @@
     let service = harness.submit(200, feed("req-000001", JobKind::Service));
     let array = harness.submit(200, feed("req-000002", JobKind::Array));
     let machine = MachineId::parse("m-000000").unwrap();
-    // Fetching the image takes 20 s and the class's start-time objective is 3 s. Both jobs are older than that.
+    // Fetching the image takes 20 s, and the start-time objective of the jobs' class is 3 s. The planner's view gives
+    // both jobs an age of 100 s, which exceeds that objective.
     let old = JobView { age_s: 100.0, ..JobView::default() };
     assert!(
         harness.scheduler.starts_late(MonotonicTime(harness.now), &service, &machine, Some(&old)),
@@ -84,8 +85,8 @@
 
 #[test]
 fn partitioned_view_gives_each_booting_machine_to_one_planner() {
-    // Guards against several planners that count on the same booting machines, so that too few are provisioned. With
-    // five planners, a fleet of 1,300 machines took 100 s to start instead of 30 s.
+    // Guards against several planners that all count on the same booting machines, so that too few new machines are
+    // provisioned. With five planners, 1,300 machines took 100 s to start instead of 30 s.
     let kinds = [(8.0, 0.0), (16.0, 2.0)].map(|(cpus, gpus)| MachineTypeView { cpus, gpus, ..Default::default() });
     let machine = |key: u32| MachineView { key, type_index: key % 2, up: key < 10, ..Default::default() };
     let job = |key: u32, gpus: f64| JobView { key, ready_tasks: 10, tasks: 10, cpus: 1.0, gpus, ..Default::default() };
@@ -120,8 +121,8 @@
 
 #[test]
 fn gpu_lending_keeps_machines_that_gpu_jobs_needed_recently() {
-    // Guards against work without GPUs that fills every free GPU machine and is then preempted by GPU jobs. Nearly half
-    // of all starts were restarts of tasks preempted in this way.
+    // Guards against jobs without GPUs that fill every free GPU machine and are then preempted by GPU jobs. Nearly half
+    // of all task starts were restarts of tasks preempted in this way.
     let mut scheduler = Scheduler::new(
         sample_settings(),
         Tuning::default(),
--- a/src/core/simulation/checks.rs
+++ b/src/core/simulation/checks.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Simulation {
-    /// Checks a terminal record that was just written: all tasks of a done job have completed, and a cancelled job
-    /// was cancelled by a user or depends on a cancelled job.
+    /// Checks a job's terminal record right after it has been written: all tasks of a done job have completed, and a
+    /// cancelled job was cancelled by a user or depends on a cancelled job.
     pub(super) fn check_terminal_record(&self, id: &JobId) {
         let record: TerminalRecord = serde_json::from_value(self.store[&terminal_key(id)].0.clone()).unwrap();
         if record.phase == JobPhase::Done {
@@ -33,8 +33,9 @@
             || self.depends_on[id].iter().any(|id| self.is_cancelled_or_depends_on_cancelled(id))
     }
 
-    /// Checks that all cleared tasks of live jobs are marked as done in the stored completion bitmaps. No worker lists
-    /// them any longer, so a leader that doesn't find them there would start them again.
+    /// Checks that the completion of every cleared task of a live job is recorded in the job's stored completion
+    /// bitmap. Workers no longer list cleared tasks, so a new leader that doesn't find them in the bitmap would start
+    /// them again.
     pub(super) fn check_cleared_tasks_are_done(&self) {
         let layout = BitmapLayout::new(&self.settings.cluster.store);
         for task in &self.cleared_tasks {
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Checks that a task may start on this worker now: its job permits the machine, was not cancelled 30 s ago or
-    /// earlier, and has no unfinished dependencies. Also checks the start against the running tasks.
+    /// Checks that a task may start now on the worker with the given index: the job permits the machine, was not
+    /// cancelled 30 s or more ago, and has no unfinished dependencies. Also checks the task against those that already
+    /// run.
     pub(super) fn check_start(&self, index: usize, task: &TaskId) {
         let spec = &self.specs[&task.job];
         let (now, worker) = (self.now, &self.workers[index]);
@@ -81,8 +83,8 @@
         self.check_start_against_running_tasks(index, task, spec);
     }
 
-    /// Checks the start of a task against all running tasks: no other attempt of it is active, and the team's quota and
-    /// the job's rules on zones are kept.
+    /// Checks the start of a task against all running tasks: no other attempt of the same task is active, and the
+    /// team's quota and the job's rules on zones (one zone only, or spread over zones) are kept.
     fn check_start_against_running_tasks(&self, index: usize, task: &TaskId, spec: &JobSpec) {
         let (now, zone_index) = (self.now, self.workers[index].zone_index);
         let mut used_cpus = spec.cpus;
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Checks that no task of a cancelled job runs later than 30 s after the cancellation was confirmed, which is the
-    /// limit in the settings (`cancel_s`).
+    /// Checks that no task of a cancelled job still runs more than 30 s after the cancellation was confirmed to the
+    /// user. 30 s is the limit in the settings (`cancel_s`).
     pub(super) fn check_cancelled_jobs_do_not_run(&self) {
         for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_gone) {
             for ((task, _), state) in &worker.tasks {
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! Model of the cloud, which has capacity for a few machines.
+//! Model of the cloud, which provisions and terminates machines and has capacity for a few only.
 
 use super::*;
 
@@ -8,7 +8,8 @@
 const MAX_MACHINES_PER_REQUEST: u32 = 2;
 
 impl Simulation {
-    /// Provisions machines that boot some time later. A repeated request returns the machines provisioned before.
+    /// Provisions machines, which finish booting some time later. A request with the name of an earlier one returns the
+    /// machines provisioned for the earlier one.
     pub(super) fn provision(&mut self, request: &ProvisionRequest) -> ProvisionOutcome {
         if let Some(names) = self.provision_requests.get(&request.name) {
             return ProvisionOutcome::Provisioned(names.clone());
--- a/src/core/simulation/digest.rs
+++ b/src/core/simulation/digest.rs
@@ -1,5 +1,5 @@
-//! Digest of everything that the core puts out, for characterization tests: a change that is meant to preserve the
-//! behavior must not change the digests.
+//! Digest of everything that the scheduler core puts out, for characterization tests: a change that is meant to
+//! preserve the behavior must not change the digests.
 //!
 //! Only the encoded forms are hashed (JSON and protobuf messages), so the digests don't depend on names in the source.
 
@@ -25,30 +25,31 @@
 
 const TAG_COUNT: usize = 10;
 
-/// 64-bit FNV-1a hash, with the number of outputs hashed for each tag.
+/// 64-bit FNV-1a hash of the outputs, with the number of outputs of each kind.
 pub(in crate::core) struct Digest {
     state: u64,
     counts: [u64; TAG_COUNT],
 }
 
 impl Digest {
-    /// A digest to which no output has been added.
+    /// Creates a digest of no outputs.
     pub(in crate::core) fn new() -> Digest {
         Digest { state: 0xcbf2_9ce4_8422_2325, counts: [0; TAG_COUNT] }
     }
 
-    /// The hash of all outputs so far.
+    /// Returns the hash of all outputs added so far.
     pub(in crate::core) fn value(&self) -> u64 {
         self.state
     }
 
-    /// How many outputs of each kind were hashed: orders, commits, fence refreshes, provision requests, terminations,
-    /// lookups of outcomes, plan requests to peers, plans of peers, heartbeat responses, rejected heartbeats.
+    /// Returns the number of outputs of each kind added so far, in this order: orders, commits, fence refreshes,
+    /// provision requests, terminations, lookups of outcomes, plan requests to peers, plans of peers, heartbeat
+    /// responses, rejected heartbeats.
     pub(in crate::core) fn counts(&self) -> [u64; TAG_COUNT] {
         self.counts
     }
 
-    /// Hashes an effect of the scheduler.
+    /// Hashes an effect, that is, an action that the scheduler requests, such as a commit or orders to a worker.
     pub(in crate::core) fn add_effect(&mut self, effect: &Effect) {
         match effect {
             Effect::Orders { request, endpoint, body } => {
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Hashes the plan of a peer for its shard.
+    /// Hashes the plan that a peer has computed for the jobs of its shard, which is the set of teams assigned to that
+    /// peer.
     pub(in crate::core) fn add_peer_plan(&mut self, plan: &PlanOutput) {
         self.add_tag(Tag::PeerPlan);
         self.add_length_prefixed(&plan.encode_to_vec());
@@ -136,7 +138,8 @@
     assert_eq!(digest.value(), 0x8594_4171_f739_67e8);
 }
 
-/// The seed and the digest of each run. One digest per seed shows which runs have changed.
+/// The seed and the expected digest of each run. Each seed has a digest of its own, so that a failure shows which runs
+/// have changed.
 const EXPECTED_DIGESTS: [(u64, u64); 12] = [
     (0, 0x54b7_c723_c8db_a6f1),
     (1, 0xaaf2_2edf_e48d_f0b9),
@@ -152,7 +155,8 @@
     (11, 0x0047_1e22_e5a6_4894),
 ];
 
-/// The number of outputs of each kind in all these runs, in the order of [`Digest::counts`].
+/// The expected number of outputs of each kind, summed over the runs of [`EXPECTED_DIGESTS`], in the order of
+/// [`Digest::counts`].
 const EXPECTED_COUNTS: [u64; TAG_COUNT] = [1806, 1165, 112, 426, 266, 62, 1652, 1603, 3532, 266];
 
 /// Returns the digest of a run with more cancellations, dependencies and late commits than by default, and fewer leader
--- a/src/core/simulation/effects.rs
+++ b/src/core/simulation/effects.rs
@@ -1,12 +1,12 @@
-//! Carries out the leader's effects: sends messages to the workers and the store, and requests to the cloud and
-//! the peers.
+//! Carries out the effects that the leader requests: sends messages to the workers and the store, and requests to the
+//! cloud and the peers.
 
 use super::*;
 use crate::ids::RequestId;
 
-/// Timeout of a request to a worker.
+/// Time after which the leader gets an unknown result for orders that a worker hasn't answered.
 pub(super) const ORDERS_TIMEOUT_MS: u64 = 2_000;
-/// Timeout of a request to the store.
+/// Time after which the leader gets an unknown outcome for a transaction that the store hasn't answered.
 const COMMIT_TIMEOUT_MS: u64 = 1_200;
 
 impl Simulation {
@@ -71,14 +71,15 @@
         let delay =
             if self.draw_late_commit() { self.rng.random_range(2_000..12_000) } else { self.draw_message_delay() };
         if delay > COMMIT_TIMEOUT_MS {
-            // The request times out, so the leader's key is read to learn the outcome.
+            // The store's response would come after the timeout, so the leader's key is read to learn whether the fence
+            // refresh was applied.
             self.send(COMMIT_TIMEOUT_MS, Message::ReadLeaderKey { leader, transaction: transaction.clone() });
         }
         self.send(delay, Message::FenceRefresh { leader, transaction });
     }
 
-    /// Plans as a peer. The plan reaches the leader later, when the input that it was computed from may be outdated; it
-    /// can be duplicated or lost. Some plans are corrupted.
+    /// Computes the plan that the leader has requested from a peer. The plan reaches the leader later, when the input
+    /// of the planning may be outdated, and can be lost or duplicated. Some plans are corrupted.
     fn plan_as_peer(&mut self, node: String, input: &PlanInput) {
         let leader = self.leader_number;
         let mut plan = (!self.draw_message_loss()).then(|| placement::plan(input));
@@ -96,7 +97,8 @@
         self.send(delay, Message::Plan { leader, node, plan });
     }
 
-    /// Makes the placements of a plan random. Some of these plans also get the number of the previous round.
+    /// Replaces the placements of a plan by random ones. Some corrupted plans also carry the number of the planning
+    /// round before the one that they were requested in.
     fn corrupt_plan(&mut self, plan: &mut PlanOutput) {
         for placement in &mut plan.placements {
             placement.machine = self.rng.random_range(0..8);
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -3,12 +3,13 @@
 use super::*;
 
 impl Simulation {
-    /// Draws whether an event with this probability occurs.
+    /// Draws at random whether an event of the given probability occurs.
     pub(super) fn chance(&mut self, probability: f64) -> bool {
         self.rng.random::<f64>() < probability
     }
 
-    /// Draws the delay of a message. Most messages arrive soon; while faults are enabled, a few take up to 15 s.
+    /// Draws the delay of a message in milliseconds. Most messages arrive soon; while faults are enabled, a few take up
+    /// to 15 s.
     pub(super) fn draw_message_delay(&mut self) -> u64 {
         let max_extra_delay = if self.faults_enabled { self.max_extra_delay } else { 0 };
         match self.faults_enabled && self.chance(0.03) {
@@ -22,7 +23,7 @@
         self.faults_enabled && self.chance(0.03)
     }
 
-    /// Draws whether a transaction is applied late.
+    /// Draws whether the store applies a transaction late, possibly after the leader's request has timed out.
     pub(super) fn draw_late_commit(&mut self) -> bool {
         self.faults_enabled && self.chance(self.late_commit_probability)
     }
@@ -50,7 +51,7 @@
             self.workers[index].partitioned_until = until;
         }
         if self.chance(0.005) {
-            // Some of these partitions last until the end of the run.
+            // Some inbound partitions last until the end of the run.
             self.workers[index].inbound_partitioned_until = if self.chance(0.3) { u64::MAX } else { until };
         }
         if self.chance(0.005) {
@@ -61,7 +62,7 @@
     fn inject_machine_faults(&mut self, index: usize) {
         let now = self.now;
         if self.chance(0.003) {
-            // The machine restarts at once, with a new agent epoch and without its fencing token.
+            // The machine restarts without delay. Its worker begins a new agent epoch and has lost its fencing token.
             self.workers[index].begin_agent_epoch(now);
             self.workers[index].token = 0;
         }
--- a/src/core/simulation/leaders.rs
+++ b/src/core/simulation/leaders.rs
@@ -1,9 +1,10 @@
-//! The leaders, which are elected one after another.
+//! The leader of the simulation: elections and time steps. At most one leader exists at a time.
 
 use super::*;
 
 impl Simulation {
-    /// Elects a new leader, which writes the leader's key and loads the stored cluster state.
+    /// Elects a new leader. The new leader's record is written under the leader's key, and the new leader loads the
+    /// stored cluster state.
     pub(super) fn elect_leader(&mut self) {
         self.leader_number += 1;
         self.leader_count += 1;
@@ -42,7 +43,8 @@
         self.perform_effects();
     }
 
-    /// Returns the leader with this number, or `None` if it has crashed or another has been elected since.
+    /// Returns the leader with the given number, or `None` if that leader has crashed or another one has been elected
+    /// since.
     pub(super) fn leader_with_number(&mut self, number: u64) -> Option<&mut Scheduler> {
         self.leader.as_mut().filter(|_| number == self.leader_number)
     }
--- a/src/core/simulation/mail.rs
+++ b/src/core/simulation/mail.rs
@@ -5,10 +5,11 @@
 use super::*;
 use crate::ids::RequestId;
 
-/// A message in transit. `leader` is the number of the leader that sent it or that it is addressed to.
+/// A message in transit. The field `leader` is the number of the leader that sent the message or that the message is
+/// addressed to.
 pub(super) enum Message {
     Heartbeat(SentHeartbeat),
-    /// Heartbeats that a relaying controller sends to the leader together.
+    /// Heartbeats that a relaying controller has collected from workers and sends to the leader in one request.
     RelayBatch(Vec<SentHeartbeat>),
     HeartbeatResponse {
         worker: usize,
@@ -37,12 +38,13 @@
         request: RequestId,
         outcome: CommitOutcome,
     },
-    /// A transaction that rewrites the leader's key to get a new fence revision.
+    /// A transaction that rewrites the leader's key and so raises the key's revision. Transactions with a precondition
+    /// on an older revision of the key can then no longer be applied.
     FenceRefresh {
         leader: u64,
         transaction: Transaction,
     },
-    /// A read of the leader's key after a fence refresh with an unknown outcome.
+    /// A read of the leader's key, which shows whether a fence refresh without a response has been applied.
     ReadLeaderKey {
         leader: u64,
         transaction: Transaction,
@@ -66,7 +68,8 @@
         leader: u64,
         outcomes: Vec<(JobId, JobOutcome)>,
     },
-    /// A change of a live job's record. `value` is the record with its revision, or `None` if it was deleted.
+    /// A change of the record of a live job. `value` is the new record with its revision, or `None` if the record was
+    /// deleted.
     WatchEvent {
         leader: u64,
         key: String,
@@ -75,12 +78,12 @@
 }
 
 impl Simulation {
-    /// Sends a message that is delivered after `delay` milliseconds.
+    /// Puts a message in transit, which is delivered `delay` milliseconds later.
     pub(super) fn send(&mut self, delay: u64, message: Message) {
         self.messages.push((self.now + delay, message));
     }
 
-    /// Delivers all messages that are due.
+    /// Delivers all messages whose delivery time has come, earliest first.
     pub(super) fn deliver_due_messages(&mut self) {
         let now = self.now;
         let (mut due, rest): (Vec<_>, Vec<_>) =
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Delivers a heartbeat to the current leader, even if it was sent before that leader was elected.
+    /// Delivers a heartbeat to the current leader, even if the heartbeat was sent before that leader was elected.
     fn deliver_heartbeat(&mut self, sent: &SentHeartbeat) {
         let Some(response) = self.respond_to_heartbeat(sent) else { return };
         if !self.draw_message_loss() {
@@ -182,7 +185,7 @@
         }
         let held_until = worker.frozen_until.max(worker.partitioned_until);
         if self.now < held_until {
-            // The request times out, but its orders are delivered once the worker is reachable again.
+            // The leader's request times out, but the worker gets the orders once it is reachable again.
             let delay = held_until - self.now + 10;
             self.send(delay, Message::Orders { leader, request, worker: index, body });
             self.send(ORDERS_TIMEOUT_MS, timed_out);
@@ -223,8 +226,8 @@
                 return;
             }
         }
-        // The refresh failed, or its response is lost, which is always so while faults are enabled. The leader's key is
-        // read to learn the outcome.
+        // The fence refresh failed, or its response is lost. While faults are enabled every such response is lost. The
+        // leader's key is read to learn whether the refresh was applied.
         self.send(100, Message::ReadLeaderKey { leader, transaction });
     }
 
@@ -242,7 +245,8 @@
         }
     }
 
-    /// Delivers a result or a watch event to the leader that it is addressed to, if that one still leads.
+    /// Delivers a result or a watch event to the leader that it is addressed to. Drops the message if that leader has
+    /// crashed or been replaced.
     fn deliver_to_leader(&mut self, message: Message) {
         let now = MonotonicTime(self.now);
         let Some(number) = message.addressed_leader() else { return };
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -44,64 +44,65 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Simulated time between two steps.
+/// Simulated time by which each step advances the simulation.
 const STEP_INTERVAL_MS: u64 = 50;
 
-/// The state of the simulation. All times are milliseconds since its start.
+/// The state of the simulation. All times and durations are in milliseconds, counted from the start of the run.
 pub(super) struct Simulation {
     rng: StdRng,
     now: u64,
     settings: Settings,
     types: Vec<MachineType>,
-    /// Contents of the key-value store: each value with the revision at which it was written.
+    /// Contents of the key-value store: the value of each key and the store revision at which the value was written.
     store: BTreeMap<String, (Value, u64)>,
-    /// The store's latest revision.
+    /// Revision of the latest write to the store.
     revision: u64,
     workers: Vec<Worker>,
     /// Messages in transit, each with the time at which it is delivered.
     messages: Vec<(u64, Message)>,
-    /// Heartbeats that the relaying controller has collected and will send to the leader together.
+    /// Heartbeats that the relaying controller has collected from workers and not yet sent to the leader.
     relay_batch: Vec<SentHeartbeat>,
     /// The current leader's scheduler, or `None` between a crash and the next election.
     leader: Option<Scheduler>,
-    /// Number of the latest leader, counted from 1. Messages addressed to earlier leaders are dropped.
+    /// Number of the latest elected leader, counted from 1. Messages addressed to earlier leaders are dropped.
     leader_number: u64,
-    /// When the next leader is elected, if there is none now.
+    /// Time at which a new leader is elected if there is none.
     next_leader_at: u64,
-    /// The machines provisioned for each request name. A repeated request gets the same machines.
+    /// Names of the machines provisioned for each request, by request name. A repeated request gets the same machines.
     provision_requests: BTreeMap<String, Vec<String>>,
-    /// The specs of all jobs submitted so far.
+    /// The specs of all jobs submitted so far, including ended ones.
     specs: BTreeMap<JobId, JobSpec>,
-    /// The dependencies of each job, as its user stated them.
+    /// The dependencies of each job as submitted, including those that had already ended.
     depends_on: BTreeMap<JobId, Vec<JobId>>,
     /// The jobs whose cancellation was confirmed to a user, with the time of the confirmation.
     cancelled: BTreeMap<JobId, u64>,
     /// Tasks that a worker has run to completion.
     completed_tasks: BTreeSet<TaskId>,
-    /// Completed tasks that their workers have cleared on a leader's order.
+    /// Completed tasks that a worker no longer lists, because a leader has ordered it to clear them.
     cleared_tasks: BTreeSet<TaskId>,
-    /// Probability that a transaction is applied only after its request has timed out, possibly after newer ones.
+    /// Probability that the store applies a transaction only after the leader's request has timed out, and possibly
+    /// after transactions that were sent later.
     late_commit_probability: f64,
-    /// Probability that the leader crashes in a step.
+    /// Probability per step that the leader crashes.
     leader_crash_probability: f64,
-    /// Maximum time without a leader after a crash.
+    /// Upper bound of the time between a crash of the leader and the next election.
     max_leaderless_time: u64,
-    /// Probability that a user cancels a job in a step.
+    /// Probability per step that a user cancels a job.
     cancellation_probability: f64,
-    /// Probability that a new job depends on earlier ones.
+    /// Probability that a new job may depend on earlier jobs.
     dependency_probability: f64,
     /// Probability that a heartbeat reaches the leader through a controller that relays it.
     relay_probability: f64,
-    /// Upper bound of the time added to the usual delay of messages while faults are enabled.
+    /// Upper bound of the delay added to that of ordinary messages while faults are enabled.
     max_extra_delay: u64,
     last_job_number: u64,
     /// Whether faults are injected and new jobs submitted in the current step.
     faults_enabled: bool,
-    /// How many task attempts have been started.
+    /// Number of task attempts that workers have started so far.
     start_count: u64,
-    /// How many leaders have been elected.
+    /// Number of leaders elected so far.
     leader_count: u64,
-    /// Digest of everything that the leaders and the planning peers have put out.
+    /// Digest of all outputs of the leaders and of the peers that plan for them.
     digest: Digest,
 }
 
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Simulation {
-    /// Applies a transaction if its preconditions hold, and sends watch events for the live jobs that it changes.
+    /// Applies a transaction if all its preconditions hold, and sends the leader a watch event for each record of a
+    /// live job that the transaction changes.
     pub(super) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         let revision = |key: &str| self.store.get(key).map_or(0, |(_, revision)| *revision);
         let preconditions = transaction.preconditions.iter();
@@ -55,7 +56,7 @@
             .collect()
     }
 
-    /// Returns how a job has ended, or `None` if it has not ended.
+    /// Returns the outcome in a job's terminal record, or `None` if the job has not ended.
     pub(super) fn outcome(&self, id: &JobId) -> Option<JobOutcome> {
         let (value, _) = self.store.get(&terminal_key(id))?;
         serde_json::from_value::<TerminalRecord>(value.clone()).ok().map(|record| record.outcome())
--- a/src/core/simulation/tests.rs
+++ b/src/core/simulation/tests.rs
@@ -1,10 +1,11 @@
-//! Random runs, with the default fault probabilities and with increased ones.
+//! Tests that the protocol's invariants hold in random runs, with the default fault probabilities and with increased
+//! ones.
 
 use super::*;
 use std::ops::Range;
 
-/// Runs the simulation with each seed. Returns the total numbers of task starts and of leaders, with which the tests
-/// guard against runs that hardly exercise the scheduler.
+/// Runs the simulation once with each seed. Returns the total numbers of task starts and of elected leaders. The tests
+/// require minimum totals, as a run with few starts or elections hardly exercises the scheduler.
 fn run(seeds: Range<u64>, configure: impl Fn(&mut Simulation)) -> (u64, u64) {
     let (mut start_count, mut leader_count) = (0, 0);
     for seed in seeds {
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -14,8 +14,8 @@
         }
     }
 
-    /// Submits a job. As when a controller accepts a job, dependencies that are done are left out, and the job is
-    /// recorded as cancelled at once if one of its dependencies is cancelled.
+    /// Submits a job and reports it to the leader. As in a real submission, dependencies that are done are left out of
+    /// the live record, and a job with a cancelled dependency is recorded as cancelled immediately instead.
     fn submit(&mut self) {
         self.last_job_number += 1;
         let id = JobId::parse(&format!("req-{:06}", self.last_job_number)).unwrap();
@@ -38,7 +38,8 @@
         self.send(delay, Message::WatchEvent { leader, key: live_key(&id), value: Some((record, revision)) });
     }
 
-    /// Draws the spec of a new job. The order of the fields in the literal is the order of the draws.
+    /// Draws the spec of a new job. The fields of the literal are evaluated in the order written, so reordering them
+    /// changes the sequence of random draws.
     fn random_spec(&mut self, id: &JobId) -> JobSpec {
         let kind = [JobKind::Array, JobKind::Array, JobKind::Gang, JobKind::Service][self.rng.random_range(0..4)];
         let gpu = self.chance(0.2);
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Draws up to two dependencies from the five latest jobs that are not services. Services never end.
+    /// Draws up to two dependencies for a new job, from the five latest earlier jobs that are not services. A service
+    /// never ends, so its dependents would never start.
     fn random_dependencies(&mut self, new: JobId) -> Vec<JobId> {
         let earlier = self.specs.iter().rev().filter(|(id, spec)| **id != new && spec.kind != JobKind::Service);
         let earlier: Vec<JobId> = earlier.map(|(id, _)| *id).take(5).collect();
--- a/src/core/simulation/workers.rs
+++ b/src/core/simulation/workers.rs
@@ -1,64 +1,65 @@
-//! Model of the workers: they send heartbeats, execute orders, run tasks and gangs, and end their agent epochs when
-//! their leases expire.
+//! Model of the workers, which send heartbeats, execute orders, and run tasks and gangs. A worker whose lease expires
+//! kills its tasks and begins a new agent epoch.
 
 use super::*;
 
-/// How long a worker waits for the response to a heartbeat before it sends the next.
+/// Time for which a worker waits for the response to a heartbeat. The worker ignores a later response.
 pub(super) const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 const HEARTBEAT_INTERVAL_MS: u64 = 1_500;
-/// Delay of the next heartbeat after one that got no response.
+/// Time between the timeout of an unanswered heartbeat and the worker's next heartbeat.
 const HEARTBEAT_BACKOFF_MS: u64 = 1_000;
-/// Interval at which the relaying controller sends its batch.
+/// Interval at which the relaying controller sends the heartbeats that it has collected to the leader.
 const RELAY_INTERVAL_MS: u64 = 100;
 
 /// The state of a task attempt on a worker.
 pub(super) struct AttemptState {
     phase: TaskPhase,
-    /// Why the attempt exited, or `None` while it is active.
+    /// Why the attempt exited, or `None` if it has not exited.
     cause: Option<ExitCause>,
-    /// When the current phase ends.
+    /// Simulated time at which the attempt's current phase ends.
     next_phase_at: u64,
-    /// Whether the progress of a stopped attempt was saved.
+    /// Whether a checkpoint was saved when the attempt was stopped.
     progress_saved: bool,
 }
 
 pub(super) struct Worker {
-    /// Index of its machine type.
+    /// Index of the machine's type in [`Simulation::types`].
     pub(super) type_index: usize,
-    /// Index among the zones of its type.
+    /// Index of the machine's zone in the list of zones of its machine type.
     pub(super) zone_index: usize,
     pub(super) spot: bool,
-    /// When the machine finishes booting.
+    /// Simulated time at which the machine finishes booting and its worker starts.
     pub(super) boots_at: u64,
-    /// The machine no longer exists: it crashed, was reclaimed, or was terminated by the cloud.
+    /// Whether the machine no longer exists: it crashed, was reclaimed by the cloud, or was terminated on request.
     pub(super) is_gone: bool,
-    /// The machine executes nothing and sends nothing until this time.
+    /// Simulated time until which the machine executes nothing and sends nothing.
     pub(super) frozen_until: u64,
-    /// Until this time, messages in either direction are lost or delayed.
+    /// Simulated time until which messages to and from the worker are lost or delayed.
     pub(super) partitioned_until: u64,
-    /// Until this time, its heartbeats arrive but neither responses nor orders reach it.
+    /// Simulated time until which the worker's heartbeats arrive, but neither responses nor orders reach the worker.
     pub(super) inbound_partitioned_until: u64,
-    /// Until this time, orders reach it but its heartbeats reach no controller.
+    /// Simulated time until which orders reach the worker, but its heartbeats reach no controller.
     pub(super) outbound_partitioned_until: u64,
-    /// Tasks fail as soon as they have pulled their images.
+    /// Whether every task on the machine fails as soon as its image is pulled.
     pub(super) fails_tasks: bool,
     pub(super) agent_epoch: u64,
     sequence: u64,
-    /// The highest fencing token received.
+    /// The highest fencing token that the worker has received since its machine started.
     pub(super) token: u64,
     epoch_started_at: u64,
-    /// When the latest answered heartbeat was sent. The lease counts from then.
+    /// Time at which the latest answered heartbeat was sent. The worker's lease runs from this time, or from the start
+    /// of the agent epoch if that is later.
     pub(super) lease_renewed_at: u64,
     pub(super) next_heartbeat_at: u64,
-    /// When the heartbeat that awaits its response was sent, or `None` if no heartbeat awaits one.
+    /// Time at which the heartbeat that awaits a response was sent, or `None` if no heartbeat awaits one.
     pub(super) unanswered_heartbeat_sent_at: Option<u64>,
     /// Task attempts on the worker, including exited ones that have not been cleared.
     pub(super) tasks: BTreeMap<(TaskId, Attempt), AttemptState>,
-    /// When the cloud reclaims this spot machine, or `None` if it has not announced that.
+    /// Time at which the cloud reclaims this spot machine, or `None` if no reclamation has been announced.
     pub(super) reclaimed_at: Option<u64>,
 }
 
-/// A heartbeat in transit. A duplicate has `sent_at` 0, so that the worker ignores the response to it.
+/// A heartbeat in transit. A duplicate has `sent_at` 0, so the worker ignores the response to the duplicate.
 pub(super) struct SentHeartbeat {
     pub(super) worker: usize,
     pub(super) sent_at: u64,
@@ -75,7 +76,8 @@
         self.cause = Some(cause);
     }
 
-    /// Stops the attempt. If it writes checkpoints and is granted some leeway, it saves its progress first.
+    /// Stops the attempt. An attempt that runs, writes checkpoints and is granted leeway saves its progress before it
+    /// exits.
     fn stop(&mut self, writes_checkpoints: bool, leeway_s: f64, now: u64) {
         let has_leeway = leeway_s > 0.0;
         match self.phase {
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Ends the pulling phase. Members of a gang then wait for the others; other tasks run.
+    /// Ends the phase in which the task's image is pulled. A gang member then waits for the other members, other tasks
+    /// run, and the attempt exits with an error if `fails` is set.
     fn finish_pulling(&mut self, kind: JobKind, fails: bool, run_time: u64, now: u64) {
         self.phase = if kind == JobKind::Gang { TaskPhase::Waiting } else { TaskPhase::Running };
         self.next_phase_at = now + run_time;
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Kills all tasks and begins a new agent epoch, which the next heartbeat states.
+    /// Kills all tasks of the worker and begins a new agent epoch, whose number the next heartbeat states.
     pub(super) fn begin_agent_epoch(&mut self, now: u64) {
         self.agent_epoch += 1;
         self.epoch_started_at = now;
@@ -147,13 +150,13 @@
 }
 
 impl Simulation {
-    /// Adds a machine with its worker and returns the machine's name.
+    /// Adds a machine and its worker, and returns the machine's name.
     pub(super) fn add_worker(&mut self, type_index: usize, zone_index: usize, spot: bool, boots_at: u64) -> String {
         self.workers.push(Worker::new(type_index, zone_index, spot, boots_at));
         format!("m-{:06}", self.workers.len() - 1)
     }
 
-    /// Creates the next heartbeat of a worker. Its responses to orders have the same form.
+    /// Creates the next heartbeat of a worker. The worker's responses to orders have the same form.
     pub(super) fn next_heartbeat(&mut self, index: usize) -> Heartbeat {
         let worker = &mut self.workers[index];
         worker.sequence += 1;
@@ -217,8 +220,8 @@
             if worker.is_gone || self.now < worker.boots_at {
                 continue;
             }
-            // The lease expires even while the machine is frozen, because a machine that resumes after that kills its
-            // tasks before it does anything else.
+            // A worker's lease expires even while the machine is frozen, because a worker that resumes after the expiry
+            // kills its tasks before it does anything else.
             self.expire_lease(index);
             let now = self.now;
             let worker = &mut self.workers[index];
@@ -302,7 +305,8 @@
         }
         let delay = if partitioned { self.rng.random_range(3_000..20_000) } else { self.draw_message_delay() };
         if self.faults_enabled && self.chance(0.05) {
-            // A duplicate arrives later, possibly long after the lease has expired.
+            // The heartbeat is duplicated, and the duplicate arrives later, possibly long after the worker's lease has
+            // expired.
             let late = self.rng.random_range(1_000..30_000);
             let duplicate = SentHeartbeat { worker: index, sent_at: 0, heartbeat: heartbeat.clone() };
             self.send(late, Message::Heartbeat(duplicate));
@@ -315,8 +319,8 @@
         }
     }
 
-    /// Sends the heartbeats that the relaying controller has collected. A batch is lost, delayed or duplicated as a
-    /// whole; a lost one also stands for a restart of that controller.
+    /// Sends the leader all heartbeats that the relaying controller has collected, as one batch. The batch is lost,
+    /// delayed or duplicated as a whole. The loss of a batch also models a restart of the relaying controller.
     fn send_relay_batch(&mut self) {
         if self.relay_batch.is_empty() || !self.now.is_multiple_of(RELAY_INTERVAL_MS) {
             return;
@@ -338,8 +342,8 @@
         self.send(delay, Message::RelayBatch(batch));
     }
 
-    /// Steps the gangs: a gang starts to run once all members wait, its members complete together, and the running
-    /// members exit if one is lost.
+    /// Advances the gangs: the members start to run once all of them wait, they complete together, and the running
+    /// members exit if another member is lost.
     fn step_gangs(&mut self) {
         for ((job, attempt), members) in self.active_gang_attempts() {
             let complete = members.len() as u32 == self.specs[&job].tasks;
@@ -367,7 +371,7 @@
         }
     }
 
-    /// The members of each gang attempt that have not exited, with the indices of their workers.
+    /// Returns the members of each gang attempt that have not exited, each with the index of its worker.
     fn active_gang_attempts(&self) -> BTreeMap<(JobId, Attempt), Vec<(usize, TaskId)>> {
         let mut members: BTreeMap<(JobId, Attempt), Vec<(usize, TaskId)>> = BTreeMap::new();
         for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| !worker.is_gone) {
--- a/tests/golden/calls.rs
+++ b/tests/golden/calls.rs
@@ -1,5 +1,6 @@
-//! Requests that the clients of the key-value store and of the cloud send, and how the clients decode the responses.
-//! Some of the types are private, so their encoded field names can be checked only by making a call.
+//! Golden tests of the requests that the clients of the key-value store and of the cloud send, and of how the clients
+//! decode the responses. Some of the message types are private, so their encoded field names can be checked only by
+//! making a call.
 
 use crate::samples::Samples;
 use crate::values::machine_type;
@@ -15,7 +16,7 @@
 use wallstile::time::{Millis, MonotonicTime};
 use wallstile::wire::{ProvisionRequest, Transaction};
 
-/// An HTTP server that sends given responses in order, each on a new connection, and records the requests.
+/// An HTTP server that sends the given responses in order, each on a new connection, and records the requests.
 struct FakeServer {
     address: String,
     requests: Arc<Mutex<Vec<String>>>,
@@ -157,7 +158,7 @@
     .await;
     let http = HttpClient::new(8);
     let cloud = CloudClient::new(server.address.clone(), 1000.0);
-    // The calls are so far apart that the rate limit delays none of them.
+    // The calls are 10 s apart, so the client's rate limit delays none of them.
     let now = |call: u64| MonotonicTime(10_000 * call);
     assert_eq!(cloud.machine_types(&http, now(1)).await.expect("the server responds"), vec![machine_type()]);
     let request: ProvisionRequest = samples.read("rent_request");
--- a/tests/golden/peer.rs
+++ b/tests/golden/peer.rs
@@ -1,4 +1,4 @@
-//! The encoded bytes of messages between controllers.
+//! Golden tests of the encoded bytes of messages between controllers.
 
 use crate::samples::Samples;
 use bytes::Bytes;
--- a/tests/golden/samples.rs
+++ b/tests/golden/samples.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// The samples of a file: the exact text of each, by name.
+/// The samples in a file: the exact text of each sample, by its name.
 pub(crate) struct Samples(BTreeMap<String, String>);
 
 impl Samples {
@@ -42,18 +42,18 @@
         self.0.get(name).unwrap_or_else(|| panic!("there is no sample {name}"))
     }
 
-    /// Decodes the sample from its JSON text.
+    /// Decodes the sample of the given name from its JSON text.
     pub(crate) fn read<T: DeserializeOwned>(&self, name: &str) -> T {
         serde_json::from_str(self.text(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
     }
 
-    /// Asserts that the text written by this program is the sample.
+    /// Asserts that a text written by this program equals the sample of the given name.
     pub(crate) fn assert_text(&self, name: &str, written: &str) {
         assert_eq!(written, self.text(name), "sample {name}");
     }
 
-    /// Asserts that the value is encoded as the sample, with its fields in the same order, and that the sample is
-    /// decoded as the value and encoded again without a difference.
+    /// Asserts that the value is encoded as the sample of the given name, with the fields in the same order, and that
+    /// the sample is decoded as the value and encoded again without a difference.
     pub(crate) fn assert_round_trip<T: Serialize + DeserializeOwned + Debug>(&self, name: &str, value: &T) {
         let encode = |value: &T| serde_json::to_string(value).expect("the value can be encoded");
         self.assert_text(name, &encode(value));
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,4 +1,4 @@
-//! The keys of the key-value store and the records stored under them.
+//! Golden tests of the keys of the key-value store and of the records stored under them.
 
 use crate::samples::Samples;
 use crate::values::{full_job, job_id, machine_type, parse_job_id, sparse_job};
@@ -112,8 +112,8 @@
     samples.assert_text("shares", &json!(assignment.to_record(&teams)).to_string());
 }
 
-/// A layout with 150 tasks per chunk, as the upcoming limit on value sizes requires. Earlier versions used the current
-/// limit, under which chunks have 306 tasks.
+/// Returns the layout of completion bitmaps with 150 tasks per stored chunk, as the upcoming limit on value sizes
+/// requires. Earlier versions used the current limit, under which chunks have 306 tasks.
 fn layout() -> BitmapLayout {
     let next = UpcomingStoreLimits { max_value_kb: Some(0.05), ..UpcomingStoreLimits::default() };
     BitmapLayout::new(&StoreLimits { rps: 100.0, write_rps: 20.0, max_value_kb: 0.1, max_transaction_ops: 12, next })
@@ -145,7 +145,7 @@
     assert_eq!(read_bitmap("done_set_by_an_earlier_version", 400), new_bitmap(400, &[2, 305, 306, 315]));
 }
 
-/// Decodes the bitmap whose chunks are stored in a sample.
+/// Decodes the completion bitmap whose chunks are in the sample of the given name.
 fn read_bitmap(name: &str, tasks: usize) -> FixedBitSet {
     let chunks: BTreeMap<String, Value> = Samples::stored().read(name);
     let mut bitmap = FixedBitSet::with_capacity(tasks);
--- a/tests/golden/values.rs
+++ b/tests/golden/values.rs
@@ -16,8 +16,8 @@
     TaskId { job: job_id(), index }
 }
 
-/// A job with all optional fields. No two of its three flags are equal both here and in [`sparse_job`], so that a test
-/// fails if two flags are swapped.
+/// Returns a job spec with all optional fields set. No two of the flags `one_zone`, `spread` and `allows_spot` have
+/// equal values both in this spec and in [`sparse_job`], so that a test fails if two flags are swapped.
 pub(crate) fn full_job() -> JobSpec {
     JobSpec {
         id: "req-000412".into(),
@@ -43,7 +43,7 @@
     }
 }
 
-/// A job without its optional fields.
+/// Returns a job spec without the optional fields.
 pub(crate) fn sparse_job() -> JobSpec {
     JobSpec {
         kind: JobKind::Array,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON exchanged with users, workers, the cloud and the key-value store.
+//! Golden tests of the JSON exchanged with users, workers, the cloud and the key-value store.
 
 use crate::samples::Samples;
 use crate::values::{full_job, job_id, machine_type, parse_job_id, sparse_job, task};
@@ -43,7 +43,7 @@
     assert_eq!(causes, [ExitCause::Other]);
 }
 
-// Users
+// Messages exchanged with users
 
 #[test]
 fn jobs_match_samples() {
@@ -81,7 +81,7 @@
     samples.assert_text("later_answer", &unavailable.body);
 }
 
-// Workers
+// Messages exchanged with workers
 
 fn full_task() -> TaskStatus {
     TaskStatus {
@@ -148,7 +148,7 @@
     samples.assert_round_trip("direct_orders", &direct_orders);
 }
 
-// Cloud
+// Messages exchanged with the cloud
 
 #[test]
 fn machine_types_match_samples() {
@@ -191,7 +191,7 @@
     assert!(!samples.read::<MachineList>("machine_list_of_the_least_members").has_next);
 }
 
-// Key-value store
+// Messages exchanged with the key-value store
 
 #[test]
 fn transactions_match_samples() {
