--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -11,16 +11,17 @@
 const MIN_TRANSACTION_OPS: usize = 4;
 /// Lower bound on the limit on sockets: with fewer, none would be left for users and workers.
 const MIN_SOCKETS: usize = 32;
-/// Time that a cancellation needs in addition to a worker's and a leader's lease, in seconds. It must be carried out in
-/// time even if the leader changes meanwhile.
+/// Time in seconds by which the time limit on cancellations must exceed a worker's lease plus the leader's lease, so
+/// that a cancellation is carried out within the limit even if the leader changes meanwhile.
 const CANCELLATION_MARGIN_S: f64 = 2.0;
-/// Time to live of the leader's lease, as a fraction of that of the workers' leases.
+/// Time to live of the leader's lease in the key-value store, as a fraction of that of a worker's lease.
 const LEADER_LEASE_FRACTION: f64 = 0.35;
-/// Lower bound on the time to live of the leader's lease.
+/// Lower bound on the time to live of the leader's lease, in seconds.
 const MIN_LEADER_LEASE_S: f64 = 2.0;
-/// Upper bound on the time to live of the leader's lease.
+/// Upper bound on the time to live of the leader's lease, in seconds.
 const MAX_LEADER_LEASE_S: f64 = 6.0;
-/// How long the leader may act on a read, as a fraction of the time limit on cancellations less a worker's lease.
+/// How long a leader may act on its last read of the live jobs, as a fraction of the difference between the time limit
+/// on cancellations and the time to live of a worker's lease.
 const READ_TTL_FRACTION: f64 = 0.6;
 
 /// An error in the platform's settings.
@@ -40,10 +41,12 @@
     /// The limit on sockets is so low that none would be left for users and workers.
     #[error("cluster.limits.fd_limit must be at least {MIN_SOCKETS}, not {0}")]
     TooFewSockets(usize),
-    /// The limit on mutations in a transaction, either now or in `next`, is too low for a controller's transactions.
+    /// The limit on mutations in a transaction is too low for a controller's transactions, either now or in the store's
+    /// upcoming limits (`next`).
     #[error("cluster.state.txn_ops must be at least {MIN_TRANSACTION_OPS}, now and in next")]
     TooFewTransactionOps,
-    /// Cancelled tasks would have to be gone before a new leader could make sure of it.
+    /// The time limit on cancellations is too short for the workers' leases to expire and a new leader to be elected,
+    /// so the tasks of a cancelled job could outlive the limit.
     #[error("cluster.workers.cancel_s leaves no room for lease_s and a change of leader")]
     CancellationLimitTooShort,
     /// Two teams have the same name.
@@ -60,10 +63,10 @@
     /// Name of the controller, by which the controllers identify each other.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Zone that it is in; empty if unknown.
+    /// Zone that the controller is in; empty if unknown.
     #[serde(rename = "location", default)]
     pub zone: String,
-    /// Address at which it listens for peers.
+    /// Address at which the controller listens for messages of other controllers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
@@ -83,16 +86,16 @@
 pub struct Team {
     /// Name of the team, unique among the teams.
     pub name: String,
-    /// Guaranteed number of CPUs.
+    /// Number of CPUs that the team is guaranteed.
     #[serde(rename = "cpus", default)]
     pub guaranteed_cpus: f64,
-    /// Quota: the maximum number of CPUs that its tasks may use at a time.
+    /// Quota: the maximum number of CPUs that the team's tasks may use at a time.
     #[serde(rename = "cpus_max", default)]
     pub max_cpus: f64,
-    /// Guaranteed number of GPUs.
+    /// Number of GPUs that the team is guaranteed.
     #[serde(rename = "gpus", default)]
     pub guaranteed_gpus: f64,
-    /// Quota: the maximum number of GPUs that its tasks may use at a time.
+    /// Quota: the maximum number of GPUs that the team's tasks may use at a time.
     #[serde(rename = "gpus_max", default)]
     pub max_gpus: f64,
 }
@@ -100,7 +103,7 @@
 /// Timing of the workers and of cancellations (PROTOCOL, "Workers -> controller nodes").
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerLimits {
-    /// Seconds between two heartbeats of a worker, plus or minus a quarter.
+    /// Seconds between two heartbeats of a worker; the actual time differs by up to a quarter.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
     /// Time to live of a worker's lease, in seconds. A worker whose heartbeats aren't answered for this long kills its
@@ -114,11 +117,11 @@
 /// Limits of the key-value store (PROTOCOL, "Limits and errors").
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreLimits {
-    /// Maximum requests per second from all controllers together.
+    /// Maximum number of requests to the key-value store per second, from all controllers together.
     pub rps: f64,
-    /// Maximum mutations per second from all controllers together.
+    /// Maximum number of mutations (keys set or deleted) per second, from all controllers together.
     pub write_rps: f64,
-    /// Maximum size of a value, in KiB.
+    /// Maximum size of a value in the key-value store, in KiB.
     #[serde(rename = "value_kb")]
     pub max_value_kb: f64,
     /// Maximum number of mutations in a transaction.
@@ -133,14 +136,14 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct UpcomingStoreLimits {
-    /// See [`StoreLimits::rps`].
+    /// The upcoming [`StoreLimits::rps`]; `None` if that limit will not change.
     pub rps: Option<f64>,
-    /// See [`StoreLimits::write_rps`].
+    /// The upcoming [`StoreLimits::write_rps`]; `None` if that limit will not change.
     pub write_rps: Option<f64>,
-    /// See [`StoreLimits::max_value_kb`].
+    /// The upcoming [`StoreLimits::max_value_kb`]; `None` if that limit will not change.
     #[serde(rename = "value_kb")]
     pub max_value_kb: Option<f64>,
-    /// See [`StoreLimits::max_transaction_ops`].
+    /// The upcoming [`StoreLimits::max_transaction_ops`]; `None` if that limit will not change.
     #[serde(rename = "txn_ops")]
     pub max_transaction_ops: Option<usize>,
 }
@@ -151,8 +154,8 @@
 }
 
 impl StoreLimits {
-    /// The stricter of each limit now and its upcoming value. The store accepts what is within these limits both before
-    /// and after the change.
+    /// Returns the lower of the current and the upcoming value of each limit. Whatever is within the returned limits is
+    /// accepted by the store both before and after the change.
     pub fn strictest(&self) -> StoreLimits {
         let lower = |now: f64, later: Option<f64>| later.map_or(now, |later| now.min(later));
         let next = &self.next;
@@ -175,16 +178,16 @@
 /// Limits of the cloud (PROTOCOL, "Controller nodes -> cloud").
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Maximum requests per second.
+    /// Maximum number of requests to the cloud per second.
     pub rps: f64,
-    /// Usual age of its list of machines, in seconds. Occasionally the list is twice as old.
+    /// Usual age of the cloud's list of machines, in seconds. Occasionally the list is twice as old.
     pub list_lag_s: f64,
 }
 
 /// Limits of the machine that a controller runs on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ControllerLimits {
-    /// Maximum number of open file descriptors, nearly all of which are sockets.
+    /// Maximum number of file descriptors that a controller may have open; nearly all of them are sockets.
     #[serde(rename = "fd_limit")]
     pub max_sockets: usize,
 }
@@ -195,7 +198,7 @@
     /// Zones of the cloud that machines may be in.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The teams. The scheduler and its messages identify a team by its index here.
+    /// The teams. The scheduler and its messages identify a team by its index in this list.
     pub teams: Vec<Team>,
     /// Service-level objectives.
     #[serde(default)]
@@ -217,10 +220,10 @@
     /// Name of this controller.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Address at which it listens for users, workers and health checks.
+    /// Address at which this controller listens for users, workers and health checks.
     #[serde(rename = "serve_on")]
     pub listen_addr: SocketAddr,
-    /// Address at which it listens for peers.
+    /// Address at which this controller listens for messages of other controllers.
     #[serde(rename = "internal_addr")]
     pub peer_listen_addr: SocketAddr,
     /// The other controllers.
@@ -234,13 +237,13 @@
 }
 
 impl Settings {
-    /// Reads and validates a settings file. Errors state its path.
+    /// Reads and validates a settings file. Errors state the file's path.
     pub fn load(path: &str) -> Result<Settings, ConfigError> {
         let text = super::read_file(path)?;
         Settings::parse(&text).map_err(|source| ConfigError::Settings { path: path.into(), source })
     }
 
-    /// Parses and validates the JSON text of a settings file. Unknown names are ignored.
+    /// Parses and validates the JSON text of a settings file. Unknown fields are ignored.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = serde_json::from_str(text)?;
         settings.validate()?;
@@ -299,19 +302,19 @@
         Millis::from_secs_f64(ttl_s.clamp(MIN_LEADER_LEASE_S, MAX_LEADER_LEASE_S))
     }
 
-    /// How long after its last read of the live jobs a leader may act on it. A cancellation that the leader fails to
-    /// read must still take effect in time: when the leader stops acting, the workers' leases expire and they kill the
-    /// tasks.
+    /// How long after its last read of the live jobs a leader may act on what it has read. A cancellation that the
+    /// leader fails to read must still take effect in time: when the leader stops acting, the workers' leases expire
+    /// and the workers kill the tasks.
     pub fn read_ttl(&self) -> Millis {
         let workers = &self.cluster.workers;
         Millis::from_secs_f64((workers.cancellation_limit_s - workers.lease_s) * READ_TTL_FRACTION)
     }
 
-    /// Divides the platform's limit on sockets among the controller's purposes.
+    /// Divides the platform's limit on sockets among the purposes for which a controller uses sockets.
     pub fn socket_budget(&self) -> SocketBudget {
         let total = self.cluster.limits.max_sockets;
         let share = |percent: usize, min: usize| (total * percent / 100).max(min);
-        // The remaining 2% are for the listening sockets, the log and the runtime.
+        // The remaining 2% of the sockets are for the listening sockets, the log and the runtime.
         SocketBudget {
             public_listener: share(64, 1),
             peer_listener: share(3, 8),
@@ -322,7 +325,8 @@
 }
 
 /// How many sockets a controller may use for each purpose. Each worker keeps a connection to the leader open. Orders to
-/// workers use separate connections, whose number is limited so that enough sockets are left for the workers'.
+/// workers use separate connections, whose number is limited so that enough sockets remain for the connections that
+/// workers open.
 pub struct SocketBudget {
     /// Incoming connections of users, workers and health checks.
     pub public_listener: usize,
--- a/src/config/slo.rs
+++ b/src/config/slo.rs
@@ -3,19 +3,20 @@
 use super::Settings;
 use serde::Deserialize;
 
-/// What an objective measures.
+/// The kind of a service-level objective: which time the objective limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ObjectiveKind {
-    /// Tasks of a class start within [`Objective::within_s`] after their job could start.
+    /// Tasks of a class start within [`Objective::within_s`] after all dependencies of their job are done.
     Wait,
-    /// Jobs of a class are done within [`Objective::within_s`] after they could start.
+    /// Jobs of a class are done within [`Objective::within_s`] after all their dependencies are done.
     Finished,
     /// Jobs of a class are done within [`Objective::deadline_factor`] times their deadline.
     Deadline,
-    /// Tasks of jobs within their team's guarantee, of any class, start within [`Objective::within_s`].
+    /// Tasks of jobs within their team's guarantee, of any class, start within [`Objective::within_s`] after all
+    /// dependencies of their job are done.
     Guarantee,
-    /// Not known to this version of the program; the objective is ignored.
+    /// A kind that this version of the program doesn't know; the objective is ignored.
     Unknown,
 }
 
@@ -34,10 +35,11 @@
 /// A service-level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What it measures.
+    /// Which time the objective limits: until a task starts, until a job is done, or a job's time relative to its
+    /// deadline.
     pub kind: ObjectiveKind,
-    /// Class of the jobs that it applies to. Objectives of kind [`ObjectiveKind::Guarantee`] apply to all classes and
-    /// leave it empty.
+    /// Class of the jobs that the objective applies to. Objectives of kind [`ObjectiveKind::Guarantee`] apply to all
+    /// classes and leave the class empty.
     #[serde(default)]
     pub class: String,
     /// Time limit in seconds; unused by [`ObjectiveKind::Deadline`].
@@ -63,7 +65,7 @@
 
 impl Settings {
     /// Seconds within which a task of the class should start, by the strictest objective that applies. `guaranteed`
-    /// states whether its job is within its team's guarantee. Returns `None` if no objective applies.
+    /// states whether the task's job is within its team's guarantee. Returns `None` if no objective applies.
     pub fn start_slo_s(&self, class: &str, guaranteed: bool) -> Option<f64> {
         let is_applicable = |objective: &&Objective| match objective.kind {
             ObjectiveKind::Wait => objective.class == class,
@@ -73,14 +75,14 @@
         self.cluster.objectives.iter().filter(is_applicable).map(|objective| objective.within_s).reduce(f64::min)
     }
 
-    /// The times by which a job of the class should end according to each of its objectives, in seconds from now and in
-    /// no particular order; negative if the time has passed. `run_s` is the expected run time of a task.
+    /// The times by which a job of the class should end according to each objective of the class, in seconds from now
+    /// and in no particular order; negative if the time has passed. `run_s` is the expected run time of a task.
     ///
-    /// Objectives on deadlines count from the job's submission, all others from the time that it could start.
+    /// Objectives on deadlines count from the job's submission, all others from the time at which the job could start.
     pub fn slo_deadlines(&self, class: &str, deadline_s: Option<f64>, ages: JobAges, run_s: f64) -> Vec<f64> {
         let remaining_s = |objective: &Objective| match objective.kind {
             ObjectiveKind::Finished => Some(objective.within_s - ages.since_startable_s),
-            // A limit on the start is treated as a limit on the end, later by one run time.
+            // A limit on a task's start is treated as a limit on its end that is one run time later.
             ObjectiveKind::Wait => Some(objective.within_s + run_s - ages.since_startable_s),
             ObjectiveKind::Deadline | ObjectiveKind::Guarantee | ObjectiveKind::Unknown => None,
         };
@@ -89,9 +91,9 @@
         slo_deadlines
     }
 
-    /// Seconds until the job's deadline and until each multiple of it that is an objective of its class; negative if
-    /// the time has passed. Empty if the job has no deadline. `deadline_s` counts from the submission, which was
-    /// `since_submission_s` seconds ago.
+    /// Seconds until the job's deadline and until each multiple of the deadline that is an objective of the job's
+    /// class; negative if the time has passed. Empty if the job has no deadline. `deadline_s` counts from the
+    /// submission, which was `since_submission_s` seconds ago.
     pub fn deadline_multiples(&self, class: &str, deadline_s: Option<f64>, since_submission_s: f64) -> Vec<f64> {
         let Some(deadline_s) = deadline_s else { return Vec::new() };
         let objectives = self.objectives_of(class).filter(|objective| objective.kind == ObjectiveKind::Deadline);
@@ -107,9 +109,9 @@
 /// The SLO deadline that the planner should aim at for a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NextSlo {
-    /// Seconds until the earliest SLO deadline that can still be met; `None` if there is none.
+    /// Seconds until the job's earliest SLO deadline that can still be met; `None` if there is none.
     pub deadline_s: Option<f64>,
-    /// Number of different SLO deadlines that can no longer be met.
+    /// Number of the job's different SLO deadlines that can no longer be met.
     pub missed: u32,
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -41,7 +41,7 @@
     settings.cluster.objectives =
         vec![objective("deadline", 0.0, 1.5), objective("wait", 30.0, 1.0), objective("finished", 200.0, 1.0)];
     // With a run time of 20 s, the SLO deadlines are 50 s (start within 30 s), 60 s (the job's own deadline), 90 s (1.5
-    // times that) and 200 s.
+    // times the job's own deadline) and 200 s.
     let ages = |since_submission_s, since_startable_s| JobAges { since_submission_s, since_startable_s };
     let next = |slo_deadlines| {
         let NextSlo { deadline_s, missed } = next_slo_deadline(slo_deadlines, 20.0);
@@ -66,7 +66,7 @@
     let limits = with(r#"{"write_rps": 15.0, "value_kb": 2.0, "txn_ops": 4}"#).unwrap().cluster.store;
     let lowest = limits.strictest();
     assert_eq!((lowest.rps, lowest.write_rps, lowest.max_value_kb, lowest.max_transaction_ops), (100.0, 15.0, 2.0, 4));
-    // The current limit stays available, as it determines the layout of what is already stored.
+    // The current limit stays available, as it determines the layout of values that are already in the store.
     assert_eq!((limits.max_value_kb, limits.max_value_bytes()), (8.0, 2_048));
     assert_eq!(with(r#"{"value_kb": 64.0}"#).unwrap().cluster.store.strictest().max_value_kb, 8.0);
     assert!(with("null").is_ok() && with("{}").is_ok());
--- a/src/config/tuning.rs
+++ b/src/config/tuning.rs
@@ -11,16 +11,18 @@
 /// The operators' settings, which tune the scheduler. All are optional; docs/operations.md explains each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// How much more than the cheapest candidate a task may cost on average, as a fraction, 0 to 1, of the difference
-    /// in cost between the most expensive and the cheapest one. It is B in the paper that [`crate::core::placement`]
-    /// follows.
+    /// How much more than on the cheapest candidate machine a task may cost on average, as a fraction, 0 to 1, of the
+    /// difference in cost between the most expensive and the cheapest candidate. It is B in the paper that
+    /// [`crate::core::placement`] follows.
     pub budget_share: f64,
     /// Initial median of the log-normal distribution of spot machines' lifetimes, in seconds.
     pub spot_median_s: f64,
-    /// Sigma of that distribution: the standard deviation of the lifetime's logarithm.
+    /// Sigma of the log-normal distribution of spot machines' lifetimes: the standard deviation of the natural
+    /// logarithm of the lifetime in seconds.
     pub spot_sigma: f64,
-    /// A job stops waiting for new spot machines once its slack is less than the time it has waited plus this, in
-    /// seconds: w in equation 8 of the paper that [`crate::core::placement`] follows.
+    /// Margin in seconds: a job stops waiting for new spot machines once its slack, the time between its expected
+    /// finish and the latest acceptable one, is less than the time it has waited plus this margin. It is w in equation
+    /// 8 of the paper that [`crate::core::placement`] follows.
     pub spot_window_s: f64,
     /// Seconds after which an idle machine is terminated.
     pub idle_timeout_s: f64,
@@ -28,16 +30,18 @@
     pub gpu_idle_factor: f64,
     /// Run time that the planner assumes for tasks of services, which have no end, in seconds.
     pub service_horizon_s: f64,
-    /// Lower bound on the batch size, the number of tasks that a round may place on machines that are up. The batch
-    /// grows with the number of ready tasks.
+    /// Lower bound on the batch size, the number of tasks that a planning round may place on machines that are up. The
+    /// batch size grows with the number of ready tasks.
     pub batch_min: f64,
-    /// Upper bound on the batch size.
+    /// Upper bound on the batch size, the number of tasks that a planning round may place on machines that are up.
     pub batch_max: f64,
-    /// Minimum time between the starts of two planning rounds, in milliseconds. An overloaded leader waits longer.
+    /// Minimum time between the starts of two planning rounds, in milliseconds. An overloaded leader waits longer
+    /// between rounds.
     pub min_round_interval_ms: f64,
-    /// Maximum number of user requests in progress at a time. Further ones are answered with status 503.
+    /// Maximum number of user requests in progress at a time. Further requests are answered with status 503.
     pub max_user_requests: f64,
-    /// Time in seconds after which capacity is reserved for a gang that could have started.
+    /// Time in seconds that a gang waits to be placed once its dependencies are done; after that time, capacity is
+    /// reserved for the gang.
     pub gang_reservation_wait_s: f64,
 }
 
@@ -70,7 +74,7 @@
     pub kind: TuningErrorKind,
 }
 
-/// Kinds of errors in the operators' settings. The names in them are those of XML elements.
+/// Kinds of errors in the operators' settings. Their messages name settings by XML element.
 #[derive(Debug, thiserror::Error)]
 pub enum TuningErrorKind {
     /// The file isn't well-formed XML.
@@ -91,21 +95,21 @@
     /// A setting's value isn't a number.
     #[error("<{name}> holds no number: {text:?}")]
     NotANumber {
-        /// The setting.
+        /// Name of the setting's XML element.
         name: String,
-        /// Content of the element.
+        /// Text that the setting's element contains.
         text: String,
     },
     /// A setting's value is out of range.
     #[error("<{name}> must be {min} to {max}, not {value}")]
     OutOfRange {
-        /// The setting.
+        /// Name of the setting's XML element.
         name: String,
-        /// Minimum of the setting.
+        /// Lowest value that the setting may have.
         min: f64,
-        /// Maximum of the setting.
+        /// Highest value that the setting may have.
         max: f64,
-        /// Value in the file.
+        /// The setting's value in the file.
         value: f64,
     },
     /// The root element contains text after the last setting.
@@ -120,7 +124,8 @@
 }
 
 impl Tuning {
-    /// The setting of an element, with the range of its value. Returns `None` if there is no such setting.
+    /// Returns the setting that an XML element holds and the range of values that it may have. Returns `None` if there
+    /// is no such setting.
     fn setting(&mut self, element: &str) -> Option<(&mut f64, RangeInclusive<f64>)> {
         Some(match element {
             "budget-share" => (&mut self.budget_share, 0.0..=1.0),
@@ -139,7 +144,7 @@
         })
     }
 
-    /// Reads and validates a file. Errors state its path and the line.
+    /// Reads and validates a file. Errors state the file's path and the line.
     pub fn load(path: &str) -> Result<Tuning, ConfigError> {
         let text = super::read_file(path)?;
         Tuning::parse(&text).map_err(|source| ConfigError::Tuning { path: path.into(), source })
@@ -182,14 +187,14 @@
     tuning: Tuning,
     /// Names of the open elements, outermost first.
     open: Vec<String>,
-    /// Names of all elements so far.
+    /// Names of all elements read so far, to detect repeated ones.
     seen: Vec<String>,
     /// Text since the last start tag or the end of the last setting.
     content: String,
 }
 
 impl TuningParser {
-    /// Handles a start tag.
+    /// Handles a start tag. Returns an error if the element is unknown, misplaced or repeated, or has attributes.
     fn start(&mut self, element: &BytesStart) -> Result<(), TuningErrorKind> {
         let name = element.name().as_ref().to_string();
         let is_repeated = self.seen.contains(&name);
@@ -239,7 +244,8 @@
         Ok(())
     }
 
-    /// Handles the end of the document.
+    /// Handles the end of the document and returns the settings. Returns an error if the root element is missing or not
+    /// closed.
     fn finish(&mut self) -> Result<Tuning, TuningErrorKind> {
         if self.seen.is_empty() || !self.open.is_empty() {
             return Err(TuningErrorKind::Truncated);
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -5,8 +5,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Name of a job, such as `req-000412`, stored as its number and how many digits it is written with. Leaders compare
-/// and hash job names very often, which is faster for integers than for strings.
+/// Name of a job, such as `req-000412`, represented by its number and how many digits the number is written with.
+/// Leaders compare and hash job names very often, which is faster for integers than for strings.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId {
     number: u64,
@@ -119,8 +119,8 @@
 }
 
 u64_newtype!(
-    /// Revision of the key-value store: it increases with each transaction, and is the version of the keys that the
-    /// transaction changed.
+    /// Revision of the key-value store. Each transaction increases the revision, and the new revision becomes the
+    /// version of the keys that the transaction changed.
     Revision
 );
 u64_newtype!(
@@ -129,17 +129,19 @@
 );
 u64_newtype!(
     /// Fencing token (PROTOCOL, "Tokens"), sent with everything that a leader sends to a worker. Workers ignore orders
-    /// with a lower token than the highest that they have seen. It combines the leader's term, in the high bits, with
-    /// the machine's fence, which the leader raises so that the worker rejects orders sent before.
+    /// with a lower token than the highest that they have seen. A token combines the leader's term, in the high bits,
+    /// with the machine's fence, a counter that the leader raises so that the worker rejects orders that were sent with
+    /// a lower token.
     FencingToken
 );
 u64_newtype!(
-    /// Number of an attempt to run a task. It combines the leader's term, in the high bits, with a count within the
-    /// term.
+    /// Number of an attempt to run a task. It combines the leader's term, in the high bits, with a counter of the
+    /// attempts within the term.
     Attempt
 );
 u64_newtype!(
-    /// A worker's epoch, from 1. It increases each time that the worker loses its lease, which ends all its tasks.
+    /// A worker's epoch, a counter that starts at 1 and increases each time that the worker loses its lease, which ends
+    /// all its tasks.
     AgentEpoch
 );
 u64_newtype!(
@@ -152,32 +154,32 @@
 );
 u64_newtype!(
     /// Number of a request that the scheduler issues and the network layer carries out, unique within a term. The
-    /// result refers to the request by it.
+    /// result of the request carries the same number.
     RequestId
 );
 
-/// Low bits of a fencing token that hold the fence.
+/// Number of low-order bits of a fencing token that hold the machine's fence.
 const FENCE_BITS: u32 = 14;
-/// Low bits of an attempt's number that hold the count within the term.
+/// Number of low-order bits of an [`Attempt`] that hold the counter of attempts within the leader's term.
 const ATTEMPT_BITS: u32 = 30;
 
 impl FencingToken {
-    /// A token below every token of a leader, so it entitles to nothing.
+    /// A token that is lower than that of any leader. A message with it doesn't renew a worker's lease.
     pub const NONE: FencingToken = FencingToken(0);
 
-    /// The token of a leader's term and a machine's fence, which must be at most [`MAX_FENCE`].
+    /// Combines a leader's term with a machine's fence, which must be at most [`MAX_FENCE`].
     pub fn new(term: Term, fence: u64) -> FencingToken {
         FencingToken((term.0 << FENCE_BITS) | (fence & ((1 << FENCE_BITS) - 1)))
     }
 }
 
-/// The highest fence of a machine within a term, as a token has no more bits for it. A leader that has raised a fence
-/// so far retires the machine.
+/// The highest fence of a machine within a term, as a fencing token has no more bits for the fence. If orders to a
+/// machine with this fence go unanswered, the leader retires the machine: it gets no more tasks and is terminated.
 pub const MAX_FENCE: u64 = (1 << FENCE_BITS) - 1;
 
 impl Attempt {
-    /// The number of a term's attempt with this count. As the term is part of it, no two leaders ever use the same
-    /// number.
+    /// Combines a leader's term with the number of the attempt within that term. As the term is part of the result, no
+    /// two leaders ever use the same number.
     pub fn new(term: Term, count: u64) -> Attempt {
         Attempt((term.0 << ATTEMPT_BITS) | (count & ((1 << ATTEMPT_BITS) - 1)))
     }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -20,8 +20,8 @@
 }
 
 impl LineRateLimiter {
-    /// Decides on a line that comes `elapsed_s` seconds after the previous call. Returns the number of lines suppressed
-    /// since the last one that was written, or `None` if this line is suppressed as well.
+    /// Decides whether to write a line that comes `elapsed_s` seconds after the previous call. Returns the number of
+    /// lines suppressed since the last one that was written, or `None` if this line is suppressed as well.
     fn admit(&mut self, elapsed_s: f64) -> Option<u64> {
         self.tokens = (self.tokens + elapsed_s * MAX_DEBUG_LINES_PER_SECOND).min(MAX_DEBUG_BURST);
         if self.tokens < 1.0 {
--- a/src/net/heartbeat_balancing.rs
+++ b/src/net/heartbeat_balancing.rs
@@ -8,7 +8,7 @@
 use crate::config::Peer;
 use crate::time::{Millis, MonotonicTime};
 
-/// Minimum time between two redirects. It gives overloaded peers time to report that they have no more capacity.
+/// Minimum time between two redirects. The pause gives overloaded peers time to report that they have no more capacity.
 const MIN_REDIRECT_INTERVAL: Millis = Millis(40);
 
 /// Distributes workers over the peers that can relay their heartbeats, according to the peers' latest responses to
@@ -21,7 +21,7 @@
 }
 
 impl HeartbeatBalancer {
-    /// Sets the peers that can relay heartbeats now. The round-robin order continues where it was.
+    /// Sets the peers that can relay heartbeats now. The round-robin order is not reset.
     pub fn set_peers(&mut self, peers: Vec<Peer>) {
         self.peers = peers;
     }
@@ -45,7 +45,8 @@
         self.round_robin.current(&candidates).map(|peer| peer.name.as_str())
     }
 
-    /// Records that a worker has been redirected to the peer that [`HeartbeatBalancer::preferred_relay`] returned.
+    /// Records that a worker has been redirected to the peer that [`HeartbeatBalancer::preferred_relay`] returned. The
+    /// next worker is redirected to the next peer, after [`MIN_REDIRECT_INTERVAL`] at the earliest.
     pub fn record_redirect(&mut self, now: MonotonicTime) {
         self.round_robin.advance();
         self.next_redirect_at = now + MIN_REDIRECT_INTERVAL;
--- a/src/net/heartbeat_relay.rs
+++ b/src/net/heartbeat_relay.rs
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, oneshot};
 
-/// Minimum time between the starts of two batches, so that each carries several heartbeats.
+/// Minimum time between the starts of two batches, so that each batch carries several heartbeats.
 const BATCH_INTERVAL: Millis = Millis(100);
-/// How long the leader may take to answer a batch. Shorter than the 4 s that a worker waits for its response, so that
-/// the worker can still be redirected if the leader doesn't answer.
+/// How long the leader may take to answer a batch. It is shorter than the 4 s that a worker waits for a response, so
+/// that the worker can still be redirected if the leader doesn't answer.
 const BATCH_TIMEOUT: Millis = Millis(1_800);
 /// Average delay of timers, in milliseconds, at which this controller is overloaded and no more workers are redirected
 /// to it.
@@ -28,9 +28,10 @@
 const TIMER_LAG_SMOOTHING: f64 = 0.2;
 /// Maximum number of heartbeats that wait for the next batch. Workers whose heartbeats exceed it are redirected.
 const MAX_WAITING_HEARTBEATS: usize = 4_096;
-/// Total size of the waiting heartbeats at which no more are queued. The last one queued may exceed it.
+/// Total size in bytes of the waiting heartbeats at which no more are queued. The last one queued may exceed this size.
 const MAX_WAITING_BYTES: usize = 4 << 20;
-/// A leader sends a heartbeat to its peers every second. No batches are sent to one that has not done so for this long.
+/// How long after a leader's last heartbeat this controller still sends batches to it. A leader sends a heartbeat to
+/// its peers every second.
 const LEADER_HEARTBEAT_TIMEOUT: Millis = Millis(4_000);
 
 /// A leader from which this controller has received a heartbeat.
@@ -51,8 +52,8 @@
 #[derive(Default)]
 pub struct HeartbeatRelay {
     leader: Option<KnownLeader>,
-    /// Whether the leader has answered the last batch. Workers' heartbeats are only queued while it has. Otherwise an
-    /// empty batch is sent as a probe after each of the leader's heartbeats.
+    /// Whether the leader has answered the last batch. While it has, workers' heartbeats are queued. Otherwise an empty
+    /// batch is sent as a probe after each of the leader's heartbeats.
     leader_confirmed: bool,
     waiting: Vec<WaitingHeartbeat>,
     waiting_bytes: usize,
@@ -61,8 +62,8 @@
 }
 
 impl HeartbeatRelay {
-    /// Records a heartbeat from a leader. It is ignored if a leader of a later term is known: its sender may not have
-    /// noticed yet that it has lost its lease.
+    /// Records a heartbeat from a leader. The heartbeat is ignored if a leader of a later term is known: its sender may
+    /// not have noticed yet that it has lost its lease.
     pub fn record_leader_heartbeat(&mut self, name: &str, term: Term, now: MonotonicTime) {
         if self.leader.as_ref().is_some_and(|known| term < known.term) {
             return;
@@ -150,8 +151,8 @@
 /// Wakes [`run`] when a heartbeat is waiting, or when the leader should be probed with an empty batch.
 pub type RelayWakeup = Notify;
 
-/// Sends waiting heartbeats to the leader in batches until the process ends. If none wait when it is woken, it sends
-/// an empty batch to find out whether the leader answers.
+/// Sends waiting heartbeats to the leader in batches until the process ends. If no heartbeat is waiting when the loop
+/// is woken, it sends an empty batch to find out whether the leader answers.
 pub async fn run(node: Arc<Node>) {
     loop {
         node.relay_wakeup.notified().await;
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -134,7 +134,8 @@
     heartbeat: &Heartbeat,
     relayed_by: Option<&str>,
 ) -> Option<String> {
-    // Checked first because it is `None` for most heartbeats: most workers already use the right controller.
+    // The preferred peer is determined first because there is none for most heartbeats: most workers already use the
+    // right controller.
     let peer = state.heartbeat_balancer.preferred_relay(now, &heartbeat.zone, relayed_by)?.to_string();
     let id = MachineId::parse(&heartbeat.machine)?;
     if !state.scheduler.as_ref()?.may_redirect_worker(now, &id) {
@@ -153,7 +154,7 @@
         return Some(peer);
     }
     // While the key-value store doesn't serve this controller, the leader's name that was last read from it may be
-    // outdated, and redirects to it could send workers in circles. Peers may know the current leader.
+    // outdated, and redirects to that controller could send workers in circles. Peers may know the current leader.
     let health = &state.store_health;
     let leader = if health.is_unavailable() { health.leader_reported_by_peers() } else { state.leader_name.as_ref() };
     // The leader suspects a machine when it gets no heartbeats from its worker, which probably can't reach the leader.
--- a/src/net/loopback.rs
+++ b/src/net/loopback.rs
@@ -124,7 +124,7 @@
 }
 
 /// Starts a controller and the fakes that it talks to, and returns it with a client of its public API. All servers
-/// accept connections when this returns. The controller doesn't stand for election yet.
+/// accept connections when this function returns. The controller doesn't stand for election yet.
 pub(super) async fn start(cluster: &FakeCluster, mut settings: Settings) -> (Arc<Node>, Client) {
     settings.listen_addr = free_addr();
     settings.services.store = cluster.serve_store(&settings.name);
@@ -162,7 +162,7 @@
 }
 
 /// Starts two controllers that are each other's peers. The first doesn't receive messages from the second until
-/// [`serve_peers`] is called for it.
+/// [`serve_peers`] is called for the first controller.
 pub(super) async fn start_pair(cluster: &FakeCluster) -> [(Arc<Node>, Client); 2] {
     start_pair_with(cluster, sample_settings()).await
 }
--- a/src/net/loopback/dependencies.rs
+++ b/src/net/loopback/dependencies.rs
@@ -22,7 +22,7 @@
     pair
 }
 
-/// Returns the stored value of a job's record, or `None` if there is none.
+/// Returns the value of a job's record in the fake store, or `None` if there is none. `key` forms the record's key.
 fn stored(cluster: &FakeCluster, key: fn(&JobId) -> String, id: &str) -> Option<Value> {
     let key = key(&JobId::parse(id).unwrap());
     cluster.lock().store.entries.get(&key).map(|(value, _)| value.clone())
@@ -38,8 +38,8 @@
     cluster.lock().store.put("over/req-000003", json!(done), 1);
 }
 
-/// Submits a chain of jobs 1 to 4, each depending on the one before, cancels job 1, and submits job 6, which depends on
-/// job 5.
+/// Submits jobs 1 to 4, of which 2 to 4 each depend on the one before, and jobs 5 and 6, of which 6 depends on 5. Then
+/// cancels job 1.
 async fn submit_cancelled_chain(client: &Client) {
     assert_eq!(client.submit(job("req-000001", 1)).await.0, 201);
     for (id, depends_on) in [("req-000002", "req-000001"), ("req-000003", "req-000002"), ("req-000004", "req-000003")] {
@@ -75,7 +75,7 @@
         (201, json!({"id": "req-000011", "phase": "queued"}))
     );
     assert!(stored(&cluster, live_key, "req-000011").unwrap()["spec"].is_object());
-    // The record of a job that waits for its dependencies has another format.
+    // The record of a job that waits for its dependencies has another format than that of a job without dependencies.
     assert_eq!(client.submit(job_depending_on("req-000012", json!(["req-000001", "req-000003"]))).await.0, 201);
     let record = stored(&cluster, live_key, "req-000012").unwrap();
     assert_eq!(record["waiting"]["awaits"], json!(["req-000001"]));
--- a/src/net/loopback/fakes.rs
+++ b/src/net/loopback/fakes.rs
@@ -35,7 +35,8 @@
         self.lock().store.entries.contains_key(key)
     }
 
-    /// Starts a server of the store for one controller, whose requests can be refused separately.
+    /// Starts a server of the store for one controller. Each controller has its own, so that the requests of one can be
+    /// refused while those of others are served.
     pub(super) fn serve_store(&self, controller: &str) -> SocketAddr {
         serve(StoreServer { cluster: self.clone(), controller: controller.to_string() })
     }
@@ -54,12 +55,12 @@
 /// A fake key-value store. Its leases never expire, and watches are answered from a log of all changes.
 #[derive(Default)]
 pub(in crate::net) struct FakeStore {
-    /// Each value with the revision at which it was written.
+    /// The value of each key, with the revision at which it was written.
     pub(super) entries: BTreeMap<String, (Value, u64)>,
     /// All changes, each with its key, its revision and its entry in the response to a watch.
     changes: Vec<(String, u64, Value)>,
     revision: u64,
-    /// Whether all requests are refused.
+    /// Whether the store refuses all requests.
     pub(super) refuses_all: bool,
     /// Whether responses are delayed beyond the clients' timeouts.
     pub(super) unresponsive: bool,
@@ -145,15 +146,15 @@
     }
 }
 
-/// A worker that executes run orders at once and ignores stop orders. Its tasks run until the test ends them.
+/// A worker that executes run orders immediately and ignores stop orders. Its tasks run until the test ends them.
 #[derive(Default)]
 pub(in crate::net) struct FakeWorker {
     pub(super) endpoint: String,
     sequence: u64,
     pub(super) token: u64,
-    /// The entry of each task in its heartbeats.
+    /// The entry of each task in the worker's heartbeats, by task name.
     pub(super) tasks: BTreeMap<String, Value>,
-    /// All orders that were sent to its endpoint.
+    /// All orders that were sent to the worker's endpoint.
     pub(super) orders: Vec<Order>,
 }
 
--- a/src/net/loopback/leadership.rs
+++ b/src/net/loopback/leadership.rs
@@ -22,8 +22,8 @@
     };
     eventually(async || {
         heartbeat().await;
-        // The other controller must know all cancellations since the revision up to which the leader has read,
-        // otherwise it can give no pledge.
+        // Waits until the other controller knows all cancellations since the revision up to which the leader has read.
+        // A controller that doesn't know them refuses to pledge that it will not stand for election.
         let read_through = leader.lock().election.lease().map_or(0, |lease| lease.read_through.0);
         let known = other.lock().cancellations.since(Revision(read_through)).is_some();
         !cluster.lock().worker.tasks.is_empty() && known
@@ -46,8 +46,8 @@
     }
     eventually(async || heartbeat().await == 200).await;
 
-    // After a restart, the other controller can't know which cancellations were confirmed to users before, so it gives
-    // no pledge.
+    // After a restart, the other controller can't know which cancellations were confirmed to users before, so it
+    // refuses to pledge that it will not stand for election.
     other.lock().cancellations = ConfirmedCancellations::default();
     eventually(async || heartbeat().await == 421).await;
 }
@@ -63,7 +63,8 @@
     assert_eq!(client.submit(job("req-000001", 2)).await.0, 201);
 
     cluster.lock().store.unresponsive = true;
-    // When its lease has expired, it redirects workers without naming a controller, so that they look for a leader.
+    // When the leader's lease has expired, it redirects workers without naming a controller, so that the workers look
+    // for a leader themselves.
     eventually(async || heartbeat().await == (421, json!({}))).await;
     eventually(async || client.get("/healthz").await.0 == 503).await;
     let asked = std::time::Instant::now();
@@ -117,8 +118,8 @@
 
 #[tokio::test]
 async fn loading_leader_does_not_renew_the_lease_of_a_worker_with_tasks() {
-    // A leader that is still loading the cluster state can't know which tasks are cancelled. Guards against renewing
-    // the leases of all workers regardless.
+    // A leader that is still loading the cluster state can't know which tasks are cancelled. Guards against such a
+    // leader renewing the leases of all workers, even of those with tasks.
     let cluster = FakeCluster::default();
     let (node, client) = start_without_peers(&cluster).await;
     node.lock().election.elected(Term(5), LeaseId(7), node.now());
--- a/src/net/loopback/relay.rs
+++ b/src/net/loopback/relay.rs
@@ -58,7 +58,7 @@
 #[tokio::test]
 async fn leader_redirects_workers_to_a_relay_after_a_lease() {
     let cluster = FakeCluster::default();
-    // A leader redirects workers only after it has led for one worker lease, which is shortened here.
+    // A leader redirects workers only after it has led for one worker lease, which this test shortens.
     let mut settings = sample_settings();
     settings.cluster.workers.lease_s = 4.0;
     let [(_leader, leader_client), (relay, _)] = leader_and_relay(&cluster, settings).await;
--- a/src/net/loopback/users.rs
+++ b/src/net/loopback/users.rs
@@ -22,7 +22,7 @@
 #[tokio::test]
 async fn controller_refuses_users_until_it_knows_the_machine_types() {
     let (_node, client) = start_without_peers(&FakeCluster::default()).await;
-    // Submissions can't be checked yet, so they are refused without waiting.
+    // Submissions can't be checked without the machine types, so they are refused without waiting.
     assert_eq!(client.get("/healthz").await.0, 503);
     assert_eq!(client.submit(job("req-000001", 2)).await.0, 503);
 }
--- a/src/net/redirected_workers.rs
+++ b/src/net/redirected_workers.rs
@@ -1,8 +1,8 @@
-//! Records workers that have sent this controller a heartbeat while it didn't lead, and neither it nor a known peer
-//! could relay the heartbeat to the leader.
+//! Records workers that have sent this controller a heartbeat while it didn't lead, and neither this controller nor a
+//! known peer could relay the heartbeat to the leader.
 //!
-//! A leader asks its peers which of the machines that it suspects they have recorded. If they have recorded most, the
-//! machines are alive and it is the leader that they can't reach.
+//! A leader that suspects machines of having failed asks its peers which of these machines they have recorded. If the
+//! peers have recorded most of them, the machines are alive but can't reach the leader.
 
 use crate::time::{Millis, MonotonicTime};
 use std::collections::HashMap;
@@ -16,14 +16,15 @@
 /// discarded.
 const MAX_REDIRECTED: usize = 65_536;
 
-/// The record of a worker's heartbeat. The worker may not have been redirected, for example if no leader was known.
+/// The record of a worker's heartbeat. A worker with a record may not have been redirected, for example if no leader
+/// was known.
 struct Redirect {
     at: MonotonicTime,
     /// The leader that was passed to [`RedirectedWorkers::record`], or `None` if none was known.
     leader: Option<String>,
 }
 
-/// The latest record of each machine.
+/// The latest heartbeat record of each machine, by the machine's name.
 #[derive(Default)]
 pub struct RedirectedWorkers {
     by_machine: HashMap<String, Redirect>,
@@ -32,10 +33,10 @@
 impl RedirectedWorkers {
     /// Records that a machine's worker has sent its heartbeat here, and returns the controller to redirect it to.
     ///
-    /// Returns `None` if `leader` is `None`, or if it is the same leader as at the worker's previous heartbeat here
-    /// and that was at least a response timeout ago: the worker can't reach that leader and would only alternate
-    /// between the two controllers. A worker that is back sooner was refused there at once; it is redirected again,
-    /// as that controller may be about to start leading.
+    /// Returns `None` if `leader` is `None`, or if it is the same leader as at the worker's previous heartbeat here and
+    /// that was at least a response timeout ago: the worker can't reach that leader and would only alternate between
+    /// the two controllers. A worker that is back sooner was refused there immediately; it is redirected again, as that
+    /// controller may be about to start leading.
     pub fn record(&mut self, machine: &str, now: MonotonicTime, leader: Option<String>) -> Option<String> {
         if self.by_machine.len() >= MAX_REDIRECTED {
             self.by_machine.clear();
--- a/src/net/relay_routes.rs
+++ b/src/net/relay_routes.rs
@@ -1,8 +1,8 @@
-//! Relay routes: peers that can reach the leader while this controller can't, for example during a network
-//! partition between two zones.
+//! Relay routes: peers that can reach the leader while this controller can't, for example during a network partition
+//! between two zones.
 //!
-//! Workers that send heartbeats to this controller are redirected to such a peer. Redirecting them to the leader
-//! itself would not help workers on this side of the partition: they can't reach it either and would only time out.
+//! Workers that send heartbeats to this controller are redirected to such a peer. Redirecting them to the leader itself
+//! would not help workers on this side of the partition: they can't reach the leader either and would only time out.
 
 use super::node::Node;
 use super::peers;
@@ -23,7 +23,7 @@
 }
 
 impl RelayRoutes {
-    /// Sets the peers, by name. The round-robin order continues where it was.
+    /// Sets the peers that relay heartbeats to the leader, by name. The round-robin order is not reset.
     pub fn set_peers(&mut self, peers: Vec<String>) {
         self.peers = peers;
     }
@@ -51,7 +51,7 @@
     node.lock().relay_routes.set_peers(names);
 }
 
-/// Returns whether another controller leads and heartbeats can't be relayed to it from here.
+/// Returns whether another controller leads and this controller can't relay heartbeats to it.
 fn needs_relay_routes(node: &Node) -> bool {
     let now = node.now();
     let state = node.lock();
--- a/src/peer/heartbeat.rs
+++ b/src/peer/heartbeat.rs
@@ -4,7 +4,8 @@
 use prost::Message;
 
 /// A heartbeat from one controller to another. A leader sends one to each peer about once a second. With
-/// `requests_lease_extension` it is also a request for a pledge (see [`crate::core::election`]).
+/// `requests_lease_extension` the heartbeat also asks the receiver to pledge not to stand for election (see
+/// [`crate::core::election`]).
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerHeartbeat {
     /// [`super::VERSION`] of the sender.
@@ -13,8 +14,8 @@
     /// Name of the sender.
     #[prost(string, tag = "2")]
     pub from: String,
-    /// Whether the sender is a leader to which the key-value store is unavailable, and which asks for a pledge so that
-    /// it can extend its lease.
+    /// Whether the sender is a leader to which the key-value store is unavailable, and which asks the receiver to
+    /// pledge not to stand for election, so that the leader can extend its lease.
     #[prost(bool, tag = "3")]
     pub requests_lease_extension: bool,
     /// Term of the sender if it is the leader, otherwise 0.
@@ -26,8 +27,8 @@
     /// Whether the sender is the leader.
     #[prost(bool, tag = "6")]
     pub leading: bool,
-    /// Name of the controller that the sender hands over to; empty if it doesn't hand over. The other controllers don't
-    /// stand for election for a while.
+    /// Name of the controller that the sender hands its leadership over to; empty if it hands over to none. The other
+    /// controllers don't stand for election for a while.
     #[prost(string, tag = "7")]
     pub successor: String,
     /// Names of machines that the leader suspects of having failed. If their workers send heartbeats to a peer, they
@@ -38,8 +39,8 @@
     /// jobs.
     #[prost(uint64, tag = "9")]
     pub read_through: u64,
-    /// Names of jobs whose cancellation the sender has just confirmed to users. They let the leader stop starting tasks
-    /// of these jobs sooner; correctness doesn't depend on them.
+    /// Names of jobs whose cancellation the sender has just confirmed to users. A leader that receives them stops
+    /// starting tasks of these jobs sooner; correctness doesn't depend on these names.
     #[prost(string, repeated, tag = "10")]
     pub cancelled_jobs: Vec<String>,
 }
@@ -50,10 +51,10 @@
     /// Name of the job.
     #[prost(string, tag = "1")]
     pub job: String,
-    /// Number of its tasks that are done.
+    /// Number of the job's tasks that are done.
     #[prost(uint32, tag = "2")]
     pub done: u32,
-    /// Number of its running tasks.
+    /// Number of the job's running tasks.
     #[prost(uint32, tag = "3")]
     pub running: u32,
 }
@@ -67,19 +68,20 @@
     /// Whether the key-value store is available to the responder.
     #[prost(bool, tag = "2")]
     pub store_available: bool,
-    /// A pledge: the responder will not stand for election for this many milliseconds. 0 means that it gives no pledge.
+    /// Duration of the responder's pledge, in milliseconds: it will not stand for election for this long. 0 means that
+    /// the responder gives no pledge.
     #[prost(uint64, tag = "3")]
     pub pledge_ms: u64,
     /// Names of those machines suspected by the sender of the heartbeat whose workers have recently sent heartbeats to
     /// the responder.
     #[prost(string, repeated, tag = "4")]
     pub redirected_machines: Vec<String>,
-    /// Name of the leader, as the responder last read it from the key-value store; empty if it knows none or the store
-    /// is unavailable to it.
+    /// Name of the leader, as the responder last read it from the key-value store; empty if the responder knows no
+    /// leader or the store is unavailable to it.
     #[prost(string, tag = "5")]
     pub leader: String,
-    /// Only with a pledge: names of all jobs whose cancellation the responder has confirmed to users and that the
-    /// leader can't have read from the store.
+    /// Only if the responder pledges not to stand for election: names of all jobs whose cancellation it has confirmed
+    /// to users and that the leader can't have read from the store.
     #[prost(string, repeated, tag = "6")]
     pub cancelled_jobs: Vec<String>,
     /// Whether the responder can relay workers' heartbeats to the leader.
@@ -96,7 +98,7 @@
     /// The JSON text of each heartbeat, as the worker sent it.
     #[prost(bytes = "bytes", repeated, tag = "2")]
     pub heartbeats: Vec<Bytes>,
-    /// Name of the controller that received them.
+    /// Name of the controller that received the heartbeats from the workers.
     #[prost(string, tag = "3")]
     pub from: String,
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -21,6 +21,7 @@
     assert_eq!(EarlierJobView::decode(&*job.encode_to_vec()).unwrap(), earlier);
     let read = JobView::decode(&*earlier.encode_to_vec()).unwrap();
     assert_eq!(read, JobView { dependents_rank_s: 0.0, ..job });
-    // With a higher version number, each of the two would reject the other's messages.
+    // Controllers reject messages with a version number other than their own, so raising the number would make the two
+    // versions reject each other's messages.
     assert_eq!(VERSION, 3);
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -9,7 +9,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Converts seconds, rounding down to whole milliseconds. A negative number gives a zero duration.
+    /// Converts seconds, rounding down to whole milliseconds. A negative number of seconds gives a zero duration.
     pub fn from_secs_f64(seconds: f64) -> Millis {
         Millis((seconds.max(0.0) * 1000.0) as u64)
     }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -8,30 +8,30 @@
     /// Name of the type.
     #[serde(rename = "sku")]
     pub name: String,
-    /// Number of CPUs.
+    /// Total number of CPUs of a machine of this type.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// Number of GPUs.
+    /// Total number of GPUs of a machine of this type.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory, in GB.
+    /// Total memory of a machine of this type, in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Space for cached images, in GB.
+    /// Space for cached images on a machine of this type, in GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Nominal bandwidth of image fetches, in GB per second, shared by concurrent fetches.
+    /// Nominal bandwidth at which a machine fetches images, in GB per second, shared by concurrent fetches.
     #[serde(default = "default_fetch_gb_per_s")]
     pub fetch_gb_per_s: f64,
-    /// Price per hour of on-demand machines, charged by the second from the request on, for at least 60 s.
+    /// Price per hour of an on-demand machine, charged by the second from the request on, for at least 60 s.
     pub price: f64,
-    /// Current price per hour of spot machines, charged in the same way.
+    /// Current price per hour of a spot machine, charged by the second from the request on, for at least 60 s.
     #[serde(rename = "market_price")]
     pub spot_price: f64,
     /// Usual time from the request until a machine is up, in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones in which it is offered.
+    /// Zones in which the cloud offers machines of this type.
     #[serde(rename = "quays", default)]
     pub zones: Vec<String>,
 }
@@ -64,7 +64,7 @@
     /// Whether spot machines are requested.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Maximum number of machines to provision, 50 or less.
+    /// Maximum number of machines to provision for the request, 50 or less.
     #[serde(rename = "number")]
     pub count: u32,
 }
@@ -72,7 +72,7 @@
 /// Names of machines: the response to a [`ProvisionRequest`], and the body of a termination request (at most 100).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "plinths")]
     pub names: Vec<String>,
 }
@@ -81,11 +81,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachinePhase {
-    /// Not up yet. Some machines never come up.
+    /// The machine isn't up yet. Some machines never come up.
     Starting,
-    /// Up, or stopped only recently.
+    /// The machine is up, or has stopped only recently.
     Running,
-    /// It has stopped without a termination request. It stays in the list until it is terminated.
+    /// The machine has stopped without a termination request. It stays in the list until it is terminated.
     Failed,
 }
 
@@ -94,21 +94,21 @@
 pub struct ListedMachine {
     /// Name of the machine.
     pub id: String,
-    /// Address at which its worker receives orders; `None` until it is known.
+    /// Address at which the machine's worker receives orders; `None` until the address is known.
     #[serde(default)]
     pub endpoint: Option<String>,
-    /// Name of its machine type.
+    /// Name of the machine's type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Its zone.
+    /// Name of the zone that the machine is in.
     #[serde(rename = "quay")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Its phase.
+    /// Phase of the machine at the time that the list describes.
     pub phase: MachinePhase,
-    /// Seconds between the request that provisioned it and the time that the list describes.
+    /// Seconds between the request that provisioned the machine and the time that the list describes.
     #[serde(default)]
     pub age_s: f64,
 }
@@ -119,7 +119,7 @@
     /// The machines, ordered by name, which is the order of their creation.
     #[serde(rename = "plinths")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more pages.
+    /// Whether the list has more pages after this one.
     #[serde(default)]
     pub has_next: bool,
 }
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -6,7 +6,7 @@
 /// A precondition of a transaction: a key must have a certain revision for the transaction to be committed.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct Precondition {
-    /// The key.
+    /// Key that the precondition applies to.
     #[serde(rename = "path")]
     pub key: String,
     /// Revision that the key must have. 0 means that the key must be absent.
@@ -18,20 +18,20 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Mutation {
-    /// Set the key's value.
+    /// Set the value of a key.
     Put {
-        /// The key.
+        /// Key whose value is set.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// New value of the key.
         value: Value,
         /// Lease that the key is attached to, if any: the store deletes the key when the lease ends.
         #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Delete the key.
+    /// Delete a key.
     Delete {
-        /// The key.
+        /// Key that is deleted.
         #[serde(rename = "drop")]
         key: String,
     },
@@ -53,10 +53,10 @@
 /// /commit").
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions that must all hold.
+    /// Conditions that must all hold for the mutations to be applied.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// Changes to apply, which all get the same revision.
+    /// Changes to apply. All changed keys get the same revision.
     #[serde(rename = "apply")]
     pub mutations: Vec<Mutation>,
 }
@@ -64,12 +64,12 @@
 /// A key and its value (PROTOCOL, "GET /store/{key}").
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Name of the key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     pub value: Value,
-    /// Revision of its last change.
+    /// Store revision at which the key was last changed.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
@@ -80,7 +80,7 @@
     /// The entries, ordered by key.
     #[serde(rename = "rows")]
     pub entries: Vec<KeyValue>,
-    /// Whether there are more pages.
+    /// Whether the range has more pages after this one.
     #[serde(default)]
     pub has_next: bool,
     /// Revision of the store at the time of the read.
@@ -94,18 +94,18 @@
 pub enum WatchEvent {
     /// The key was set.
     Put {
-        /// The key.
+        /// Key that was set.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// New value of the key.
         value: Value,
-        /// Revision of the change.
+        /// Store revision of the change.
         #[serde(rename = "stamp")]
         revision: u64,
     },
     /// The key was deleted.
     Delete {
-        /// The key.
+        /// Key that was deleted.
         #[serde(rename = "drop")]
         key: String,
     },
@@ -114,10 +114,10 @@
 /// The changes of watched keys after a revision (PROTOCOL, "GET /follow").
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchResponse {
-    /// Revision of the store that the changes lead up to. The next watch request continues from it.
+    /// Revision of the store that the changes lead up to. The next watch request continues from this revision.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// All changes since the requested revision, in order.
+    /// All changes of the watched keys since the requested revision, in order.
     #[serde(rename = "log", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -35,19 +35,19 @@
 pub struct JobSpec {
     /// Unique name of the job, such as `req-000412`, chosen by the user.
     pub id: String,
-    /// Class of the job, which determines the objectives that apply.
+    /// Class of the job, which determines the service-level objectives that apply.
     #[serde(rename = "berth")]
     pub class: String,
     /// Name of the team whose guarantee and quota apply.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Kind of the job.
+    /// Kind of the job: array, gang or service.
     #[serde(rename = "shape")]
     pub kind: JobKind,
     /// Priority of the job (PROTOCOL, "Preemption").
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks that the job consists of.
     #[serde(rename = "lots")]
     pub tasks: u32,
     /// CPUs that each task needs.
@@ -67,7 +67,7 @@
     /// Names of the allowed machine types; `None` if all are allowed.
     #[serde(rename = "builds", default, skip_serializing_if = "Option::is_none")]
     pub allowed_types: Option<Vec<String>>,
-    /// The only allowed zone; `None` if all are allowed.
+    /// Name of the only zone that the tasks may run in; `None` if all zones are allowed.
     #[serde(rename = "quay", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks must be in the same zone.
@@ -76,7 +76,7 @@
     /// Whether the tasks must be spread over zones: at most half of them, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Whether its tasks may run on spot machines.
+    /// Whether the job's tasks may run on spot machines.
     #[serde(rename = "loaner")]
     pub allows_spot: bool,
     /// The user's estimate of a task's run time, not including the image fetch, in seconds; 0 for services.
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -47,13 +47,13 @@
     Other,
 }
 
-/// Status of a task in a worker's list.
+/// Status of a task attempt, as listed in a worker's heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task; `None` if the name in the list is not a valid task name.
     #[serde(rename = "lot", deserialize_with = "deserialize_valid_task")]
     pub task: Option<TaskId>,
-    /// Number of the attempt.
+    /// Number of the attempt to run the task.
     #[serde(rename = "try")]
     pub attempt: Attempt,
     /// Phase of the task.
@@ -83,21 +83,21 @@
 /// A worker's heartbeat (PROTOCOL, "POST /v1/report").
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Name of the machine.
+    /// Name of the machine that the worker runs on.
     #[serde(rename = "plinth")]
     pub machine: String,
     /// Address at which the worker receives orders.
     pub endpoint: String,
-    /// Name of the machine type.
+    /// Name of the machine's type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Zone of the machine.
+    /// Name of the zone that the machine is in.
     #[serde(rename = "quay")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Epoch of the worker. It starts at 1 and increases each time that the worker loses its lease.
+    /// Epoch of the worker: a counter that starts at 1 and increases each time that the worker loses its lease.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
     /// Sequence number of the message, which increases with each message of the agent epoch.
@@ -106,7 +106,7 @@
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Seconds until the cloud reclaims the spot machine; `None` if it has given no notice.
+    /// Seconds until the cloud reclaims the spot machine; `None` if the cloud has given no notice.
     #[serde(rename = "warn_s", default)]
     pub notice_s: Option<f64>,
     /// All tasks on the machine, including exited ones that have not been cleared.
@@ -119,21 +119,22 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Order {
-    /// Start a task attempt, unless the worker already knows it.
+    /// Start a task attempt, unless the worker already knows the attempt.
     Run {
-        /// The task.
+        /// Task to start.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the attempt.
+        /// Number of the attempt to start.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stop a task attempt, after it has saved a checkpoint if it can do so within the leeway, otherwise immediately.
+    /// Stop a task attempt. An attempt that can save a checkpoint within the leeway is stopped after saving it, any
+    /// other immediately.
     Stop {
-        /// The task.
+        /// Task to stop.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the attempt.
+        /// Number of the attempt to stop.
         #[serde(rename = "try")]
         attempt: Attempt,
         /// Maximum time for saving a checkpoint, in seconds. 0 means that the task is stopped without saving.
@@ -141,16 +142,17 @@
     },
     /// Remove an exited task attempt from the worker's list.
     Clear {
-        /// The task.
+        /// Task whose attempt is removed.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the attempt.
+        /// Number of the attempt to remove.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// The response to a heartbeat. It renews the worker's lease if the token is current.
+/// The response to a worker's heartbeat. The response renews the worker's lease if the fencing token in the response is
+/// current.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// The leader's fencing token for the machine. Workers ignore messages with a lower token than the highest that
@@ -161,15 +163,15 @@
     pub orders: Vec<Order>,
 }
 
-/// Orders that a leader sends to a worker outside of heartbeat responses (PROTOCOL, "POST /orders"). They don't renew
-/// the worker's lease.
+/// Orders that a leader sends to a worker outside of heartbeat responses (PROTOCOL, "POST /orders"). Direct orders
+/// don't renew the worker's lease.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct DirectOrders {
     /// The leader's fencing token for the machine. Workers ignore messages with a lower token than the highest that
     /// they have seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Agent epoch that the orders are for. The worker rejects them in any other.
+    /// Agent epoch that the orders are for. The worker rejects them if it is in another epoch.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
     /// Orders, to be carried out in sequence.
