--- a/src/config/tuning.rs
+++ b/src/config/tuning.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
     /// How much more than on the cheapest candidate machine a task may cost on average, as a fraction, 0 to 1, of the
-    /// difference in cost between the most expensive and the cheapest candidate. It is B in the paper that
+    /// difference in cost between the most expensive and the cheapest candidate. This fraction is B in the paper that
     /// [`crate::core::placement`] follows.
     pub budget_share: f64,
     /// Initial median of the log-normal distribution of spot machines' lifetimes, in seconds.
@@ -21,8 +21,8 @@
     /// logarithm of the lifetime in seconds.
     pub spot_sigma: f64,
     /// Margin in seconds: a job stops waiting for new spot machines once its slack, the time between its expected
-    /// finish and the latest acceptable one, is less than the time it has waited plus this margin. It is w in equation
-    /// 8 of the paper that [`crate::core::placement`] follows.
+    /// finish and the latest acceptable one, is less than the time it has waited plus this margin. The margin is w in
+    /// equation 8 of the paper that [`crate::core::placement`] follows.
     pub spot_window_s: f64,
     /// Seconds after which an idle machine is terminated.
     pub idle_timeout_s: f64,
--- a/src/net/heartbeat_balancing.rs
+++ b/src/net/heartbeat_balancing.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records that a worker has been redirected to the peer that [`HeartbeatBalancer::preferred_relay`] returned. The
-    /// next worker is redirected to the next peer, after [`MIN_REDIRECT_INTERVAL`] at the earliest.
+    /// next worker is redirected to the next peer, after `MIN_REDIRECT_INTERVAL` at the earliest.
     pub fn record_redirect(&mut self, now: MonotonicTime) {
         self.round_robin.advance();
         self.next_redirect_at = now + MIN_REDIRECT_INTERVAL;
--- a/src/net/heartbeat_relay.rs
+++ b/src/net/heartbeat_relay.rs
@@ -21,8 +21,8 @@
 /// How long the leader may take to answer a batch. It is shorter than the 4 s that a worker waits for a response, so
 /// that the worker can still be redirected if the leader doesn't answer.
 const BATCH_TIMEOUT: Millis = Millis(1_800);
-/// Average delay of timers, in milliseconds, at which this controller is overloaded and no more workers are redirected
-/// to it.
+/// Average delay of timers, in milliseconds, from which on this controller counts as overloaded and no more workers are
+/// redirected to it.
 const OVERLOAD_TIMER_LAG_MS: f64 = 200.0;
 /// Smoothing factor of the exponential moving average of the timer lag.
 const TIMER_LAG_SMOOTHING: f64 = 0.2;
@@ -121,7 +121,7 @@
         std::mem::take(&mut self.waiting)
     }
 
-    /// Records whether the leader of `term` has answered the batch that was sent to it.
+    /// Records whether the leader of `term` has answered the last batch that was sent to that leader.
     fn record_batch_result(&mut self, term: Term, answered: bool) {
         if self.leader.as_ref().is_some_and(|known| known.term == term) {
             self.leader_confirmed = answered;
--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// The error that this controller doesn't lead, or no longer does, so that it can't decide on heartbeats.
+/// The error that this controller doesn't lead, or no longer leads, so that it can't decide on heartbeats.
 #[derive(Debug)]
 struct NotLeading;
 
@@ -120,7 +120,8 @@
     decisions.ok_or(NotLeading)
 }
 
-/// Returns the route of heartbeats that the peer named `relayed_by` has relayed, or of direct ones if it is `None`.
+/// Returns the route of heartbeats that the peer named `relayed_by` has relayed, or of heartbeats received from workers
+/// directly if `relayed_by` is `None`.
 fn heartbeat_route(node: &Node, relayed_by: Option<&str>) -> HeartbeatRoute {
     let index = relayed_by.and_then(|name| node.settings.peers.iter().position(|peer| peer.name == name));
     index.map_or(HeartbeatRoute::DIRECT, HeartbeatRoute::via_peer)
--- a/src/peer/heartbeat.rs
+++ b/src/peer/heartbeat.rs
@@ -31,8 +31,8 @@
     /// controllers don't stand for election for a while.
     #[prost(string, tag = "7")]
     pub successor: String,
-    /// Names of machines that the leader suspects of having failed. If their workers send heartbeats to a peer, they
-    /// probably can't reach the leader, so the peer doesn't redirect them to it.
+    /// Names of machines that the leader suspects of having failed. If the workers of such machines send heartbeats to
+    /// a peer, they probably can't reach the leader, so the peer doesn't redirect these workers to it.
     #[prost(string, repeated, tag = "8")]
     pub suspected_machines: Vec<String>,
     /// Only with `requests_lease_extension`: the store revision up to which the sender has read all changes of live
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -58,7 +58,7 @@
     /// Memory that each task needs, in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Image that a machine must have before it can start a task.
+    /// Name of the image that a machine must have fetched before it can start a task of the job.
     #[serde(rename = "cast")]
     pub image: String,
     /// Size of the image, in GB.
@@ -85,7 +85,7 @@
     /// Run time between two checkpoints of a task, in seconds. 0 means that tasks write no checkpoints.
     #[serde(rename = "mark_s")]
     pub checkpoint_interval_s: f64,
-    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs to save a checkpoint when the task is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_save_s: f64,
     /// Deadline in seconds after the submission; `None` if the job has none.
@@ -115,10 +115,10 @@
     pub id: &'a str,
     /// Phase of the job.
     pub phase: JobPhase,
-    /// Number of tasks that are done, for display only; `None` if the response doesn't state it.
+    /// Number of the job's tasks that are done, for display only; `None` if the response doesn't state this number.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of running tasks, for display only; `None` if the response doesn't state it.
+    /// Number of the job's running tasks, for display only; `None` if the response doesn't state this number.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -61,7 +61,7 @@
     /// Why the task has exited; `None` if it hasn't.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Whether a stopped task saved its progress; `None` if the worker doesn't report it.
+    /// Whether a stopped task saved its progress; `None` if the worker reports neither.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub progress_saved: Option<bool>,
 }
@@ -137,7 +137,8 @@
         /// Number of the attempt to stop.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Maximum time for saving a checkpoint, in seconds. 0 means that the task is stopped without saving.
+        /// Maximum time for saving a checkpoint before the task is stopped, in seconds. 0 means that the task is
+        /// stopped without saving.
         leeway_s: f64,
     },
     /// Remove an exited task attempt from the worker's list.
