--- a/src/net/heartbeats.rs
+++ b/src/net/heartbeats.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// The error that this controller doesn't lead, or no longer does, so that it can't decide on heartbeats.
+/// The error that this controller doesn't lead, or no longer leads, so that it can't decide on heartbeats.
 #[derive(Debug)]
 struct NotLeading;
 
@@ -120,7 +120,8 @@
     decisions.ok_or(NotLeading)
 }
 
-/// Returns the route of heartbeats that the peer named `relayed_by` has relayed, or of direct ones if it is `None`.
+/// Returns the route of heartbeats that the peer named `relayed_by` has relayed, or of heartbeats received from workers
+/// directly if `relayed_by` is `None`.
 fn heartbeat_route(node: &Node, relayed_by: Option<&str>) -> HeartbeatRoute {
     let index = relayed_by.and_then(|name| node.settings.peers.iter().position(|peer| peer.name == name));
     index.map_or(HeartbeatRoute::DIRECT, HeartbeatRoute::via_peer)
@@ -134,7 +135,8 @@
     heartbeat: &Heartbeat,
     relayed_by: Option<&str>,
 ) -> Option<String> {
-    // Checked first because it is `None` for most heartbeats: most workers already use the right controller.
+    // The preferred peer is determined first because there is none for most heartbeats: most workers already use the
+    // right controller.
     let peer = state.heartbeat_balancer.preferred_relay(now, &heartbeat.zone, relayed_by)?.to_string();
     let id = MachineId::parse(&heartbeat.machine)?;
     if !state.scheduler.as_ref()?.may_redirect_worker(now, &id) {
@@ -153,7 +155,7 @@
         return Some(peer);
     }
     // While the key-value store doesn't serve this controller, the leader's name that was last read from it may be
-    // outdated, and redirects to it could send workers in circles. Peers may know the current leader.
+    // outdated, and redirects to that controller could send workers in circles. Peers may know the current leader.
     let health = &state.store_health;
     let leader = if health.is_unavailable() { health.leader_reported_by_peers() } else { state.leader_name.as_ref() };
     // The leader suspects a machine when it gets no heartbeats from its worker, which probably can't reach the leader.
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -35,19 +35,19 @@
 pub struct JobSpec {
     /// Unique name of the job, such as `req-000412`, chosen by the user.
     pub id: String,
-    /// Class of the job, which determines the objectives that apply.
+    /// Class of the job, which determines the service-level objectives that apply.
     #[serde(rename = "berth")]
     pub class: String,
     /// Name of the team whose guarantee and quota apply.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Kind of the job.
+    /// Kind of the job: array, gang or service.
     #[serde(rename = "shape")]
     pub kind: JobKind,
     /// Priority of the job (PROTOCOL, "Preemption").
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks that the job consists of.
     #[serde(rename = "lots")]
     pub tasks: u32,
     /// CPUs that each task needs.
@@ -58,7 +58,7 @@
     /// Memory that each task needs, in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Image that a machine must have before it can start a task.
+    /// Name of the image that a machine must have fetched before it can start a task of the job.
     #[serde(rename = "cast")]
     pub image: String,
     /// Size of the image, in GB.
@@ -67,7 +67,7 @@
     /// Names of the allowed machine types; `None` if all are allowed.
     #[serde(rename = "builds", default, skip_serializing_if = "Option::is_none")]
     pub allowed_types: Option<Vec<String>>,
-    /// The only allowed zone; `None` if all are allowed.
+    /// Name of the only zone that the tasks may run in; `None` if all zones are allowed.
     #[serde(rename = "quay", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks must be in the same zone.
@@ -76,7 +76,7 @@
     /// Whether the tasks must be spread over zones: at most half of them, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Whether its tasks may run on spot machines.
+    /// Whether the job's tasks may run on spot machines.
     #[serde(rename = "loaner")]
     pub allows_spot: bool,
     /// The user's estimate of a task's run time, not including the image fetch, in seconds; 0 for services.
@@ -85,7 +85,7 @@
     /// Run time between two checkpoints of a task, in seconds. 0 means that tasks write no checkpoints.
     #[serde(rename = "mark_s")]
     pub checkpoint_interval_s: f64,
-    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs to save a checkpoint when the task is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_save_s: f64,
     /// Deadline in seconds after the submission; `None` if the job has none.
@@ -115,10 +115,10 @@
     pub id: &'a str,
     /// Phase of the job.
     pub phase: JobPhase,
-    /// Number of tasks that are done, for display only; `None` if the response doesn't state it.
+    /// Number of the job's tasks that are done, for display only; `None` if the response doesn't state this number.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of running tasks, for display only; `None` if the response doesn't state it.
+    /// Number of the job's running tasks, for display only; `None` if the response doesn't state this number.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
