--- a/src/core/cancellations.rs
+++ b/src/core/cancellations.rs
@@ -1,8 +1,8 @@
 //! The cancellations that this process has confirmed to users.
 //!
 //! A leader whose requests the key-value store refuses asks its peers for the cancellations that it cannot have
-//! read (see [`Election::pledge_to`](super::election::Election::pledge_to)). A process that does not know all of
-//! those that it confirmed must not give a pledge.
+//! read (see [`Election::pledge_to`](super::election::Election::pledge_to)). A process that does not know all
+//! cancellations that its controller confirmed must not pledge to such a leader that it won't stand for election.
 
 use crate::ids::{JobId, Revision};
 use std::collections::BTreeSet;
--- a/src/core/completion_bitmap.rs
+++ b/src/core/completion_bitmap.rs
@@ -32,12 +32,12 @@
     legacy_tasks_per_chunk: u32,
 }
 
-/// The position of one chunk in a job's bitmap. It holds no bits itself: its methods are given the job's bitmap.
+/// Which tasks of a job one chunk of its completion bitmap covers. Holds no bits: the methods are given the bitmap.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BitmapChunk {
     /// The number in the chunk's key, which identifies the chunk among those of its job.
     number: u32,
-    /// The indices of the tasks that the chunk covers.
+    /// The indices, within the job, of the tasks that the chunk covers.
     tasks: Range<usize>,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl BitmapChunk {
-    /// The key under which this chunk of a job's bitmap is stored.
+    /// The key of this chunk of a job's bitmap in the key-value store.
     pub fn key(&self, id: &JobId) -> String {
         format!("{BITMAP_PREFIX}{id}/{}", self.number)
     }
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -40,15 +40,15 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut model = Model::default();
         let mut dependencies = DependencyGraph::default();
-        // The remaining dependencies of each live job, as the leader tracks them.
+        // The dependencies for which each live job still waits, as the leader tracks them.
         let mut depends_on: BTreeMap<JobId, BTreeSet<JobId>> = BTreeMap::new();
         for n in 0..30u32 {
             let named: BTreeSet<JobId> = (0..n).filter(|_| rng.random_bool(0.15)).map(id).collect();
             model.jobs.push((named.clone(), None));
             dependencies.add(id(n), &named, |a| depends_on.contains_key(a));
             depends_on.insert(id(n), named);
-            // A random job ends. Half of the time its outcome is unknown at first and has to be looked up; it may
-            // also be learned of more than once.
+            // A random job ends. Half of the time the job's outcome is unknown at first and has to be looked up; it may
+            // also be recorded more than once.
             let ended = rng.random_range(0..=n);
             if depends_on.contains_key(&id(ended)) {
                 let done = model.may_start(ended as usize) && rng.random_bool(0.7);
@@ -117,7 +117,7 @@
     assert_eq!(of(2), (Priority::High, Some(70.0), 30.0));
     assert_eq!(of(1), (Priority::High, Some(70.0), 30.0), "the longest chain of dependents determines the rank");
     assert!(!inherited.contains_key(&id(4)) && !inherited.contains_key(&id(9)));
-    // A long chain must not overflow the stack.
+    // A long chain of dependents must not overflow the call stack.
     let mut chain = DependencyGraph::default();
     (1..20_000).for_each(|n| chain.add(id(n), &ids(&[n - 1]), |_| true));
     let inherited = chain.inherited_constraints(|_| Some(job_timing(Priority::Low, Some(0.0), 1.0)));
@@ -130,7 +130,7 @@
     dependencies.add(id(9), &ids(&[1, 2, 3]), |_| false);
     assert_eq!(dependencies.next_unresolved(2), [id(1), id(2)]);
     assert_eq!(dependencies.next_unresolved(2), [id(3), id(1)]);
-    // Job 2 turns out to be live; the other two are dropped when their only dependent is removed.
+    // Job 2 turns out to be live and need not be looked up. Nor need jobs 1 and 3 once their only dependent is removed.
     dependencies.add(id(2), &ids(&[]), |_| false);
     assert_eq!(dependencies.next_unresolved(9).len(), 2);
     dependencies.remove(&id(9), &ids(&[1, 2, 3]));
--- a/src/core/election_simulation/faults.rs
+++ b/src/core/election_simulation/faults.rs
@@ -27,8 +27,8 @@
             self.controllers[random_index].frozen_until = now + self.rng.random_range(500..30_000);
         }
         // Restarts are more frequent while the store refuses a controller: the other controllers then confirm
-        // cancellations that this one can't read, and a restarted process has no record of the cancellations that its
-        // predecessor confirmed.
+        // cancellations that the refused one can't read, and a restarted process has no record of the cancellations
+        // that its predecessor confirmed.
         let outage = now < self.outage_until;
         if self.chance(if refused_alone && !outage { 0.012 } else { 0.001 }) {
             self.restart(random_index);
--- a/src/core/election_simulation/mail.rs
+++ b/src/core/election_simulation/mail.rs
@@ -9,7 +9,7 @@
 pub(super) struct PledgeAnswer {
     due_at: u64,
     leader: usize,
-    /// When the requesting process started.
+    /// When the process that requested the pledges started, in simulated time; identifies that process.
     started_at: u64,
     requested_at: u64,
     pledges: Vec<Option<Pledge>>,
@@ -19,7 +19,7 @@
 pub(super) struct CancellationAnswer {
     due_at: u64,
     controller: usize,
-    /// When the requesting process started.
+    /// When the process that sent the request to the store started, in simulated time; identifies that process.
     started_at: u64,
     job: JobId,
     revision: u64,
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -17,10 +17,11 @@
 /// long while there is capacity for it.
 pub const QUARANTINE_PERIOD: Millis = Millis(60_000);
 
-/// Weight of the latest task in a machine's slowness, which is a geometric moving average.
+/// Weight, 0 to 1, of the latest task in a machine's `slowness`, which is a geometric moving average.
 const SLOWNESS_WEIGHT: f64 = 0.25;
 
-/// A machine whose tasks run more than this many times as long as elsewhere is much slower than others.
+/// A machine is much slower than others if its tasks run more than this many times as long as the average of their
+/// jobs.
 const SLOWNESS_THRESHOLD: f64 = 2.0;
 
 /// A machine isn't considered slow before this many tasks have been measured on it.
@@ -218,7 +219,8 @@
     }
 
     /// Marks the machine as reconciled if the worker's token is of this term: the worker then accepts no orders of
-    /// earlier leaders any more, so its task list is complete. Returns whether this changed anything.
+    /// earlier leaders any more, so its task list is complete. Returns whether `reconciled` or `token_acknowledged` has
+    /// become true by this call.
     pub fn reconcile(&mut self, token: FencingToken, term: Term) -> bool {
         if token < FencingToken::new(term, 0) || (self.reconciled && self.token_acknowledged) {
             return false;
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -3,10 +3,10 @@
 //! The policy is a pure function: [`plan`] takes a [`PlanInput`] (machines, provisioning offers, jobs with ready tasks)
 //! and returns a [`PlanOutput`] (placements, scale-out requests, waiting tasks).
 //!
-//! It is based on sections 3.1 to 3.4 of "Constructing Reliable Computing Environments on Top of Amazon EC2 Spot
-//! Instances" (*Algorithms* 2020, 13, 187). Comments in this module call that publication "the paper" and cite its
-//! equations ("eq.") and the lines of its algorithm ("line"). They say so where the policy differs from the paper
-//! or decides what the paper leaves open; docs/design.md gives the reasons.
+//! The policy is based on sections 3.1 to 3.4 of "Constructing Reliable Computing Environments on Top of Amazon EC2
+//! Spot Instances" (*Algorithms* 2020, 13, 187). Comments in this module call that publication "the paper" and cite its
+//! equations ("eq.") and the lines of its algorithm ("line"). They say so where the policy differs from the paper or
+//! decides what the paper leaves open; docs/design.md gives the reasons.
 //!
 //! In a planning round, `job_selection` chooses the jobs, `job_progress` keeps the state of each job, `estimates`
 //! computes time, cost and reliability of a job's tasks on a candidate machine, `ranking` orders the candidates, and
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -27,7 +27,7 @@
     format!("{TERMINAL_PREFIX}{id}")
 }
 
-/// The preconditions for accepting a job: neither a live nor a terminal record of it exists, so it was never
+/// The preconditions for accepting a job: neither a live nor a terminal record of the job exists, so that it was never
 /// accepted before.
 pub fn absent_preconditions(id: &JobId) -> Vec<Precondition> {
     vec![Precondition { key: live_key(id), revision: 0 }, Precondition { key: terminal_key(id), revision: 0 }]
@@ -58,8 +58,8 @@
     pub depends_on: Vec<JobId>,
 }
 
-/// The stored form of a [`LiveRecord`]. Versions without support for dependencies cannot read `Dependent`,
-/// and so ignore such a job instead of starting it too early.
+/// The form in which a [`LiveRecord`] is written to the key-value store. Versions without support for dependencies
+/// cannot read `Dependent`, and so ignore a job with dependencies instead of starting it too early.
 #[derive(Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredLive {
--- a/src/core/shards.rs
+++ b/src/core/shards.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Records that a controller has not answered a plan request in time. It is not asked for plans until it
-    /// responds again.
+    /// Records that a controller has not answered a plan request in time. The leader doesn't ask that controller for
+    /// plans until it responds again.
     pub fn mark_unresponsive(&mut self, controller: &str) {
         if let Some(at) = self.last_response_at.get_mut(controller) {
             *at = None;
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -72,7 +72,7 @@
     /// At most half of the gang's tasks may be in the same zone, but only one zone is open to the job.
     #[error("half of the gang at the most may be in the only zone it may use")]
     SpreadOverOneZone,
-    /// The tasks that must run at the same time exceed the team's limit.
+    /// The job's tasks that must run at the same time need more resources than its team may ever use.
     #[error("the job needs more than its team's limit")]
     BeyondTeamLimit,
     /// The job's record exceeds the key-value store's limit on the size of a value.
@@ -172,8 +172,8 @@
     if !types.iter().any(|machine_type| is_eligible_type(spec, machine_type) && offers_zone(machine_type)) {
         return Err(UnsatisfiableSubmission::FitsNoMachineType);
     }
-    // All tasks of a gang run at the same time, so a gang that must be spread over zones needs at least two; a job
-    // that must stay in one zone has only one.
+    // All tasks of a gang run at the same time, so a gang that must be spread over zones needs at least two zones. A
+    // job that must stay in one zone can use only one.
     if spec.kind == JobKind::Gang
         && spec.spread
         && spec.tasks > 1
--- a/src/net/election.rs
+++ b/src/net/election.rs
@@ -20,7 +20,7 @@
 
 /// Interval at which a controller that doesn't lead reads the leader's key.
 const POLL_INTERVAL: Millis = Millis(350);
-/// Time for the store to delete the key of a revoked lease.
+/// How long this controller waits after revoking a lease, so that the store has deleted the lease's key.
 const REVOKE_DELAY: Millis = Millis(20);
 /// Upper bound on the random time that a controller that was not elected waits before it tries again.
 const MAX_CANDIDACY_BACKOFF_MS: u64 = 200;
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,4 @@
-//! HTTP client for all outgoing requests. It limits the time of each request, the size of each response and the
+//! HTTP client for all outgoing requests, which limits the time of each request, the size of each response and the
 //! number of open connections.
 
 use crate::time::Millis;
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -33,8 +33,8 @@
 
 #[tokio::test]
 async fn oversized_response_is_a_distinct_error() {
-    // A watch returns all changes in one response, however many there are. If it is too large, the client has to list
-    // the keys in pages instead of repeating the watch.
+    // A watch returns all changes in one response, however many there are. If that response is too large, the client
+    // has to list the keys in pages instead of repeating the watch.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     tokio::spawn(async move {
--- a/src/net/leader_loop.rs
+++ b/src/net/leader_loop.rs
@@ -1,4 +1,4 @@
-//! The work of the controller that leads: loads the cluster state, passes inputs to the scheduler and performs the
+//! What the leading controller does: loads the cluster state, passes inputs to the scheduler and performs the
 //! effects that the scheduler requests.
 //!
 //! | module | purpose |
--- a/src/net/leader_loop/peer_heartbeats.rs
+++ b/src/net/leader_loop/peer_heartbeats.rs
@@ -89,7 +89,7 @@
     let now = node.now();
     let mut state = node.lock();
     let Some(scheduler) = &mut state.scheduler else { return 0 };
-    // Workers try the controllers in turn, so each peer has heard from only some of them.
+    // Workers that can't reach the leader try the controllers in turn, so each peer has heard from only some workers.
     let mut redirected: BTreeSet<&str> = BTreeSet::new();
     let mut successor: Option<(usize, &str)> = None;
     for (peer, response) in peers::responding_peers(node, responses) {
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -36,7 +36,8 @@
     pub tuning: Tuning,
     /// HTTP client for the store, the cloud and the peers.
     pub http: HttpClient,
-    /// HTTP client for orders to workers. It has its own limit on sockets, as workers are by far the most hosts.
+    /// HTTP client for orders to workers, with its own limit on sockets, as there are far more workers than other
+    /// hosts.
     pub worker_http: HttpClient,
     /// Client of the key-value store. Requests that the controller makes for its own work go through
     /// [`Node::track_store`] or [`Node::commit`], which record whether the store serves this controller.
@@ -73,7 +74,7 @@
     pub user_requests_in_progress: usize,
     /// Whether the store serves this controller, and what the peers report about the store and the leader.
     pub store_health: StoreHealth,
-    /// Workers that have sent heartbeats here while another controller led.
+    /// Workers that have sent heartbeats to this controller while another one led.
     pub redirected_workers: RedirectedWorkers,
     /// Machines that the leader suspects of having failed, by its latest heartbeat to this controller.
     pub suspected_machines: HashSet<String>,
