--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -9,7 +9,7 @@
 /// Lower bound on the mutations that the store must allow in a transaction: a little more than any single transaction
 /// of a controller needs.
 const MIN_TRANSACTION_OPS: usize = 4;
-/// Lower bound on the limit on sockets: with fewer, none would be left for users and workers.
+/// Lower bound on the limit on open sockets: with fewer, none would be left for users and workers.
 const MIN_SOCKETS: usize = 32;
 /// Time in seconds by which the time limit on cancellations must exceed a worker's lease plus the leader's lease, so
 /// that a cancellation is carried out within the limit even if the leader changes meanwhile.
--- a/src/net/loopback/leadership.rs
+++ b/src/net/loopback/leadership.rs
@@ -39,7 +39,8 @@
         cluster.lock().worker.tasks.is_empty()
     })
     .await;
-    // The leader continues beyond its lease, as the other controller pledges not to stand for election.
+    // The leader keeps leading after its lease would have expired, as the other controller pledges not to stand for
+    // election.
     while since.elapsed() < leader.settings.leader_lease_ttl().mul_f64(2.0).to_std() {
         heartbeat().await;
         tokio::time::sleep(Millis(300).to_std()).await;
--- a/src/peer/plan.rs
+++ b/src/peer/plan.rs
@@ -6,7 +6,7 @@
 
 use prost::Message;
 
-/// A machine type.
+/// A machine type, as the planners see it.
 #[derive(Clone, PartialEq, Message)]
 pub struct MachineTypeView {
     /// Total number of CPUs of a machine of this type.
@@ -130,7 +130,7 @@
     /// Number of the entry's tasks that are to be placed now.
     #[prost(uint32, tag = "5")]
     pub ready_tasks: u32,
-    /// Number of all tasks of the job.
+    /// Total number of the job's tasks, placed and finished ones included.
     #[prost(uint32, tag = "6")]
     pub tasks: u32,
     /// CPUs that a task needs.
@@ -145,7 +145,7 @@
     /// Number that the leader has assigned to the job's image.
     #[prost(uint32, tag = "10")]
     pub image: u32,
-    /// Size of the image, in GB.
+    /// Size of the job's image, in GB.
     #[prost(double, tag = "11")]
     pub image_gb: f64,
     /// Indices of the allowed machine types in [`PlanInput::types`]; empty if all are allowed.
@@ -268,7 +268,7 @@
     /// Instance pools from which machines can be provisioned.
     #[prost(message, repeated, tag = "8")]
     pub offers: Vec<ProvisionOffer>,
-    /// Batch size: the maximum number of tasks to place on machines that are up.
+    /// Batch size: the maximum number of tasks to place on machines that are up in this planning round.
     #[prost(uint32, tag = "9")]
     pub batch_size: u32,
     /// How much more than the cheapest candidate a task may cost on average, as a fraction, 0 to 1, of the difference
@@ -313,7 +313,7 @@
     /// Index of the zone in the leader's list of zones.
     #[prost(uint32, tag = "2")]
     pub zone: u32,
-    /// Whether a spot machine is needed.
+    /// Whether the capacity is requested on spot machines.
     #[prost(bool, tag = "3")]
     pub spot: bool,
     /// Capacity that is needed, as a fraction of one machine.
@@ -324,13 +324,13 @@
     pub priority: u32,
 }
 
-/// Tasks of a job that have to wait.
+/// Tasks of a job that could not be placed on a machine that is up, and therefore wait.
 #[derive(Clone, PartialEq, Message)]
 pub struct WaitingTasks {
     /// Key of the job's entry ([`JobView::key`]).
     #[prost(uint32, tag = "1")]
     pub job: u32,
-    /// Number of tasks that could not be placed on a machine that is up.
+    /// Number of the job's tasks that could not be placed on a machine that is up.
     #[prost(uint32, tag = "2")]
     pub count: u32,
     /// Whether some of these tasks wait for a spot machine that is not up yet.
@@ -364,7 +364,7 @@
     /// Capacity on new machines that the leader should provision.
     #[prost(message, repeated, tag = "5")]
     pub scale_out: Vec<ScaleOutRequest>,
-    /// Tasks that have to wait.
+    /// Tasks that could not be placed on a machine that is up, and therefore wait.
     #[prost(message, repeated, tag = "6")]
     pub waiting: Vec<WaitingTasks>,
 }
